--- a/benchmarks/FixedServer.java
+++ b/benchmarks/FixedServer.java
@@ -14,8 +14,12 @@
 
     public static void main(String[] args) throws Exception {
         Net net = Net.open("fixed", 2);
-        Listener l = Listener.open(net, new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
-                ServerLimits.STANDARD, FixedServer::answer);
+        Listener l =
+                Listener.open(
+                        net,
+                        new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
+                        ServerLimits.STANDARD,
+                        FixedServer::answer);
         System.out.println("listening " + l.address().getPort());
         Thread.currentThread().join();
     }
@@ -23,8 +27,13 @@
     private static void answer(ServerExchange x) {
         String t = x.head().target();
         long size = t.startsWith("/1k/") ? 1000 : t.startsWith("/1m/") ? 1_000_000 : 100_000_000;
-        x.start(new ResponseHead(200, new Fields().add("Cache-Status", "fixed; hit").add("Brooklock-Load",
-                "util=0.10, inflight=1, x0=0.90")), size);
+        x.start(
+                new ResponseHead(
+                        200,
+                        new Fields()
+                                .add("Cache-Status", "fixed; hit")
+                                .add("Brooklock-Load", "util=0.10, inflight=1, x0=0.90")),
+                size);
         new Object() {
             long left = size;
 
--- a/benchmarks/RevocationTime.java
+++ b/benchmarks/RevocationTime.java
@@ -16,34 +16,90 @@
 import java.util.List;
 import javax.net.ssl.SSLSocket;
 
-/** Time from the moment a list of revoked certificates is in place to the last byte of a transfer that it ends. */
+/**
+ * Time from the moment a list of revoked certificates is in place to the last byte of a transfer
+ * that it ends.
+ */
 public final class RevocationTime {
     public static void main(String[] args) throws Exception {
         Path dir = Files.createTempDirectory("revoked");
         LocalAuthority pki = new LocalAuthority("authority");
-        LocalAuthority.write(dir.resolve("server.pem"), dir.resolve("server.key"), pki.issue("edge", "localhost", 3600_000));
+        LocalAuthority.write(
+                dir.resolve("server.pem"),
+                dir.resolve("server.key"),
+                pki.issue("edge", "localhost", 3600_000));
         pki.writeAuthority(dir.resolve("ca.pem"));
         Files.writeString(dir.resolve("revoked.pem"), pki.revoked(3600_000));
-        Files.writeString(dir.resolve("policy"), "tenant a\nmap san a.example a\nallow a * /own/{rest}\n");
+        Files.writeString(
+                dir.resolve("policy"), "tenant a\nmap san a.example a\nallow a * /own/{rest}\n");
         Net net = Net.open("hosts", 1);
-        StandInHost origin = new StandInHost(net, new HostModel("o1", HostModel.Role.ORIGIN, 50, 4e8, 500, 1000, 1, 1, 0, 1,
-                1000, 0), new Ledger(), (p, c) -> 40_000_000, c -> 1e7, null, 1);
+        StandInHost origin =
+                new StandInHost(
+                        net,
+                        new HostModel(
+                                "o1",
+                                HostModel.Role.ORIGIN,
+                                50,
+                                4e8,
+                                500,
+                                1000,
+                                1,
+                                1,
+                                0,
+                                1,
+                                1000,
+                                0),
+                        new Ledger(),
+                        (p, c) -> 40_000_000,
+                        c -> 1e7,
+                        null,
+                        1);
         // A cache that gives 4 MB a second: the transfer would last ten seconds.
-        StandInHost cache = new StandInHost(net, new HostModel("c1", HostModel.Role.CACHE, 50, 4e6, 500, 1000, 1, 1, 0, 1,
-                1000, 0), new Ledger(), (p, c) -> 40_000_000, c -> 1e7, null, 2);
-        Dispatcher edge = Dispatcher.start(SettingsReader.parse("b", dir, "name d1\nlisten 127.0.0.1:0\n"
-                + "control 127.0.0.1:0\nzone hub\nzone here hub hub\nhere here\nclass s safe aim 5s deadline 30s streamed\n"
-                + "rights policy\ntls server.pem server.key\nclients ca.pem\nrevoked revoked.pem\n"
-                + "route GET /own/{object} s rights\nhost o1 origin hub 127.0.0.1:" + origin.address().getPort()
-                + "\nhost c1 cache here 127.0.0.1:" + cache.address().getPort() + "\n"));
+        StandInHost cache =
+                new StandInHost(
+                        net,
+                        new HostModel(
+                                "c1",
+                                HostModel.Role.CACHE,
+                                50,
+                                4e6,
+                                500,
+                                1000,
+                                1,
+                                1,
+                                0,
+                                1,
+                                1000,
+                                0),
+                        new Ledger(),
+                        (p, c) -> 40_000_000,
+                        c -> 1e7,
+                        null,
+                        2);
+        Dispatcher edge =
+                Dispatcher.start(
+                        SettingsReader.parse(
+                                "b",
+                                dir,
+                                "name d1\nlisten 127.0.0.1:0\n"
+                                        + "control 127.0.0.1:0\nzone hub\nzone here hub hub\nhere here\nclass s safe aim 5s deadline 30s streamed\n"
+                                        + "rights policy\ntls server.pem server.key\nclients ca.pem\nrevoked revoked.pem\n"
+                                        + "route GET /own/{object} s rights\nhost o1 origin hub 127.0.0.1:"
+                                        + origin.address().getPort()
+                                        + "\nhost c1 cache here 127.0.0.1:"
+                                        + cache.address().getPort()
+                                        + "\n"));
         List<X509Certificate> gone = new ArrayList<>();
         List<Double> ms = new ArrayList<>();
         for (int i = 0; i < 25; i++) {
             Tls.Shown mine = pki.issue("x" + i, "a.example", 3600_000);
             var context = Tls.client(mine, () -> trust(pki, dir), System::currentTimeMillis);
             Socket plain = new Socket("127.0.0.1", edge.address().getPort());
-            SSLSocket s = (SSLSocket) context.getSocketFactory().createSocket(plain, "localhost", edge.address().getPort(),
-                    true);
+            SSLSocket s =
+                    (SSLSocket)
+                            context.getSocketFactory()
+                                    .createSocket(
+                                            plain, "localhost", edge.address().getPort(), true);
             s.getOutputStream().write("GET /own/big HTTP/1.1\r\nHost: a\r\n\r\n".getBytes());
             byte[] in = new byte[16384];
             int got = s.getInputStream().read(in);
@@ -53,7 +109,10 @@
             gone.add(mine.chain()[0]);
             Path beside = dir.resolve("next.pem");
             Files.writeString(beside, pki.revoked(3600_000, gone.toArray(X509Certificate[]::new)));
-            Files.move(beside, dir.resolve("revoked.pem"), java.nio.file.StandardCopyOption.ATOMIC_MOVE);
+            Files.move(
+                    beside,
+                    dir.resolve("revoked.pem"),
+                    java.nio.file.StandardCopyOption.ATOMIC_MOVE);
             long moved = System.nanoTime();
             long last = moved;
             try {
@@ -68,8 +127,9 @@
             }
         }
         Collections.sort(ms);
-        System.out.printf("revocation to last byte, %d transfers: min %.0f ms, median %.0f ms, max %.0f ms%n", ms.size(),
-                ms.get(0), ms.get(ms.size() / 2), ms.get(ms.size() - 1));
+        System.out.printf(
+                "revocation to last byte, %d transfers: min %.0f ms, median %.0f ms, max %.0f ms%n",
+                ms.size(), ms.get(0), ms.get(ms.size() / 2), ms.get(ms.size() - 1));
         System.exit(0);
     }
 
--- a/benchmarks/RightsCost.java
+++ b/benchmarks/RightsCost.java
@@ -33,64 +33,123 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** What rights cost: a decision by number of lines, a token new and seen, handshakes a second, all checks of a request. */
+/**
+ * What rights cost: a decision by number of lines, a token new and seen, handshakes a second, all
+ * checks of a request.
+ */
 public final class RightsCost {
     private static long sink;
-    private static final TokenBook.Taker taker = new TokenBook.Taker() {
-        @Override
-        public void good(Identity caller) {
-            sink += caller.untilMs();
-        }
+    private static final TokenBook.Taker taker =
+            new TokenBook.Taker() {
+                @Override
+                public void good(Identity caller) {
+                    sink += caller.untilMs();
+                }
 
-        @Override
-        public void bad(BadCredential why) {
-            throw new IllegalStateException(why);
-        }
+                @Override
+                public void bad(BadCredential why) {
+                    throw new IllegalStateException(why);
+                }
 
-        @Override
-        public void full() {
-            throw new IllegalStateException();
-        }
-    };
+                @Override
+                public void full() {
+                    throw new IllegalStateException();
+                }
+            };
 
     public static void main(String[] args) throws Exception {
         for (int lines : new int[] {10, 1000, 20000}) {
             StringBuilder s = new StringBuilder();
             for (int t = 0; t < 10; t++) {
-                s.append("tenant t").append(t).append("\nmap claim tenant t").append(t).append(" t").append(t).append('\n');
+                s.append("tenant t")
+                        .append(t)
+                        .append("\nmap claim tenant t")
+                        .append(t)
+                        .append(" t")
+                        .append(t)
+                        .append('\n');
             }
             for (int i = 0; i < lines; i++) {
-                s.append(i % 7 == 0 ? "deny" : "allow").append(" t").append(i % 10).append(" GET /scans/g").append(i / 2)
-                        .append(i % 3 == 0 ? "/{rest}" : "/{object}/{part}").append('\n');
+                s.append(i % 7 == 0 ? "deny" : "allow")
+                        .append(" t")
+                        .append(i % 10)
+                        .append(" GET /scans/g")
+                        .append(i / 2)
+                        .append(i % 3 == 0 ? "/{rest}" : "/{object}/{part}")
+                        .append('\n');
             }
             Policy p = PolicyReader.parse("p", s.toString());
-            System.out.printf("decision among %d lines: %.2f us%n", lines, per(400_000, i -> sink += p.decide("t" + i % 10,
-                    "GET", "/scans/g" + i % lines + "/o/1", "scans", 0).line()));
+            System.out.printf(
+                    "decision among %d lines: %.2f us%n",
+                    lines,
+                    per(
+                            400_000,
+                            i ->
+                                    sink +=
+                                            p.decide(
+                                                            "t" + i % 10,
+                                                            "GET",
+                                                            "/scans/g" + i % lines + "/o/1",
+                                                            "scans",
+                                                            0)
+                                                    .line()));
         }
-        System.out.printf("path form: %.2f us%n", per(400_000, i -> sink += PathForm.wrong("/scans/g17/object-1234/5?a=b")
-                == null ? 1 : 0));
+        System.out.printf(
+                "path form: %.2f us%n",
+                per(
+                        400_000,
+                        i ->
+                                sink +=
+                                        PathForm.wrong("/scans/g17/object-1234/5?a=b") == null
+                                                ? 1
+                                                : 0));
         for (String alg : List.of("EdDSA", "ES256", "RS256")) {
             KeyPair pair = KeyFile.generate(alg);
-            KeyRing ring = KeyRing.parse(JSONObjectUtils.toJSONString(Map.of("keys", List.of(KeyFile.entry("k", alg, pair,
-                    KeyRing.State.SIGNING)))));
+            KeyRing ring =
+                    KeyRing.parse(
+                            JSONObjectUtils.toJSONString(
+                                    Map.of(
+                                            "keys",
+                                            List.of(
+                                                    KeyFile.entry(
+                                                            "k",
+                                                            alg,
+                                                            pair,
+                                                            KeyRing.State.SIGNING)))));
             long exp = System.currentTimeMillis() / 1000 + 600;
-            String token = TokenMaker.make(pair.getPrivate(), "k", Map.of("tenant", "t1", "exp", exp));
+            String token =
+                    TokenMaker.make(pair.getPrivate(), "k", Map.of("tenant", "t1", "exp", exp));
             TokenCheck check = new TokenCheck(null, null, 0);
             TokenBook book = new TokenBook(check, new byte[32]);
             long now = System.currentTimeMillis();
-            System.out.printf("token %s: new %.0f us, seen %.2f us%n", alg, per(4_000, i -> {
-                try {
-                    sink += check.check(token, ring, now, "l").identity().untilMs();
-                } catch (Exception e) {
-                    throw new IllegalStateException(e);
-                }
-            }), per(200_000, i -> {
-                book.look(token, ring, "a", now, 1, (dear, after) -> {
-                    dear.run();
-                    after.run();
-                    return true;
-                }, taker);
-            }));
+            System.out.printf(
+                    "token %s: new %.0f us, seen %.2f us%n",
+                    alg,
+                    per(
+                            4_000,
+                            i -> {
+                                try {
+                                    sink += check.check(token, ring, now, "l").identity().untilMs();
+                                } catch (Exception e) {
+                                    throw new IllegalStateException(e);
+                                }
+                            }),
+                    per(
+                            200_000,
+                            i -> {
+                                book.look(
+                                        token,
+                                        ring,
+                                        "a",
+                                        now,
+                                        1,
+                                        (dear, after) -> {
+                                            dear.run();
+                                            after.run();
+                                            return true;
+                                        },
+                                        taker);
+                            }));
         }
         handshakes();
         System.exit(0);
@@ -118,9 +177,17 @@
         ClientTrust trust = pki.trust(Files.createTempDirectory("cost"));
         Net servers = Net.open("server", 2);
         Net clients = Net.open("client", 4);
-        Listener l = Listener.openTls(servers, new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
-                ServerLimits.STANDARD, x -> x.send(200, new Fields().add("X", x.certificates() == null ? "0" : "1"),
-                new byte[10]), Tls.server(() -> List.of(leaf), () -> trust, System::currentTimeMillis));
+        Listener l =
+                Listener.openTls(
+                        servers,
+                        new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
+                        ServerLimits.STANDARD,
+                        x ->
+                                x.send(
+                                        200,
+                                        new Fields().add("X", x.certificates() == null ? "0" : "1"),
+                                        new byte[10]),
+                        Tls.server(() -> List.of(leaf), () -> trust, System::currentTimeMillis));
         AtomicInteger done = new AtomicInteger();
         CountDownLatch end = new CountDownLatch(1);
         long until = System.nanoTime() + 8_000_000_000L;
@@ -128,52 +195,69 @@
         for (int c = 0; c < 4; c++) {
             for (int k = 0; k < 4; k++) {
                 var loop = clients.loop(c);
-                loop.execute(new Runnable() {
-                    @Override
-                    public void run() {
-                        if (System.nanoTime() > until) {
-                            end.countDown();
-                            return;
-                        }
-                        // A context of its own each time: nothing is resumed.
-                        Client one = new Client(loop, ClientLimits.STANDARD, Tls.client(mine, () -> trust,
-                                System::currentTimeMillis));
-                        Runnable again = this;
-                        one.call(l.address(), new RequestHead("GET", "/", "a", 1, new Fields().add("Connection", "close")),
-                                new byte[0], new AnswerTaker() {
-                                    @Override
-                                    public void head(ResponseHead h, Framing f, boolean whole) {
-                                        if (!"1".equals(h.fields().get("X"))) {
-                                            System.out.println("no certificate seen");
-                                        }
-                                    }
+                loop.execute(
+                        new Runnable() {
+                            @Override
+                            public void run() {
+                                if (System.nanoTime() > until) {
+                                    end.countDown();
+                                    return;
+                                }
+                                // A context of its own each time: nothing is resumed.
+                                Client one =
+                                        new Client(
+                                                loop,
+                                                ClientLimits.STANDARD,
+                                                Tls.client(
+                                                        mine,
+                                                        () -> trust,
+                                                        System::currentTimeMillis));
+                                Runnable again = this;
+                                one.call(
+                                        l.address(),
+                                        new RequestHead(
+                                                "GET",
+                                                "/",
+                                                "a",
+                                                1,
+                                                new Fields().add("Connection", "close")),
+                                        new byte[0],
+                                        new AnswerTaker() {
+                                            @Override
+                                            public void head(
+                                                    ResponseHead h, Framing f, boolean whole) {
+                                                if (!"1".equals(h.fields().get("X"))) {
+                                                    System.out.println("no certificate seen");
+                                                }
+                                            }
 
-                                    @Override
-                                    public boolean data(ByteBuffer b) {
-                                        return true;
-                                    }
+                                            @Override
+                                            public boolean data(ByteBuffer b) {
+                                                return true;
+                                            }
 
-                                    @Override
-                                    public void end(Fields t) {
-                                        done.incrementAndGet();
-                                        loop.execute(again);
-                                    }
+                                            @Override
+                                            public void end(Fields t) {
+                                                done.incrementAndGet();
+                                                loop.execute(again);
+                                            }
 
-                                    @Override
-                                    public void failed(Failure f, String why) {
-                                        System.out.println(f + " " + why);
-                                        loop.execute(again);
-                                    }
-                                });
-                    }
-                });
+                                            @Override
+                                            public void failed(Failure f, String why) {
+                                                System.out.println(f + " " + why);
+                                                loop.execute(again);
+                                            }
+                                        });
+                            }
+                        });
             }
         }
         Thread.sleep(4000);
         from[0] = done.get();
         from[1] = System.nanoTime();
         end.await();
-        System.out.printf("full mutual handshakes: %.0f a second, two server threads, clients on the same machine%n",
+        System.out.printf(
+                "full mutual handshakes: %.0f a second, two server threads, clients on the same machine%n",
                 (done.get() - from[0]) / ((System.nanoTime() - from[1]) / 1e9));
     }
 }
--- a/benchmarks/WarmingReturn.java
+++ b/benchmarks/WarmingReturn.java
@@ -25,22 +25,25 @@
 import org.jfree.data.xy.XYSeriesCollection;
 
 /**
- * How fast cold caches are back, with warming and without: the same days with the same seeds, once each way. Dispatchers,
- * caches, parents, origin and clients are real sockets in one process; caches and parents are stand-ins.
+ * How fast cold caches are back, with warming and without: the same days with the same seeds, once
+ * each way. Dispatchers, caches, parents, origin and clients are real sockets in one process;
+ * caches and parents are stand-ins.
  *
- * <p>{@code play DIR FROM TO [TROUBLE...]} plays seeds and writes a file for each day; {@code show DIR PLOTS} reads them all,
- * prints the table and draws the plots.
+ * <p>{@code play DIR FROM TO [TROUBLE...]} plays seeds and writes a file for each day; {@code show
+ * DIR PLOTS} reads them all, prints the table and draws the plots.
  */
 public final class WarmingReturn {
     private static final double STRIKE = 14;
     private static final double END = 26;
     private static final double BIN = 0.25;
-    // What belongs to the struck caches is learned in this time before the trouble, the shares of before in the rest.
+    // What belongs to the struck caches is learned in this time before the trouble, the shares of
+    // before in the rest.
     private static final double LEARN = 10;
     // Shares are taken over so many bins, that end with the one told.
     private static final int WINDOW = 4;
 
-    private static final String DAY = """
+    private static final String DAY =
+            """
             length 26s
             rate 260/s
             retries 2
@@ -61,12 +64,27 @@
             ask notes 3%
             """;
 
-    private static final Map<String, String> TROUBLES = new TreeMap<>(Map.of(
-            "one", "at 14s restart south-3 within 1ms\n",
-            "quarter", "at 14s restart 25% of caches within 200ms\n",
-            "twenty", "at 14s restart zone north within 500ms\nfrom 14s to 22s refuse 50% at origin\n"));
+    private static final Map<String, String> TROUBLES =
+            new TreeMap<>(
+                    Map.of(
+                            "one", "at 14s restart south-3 within 1ms\n",
+                            "quarter", "at 14s restart 25% of caches within 200ms\n",
+                            "twenty",
+                                    "at 14s restart zone north within 500ms\nfrom 14s to 22s refuse 50% at origin\n"));
 
-    private enum Line { ASKED, IN_TIME, CAME, HELD, NEIGHBOUR, AHEAD, ORIGIN, ORIGIN_KB, HUB_KB, OFFICES_KB, PRESSED }
+    private enum Line {
+        ASKED,
+        IN_TIME,
+        CAME,
+        HELD,
+        NEIGHBOUR,
+        AHEAD,
+        ORIGIN,
+        ORIGIN_KB,
+        HUB_KB,
+        OFFICES_KB,
+        PRESSED
+    }
 
     public static void main(String[] args) throws Exception {
         if (args[0].equals("show")) {
@@ -75,15 +93,40 @@
         }
         Path dir = Files.createDirectories(Path.of(args[1]));
         for (int seed = Integer.parseInt(args[2]); seed <= Integer.parseInt(args[3]); seed++) {
-            for (String trouble : args.length > 4 ? List.of(args).subList(4, args.length) : TROUBLES.keySet()) {
+            for (String trouble :
+                    args.length > 4 ? List.of(args).subList(4, args.length) : TROUBLES.keySet()) {
                 for (String way : List.of("without", "with")) {
-                    String text = "seed " + seed + "\n" + DAY + (way.equals("with") ? "warming all share 0.5 bears 250/s\n" : "")
-                            + TROUBLES.get(trouble);
-                    Outcome o = Rehearsal.compare(trouble, text, Files.createTempDirectory("day"),
-                            Rehearsal.Router.MODULE, line -> { });
+                    String text =
+                            "seed "
+                                    + seed
+                                    + "\n"
+                                    + DAY
+                                    + (way.equals("with")
+                                            ? "warming all share 0.5 bears 250/s\n"
+                                            : "")
+                                    + TROUBLES.get(trouble);
+                    Outcome o =
+                            Rehearsal.compare(
+                                    trouble,
+                                    text,
+                                    Files.createTempDirectory("day"),
+                                    Rehearsal.Router.MODULE,
+                                    line -> {});
                     write(o, dir.resolve(trouble + "-" + way + "-" + seed + ".csv"));
-                    System.out.printf("%s %s seed %d: %s, service %.3f%n%s%n", trouble, way, seed, o.verdict(), o.service(),
-                            o.report().lines().filter(l -> l.startsWith("rule") || l.startsWith("    ") && l.contains("at "))
+                    System.out.printf(
+                            "%s %s seed %d: %s, service %.3f%n%s%n",
+                            trouble,
+                            way,
+                            seed,
+                            o.verdict(),
+                            o.service(),
+                            o.report()
+                                    .lines()
+                                    .filter(
+                                            l ->
+                                                    l.startsWith("rule")
+                                                            || l.startsWith("    ")
+                                                                    && l.contains("at "))
                                     .collect(Collectors.joining("\n")));
                 }
             }
@@ -95,11 +138,23 @@
 
     private static void write(Outcome o, Path file) throws IOException {
         long begun = o.records().begunNs();
-        // Those that were struck are those that were cold at some time (parents take no requests of clients).
-        Set<String> struck = o.records().ledger().sightings().stream().filter(s -> s.straight() && s.cold)
-                .map(s -> s.host).collect(Collectors.toSet());
-        Set<String> theirs = o.records().ledger().sightings().stream().filter(s -> struck.contains(s.host) && s.straight()
-                && at(s.atNs, begun) < LEARN && s.cls.equals("scans")).map(s -> s.target).collect(Collectors.toSet());
+        // Those that were struck are those that were cold at some time (parents take no requests of
+        // clients).
+        Set<String> struck =
+                o.records().ledger().sightings().stream()
+                        .filter(s -> s.straight() && s.cold)
+                        .map(s -> s.host)
+                        .collect(Collectors.toSet());
+        Set<String> theirs =
+                o.records().ledger().sightings().stream()
+                        .filter(
+                                s ->
+                                        struck.contains(s.host)
+                                                && s.straight()
+                                                && at(s.atNs, begun) < LEARN
+                                                && s.cls.equals("scans"))
+                        .map(s -> s.target)
+                        .collect(Collectors.toSet());
         int bins = (int) (END / BIN);
         Map<Line, double[]> all = new EnumMap<>(Line.class);
         for (Line l : Line.values()) {
@@ -144,9 +199,19 @@
         }
         // Rule 5 has no case on these days: that it was not seen is no breach.
         String report = o.report();
-        String verdict = report.contains("BREACHES") ? "broken" : report.contains("COULD NOT") ? "not-judged" : "kept";
-        StringBuilder text = new StringBuilder("verdict " + verdict + " " + o.records().ledger().falls().size() + " "
-                + o.service() + "\n");
+        String verdict =
+                report.contains("BREACHES")
+                        ? "broken"
+                        : report.contains("COULD NOT") ? "not-judged" : "kept";
+        StringBuilder text =
+                new StringBuilder(
+                        "verdict "
+                                + verdict
+                                + " "
+                                + o.records().ledger().falls().size()
+                                + " "
+                                + o.service()
+                                + "\n");
         all.forEach((line, row) -> row(text, line.name(), row));
         pressed.forEach((host, row) -> row(text, host, row));
         Files.writeString(file, text);
@@ -249,7 +314,10 @@
         }
 
         double most() {
-            return days.stream().flatMapToDouble(d -> Arrays.stream(d.row(Line.PRESSED))).max().orElse(0);
+            return days.stream()
+                    .flatMapToDouble(d -> Arrays.stream(d.row(Line.PRESSED)))
+                    .max()
+                    .orElse(0);
         }
     }
 
@@ -263,33 +331,61 @@
             Map<String, Kind> kinds = new TreeMap<>();
             List<Path> files;
             try (var in = Files.list(dir)) {
-                files = in.filter(p -> p.getFileName().toString().startsWith(trouble + "-")).sorted().toList();
+                files =
+                        in.filter(p -> p.getFileName().toString().startsWith(trouble + "-"))
+                                .sorted()
+                                .toList();
             }
             if (files.isEmpty()) {
                 continue;
             }
             for (Path f : files) {
-                kinds.computeIfAbsent(f.getFileName().toString().split("-")[1], k -> new Kind()).days.add(Day.read(f));
+                kinds.computeIfAbsent(f.getFileName().toString().split("-")[1], k -> new Kind())
+                        .days
+                        .add(Day.read(f));
             }
             System.out.println(trouble);
-            kinds.forEach((way, k) -> System.out.printf("  %-8s days %d %s; falls %d; service of the day %.3f; hits %.3f before, "
-                    + "back after %.2f s, lost %.2f s; in time %.3f before, back after %.2f s, lost %.2f s; after the trouble "
-                    + "a day: %.0f asks and %.2f MB of the archive, %.2f MB from the hub, %.2f MB between offices, %.0f given by "
-                    + "neighbours of %.0f, %.0f ahead; most load %.2f%n", way, k.days.size(),
-                    k.days.stream().collect(Collectors.groupingBy(Day::verdict, TreeMap::new, Collectors.counting())),
-                    k.days.stream().mapToInt(Day::falls).sum(), k.days.stream().mapToDouble(Day::service).average().orElse(0),
-                    k.before(Line.HELD, Line.CAME), k.back(Line.HELD, Line.CAME), k.lost(Line.HELD, Line.CAME),
-                    k.before(Line.IN_TIME, Line.ASKED), k.back(Line.IN_TIME, Line.ASKED), k.lost(Line.IN_TIME, Line.ASKED),
-                    k.perDay(Line.ORIGIN), k.perDay(Line.ORIGIN_KB) / 1e3, k.perDay(Line.HUB_KB) / 1e3,
-                    k.perDay(Line.OFFICES_KB) / 1e3, k.perDay(Line.NEIGHBOUR), k.perDay(Line.CAME), k.perDay(Line.AHEAD), k.most()));
+            kinds.forEach(
+                    (way, k) ->
+                            System.out.printf(
+                                    "  %-8s days %d %s; falls %d; service of the day %.3f; hits %.3f before, "
+                                            + "back after %.2f s, lost %.2f s; in time %.3f before, back after %.2f s, lost %.2f s; after the trouble "
+                                            + "a day: %.0f asks and %.2f MB of the archive, %.2f MB from the hub, %.2f MB between offices, %.0f given by "
+                                            + "neighbours of %.0f, %.0f ahead; most load %.2f%n",
+                                    way,
+                                    k.days.size(),
+                                    k.days.stream()
+                                            .collect(
+                                                    Collectors.groupingBy(
+                                                            Day::verdict,
+                                                            TreeMap::new,
+                                                            Collectors.counting())),
+                                    k.days.stream().mapToInt(Day::falls).sum(),
+                                    k.days.stream().mapToDouble(Day::service).average().orElse(0),
+                                    k.before(Line.HELD, Line.CAME),
+                                    k.back(Line.HELD, Line.CAME),
+                                    k.lost(Line.HELD, Line.CAME),
+                                    k.before(Line.IN_TIME, Line.ASKED),
+                                    k.back(Line.IN_TIME, Line.ASKED),
+                                    k.lost(Line.IN_TIME, Line.ASKED),
+                                    k.perDay(Line.ORIGIN),
+                                    k.perDay(Line.ORIGIN_KB) / 1e3,
+                                    k.perDay(Line.HUB_KB) / 1e3,
+                                    k.perDay(Line.OFFICES_KB) / 1e3,
+                                    k.perDay(Line.NEIGHBOUR),
+                                    k.perDay(Line.CAME),
+                                    k.perDay(Line.AHEAD),
+                                    k.most()));
             plot(trouble, kinds, plots.resolve("warming-" + trouble + ".png"));
         }
     }
 
     // ---- Plots
 
-    private static void plot(String trouble, Map<String, Kind> kinds, Path file) throws IOException {
-        CombinedDomainXYPlot all = new CombinedDomainXYPlot(new NumberAxis("seconds after the restart"));
+    private static void plot(String trouble, Map<String, Kind> kinds, Path file)
+            throws IOException {
+        CombinedDomainXYPlot all =
+                new CombinedDomainXYPlot(new NumberAxis("seconds after the restart"));
         all.add(shares("hit share", kinds, Line.HELD, Line.CAME), 2);
         all.add(shares("in time", kinds, Line.IN_TIME, Line.ASKED), 2);
         for (String way : kinds.keySet()) {
@@ -297,21 +393,39 @@
             Kind k = kinds.get(way);
             // Each cold cache's load over time, the worst of all days at each moment and host.
             Map<String, double[]> hosts = new TreeMap<>();
-            k.days.forEach(d -> d.rows().forEach((name, row) -> {
-                if (name.contains("-")) {
-                    hosts.merge(name, row, (a, b) -> {
-                        double[] m = a.clone();
-                        Arrays.setAll(m, i -> Math.max(a[i], b[i]));
-                        return m;
-                    });
-                }
-            }));
+            k.days.forEach(
+                    d ->
+                            d.rows()
+                                    .forEach(
+                                            (name, row) -> {
+                                                if (name.contains("-")) {
+                                                    hosts.merge(
+                                                            name,
+                                                            row,
+                                                            (a, b) -> {
+                                                                double[] m = a.clone();
+                                                                Arrays.setAll(
+                                                                        m,
+                                                                        i -> Math.max(a[i], b[i]));
+                                                                return m;
+                                                            });
+                                                }
+                                            }));
             hosts.forEach((name, row) -> loads.addSeries(series(name, row)));
-            XYPlot p = new XYPlot(loads, null, axis("load / bears, " + way, 1.1), thin(hosts.size()));
+            XYPlot p =
+                    new XYPlot(loads, null, axis("load / bears, " + way, 1.1), thin(hosts.size()));
             all.add(p, 2);
         }
-        JFreeChart chart = new JFreeChart("cold caches: " + trouble + ", " + kinds.values().iterator().next().days.size()
-                + " seeds, stand-ins on loopback", JFreeChart.DEFAULT_TITLE_FONT, all, false);
+        JFreeChart chart =
+                new JFreeChart(
+                        "cold caches: "
+                                + trouble
+                                + ", "
+                                + kinds.values().iterator().next().days.size()
+                                + " seeds, stand-ins on loopback",
+                        JFreeChart.DEFAULT_TITLE_FONT,
+                        all,
+                        false);
         chart.setBackgroundPaint(Color.WHITE);
         ChartUtils.saveChartAsPNG(file.toFile(), chart, 900, 900, null, false, 9);
     }
--- a/src/main/java/brooklock/Main.java
+++ b/src/main/java/brooklock/Main.java
@@ -9,10 +9,11 @@
 import java.io.FileOutputStream;
 import java.io.IOException;
 
-/** The program's beginning. {@code wirehost} and {@code node} start without loading any of the rest. */
+/**
+ * The program's beginning. {@code wirehost} and {@code node} start without loading any of the rest.
+ */
 public final class Main {
-    private Main() {
-    }
+    private Main() {}
 
     /** Runs the command named by the first argument. */
     public static void main(String[] args) {
@@ -24,7 +25,8 @@
         }
         try {
             WireHost host = new WireHost();
-            host.serve(new BufferedInputStream(new FileInputStream(FileDescriptor.in), 1 << 16),
+            host.serve(
+                    new BufferedInputStream(new FileInputStream(FileDescriptor.in), 1 << 16),
                     new BufferedOutputStream(new FileOutputStream(FileDescriptor.out), 1 << 16));
         } catch (WireCodec.WireFault | IOException e) {
             System.err.println("brooklock: " + e.getMessage());
@@ -36,8 +38,10 @@
     private static final class Platform {
         static void run(String what) {
             try {
-                System.exit(what.equals("practice") ? brooklock.platform.NodeMain.practice()
-                        : brooklock.platform.NodeMain.run(System.getenv("NODE_CONFIG")));
+                System.exit(
+                        what.equals("practice")
+                                ? brooklock.platform.NodeMain.practice()
+                                : brooklock.platform.NodeMain.run(System.getenv("NODE_CONFIG")));
             } catch (InterruptedException e) {
                 System.exit(1);
             }
--- a/src/main/java/brooklock/Rules.java
+++ b/src/main/java/brooklock/Rules.java
@@ -4,42 +4,50 @@
 import java.util.*;
 
 /**
- * Every decision of one router, in the order a request lives: counted and looked up on the hot list, given an
- * edge cache and a source, sent, watched, tried again or given up. The interface is RouterApi.java. Times are
- * nanoseconds of the event's clock; a request's "work" is the time its bytes need at the pace of one
- * transfer.
+ * Every decision of one router, in the order a request lives: counted and looked up on the hot
+ * list, given an edge cache and a source, sent, watched, tried again or given up. The interface is
+ * RouterApi.java. Times are nanoseconds of the event's clock; a request's "work" is the time its
+ * bytes need at the pace of one transfer.
  */
 public final class Rules {
     // Interval of the hot list: about as long as edge caches keep what nobody asks for again.
     private static final long INTERVAL_NS = 10_000_000_000L;
-    // Objects counted in one interval, the oldest goes first: bounds memory, far above what 10 s ask.
+    // Objects counted in one interval, the oldest goes first: bounds memory, far above what 10 s
+    // ask.
     private static final int COUNTED_MAX = 50_000;
     // Times asked in this interval above which an object is spread over two caches, and over three.
     private static final int WIDE_AT = 20;
     private static final int WIDER_AT = 60;
-    // Rank of a listed copy: the middle one, so that it pushes out leftovers and never what ranks higher.
+    // Rank of a listed copy: the middle one, so that it pushes out leftovers and never what ranks
+    // higher.
     private static final int LISTED_RANK = 2;
     // Rank of an unlisted copy while there is no list yet: the lowest.
     private static final int UNKNOWN_RANK = 1;
-    // A cache is passed over when its outstanding work is more than this multiple of its peers' mean.
+    // A cache is passed over when its outstanding work is more than this multiple of its peers'
+    // mean.
     private static final double LOAD_BOUND = 1.1;
-    // ... and more than this many mean requests above it, so that small numbers don't move requests about.
+    // ... and more than this many mean requests above it, so that small numbers don't move requests
+    // about.
     private static final double LOAD_SLACK = 2;
     // Share of the allowed multiple that all routers together plan to use on a cold host.
     private static final double COLD_MARGIN = 0.6;
-    // A cold host is never planned above this multiple of what it can do: it would only answer late.
+    // A cold host is never planned above this multiple of what it can do: it would only answer
+    // late.
     private static final double COLD_MOST = 1.3;
     // Span of the running rates, ns: longer than a burst, shorter than a start.
     private static final double RATE_SPAN_NS = 8e9;
-    // Weights of one failure and of one success in a host's failure share, and the share at which it ails.
+    // Weights of one failure and of one success in a host's failure share, and the share at which
+    // it ails.
     private static final double FAIL_WEIGHT = 0.25;
     private static final double OK_WEIGHT = 0.1;
     private static final double AILING = 0.4;
-    // An ailing host gets one trial request after this time, ns, after twice as long with each that failed,
+    // An ailing host gets one trial request after this time, ns, after twice as long with each that
+    // failed,
     // so often doubled at most, and the next as soon as one went well.
     private static final long TRIAL_NS = 1_000_000_000L;
     private static final int TRIAL_DOUBLED = 4;
-    // A host is silent with this many attempts out and nothing heard for this multiple of the longest aim.
+    // A host is silent with this many attempts out and nothing heard for this multiple of the
+    // longest aim.
     private static final int SILENT_ATTEMPTS = 3;
     private static final double SILENT_AIMS = 2;
     // A source is not there if it failed within this multiple of the time-out of a connection.
@@ -55,19 +63,22 @@
     private static final int LAST_TICKS = 2;
     // Purges are heeded this much longer than the stated end, and cut copies this much younger, ns.
     private static final long PURGE_MARGIN_NS = 1_000_000L;
-    // Share of late answers at which a jammed way is held: its gate grows by this part of the work answered
+    // Share of late answers at which a jammed way is held: its gate grows by this part of the work
+    // answered
     // in time and shrinks by the rest of what was late. Origins are late by their own slowness too.
     private static final double CACHE_LATE = 0.1;
     private static final double FILL_LATE = 0.2;
     private static final double ORIGIN_LATE = 0.3;
     // No one late answer takes more than this part of a gate: a large one must not shut it for all.
     private static final double GATE_CUT = 0.25;
-    // Running share of late answers that starts a gate's limit, and the weight of one answer in it, and of
+    // Running share of late answers that starts a gate's limit, and the weight of one answer in it,
+    // and of
     // one of unknown size, which may be late for its size alone.
     private static final double LATE_SHARE = 0.15;
     private static final double LATE_WEIGHT = 0.1;
     private static final double HINT_WEIGHT = 0.05;
-    // Mean requests for which a gate of the own location is left open, and those for which the gates of all
+    // Mean requests for which a gate of the own location is left open, and those for which the
+    // gates of all
     // routers together are at the origin.
     private static final double GATE_LEAST = 2;
     private static final double ORIGIN_LEAST = 4;
@@ -77,13 +88,15 @@
     private static final double MISS_START = 0.3;
     // Weight of one new sample in a running mean.
     private static final double MEAN_WEIGHT = 0.05;
-    // Caches found one by one before the rest is sorted: a sort costs as much as about so many passes.
+    // Caches found one by one before the rest is sorted: a sort costs as much as about so many
+    // passes.
     private static final int SCANS = 8;
     private static final Comparator<Host> NEAREST = Comparator.comparingDouble(h -> -h.score);
 
     private final Settings set;
     private final TreeMap<Long, Host> hosts = new TreeMap<>();
-    // What the list names as ready, by what this router uses it for; made anew when the list changes.
+    // What the list names as ready, by what this router uses it for; made anew when the list
+    // changes.
     private final List<Host> edges = new ArrayList<>();
     private final List<Host> nearParents = new ArrayList<>();
     private final List<Host> farParents = new ArrayList<>();
@@ -136,7 +149,8 @@
         }
     }
 
-    // How much work may be out at once on a way that several requests share. It guards against a jam,
+    // How much work may be out at once on a way that several requests share. It guards against a
+    // jam,
     // whatever its cause: once answers come late, more work only makes all of it late.
     private static final class Gate {
         final double borne;
@@ -151,7 +165,8 @@
             this.floor = floor;
         }
 
-        // A gate narrower than one request lets one in at a time and rests after it, to the same mean.
+        // A gate narrower than one request lets one in at a time and rests after it, to the same
+        // mean.
         boolean admits(double work, long now) {
             return load + work <= limit || load <= 0 && now >= restUntil;
         }
@@ -230,13 +245,20 @@
         final List<Attempt> attempts = new ArrayList<>();
     }
 
-    private enum Reach { NONE, CACHE, PARENT, ORIGIN }
-
-    private enum Purpose { LAST, HEDGE }
+    private enum Reach {
+        NONE,
+        CACHE,
+        PARENT,
+        ORIGIN
+    }
 
-    private record Alarm(long request, Purpose purpose) {
+    private enum Purpose {
+        LAST,
+        HEDGE
     }
 
+    private record Alarm(long request, Purpose purpose) {}
+
     /** An instance with its settings; nothing here is left to chance. */
     public Rules(Settings settings) {
         this.set = settings;
@@ -286,7 +308,8 @@
 
     // ---- The hot list
 
-    // At the interval's end what was counted becomes the list; an interval without events leaves it empty.
+    // At the interval's end what was counted becomes the list; an interval without events leaves it
+    // empty.
     private void turnInterval() {
         if (now < intervalEnd) {
             return;
@@ -296,7 +319,8 @@
         intervalEnd += ((now - intervalEnd) / INTERVAL_NS + 1) * INTERVAL_NS;
     }
 
-    // Counts an object. Its parts, asked in their order, are one asking; a part asked again is another.
+    // Counts an object. Its parts, asked in their order, are one asking; a part asked again is
+    // another.
     private Asked count(Request r) {
         Asked a = counted.get(r.object());
         if (a == null) {
@@ -319,8 +343,10 @@
         return a.times > WIDER_AT ? 3 : a.times > WIDE_AT ? 2 : 1;
     }
 
-    // Rank at which a copy is kept: the listed ones at the middle, others not at all. In the first interval
-    // after a start there is no list yet, so unlisted copies are kept at the lowest rank, where they push
+    // Rank at which a copy is kept: the listed ones at the middle, others not at all. In the first
+    // interval
+    // after a start there is no list yet, so unlisted copies are kept at the lowest rank, where
+    // they push
     // out no listed one.
     private int rankOf(Req q, boolean cached) {
         if (!cached) {
@@ -393,7 +419,8 @@
         return false;
     }
 
-    // How far a request may reach now. Where a way is jammed it goes only as far as the way is free, and
+    // How far a request may reach now. Where a way is jammed it goes only as far as the way is
+    // free, and
     // further on a miss if there is room by then: hits are served however jammed the fills are.
     private Reach reach(Req q, Host target) {
         double work = q.work;
@@ -401,8 +428,13 @@
             return fillGate.admits(work, now) ? Reach.ORIGIN : Reach.NONE;
         }
         boolean fill = fillGate.admits(work * (q.missed ? 1 : missShare), now);
-        boolean origin = originGate.admits(work * (q.parentLacks ? 1 : q.missed ? parentMissShare
-                : missShare * parentMissShare), now);
+        boolean origin =
+                originGate.admits(
+                        work
+                                * (q.parentLacks
+                                        ? 1
+                                        : q.missed ? parentMissShare : missShare * parentMissShare),
+                        now);
         origin &= q.hot || originGate.limit >= work;
         if (!target.gate.admits(work, now) || q.missed && !fill || q.parentLacks && !origin) {
             return Reach.NONE;
@@ -412,7 +444,8 @@
 
     // ---- Which edge cache, which source
 
-    // Caches of the own location by rendezvous hashing, each passed over if it ails, is cold or too busy.
+    // Caches of the own location by rendezvous hashing, each passed over if it ails, is cold or too
+    // busy.
     private Host pickEdge(Req q) {
         long copy = copy(q.ask.object(), q.ask.part());
         double load = 0;
@@ -431,18 +464,28 @@
             if (tried(q, h) || !fit(h) || h.gate.load / weight(h) > bound || !affordable(h, q)) {
                 continue;
             }
-            best = best == null || h.gate.load / weight(h) < best.gate.load / weight(best) ? h : best;
+            best =
+                    best == null || h.gate.load / weight(h) < best.gate.load / weight(best)
+                            ? h
+                            : best;
             if (--left == 0) {
                 break;
             }
         }
-        // Where every cache is too busy or ails: the least busy one that the rules allow, tried ones last.
-        return best != null ? best : edges.stream().filter(h -> affordable(h, q))
-                .min(Comparator.<Host>comparingDouble(h -> rank(q, h)).thenComparing(NEAREST))
-                .orElse(null);
-    }
-
-    // Of the caches from a place on, the first by score is put there: few are looked at, so only those are
+        // Where every cache is too busy or ails: the least busy one that the rules allow, tried
+        // ones last.
+        return best != null
+                ? best
+                : edges.stream()
+                        .filter(h -> affordable(h, q))
+                        .min(
+                                Comparator.<Host>comparingDouble(h -> rank(q, h))
+                                        .thenComparing(NEAREST))
+                        .orElse(null);
+    }
+
+    // Of the caches from a place on, the first by score is put there: few are looked at, so only
+    // those are
     // put in order.
     private Host nearest(int place) {
         if (place == SCANS) {
@@ -461,18 +504,22 @@
         return h.gate.load / weight(h) + (tried(q, h) ? 1e15 : 0) + (ailing(h) ? 1e12 : 0);
     }
 
-    // A parent of the own hub by hash, else of another, ailing ones last; the origin where none will do.
+    // A parent of the own hub by hash, else of another, ailing ones last; the origin where none
+    // will do.
     private Host pickSource(Req q) {
         Host near = bestParent(q, nearParents);
         Host far = near == null || unwanted(q, near) > 0 ? bestParent(q, farParents) : null;
-        Host best = near == null || far != null && unwanted(q, far) < unwanted(q, near) ? far : near;
+        Host best =
+                near == null || far != null && unwanted(q, far) < unwanted(q, near) ? far : near;
         return best != null ? best : origin;
     }
 
     private Host bestParent(Req q, List<Host> parents) {
         long copy = copy(q.ask.object(), q.ask.part());
-        return parents.stream().filter(h -> affordable(h, q))
-                .max(Comparator.comparingDouble(h -> score(copy, h) - 1e6 * unwanted(q, h))).orElse(null);
+        return parents.stream()
+                .filter(h -> affordable(h, q))
+                .max(Comparator.comparingDouble(h -> score(copy, h) - 1e6 * unwanted(q, h)))
+                .orElse(null);
     }
 
     private int unwanted(Req q, Host h) {
@@ -492,7 +539,8 @@
     }
 
     private static boolean tried(Req q, Host h) {
-        return q.attempts.stream().anyMatch(a -> a.host == h && a.reach == Reach.ORIGIN && !overtaken(a));
+        return q.attempts.stream()
+                .anyMatch(a -> a.host == h && a.reach == Reach.ORIGIN && !overtaken(a));
     }
 
     // Its host has answered others since it was sent: what is missing is the answer, not the host.
@@ -551,9 +599,12 @@
         h.trialAt = well ? now : now + (TRIAL_NS << h.trials);
     }
 
-    // Guards against pushing over a host that died and is back before the list tells: one that breaks off
-    // or turns away several connections running is taken for started anew from then on. Should also help
-    // where a list is lost. Harm: connections refused for want of room hold a warm host back for the length
+    // Guards against pushing over a host that died and is back before the list tells: one that
+    // breaks off
+    // or turns away several connections running is taken for started anew from then on. Should also
+    // help
+    // where a list is lost. Harm: connections refused for want of room hold a warm host back for
+    // the length
     // of a start.
     private void lost(Host h, boolean broke) {
         h.lost = broke ? h.lost + 1 : 0;
@@ -578,15 +629,18 @@
         return isParent(h) ? set.guards().parentColdNs() : set.guards().coldNs();
     }
 
-    // Guards against pushing over a cold host. Its budget grows with its warmth times what this router's
-    // own traffic gives a warm peer, which all routers together cannot send above a peer's capacity, times
+    // Guards against pushing over a cold host. Its budget grows with its warmth times what this
+    // router's
+    // own traffic gives a warm peer, which all routers together cannot send above a peer's
+    // capacity, times
     // a part of the allowed multiple.
     private boolean affordable(Host h, Req q) {
         double warmth = warmth(h);
         if (warmth >= 1 || !isCache(h) && !isParent(h)) {
             return true;
         }
-        double multiple = isParent(h) ? set.guards().parentFallMultiple() : set.guards().fallMultiple();
+        double multiple =
+                isParent(h) ? set.guards().parentFallMultiple() : set.guards().fallMultiple();
         // While none is warm the rate stands as it was measured last.
         Rate measured = isParent(h) ? fills : served;
         double unit = measured.perNs(warmWeight(h) > 0 ? now : measured.at) * weight(h);
@@ -601,8 +655,10 @@
         return classWork[q.ask.cls()];
     }
 
-    // Books what a warm host took to the rate of one of unit size. It is divided by the warm hosts that
-    // shared it then, not by those left now: when most of a location leaves, the rest has not grown.
+    // Books what a warm host took to the rate of one of unit size. It is divided by the warm hosts
+    // that
+    // shared it then, not by those left now: when most of a location leaves, the rest has not
+    // grown.
     private void book(Host h, double work) {
         double size = warmWeight(h);
         if (size > 0 && h.state == HostState.READY && warmth(h) >= 1) {
@@ -610,14 +666,20 @@
         }
     }
 
-    // Weight of all warm peers; reckoned anew when the list or a start changes it, or time has made one more
+    // Weight of all warm peers; reckoned anew when the list or a start changes it, or time has made
+    // one more
     // warm.
     private double warmWeight(Host h) {
         int kind = isParent(h) ? 1 : 0;
         if (now >= warmUntil[kind]) {
-            warmWeight[kind] = peers(h).stream().filter(p -> warmth(p) >= 1).mapToDouble(this::weight).sum();
-            warmUntil[kind] = peers(h).stream().filter(p -> warmth(p) < 1)
-                    .mapToLong(p -> p.startedAt + coldSpan(p)).min().orElse(Long.MAX_VALUE);
+            warmWeight[kind] =
+                    peers(h).stream().filter(p -> warmth(p) >= 1).mapToDouble(this::weight).sum();
+            warmUntil[kind] =
+                    peers(h).stream()
+                            .filter(p -> warmth(p) < 1)
+                            .mapToLong(p -> p.startedAt + coldSpan(p))
+                            .min()
+                            .orElse(Long.MAX_VALUE);
         }
         return warmWeight[kind];
     }
@@ -645,9 +707,12 @@
         target.gate.load += a.work;
         a.reach = reach;
         boolean cached = isCache(target) && !q.cls.goesThrough();
-        a.fillWork = reach == Reach.CACHE || q.cls.goesThrough() ? 0
-                : q.missed || !cached ? a.work : a.work * missShare;
-        a.originWork = reach != Reach.ORIGIN ? 0 : a.fillWork * (q.parentLacks ? 1 : parentMissShare);
+        a.fillWork =
+                reach == Reach.CACHE || q.cls.goesThrough()
+                        ? 0
+                        : q.missed || !cached ? a.work : a.work * missShare;
+        a.originWork =
+                reach != Reach.ORIGIN ? 0 : a.fillWork * (q.parentLacks ? 1 : parentMissShare);
         fillGate.load += a.fillWork;
         originGate.load += a.originWork;
         spend(target, q);
@@ -655,9 +720,19 @@
             spend(source, q);
         }
         long left = Math.max(1, q.ask.deadlineNs() - now);
-        out.add(new Get(q.ask.id(), target.entry.host(), left, source.entry.host(), rankOf(q, cached),
-                oldest(q), set.joins() && !q.cls.goesThrough(), reach == Reach.PARENT && isParent(source),
-                q.mayHaveRun && q.cls.effect() == Effect.KEYED ? Math.min(left, windowLeft(q)) : left));
+        out.add(
+                new Get(
+                        q.ask.id(),
+                        target.entry.host(),
+                        left,
+                        source.entry.host(),
+                        rankOf(q, cached),
+                        oldest(q),
+                        set.joins() && !q.cls.goesThrough(),
+                        reach == Reach.PARENT && isParent(source),
+                        q.mayHaveRun && q.cls.effect() == Effect.KEYED
+                                ? Math.min(left, windowLeft(q))
+                                : left));
     }
 
     private void spend(Host h, Req q) {
@@ -684,12 +759,15 @@
         return now > moment + set.guards().purgeDoneNs() + PURGE_MARGIN_NS;
     }
 
-    // The oldest copy that will do: younger than the last purge; a copy's age only grows on the way.
+    // The oldest copy that will do: younger than the last purge; a copy's age only grows on the
+    // way.
     private long oldest(Req q) {
         Long object = purgedObjects.get(q.ask.object());
         Long group = purgedGroups.get(q.ask.group());
-        long moment = Math.max(object == null ? Long.MIN_VALUE : object,
-                group == null ? Long.MIN_VALUE : group);
+        long moment =
+                Math.max(
+                        object == null ? Long.MIN_VALUE : object,
+                        group == null ? Long.MIN_VALUE : group);
         if (moment == Long.MIN_VALUE || forgotten(moment)) {
             return 0;
         }
@@ -725,13 +803,18 @@
         forget(q);
     }
 
-    // An answer is lost if none came by the deadline though the host answered others since. Whether that is
-    // so here and now is learned from those, and from second copies that came before the first: a large or
+    // An answer is lost if none came by the deadline though the host answered others since. Whether
+    // that is
+    // so here and now is learned from those, and from second copies that came before the first: a
+    // large or
     // late answer looks the same until then.
     private boolean lostAnswer(Req q, Attempt a, Done d) {
         boolean overdue = overtaken(a) && now >= q.ask.deadlineNs() - LAST_TICKS * set.tickNs();
-        boolean lost = overdue && d.outcome() != Outcome.OK
-                || d.outcome() == Outcome.OK && q.attempts.get(0) != a && overtaken(q.attempts.get(0));
+        boolean lost =
+                overdue && d.outcome() != Outcome.OK
+                        || d.outcome() == Outcome.OK
+                                && q.attempts.get(0) != a
+                                && overtaken(q.attempts.get(0));
         if (overdue || d.outcome() == Outcome.OK) {
             lostShare += MEAN_WEIGHT * ((lost ? 1 : 0) - lostShare);
         }
@@ -747,7 +830,8 @@
         a.originWork = 0;
     }
 
-    // Who is to blame: the host that answered badly or not at all, or the source that its note names.
+    // Who is to blame: the host that answered badly or not at all, or the source that its note
+    // names.
     private void learn(Req q, Attempt a, Done d) {
         boolean filled = filled(d);
         if (d.outcome() == Outcome.OK) {
@@ -764,7 +848,8 @@
             heard(a.host, true);
             heard(a.source, d.note() == Note.ORIGIN_FAILED);
         } else if (d.outcome() == Outcome.TIMEOUT && a.host.unansweredSince <= a.sentAt
-                || d.outcome() == Outcome.RESET || d.outcome() == Outcome.CONNECT_FAILED) {
+                || d.outcome() == Outcome.RESET
+                || d.outcome() == Outcome.CONNECT_FAILED) {
             heard(a.host, false);
         } else if (d.outcome() == Outcome.ERROR) {
             a.host.unansweredSince = now;
@@ -779,14 +864,17 @@
         }
     }
 
-    // Guards against clients whose requests no host can use: a host that erred is to blame once another
-    // served the request, or where none was asked. Harm: where most hosts fail, it is known later who does.
+    // Guards against clients whose requests no host can use: a host that erred is to blame once
+    // another
+    // served the request, or where none was asked. Harm: where most hosts fail, it is known later
+    // who does.
     private void blame(Req q) {
         q.erred.forEach(h -> heard(h, false));
         q.erred.clear();
     }
 
-    // A hit tells of the cache's own link, a parent's copy of the way in, the rest of the origin behind.
+    // A hit tells of the cache's own link, a parent's copy of the way in, the rest of the origin
+    // behind.
     // What never began, or was called off before its aim (its client left), tells nothing.
     private void gates(Req q, Attempt a, Done d, boolean lostAnswer) {
         boolean ok = d.outcome() == Outcome.OK;
@@ -797,12 +885,14 @@
         if (q.cls.goesThrough()) {
             originGate.answered(onTime, meanWork, meanWork);
         } else if (!q.sized) {
-            (isCache(a.host) && d.note() == Note.HIT ? a.host.gate : fillGate).hint(onTime, HINT_WEIGHT);
+            (isCache(a.host) && d.note() == Note.HIT ? a.host.gate : fillGate)
+                    .hint(onTime, HINT_WEIGHT);
         } else if (ok && isCache(a.host) && d.note() == Note.HIT) {
             a.host.gate.answered(onTime, q.work, meanWork);
         } else if (ok && (!isCache(a.host) || d.note() == Note.FILLED)) {
             fillGate.answered(onTime, q.work, meanWork);
-        } else if (ok && d.note() == Note.FILLED_BY_ORIGIN || sourceFailed(d.note()) && !unreached(d)) {
+        } else if (ok && d.note() == Note.FILLED_BY_ORIGIN
+                || sourceFailed(d.note()) && !unreached(d)) {
             originGate.answered(onTime, q.work, meanWork);
         } else if (!ok && now >= q.aimAt && !lostAnswer) {
             (a.reach == Reach.CACHE ? a.host.gate : fillGate).answered(false, q.work, meanWork);
@@ -812,7 +902,8 @@
             missShare += MEAN_WEIGHT * ((d.note() == Note.HIT ? 0 : 1) - missShare);
         }
         if (open && !q.parentLacks && d.note() != Note.HIT) {
-            parentMissShare += MEAN_WEIGHT * ((d.note() == Note.FILLED_BY_ORIGIN ? 1 : 0) - parentMissShare);
+            parentMissShare +=
+                    MEAN_WEIGHT * ((d.note() == Note.FILLED_BY_ORIGIN ? 1 : 0) - parentMissShare);
         }
     }
 
@@ -824,14 +915,17 @@
         return d.note() == Note.FILLED || d.note() == Note.FILLED_BY_ORIGIN;
     }
 
-    // A source that broke off within the time of a connection was not there; a slow one breaks off later.
+    // A source that broke off within the time of a connection was not there; a slow one breaks off
+    // later.
     private boolean unreached(Done d) {
         return d.note() == Note.SOURCE_BROKE
                 && d.sourceWaitNs() < UNREACHED * set.limits().connectTimeoutNs();
     }
 
     private static boolean sourceFailed(Note note) {
-        return note == Note.SOURCE_REFUSED || note == Note.SOURCE_BROKE || note == Note.ORIGIN_FAILED;
+        return note == Note.SOURCE_REFUSED
+                || note == Note.SOURCE_BROKE
+                || note == Note.ORIGIN_FAILED;
     }
 
     private void learnWork(Req q, Done d) {
@@ -868,8 +962,7 @@
     private boolean mayResend(Req q) {
         return switch (q.cls.effect()) {
             case SAFE -> true;
-            case KEYED -> !q.mayHaveRun
-                    || q.cls.keyGroup() == Group.ALL && windowLeft(q) > 0;
+            case KEYED -> !q.mayHaveRun || q.cls.keyGroup() == Group.ALL && windowLeft(q) > 0;
             case UNSAFE -> !q.mayHaveRun;
         };
     }
@@ -890,12 +983,17 @@
         }
     }
 
-    // A second copy of a safe request whose host ails or has gone silent by now, or whose answer was lost:
-    // its host has answered others since. Where answers are late none is sent: it would take a jammed link
+    // A second copy of a safe request whose host ails or has gone silent by now, or whose answer
+    // was lost:
+    // its host has answered others since. Where answers are late none is sent: it would take a
+    // jammed link
     // twice.
     private void hedge(Req q) {
         Attempt a = q.attempts.get(q.attempts.size() - 1);
-        boolean free = lostShare > LOST_SHARE && a.host.gate.late < LATE_SHARE && fillGate.late < LATE_SHARE;
+        boolean free =
+                lostShare > LOST_SHARE
+                        && a.host.gate.late < LATE_SHARE
+                        && fillGate.late < LATE_SHARE;
         if (overtaken(a) && free) {
             leaveGates(a);
         }
@@ -913,10 +1011,16 @@
         if (q.erred.size() == 1) {
             blame(q);
         }
-        boolean harmless = q.cls.effect() == Effect.SAFE || !q.mayHaveRun && q.open == 0
-                || q.cls.effect() == Effect.KEYED && q.cls.keyGroup() == Group.ALL;
-        out.add(harmless ? new Refuse(q.ask.id(), set.limits().retryAfter()
-                ? set.limits().maxRetryAfterNs() : 0) : new Fail(q.ask.id()));
+        boolean harmless =
+                q.cls.effect() == Effect.SAFE
+                        || !q.mayHaveRun && q.open == 0
+                        || q.cls.effect() == Effect.KEYED && q.cls.keyGroup() == Group.ALL;
+        out.add(
+                harmless
+                        ? new Refuse(
+                                q.ask.id(),
+                                set.limits().retryAfter() ? set.limits().maxRetryAfterNs() : 0)
+                        : new Fail(q.ask.id()));
         q.asked.times = Math.max(0, q.asked.times - 1);
         close(q);
     }
--- a/src/main/java/brooklock/bench/WireCodec.java
+++ b/src/main/java/brooklock/bench/WireCodec.java
@@ -27,7 +27,10 @@
 import java.util.Arrays;
 import java.util.List;
 
-/** The wire's bytes to events and actions to bytes: translation only, every decision is in {@link Rules}. */
+/**
+ * The wire's bytes to events and actions to bytes: translation only, every decision is in {@link
+ * Rules}.
+ */
 public final class WireCodec {
     private static final int UP = 16;
     private static final int LIST = 17;
@@ -54,8 +57,7 @@
     private static final int HOW_HELD_ONLY = 2;
     private static final Note[] NOTES = Note.values();
 
-    private WireCodec() {
-    }
+    private WireCodec() {}
 
     /** Input that cannot be read; its message names what and where. */
     public static final class WireFault extends RuntimeException {
@@ -67,8 +69,7 @@
     }
 
     /** The first message of an instance. */
-    record Start(Settings settings) {
-    }
+    record Start(Settings settings) {}
 
     /** Reads the records of one batch. Fields left off at a record's end read as 0. */
     static final class Reader {
@@ -94,8 +95,14 @@
             code = in.get() & 0xff;
             int length = in.getInt();
             if (length < 0 || length > in.capacity() - at - 5) {
-                throw new WireFault("record at byte " + at + " (code " + code + "): length "
-                        + Integer.toUnsignedString(length) + " runs past the frame");
+                throw new WireFault(
+                        "record at byte "
+                                + at
+                                + " (code "
+                                + code
+                                + "): length "
+                                + Integer.toUnsignedString(length)
+                                + " runs past the frame");
             }
             end = at + 5 + length;
             in.limit(end);
@@ -119,34 +126,53 @@
         }
 
         Start start() {
-            return guarded(() -> {
-                must64();
-                byte[] text = bytes(must32());
-                try {
-                    return new Start(settings(JsonParser.parseString(
-                            new String(text, StandardCharsets.UTF_8)).getAsJsonObject()));
-                } catch (BufferUnderflowException e) {
-                    throw e;
-                } catch (RuntimeException e) {
-                    throw new WireFault("record at byte " + at + " (settings): " + e.getMessage());
-                }
-            });
-        }
-
-        /** The next event, or null for what is read but asked for by nobody: probes and other routers' messages. */
+            return guarded(
+                    () -> {
+                        must64();
+                        byte[] text = bytes(must32());
+                        try {
+                            return new Start(
+                                    settings(
+                                            JsonParser.parseString(
+                                                            new String(
+                                                                    text, StandardCharsets.UTF_8))
+                                                    .getAsJsonObject()));
+                        } catch (BufferUnderflowException e) {
+                            throw e;
+                        } catch (RuntimeException e) {
+                            throw new WireFault(
+                                    "record at byte " + at + " (settings): " + e.getMessage());
+                        }
+                    });
+        }
+
+        /**
+         * The next event, or null for what is read but asked for by nobody: probes and other
+         * routers' messages.
+         */
         Event event(long now) {
-            return guarded(() -> switch (code) {
-                case LIST -> list();
-                case INCOMING -> incoming();
-                case ESTABLISHED -> new RouterApi.Streaming(must64(), must16(), must32() & 0xffffffffL);
-                case COMPLETED -> completed();
-                case LAPSED -> new RouterApi.Lapsed(must64());
-                case TIMEOUT_FIRED -> new RouterApi.TimerFired(must32() & 0xffffffffL);
-                case PROBE_DONE -> probed();
-                case NOTE_FROM -> noteFrom();
-                case WITHDRAWN_COPY -> withdrawn();
-                default -> throw new WireFault("record at byte " + at + ": unknown event code " + code);
-            });
+            return guarded(
+                    () ->
+                            switch (code) {
+                                case LIST -> list();
+                                case INCOMING -> incoming();
+                                case ESTABLISHED ->
+                                        new RouterApi.Streaming(
+                                                must64(), must16(), must32() & 0xffffffffL);
+                                case COMPLETED -> completed();
+                                case LAPSED -> new RouterApi.Lapsed(must64());
+                                case TIMEOUT_FIRED ->
+                                        new RouterApi.TimerFired(must32() & 0xffffffffL);
+                                case PROBE_DONE -> probed();
+                                case NOTE_FROM -> noteFrom();
+                                case WITHDRAWN_COPY -> withdrawn();
+                                default ->
+                                        throw new WireFault(
+                                                "record at byte "
+                                                        + at
+                                                        + ": unknown event code "
+                                                        + code);
+                            });
         }
 
         private interface Field<T> {
@@ -157,7 +183,12 @@
             try {
                 return field.read();
             } catch (BufferUnderflowException e) {
-                throw new WireFault("record at byte " + at + " (code " + code + "): a field runs past the record");
+                throw new WireFault(
+                        "record at byte "
+                                + at
+                                + " (code "
+                                + code
+                                + "): a field runs past the record");
             }
         }
 
@@ -169,8 +200,12 @@
             opt64();
             int n = opt32();
             if (n < 0 || n > in.remaining()) {
-                throw new WireFault("record at byte " + at + ": list of " + Integer.toUnsignedString(n)
-                        + " entries runs past the record");
+                throw new WireFault(
+                        "record at byte "
+                                + at
+                                + ": list of "
+                                + Integer.toUnsignedString(n)
+                                + " entries runs past the record");
             }
             List<HostEntry> rows = new ArrayList<>(n);
             for (int i = 0; i < n; i++) {
@@ -199,7 +234,8 @@
             int group = (int) opt32f();
             long object = opt64();
             double sizeKb = opt32f();
-            return new RouterApi.Request(id, cls, object, part, group, sizeKb, (bits & BIT_REPEAT) != 0, opt64());
+            return new RouterApi.Request(
+                    id, cls, object, part, group, sizeKb, (bits & BIT_REPEAT) != 0, opt64());
         }
 
         private Event completed() {
@@ -262,7 +298,8 @@
                 case 70 -> Outcome.CANCELLED;
                 case 80 -> Outcome.MOOT;
                 case 90 -> Outcome.MISS;
-                default -> throw new WireFault("record at byte " + at + ": unknown outcome " + status);
+                default ->
+                        throw new WireFault("record at byte " + at + ": unknown outcome " + status);
             };
         }
 
@@ -309,13 +346,22 @@
 
     /** Writes the actions of one reply. */
     static final class Writer {
-        private ByteBuffer out = ByteBuffer.allocate(1 << 12).order(ByteOrder.LITTLE_ENDIAN).putInt(0);
+        private ByteBuffer out =
+                ByteBuffer.allocate(1 << 12).order(ByteOrder.LITTLE_ENDIAN).putInt(0);
 
         void action(int who, Action action) {
             if (action instanceof RouterApi.Get a) {
-                begin(LOOK_AND_FILL, 38, who).putLong(a.id()).putInt((int) a.host()).putLong(a.limitNs())
-                        .putInt((int) a.source()).put((byte) a.keep()).putLong(a.oldestNs())
-                        .put((byte) ((a.join() ? HOW_JOIN : 0) | (a.heldOnly() ? HOW_HELD_ONLY : 0)));
+                begin(LOOK_AND_FILL, 38, who)
+                        .putLong(a.id())
+                        .putInt((int) a.host())
+                        .putLong(a.limitNs())
+                        .putInt((int) a.source())
+                        .put((byte) a.keep())
+                        .putLong(a.oldestNs())
+                        .put(
+                                (byte)
+                                        ((a.join() ? HOW_JOIN : 0)
+                                                | (a.heldOnly() ? HOW_HELD_ONLY : 0)));
             } else if (action instanceof RouterApi.Refuse a) {
                 begin(PUSH_BACK, 20, who).putLong(a.id()).putLong(a.retryInNs());
             } else if (action instanceof RouterApi.Fail a) {
@@ -343,7 +389,10 @@
         private ByteBuffer begin(int code, int length, int who) {
             if (out.remaining() < length + 5) {
                 byte[] bigger = Arrays.copyOf(out.array(), out.capacity() * 2 + length);
-                out = ByteBuffer.wrap(bigger).order(ByteOrder.LITTLE_ENDIAN).position(out.position());
+                out =
+                        ByteBuffer.wrap(bigger)
+                                .order(ByteOrder.LITTLE_ENDIAN)
+                                .position(out.position());
             }
             return out.put((byte) code).putInt(length).putInt(who);
         }
@@ -358,23 +407,45 @@
         for (JsonElement lane : array(top, "lanes")) {
             classes.add(classOf(lane.getAsJsonObject(), extra, classes.size()));
         }
-        return new Settings(List.copyOf(classes),
-                new Limits(flag(limits, "cancel"), flag(limits, "mayDuplicate"), flag(limits, "retryAfter"),
-                        (int) number(limits, "tryLimit"), whole(limits, "maxRetryAfterNs"),
+        return new Settings(
+                List.copyOf(classes),
+                new Limits(
+                        flag(limits, "cancel"),
+                        flag(limits, "mayDuplicate"),
+                        flag(limits, "retryAfter"),
+                        (int) number(limits, "tryLimit"),
+                        whole(limits, "maxRetryAfterNs"),
                         whole(limits, "connectTimeoutNs")),
-                new Guards(number(guards, "coldFrom"), whole(guards, "coldNs"), number(guards, "fallMultiple"),
-                        whole(guards, "overloadForNs"), number(extra, "parentStartsAt"),
-                        whole(extra, "parentRampNs"), number(extra, "parentLimitFactor"),
+                new Guards(
+                        number(guards, "coldFrom"),
+                        whole(guards, "coldNs"),
+                        number(guards, "fallMultiple"),
+                        whole(guards, "overloadForNs"),
+                        number(extra, "parentStartsAt"),
+                        whole(extra, "parentRampNs"),
+                        number(extra, "parentLimitFactor"),
                         whole(extra, "goneEverywhereNs")),
-                (int) number(top, "balancers"), (int) number(top, "zone"), numbers(extra, "hubByZone"),
-                kind(extra, "secondTierKind"), kind(extra, "storeKind"), !text(top, "weights").equals("off"),
-                text(top, "discovery").equals("ask"), flag(extra, "joins"), flag(extra, "passThroughOk"),
-                number(extra, "oneFlowKbPerS"), whole(top, "tickNs"));
+                (int) number(top, "balancers"),
+                (int) number(top, "zone"),
+                numbers(extra, "hubByZone"),
+                kind(extra, "secondTierKind"),
+                kind(extra, "storeKind"),
+                !text(top, "weights").equals("off"),
+                text(top, "discovery").equals("ask"),
+                flag(extra, "joins"),
+                flag(extra, "passThroughOk"),
+                number(extra, "oneFlowKbPerS"),
+                whole(top, "tickNs"));
     }
 
     private static ClassSettings classOf(JsonObject lane, JsonObject extra, int i) {
-        return new ClassSettings(whole(lane, "onTimeNs"), number(lane, "aimStretch"), effect(text(lane, "effect")),
-                group(text(lane, "keyScope")), whole(lane, "windowNs"), flagAt(extra, "goesThrough", i),
+        return new ClassSettings(
+                whole(lane, "onTimeNs"),
+                number(lane, "aimStretch"),
+                effect(text(lane, "effect")),
+                group(text(lane, "keyScope")),
+                whole(lane, "windowNs"),
+                flagAt(extra, "goesThrough", i),
                 wholeAt(extra, "goodForNs", i));
     }
 
--- a/src/main/java/brooklock/bench/WireHost.java
+++ b/src/main/java/brooklock/bench/WireHost.java
@@ -12,7 +12,10 @@
 import java.util.List;
 import java.util.Map;
 
-/** Hosts instances of {@link Rules} on the wire: one reply a batch, one {@code Rules} an instance, nothing shared. */
+/**
+ * Hosts instances of {@link Rules} on the wire: one reply a batch, one {@code Rules} an instance,
+ * nothing shared.
+ */
 public final class WireHost {
     private static final int HEADER_BYTES = 12;
 
@@ -27,18 +30,21 @@
                 return;
             }
             if (got < HEADER_BYTES) {
-                throw new WireCodec.WireFault("truncated frame: header has " + got + " of " + HEADER_BYTES + " bytes");
+                throw new WireCodec.WireFault(
+                        "truncated frame: header has " + got + " of " + HEADER_BYTES + " bytes");
             }
             ByteBuffer h = ByteBuffer.wrap(header).order(ByteOrder.LITTLE_ENDIAN);
             int length = h.getInt(0);
             long now = h.getLong(4);
             // The stated length is everything after the length field and the clock.
             if (length < 0) {
-                throw new WireCodec.WireFault("frame length " + Integer.toUnsignedString(length) + " is too long");
+                throw new WireCodec.WireFault(
+                        "frame length " + Integer.toUnsignedString(length) + " is too long");
             }
             byte[] body = in.readNBytes(length);
             if (body.length < length) {
-                throw new WireCodec.WireFault("truncated frame: body has " + body.length + " of " + length + " bytes");
+                throw new WireCodec.WireFault(
+                        "truncated frame: body has " + body.length + " of " + length + " bytes");
             }
             out.write(answer(now, body));
             out.flush();
@@ -59,11 +65,14 @@
         int who = reader.instance();
         if (reader.isStart()) {
             WireCodec.Start start = reader.start();
-            run(who, writer, out -> {
-                Rules rules = new Rules(start.settings());
-                instances.put(who, rules);
-                rules.start(now, out);
-            });
+            run(
+                    who,
+                    writer,
+                    out -> {
+                        Rules rules = new Rules(start.settings());
+                        instances.put(who, rules);
+                        rules.start(now, out);
+                    });
         } else if (reader.isStop()) {
             instances.remove(who);
         } else {
@@ -85,7 +94,8 @@
             work.into(out);
             out.forEach(action -> writer.action(who, action));
         } catch (RuntimeException e) {
-            writer.fault(who, e + (e.getStackTrace().length > 0 ? " at " + e.getStackTrace()[0] : ""));
+            writer.fault(
+                    who, e + (e.getStackTrace().length > 0 ? " at " + e.getStackTrace()[0] : ""));
         }
     }
 }
--- a/src/main/java/brooklock/cli/Check.java
+++ b/src/main/java/brooklock/cli/Check.java
@@ -8,8 +8,12 @@
 import picocli.CommandLine.Parameters;
 
 /** Looks whether a settings file could be used. */
-@Command(name = "check", mixinStandardHelpOptions = true, description = "Checks a settings file; prints every mistake "
-        + "with its line and exits 1 if there is one.")
+@Command(
+        name = "check",
+        mixinStandardHelpOptions = true,
+        description =
+                "Checks a settings file; prints every mistake "
+                        + "with its line and exits 1 if there is one.")
 final class Check implements Callable<Integer> {
     @Parameters(paramLabel = "FILE", description = "the settings")
     private Path file;
--- a/src/main/java/brooklock/cli/Cli.java
+++ b/src/main/java/brooklock/cli/Cli.java
@@ -6,17 +6,30 @@
 import picocli.CommandLine.Command;
 
 /** The command and its subcommands; each is a class of its own. */
-@Command(name = "brooklock", version = "brooklock 0.1.0", mixinStandardHelpOptions = true,
-        description = "A caching edge: routes requests before tiers of caches with one origin behind them.",
-        subcommands = {Serve.class, Check.class, StandIn.class, Rehearse.class, LoadCommand.class,
-            ReplayTrace.class, KeysCommand.class},
-        footer = {"", "wirehost, alone, hosts instances of the module on standard input and output for a simulator."})
+@Command(
+        name = "brooklock",
+        version = "brooklock 0.1.0",
+        mixinStandardHelpOptions = true,
+        description =
+                "A caching edge: routes requests before tiers of caches with one origin behind them.",
+        subcommands = {
+            Serve.class,
+            Check.class,
+            StandIn.class,
+            Rehearse.class,
+            LoadCommand.class,
+            ReplayTrace.class,
+            KeysCommand.class
+        },
+        footer = {
+            "",
+            "wirehost, alone, hosts instances of the module on standard input and output for a simulator."
+        })
 public final class Cli {
     /** Exit status where what was asked for found something wrong. */
     static final int WRONG = 1;
 
-    private Cli() {
-    }
+    private Cli() {}
 
     /** Runs a command line and gives its exit status. */
     public static int run(String... args) {
@@ -29,8 +42,10 @@
         return line.execute(args);
     }
 
-    // Mistakes in settings and what the system refuses are told in plain words; all else is a fault of ours.
-    private static int told(Exception e, CommandLine command, CommandLine.ParseResult parsed) throws Exception {
+    // Mistakes in settings and what the system refuses are told in plain words; all else is a fault
+    // of ours.
+    private static int told(Exception e, CommandLine command, CommandLine.ParseResult parsed)
+            throws Exception {
         if (e instanceof SettingsException s) {
             s.problems.forEach(System.err::println);
         } else if (e instanceof IOException) {
--- a/src/main/java/brooklock/cli/KeysCommand.java
+++ b/src/main/java/brooklock/cli/KeysCommand.java
@@ -35,8 +35,12 @@
 import picocli.CommandLine.Parameters;
 
 /** Key sets and what credentials come to. */
-@Command(name = "keys", mixinStandardHelpOptions = true, description = "Makes, rotates and retires the keys that tokens are "
-        + "signed with, and shows what a credential maps to and why.")
+@Command(
+        name = "keys",
+        mixinStandardHelpOptions = true,
+        description =
+                "Makes, rotates and retires the keys that tokens are "
+                        + "signed with, and shows what a credential maps to and why.")
 final class KeysCommand {
     private static final long A_MONTH_MS = 30L * 24 * 3600 * 1000;
 
@@ -54,28 +58,48 @@
         }
     }
 
-    @Command(description = "Makes a key: its private part goes to KEYFILE, its public part into SET, announced.")
-    int generate(@Parameters(paramLabel = "SET") Path set, @Parameters(paramLabel = "KID") String kid,
+    @Command(
+            description =
+                    "Makes a key: its private part goes to KEYFILE, its public part into SET, announced.")
+    int generate(
+            @Parameters(paramLabel = "SET") Path set,
+            @Parameters(paramLabel = "KID") String kid,
             @Parameters(paramLabel = "KEYFILE") Path file,
-            @Option(names = "--alg", defaultValue = "EdDSA", description = "EdDSA, ES256 or RS256") String alg) {
-        return guarded(() -> {
-            KeyPair pair = KeyFile.generate(alg);
-            KeyFile.writePrivate(file, pair);
-            new KeyFile(set).add(KeyFile.entry(kid, alg, pair, KeyRing.State.ANNOUNCED));
-            System.out.println(kid + " announced; let every dispatcher read the set before anything is signed with it");
-        });
+            @Option(names = "--alg", defaultValue = "EdDSA", description = "EdDSA, ES256 or RS256")
+                    String alg) {
+        return guarded(
+                () -> {
+                    KeyPair pair = KeyFile.generate(alg);
+                    KeyFile.writePrivate(file, pair);
+                    new KeyFile(set).add(KeyFile.entry(kid, alg, pair, KeyRing.State.ANNOUNCED));
+                    System.out.println(
+                            kid
+                                    + " announced; let every dispatcher read the set before anything is signed with it");
+                });
     }
 
     @Command(description = "KID signs from now on; the one that signed before is accepted still.")
-    int rotate(@Parameters(paramLabel = "SET") Path set, @Parameters(paramLabel = "KID") String kid) {
+    int rotate(
+            @Parameters(paramLabel = "SET") Path set, @Parameters(paramLabel = "KID") String kid) {
         return guarded(() -> new KeyFile(set).state(kid, KeyRing.State.SIGNING, 0));
     }
 
     @Command(description = "Tokens signed with KID are refused, at once or from a moment on.")
-    int retire(@Parameters(paramLabel = "SET") Path set, @Parameters(paramLabel = "KID") String kid,
-            @Option(names = "--at", paramLabel = "MOMENT", description = "as in 2027-01-31T08:00:00Z") Instant at) {
-        return guarded(() -> new KeyFile(set).state(kid, at == null ? KeyRing.State.RETIRED : KeyRing.State.ACCEPTED,
-                at == null ? 0 : at.toEpochMilli()));
+    int retire(
+            @Parameters(paramLabel = "SET") Path set,
+            @Parameters(paramLabel = "KID") String kid,
+            @Option(
+                            names = "--at",
+                            paramLabel = "MOMENT",
+                            description = "as in 2027-01-31T08:00:00Z")
+                    Instant at) {
+        return guarded(
+                () ->
+                        new KeyFile(set)
+                                .state(
+                                        kid,
+                                        at == null ? KeyRing.State.RETIRED : KeyRing.State.ACCEPTED,
+                                        at == null ? 0 : at.toEpochMilli()));
     }
 
     @Command(description = "Takes a retired key out of the set.")
@@ -85,87 +109,149 @@
 
     @Command(description = "Lists the keys of a set.")
     int list(@Parameters(paramLabel = "SET") Path set) {
-        return guarded(() -> {
-            for (KeyRing.Key k : KeyRing.parse(Files.readString(set)).all()) {
-                System.out.println(k.kid() + " " + k.algorithm() + " " + k.state().name().toLowerCase(
-                        java.util.Locale.ROOT) + (k.untilMs() == Long.MAX_VALUE ? "" : " until "
-                        + Instant.ofEpochMilli(k.untilMs())));
-            }
-        });
+        return guarded(
+                () -> {
+                    for (KeyRing.Key k : KeyRing.parse(Files.readString(set)).all()) {
+                        System.out.println(
+                                k.kid()
+                                        + " "
+                                        + k.algorithm()
+                                        + " "
+                                        + k.state().name().toLowerCase(java.util.Locale.ROOT)
+                                        + (k.untilMs() == Long.MAX_VALUE
+                                                ? ""
+                                                : " until " + Instant.ofEpochMilli(k.untilMs())));
+                    }
+                });
     }
 
     @Command(description = "Makes a token, to try a policy with.")
-    int token(@Parameters(paramLabel = "KEYFILE") Path file, @Parameters(paramLabel = "KID") String kid,
+    int token(
+            @Parameters(paramLabel = "KEYFILE") Path file,
+            @Parameters(paramLabel = "KID") String kid,
             @Option(names = "--alg", defaultValue = "EdDSA", description = "of the key") String alg,
             @Option(names = "--claim", paramLabel = "NAME=VALUE") Map<String, String> claims,
-            @Option(names = "--seconds", defaultValue = "3600", description = "how long it holds") long seconds) {
-        return guarded(() -> {
-            Map<String, Object> all = new LinkedHashMap<>(claims == null ? Map.of() : claims);
-            all.put("exp", System.currentTimeMillis() / 1000 + seconds);
-            System.out.println(TokenMaker.make(privateKey(file, alg), kid, all));
-        });
+            @Option(names = "--seconds", defaultValue = "3600", description = "how long it holds")
+                    long seconds) {
+        return guarded(
+                () -> {
+                    Map<String, Object> all =
+                            new LinkedHashMap<>(claims == null ? Map.of() : claims);
+                    all.put("exp", System.currentTimeMillis() / 1000 + seconds);
+                    System.out.println(TokenMaker.make(privateKey(file, alg), kid, all));
+                });
     }
 
     private static PrivateKey privateKey(Path file, String alg) throws IOException {
-        byte[] der = Base64.getMimeDecoder().decode(Files.readString(file).replaceAll("-----[A-Z ]+-----", ""));
+        byte[] der =
+                Base64.getMimeDecoder()
+                        .decode(Files.readString(file).replaceAll("-----[A-Z ]+-----", ""));
         try {
-            return KeyFactory.getInstance(alg.equals("EdDSA") ? "Ed25519" : alg.equals("ES256") ? "EC" : "RSA")
+            return KeyFactory.getInstance(
+                            alg.equals("EdDSA") ? "Ed25519" : alg.equals("ES256") ? "EC" : "RSA")
                     .generatePrivate(new PKCS8EncodedKeySpec(der));
         } catch (GeneralSecurityException e) {
             throw new IOException(file + ": " + e.getMessage());
         }
     }
 
-    @Command(description = "Makes an authority and a certificate for this machine in DIR, to try TLS with.")
-    int authority(@Parameters(paramLabel = "DIR") Path dir,
-            @Option(names = "--name", defaultValue = "localhost", description = "the certificate's name") String name) {
-        return guarded(() -> {
-            try {
-                LocalAuthority a = new LocalAuthority("brooklock local authority");
-                a.writeAuthority(Files.createDirectories(dir).resolve("ca.pem"));
-                LocalAuthority.write(dir.resolve("edge.pem"), dir.resolve("edge.key"), a.issue("edge", name, A_MONTH_MS));
-            } catch (IOException e) {
-                throw e;
-            } catch (Exception e) {
-                throw new IOException(e.getMessage(), e);
-            }
-            System.out.println(dir + ": ca.pem, edge.pem, edge.key, good for a month");
-        });
+    @Command(
+            description =
+                    "Makes an authority and a certificate for this machine in DIR, to try TLS with.")
+    int authority(
+            @Parameters(paramLabel = "DIR") Path dir,
+            @Option(
+                            names = "--name",
+                            defaultValue = "localhost",
+                            description = "the certificate's name")
+                    String name) {
+        return guarded(
+                () -> {
+                    try {
+                        LocalAuthority a = new LocalAuthority("brooklock local authority");
+                        a.writeAuthority(Files.createDirectories(dir).resolve("ca.pem"));
+                        LocalAuthority.write(
+                                dir.resolve("edge.pem"),
+                                dir.resolve("edge.key"),
+                                a.issue("edge", name, A_MONTH_MS));
+                    } catch (IOException e) {
+                        throw e;
+                    } catch (Exception e) {
+                        throw new IOException(e.getMessage(), e);
+                    }
+                    System.out.println(dir + ": ca.pem, edge.pem, edge.key, good for a month");
+                });
     }
 
-    @Command(description = "Shows what a token (from a file) or a certificate (PEM) maps to, and what it may have.")
-    int explain(@Option(names = "--policy", required = true) Path policyFile, @Option(names = "--keys") Path set,
+    @Command(
+            description =
+                    "Shows what a token (from a file) or a certificate (PEM) maps to, and what it may have.")
+    int explain(
+            @Option(names = "--policy", required = true) Path policyFile,
+            @Option(names = "--keys") Path set,
             @Option(names = "--token", paramLabel = "FILE") Path token,
             @Option(names = "--certificate", paramLabel = "FILE") Path certificate,
-            @Option(names = "--issuer") String issuer, @Option(names = "--audience") String audience,
+            @Option(names = "--issuer") String issuer,
+            @Option(names = "--audience") String audience,
             @Option(names = "--class", defaultValue = "-") String cls,
-            @Parameters(paramLabel = "METHOD") String method, @Parameters(paramLabel = "PATH") String path) {
-        return guarded(() -> {
-            Policy policy = PolicyReader.parse(policyFile.toString(), Files.readString(policyFile));
-            long now = System.currentTimeMillis();
-            Identity who = certificate != null ? certificate(certificate) : token(token, set, issuer, audience, now);
-            who.names().forEach(n -> System.out.println("says " + n.kind() + " " + n.key()
-                    + (n.value() == null ? "" : " = " + n.value())));
-            Tenant t = who.tenant(policy);
-            System.out.println(t == null ? "is of no tenant: 403" : "is of tenant " + t.name());
-            String wrong = PathForm.wrong(path);
-            if (wrong != null) {
-                System.out.println("400: the path is not in form: " + wrong);
-            } else if (t != null) {
-                Decision d = policy.decide(t.name(), method, path, cls, now);
-                System.out.println(method + " " + path + ": " + d.why() + (d.untilMs() == Long.MAX_VALUE ? ""
-                        : ", until " + Instant.ofEpochMilli(d.untilMs()) + " at least"));
-            }
-        });
+            @Parameters(paramLabel = "METHOD") String method,
+            @Parameters(paramLabel = "PATH") String path) {
+        return guarded(
+                () -> {
+                    Policy policy =
+                            PolicyReader.parse(policyFile.toString(), Files.readString(policyFile));
+                    long now = System.currentTimeMillis();
+                    Identity who =
+                            certificate != null
+                                    ? certificate(certificate)
+                                    : token(token, set, issuer, audience, now);
+                    who.names()
+                            .forEach(
+                                    n ->
+                                            System.out.println(
+                                                    "says "
+                                                            + n.kind()
+                                                            + " "
+                                                            + n.key()
+                                                            + (n.value() == null
+                                                                    ? ""
+                                                                    : " = " + n.value())));
+                    Tenant t = who.tenant(policy);
+                    System.out.println(
+                            t == null ? "is of no tenant: 403" : "is of tenant " + t.name());
+                    String wrong = PathForm.wrong(path);
+                    if (wrong != null) {
+                        System.out.println("400: the path is not in form: " + wrong);
+                    } else if (t != null) {
+                        Decision d = policy.decide(t.name(), method, path, cls, now);
+                        System.out.println(
+                                method
+                                        + " "
+                                        + path
+                                        + ": "
+                                        + d.why()
+                                        + (d.untilMs() == Long.MAX_VALUE
+                                                ? ""
+                                                : ", until "
+                                                        + Instant.ofEpochMilli(d.untilMs())
+                                                        + " at least"));
+                    }
+                });
     }
 
-    private static Identity token(Path file, Path set, String issuer, String audience, long now) throws IOException {
+    private static Identity token(Path file, Path set, String issuer, String audience, long now)
+            throws IOException {
         if (file == null || set == null) {
             throw new IllegalArgumentException("either --certificate, or --token and --keys");
         }
         try {
-            return new TokenCheck(issuer, audience, 0).check(Files.readString(file).trim(),
-                    KeyRing.parse(Files.readString(set)), now, "token").identity();
+            return new TokenCheck(issuer, audience, 0)
+                    .check(
+                            Files.readString(file).trim(),
+                            KeyRing.parse(Files.readString(set)),
+                            now,
+                            "token")
+                    .identity();
         } catch (BadCredential e) {
             throw new IllegalArgumentException("401: " + e.getMessage());
         }
@@ -173,8 +259,10 @@
 
     private static Identity certificate(Path file) throws IOException {
         try (InputStream in = Files.newInputStream(file)) {
-            List<X509Certificate> all = CertificateFactory.getInstance("X.509").generateCertificates(in).stream()
-                    .map(X509Certificate.class::cast).toList();
+            List<X509Certificate> all =
+                    CertificateFactory.getInstance("X.509").generateCertificates(in).stream()
+                            .map(X509Certificate.class::cast)
+                            .toList();
             return Certificates.identity(all.toArray(new X509Certificate[0]));
         } catch (GeneralSecurityException e) {
             throw new IOException(file + ": " + e.getMessage());
--- a/src/main/java/brooklock/cli/LoadCommand.java
+++ b/src/main/java/brooklock/cli/LoadCommand.java
@@ -12,35 +12,68 @@
 import picocli.CommandLine.Parameters;
 
 /** Puts a load on a server. */
-@Command(name = "load", mixinStandardHelpOptions = true, description = "Asks a URL again and again; with --rate its times "
-        + "count from the moments at which requests were due.")
+@Command(
+        name = "load",
+        mixinStandardHelpOptions = true,
+        description =
+                "Asks a URL again and again; with --rate its times "
+                        + "count from the moments at which requests were due.")
 final class LoadCommand implements Callable<Integer> {
-    @Parameters(paramLabel = "URL", description = "what to ask; {n} in it becomes a number below --objects")
+    @Parameters(
+            paramLabel = "URL",
+            description = "what to ask; {n} in it becomes a number below --objects")
     private URI url;
 
-    @Option(names = "--rate", paramLabel = "N", description = "requests a second; without it, as many as go")
+    @Option(
+            names = "--rate",
+            paramLabel = "N",
+            description = "requests a second; without it, as many as go")
     private double rate;
 
-    @Option(names = "--connections", paramLabel = "N", defaultValue = "64", description = "default ${DEFAULT-VALUE}")
+    @Option(
+            names = "--connections",
+            paramLabel = "N",
+            defaultValue = "64",
+            description = "default ${DEFAULT-VALUE}")
     private int connections;
 
-    @Option(names = "--threads", paramLabel = "N", defaultValue = "2", description = "default ${DEFAULT-VALUE}")
+    @Option(
+            names = "--threads",
+            paramLabel = "N",
+            defaultValue = "2",
+            description = "default ${DEFAULT-VALUE}")
     private int threads;
 
-    @Option(names = "--seconds", paramLabel = "N", defaultValue = "10", description = "default ${DEFAULT-VALUE}")
+    @Option(
+            names = "--seconds",
+            paramLabel = "N",
+            defaultValue = "10",
+            description = "default ${DEFAULT-VALUE}")
     private int seconds;
 
-    @Option(names = "--objects", paramLabel = "N", defaultValue = "1000", description = "default ${DEFAULT-VALUE}")
+    @Option(
+            names = "--objects",
+            paramLabel = "N",
+            defaultValue = "1000",
+            description = "default ${DEFAULT-VALUE}")
     private int objects;
 
-    @Option(names = "--header", paramLabel = "NAME=VALUE", description = "a field sent with each request")
+    @Option(
+            names = "--header",
+            paramLabel = "NAME=VALUE",
+            description = "a field sent with each request")
     private Map<String, String> headers;
 
     @Override
     public Integer call() throws IOException, InterruptedException {
-        if (!"http".equals(url.getScheme()) || url.getHost() == null || connections < 1 || threads < 1 || seconds < 1
+        if (!"http".equals(url.getScheme())
+                || url.getHost() == null
+                || connections < 1
+                || threads < 1
+                || seconds < 1
                 || objects < 1) {
-            System.err.println("brooklock: the URL must be http://HOST:PORT/PATH, and the numbers 1 or more");
+            System.err.println(
+                    "brooklock: the URL must be http://HOST:PORT/PATH, and the numbers 1 or more");
             return Cli.WRONG;
         }
         String path = url.getRawPath() + (url.getRawQuery() == null ? "" : "?" + url.getRawQuery());
@@ -49,9 +82,18 @@
         if (headers != null) {
             headers.forEach(fields::add);
         }
-        System.out.println(Load.run(new Load.Plan(new InetSocketAddress(url.getHost(), port), url.getRawAuthority(),
-                rate, connections, threads, 1_000_000_000L, seconds * 1_000_000_000L,
-                i -> path.replace("%7Bn%7D", Integer.toString(i % objects)), fields)));
+        System.out.println(
+                Load.run(
+                        new Load.Plan(
+                                new InetSocketAddress(url.getHost(), port),
+                                url.getRawAuthority(),
+                                rate,
+                                connections,
+                                threads,
+                                1_000_000_000L,
+                                seconds * 1_000_000_000L,
+                                i -> path.replace("%7Bn%7D", Integer.toString(i % objects)),
+                                fields)));
         return 0;
     }
 }
--- a/src/main/java/brooklock/cli/Logs.java
+++ b/src/main/java/brooklock/cli/Logs.java
@@ -12,11 +12,11 @@
 
 /** Where log lines go. All are JSON, one a line. */
 final class Logs {
-    // Lines that may wait for the disk; above it lines of answers are dropped, never answers delayed.
+    // Lines that may wait for the disk; above it lines of answers are dropped, never answers
+    // delayed.
     private static final int WAITING = 16_384;
 
-    private Logs() {
-    }
+    private Logs() {}
 
     /** Sends the lines of answers to a file. */
     static void answersTo(Path path) {
--- a/src/main/java/brooklock/cli/ReplayTrace.java
+++ b/src/main/java/brooklock/cli/ReplayTrace.java
@@ -8,10 +8,16 @@
 import picocli.CommandLine.Parameters;
 
 /** Feeds a trace to a fresh module. */
-@Command(name = "replay", mixinStandardHelpOptions = true, description = "Feeds a dispatcher's trace to a fresh module "
-        + "and reports the first action that differs; exits 1 if one does.")
+@Command(
+        name = "replay",
+        mixinStandardHelpOptions = true,
+        description =
+                "Feeds a dispatcher's trace to a fresh module "
+                        + "and reports the first action that differs; exits 1 if one does.")
 final class ReplayTrace implements Callable<Integer> {
-    @Parameters(paramLabel = "FILE", description = "the trace, as the statement 'trace' had it written")
+    @Parameters(
+            paramLabel = "FILE",
+            description = "the trace, as the statement 'trace' had it written")
     private Path file;
 
     @Override
--- a/src/main/java/brooklock/cli/Serve.java
+++ b/src/main/java/brooklock/cli/Serve.java
@@ -14,8 +14,12 @@
 import picocli.CommandLine.Parameters;
 
 /** Runs a dispatcher until it is told to end. */
-@Command(name = "serve", mixinStandardHelpOptions = true, description = "Runs a dispatcher. SIGTERM lets it finish what "
-        + "it has taken, each request within its deadline, and ends it with status 0.")
+@Command(
+        name = "serve",
+        mixinStandardHelpOptions = true,
+        description =
+                "Runs a dispatcher. SIGTERM lets it finish what "
+                        + "it has taken, each request within its deadline, and ends it with status 0.")
 final class Serve implements Callable<Integer> {
     private static final Logger LOG = LoggerFactory.getLogger(Serve.class);
 
@@ -32,11 +36,23 @@
             Dispatcher edge = Dispatcher.start(settings);
             Runtime.getRuntime().addShutdownHook(new Thread(() -> end(edge), "end"));
             // Standard output is for whoever started this one: where it listens, once it does.
-            System.out.println("listening " + edge.address().getPort() + " control " + edge.controlAddress().getPort());
-            LOG.atInfo().addKeyValue("listen", edge.address()).addKeyValue("control", edge.controlAddress())
+            System.out.println(
+                    "listening "
+                            + edge.address().getPort()
+                            + " control "
+                            + edge.controlAddress().getPort());
+            LOG.atInfo()
+                    .addKeyValue("listen", edge.address())
+                    .addKeyValue("control", edge.controlAddress())
                     .log("serving");
         } catch (IOException e) {
-            System.err.println("brooklock: " + settings.listen() + ", " + settings.control() + ": " + e.getMessage());
+            System.err.println(
+                    "brooklock: "
+                            + settings.listen()
+                            + ", "
+                            + settings.control()
+                            + ": "
+                            + e.getMessage());
             return Cli.WRONG;
         }
         new CountDownLatch(1).await();
--- a/src/main/java/brooklock/config/AccessReader.java
+++ b/src/main/java/brooklock/config/AccessReader.java
@@ -6,7 +6,9 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The statements about who may come in: rights, tokens, tls, clients, revoked, denied, hosts-tls. */
+/**
+ * The statements about who may come in: rights, tokens, tls, clients, revoked, denied, hosts-tls.
+ */
 final class AccessReader {
     // No signer's clock may be trusted to be further off: a token is worth that much longer.
     private static final long MOST_SKEW_MS = 300_000;
@@ -46,7 +48,8 @@
                 if (l.more()) {
                     String word = l.word("stale");
                     if (!word.equals("stale")) {
-                        throw new IllegalArgumentException("'" + word + "' is not an option of revoked (stale)");
+                        throw new IllegalArgumentException(
+                                "'" + word + "' is not an option of revoked (stale)");
                     }
                     stale = true;
                 }
@@ -69,12 +72,16 @@
                 case "audience" -> audience = l.word("an audience");
                 case "cookie" -> cookie = l.word("a cookie's name");
                 case "skew" -> skewMs = l.time("a time") / 1_000_000;
-                default -> throw new IllegalArgumentException("'" + word
-                        + "' is not an option of tokens (issuer, audience, cookie, skew)");
+                default ->
+                        throw new IllegalArgumentException(
+                                "'"
+                                        + word
+                                        + "' is not an option of tokens (issuer, audience, cookie, skew)");
             }
         }
         if (skewMs > MOST_SKEW_MS) {
-            throw new IllegalArgumentException("the skew is 5min at most: a token is worth that much longer");
+            throw new IllegalArgumentException(
+                    "the skew is 5min at most: a token is worth that much longer");
         }
     }
 
@@ -85,7 +92,8 @@
             wrong.add("a route asks for rights, but the statement 'rights FILE' is missing");
         }
         if (keys == null && authorities == null) {
-            wrong.add("a route asks for rights, but there are neither tokens nor clients' certificates to go by");
+            wrong.add(
+                    "a route asks for rights, but there are neither tokens nor clients' certificates to go by");
         }
         if (authorities != null && certificates.isEmpty()) {
             wrong.add("clients' certificates need 'tls CERTIFICATE KEY'");
@@ -94,7 +102,18 @@
     }
 
     Access access() {
-        return new Access(policy, keys, issuer, audience, skewMs, cookie, List.copyOf(certificates), authorities,
-                List.copyOf(revoked), denied, hostAuthorities, stale);
+        return new Access(
+                policy,
+                keys,
+                issuer,
+                audience,
+                skewMs,
+                cookie,
+                List.copyOf(certificates),
+                authorities,
+                List.copyOf(revoked),
+                denied,
+                hostAuthorities,
+                stale);
     }
 }
--- a/src/main/java/brooklock/config/BoundsReader.java
+++ b/src/main/java/brooklock/config/BoundsReader.java
@@ -8,14 +8,19 @@
 final class BoundsReader {
     private static final long MS = 1_000_000L;
     private static final long S = 1000 * MS;
-    // Two threads feed the sockets of 3,200 requests a second with room; more only for TLS and large bodies.
-    private static final int THREADS = Math.max(1, Math.min(4, Runtime.getRuntime().availableProcessors() / 2));
+    // Two threads feed the sockets of 3,200 requests a second with room; more only for TLS and
+    // large bodies.
+    private static final int THREADS =
+            Math.max(1, Math.min(4, Runtime.getRuntime().availableProcessors() / 2));
 
-    private enum Unit { COUNT, SIZE, TIME }
-
-    private record Word(Unit unit, long normal) {
+    private enum Unit {
+        COUNT,
+        SIZE,
+        TIME
     }
 
+    private record Word(Unit unit, long normal) {}
+
     private static final Map<String, Word> WORDS = new LinkedHashMap<>();
 
     static {
@@ -46,14 +51,19 @@
             String name = l.word("a limit");
             Word word = WORDS.get(name);
             if (word == null) {
-                throw new IllegalArgumentException("'" + name + "' is not a limit (" + String.join(", ", WORDS.keySet())
-                        + ")");
+                throw new IllegalArgumentException(
+                        "'"
+                                + name
+                                + "' is not a limit ("
+                                + String.join(", ", WORDS.keySet())
+                                + ")");
             }
-            long value = switch (word.unit()) {
-                case COUNT -> l.count(name);
-                case SIZE -> Units.size(l.word("a size"));
-                case TIME -> l.time("a time");
-            };
+            long value =
+                    switch (word.unit()) {
+                        case COUNT -> l.count(name);
+                        case SIZE -> Units.size(l.word("a size"));
+                        case TIME -> l.time("a time");
+                    };
             if (value <= 0) {
                 throw new IllegalArgumentException("the limit '" + name + "' must be above 0");
             }
@@ -62,9 +72,21 @@
     }
 
     Bounds bounds() {
-        return new Bounds((int) of("tries"), (int) of("open"), (int) of("clients"), of("body"), of("bodies"),
-                (int) of("host-connections"), (int) of("host-waiting"), of("connect"), of("head"), of("idle"),
-                of("stall"), of("tick"), of("retry-after"), (int) of("threads"));
+        return new Bounds(
+                (int) of("tries"),
+                (int) of("open"),
+                (int) of("clients"),
+                of("body"),
+                of("bodies"),
+                (int) of("host-connections"),
+                (int) of("host-waiting"),
+                of("connect"),
+                of("head"),
+                of("idle"),
+                of("stall"),
+                of("tick"),
+                of("retry-after"),
+                (int) of("threads"));
     }
 
     private long of(String name) {
--- a/src/main/java/brooklock/config/Line.java
+++ b/src/main/java/brooklock/config/Line.java
@@ -4,8 +4,8 @@
 import java.util.List;
 
 /**
- * One statement: its words and where it stands. Words are parted by blanks; quotes hold a word with blanks together;
- * {@code #} begins a comment.
+ * One statement: its words and where it stands. Words are parted by blanks; quotes hold a word with
+ * blanks together; {@code #} begins a comment.
  */
 public final class Line {
     // Longest line, characters, and longest file, lines: a settings file, not a data file.
@@ -26,7 +26,8 @@
     /** The statement of a line, or null where it is empty. */
     public static Line of(String file, int number, String text) {
         if (text.length() > MOST_CHARS) {
-            throw new IllegalArgumentException("the line is longer than " + MOST_CHARS + " characters");
+            throw new IllegalArgumentException(
+                    "the line is longer than " + MOST_CHARS + " characters");
         }
         List<String> words = new ArrayList<>();
         int i = 0;
--- a/src/main/java/brooklock/config/PathPattern.java
+++ b/src/main/java/brooklock/config/PathPattern.java
@@ -4,8 +4,8 @@
 import java.util.List;
 
 /**
- * A path with places in braces, as in {@code /scans/{object}/{part}}. A place takes one segment, {@code {rest}} at the
- * end takes all that is left.
+ * A path with places in braces, as in {@code /scans/{object}/{part}}. A place takes one segment,
+ * {@code {rest}} at the end takes all that is left.
  */
 public final class PathPattern {
     private final String text;
@@ -20,7 +20,8 @@
         for (String s : text.substring(1).split("/", -1)) {
             boolean place = s.startsWith("{") && s.endsWith("}") && s.length() > 2;
             if (!place && (s.contains("{") || s.contains("}"))) {
-                throw new IllegalArgumentException("a place in braces is a whole segment of the path: '" + s + "'");
+                throw new IllegalArgumentException(
+                        "a place in braces is a whole segment of the path: '" + s + "'");
             }
             if (place && segments.contains(s)) {
                 throw new IllegalArgumentException("the path names the place " + s + " twice");
--- a/src/main/java/brooklock/config/Sealed.java
+++ b/src/main/java/brooklock/config/Sealed.java
@@ -4,12 +4,11 @@
 import java.util.zip.CRC32C;
 
 /**
- * Text that is seen to be whole: its last line has the number of lines before it and their CRC32C (RFC 3720). One that
- * was cut, or has a bit turned, is refused.
+ * Text that is seen to be whole: its last line has the number of lines before it and their CRC32C
+ * (RFC 3720). One that was cut, or has a bit turned, is refused.
  */
 public final class Sealed {
-    private Sealed() {
-    }
+    private Sealed() {}
 
     /** Adds the last line to a body of whole lines. */
     public static String seal(String body) {
@@ -21,7 +20,8 @@
         int end = text.lastIndexOf("\nend ") + 1;
         String body = text.substring(0, end);
         if (end == 0 || !text.equals(seal(body))) {
-            throw new IllegalArgumentException("it was cut short or damaged: its last line does not fit");
+            throw new IllegalArgumentException(
+                    "it was cut short or damaged: its last line does not fit");
         }
         return body.split("\n");
     }
--- a/src/main/java/brooklock/config/Settings.java
+++ b/src/main/java/brooklock/config/Settings.java
@@ -23,52 +23,92 @@
  * @param access who may come in and how that is found out
  * @param warming whether and how caches may fill from one another
  */
-public record Settings(String name, InetSocketAddress listen, InetSocketAddress control, List<Zone> zones, int here,
-        int dispatchers, List<HostLine> hosts, List<ClassLine> classes, List<RouteLine> routes, Bounds limits,
-        Guards guards, Fleet fleet, Files files, Access access, Warming warming) {
+public record Settings(
+        String name,
+        InetSocketAddress listen,
+        InetSocketAddress control,
+        List<Zone> zones,
+        int here,
+        int dispatchers,
+        List<HostLine> hosts,
+        List<ClassLine> classes,
+        List<RouteLine> routes,
+        Bounds limits,
+        Guards guards,
+        Fleet fleet,
+        Files files,
+        Access access,
+        Warming warming) {
 
     /** What a host is for. */
-    public enum Kind { CACHE, PARENT, ORIGIN }
+    public enum Kind {
+        CACHE,
+        PARENT,
+        ORIGIN
+    }
 
     /** Whether a request may run twice. */
-    public enum Effect { SAFE, KEYED, UNSAFE }
+    public enum Effect {
+        SAFE,
+        KEYED,
+        UNSAFE
+    }
 
     /** The hosts that drop each other's repeats of a keyed request. */
-    public enum Group { ALL, ZONE, CELL }
-
-    /** A location and the index of the hub that its fills come from (its own, where it is a hub). */
-    public record Zone(String name, int hub) {
+    public enum Group {
+        ALL,
+        ZONE,
+        CELL
     }
 
+    /**
+     * A location and the index of the hub that its fills come from (its own, where it is a hub).
+     */
+    public record Zone(String name, int hub) {}
+
     /** A host; {@code id} is made of its name and the same at every dispatcher. */
-    public record HostLine(String name, long id, int zone, Kind kind, InetSocketAddress address, double weight) {
-    }
+    public record HostLine(
+            String name, long id, int zone, Kind kind, InetSocketAddress address, double weight) {}
 
     /**
      * A class of requests.
      *
-     * @param aimNs an answer is in time within this, plus {@code stretch} times the time its bytes need
+     * @param aimNs an answer is in time within this, plus {@code stretch} times the time its bytes
+     *     need
      * @param deadlineNs when the client gives up
      * @param windowNs how long repeats of a keyed request are dropped
      * @param through runs at the origin and is never kept
      * @param freshNs how long a copy is good; 0: until it is purged
      * @param streamed once the answer has begun it may take as long as it moves
      */
-    public record ClassLine(String name, Effect effect, Group group, long windowNs, long aimNs, double stretch,
-            long deadlineNs, boolean through, long freshNs, boolean streamed) {
-    }
+    public record ClassLine(
+            String name,
+            Effect effect,
+            Group group,
+            long windowNs,
+            long aimNs,
+            double stretch,
+            long deadlineNs,
+            boolean through,
+            long freshNs,
+            boolean streamed) {}
 
     /**
      * Requests of some methods and paths.
      *
      * @param cls index of their class
-     * @param unkeyed index of the class of those without Idempotency-Key where {@code cls} is keyed; -1: refused
+     * @param unkeyed index of the class of those without Idempotency-Key where {@code cls} is
+     *     keyed; -1: refused
      * @param rights the caller's rights are asked for
      * @param certificate only a client certificate tells who the caller is
      */
-    public record RouteLine(List<String> methods, PathPattern path, int cls, int unkeyed, boolean rights,
-            boolean certificate) {
-    }
+    public record RouteLine(
+            List<String> methods,
+            PathPattern path,
+            int cls,
+            int unkeyed,
+            boolean rights,
+            boolean certificate) {}
 
     /**
      * Bounds of the program; what happens when each is hit stands in docs/operating.md.
@@ -84,19 +124,39 @@
      * @param headNs time for a request's head
      * @param idleNs time between a client's requests
      * @param stallNs time in which an answer does not move
-     * @param tickNs how late the program may be at most: final answers go out two of these before the deadline
+     * @param tickNs how late the program may be at most: final answers go out two of these before
+     *     the deadline
      * @param retryAfterNs longest wait asked of a client
      * @param threads I/O threads
      */
-    public record Bounds(int tries, int open, int clients, long body, long bodies, int hostConnections,
-            int hostWaiting, long connectNs, long headNs, long idleNs, long stallNs, long tickNs, long retryAfterNs,
-            int threads) {
-    }
+    public record Bounds(
+            int tries,
+            int open,
+            int clients,
+            long body,
+            long bodies,
+            int hostConnections,
+            int hostWaiting,
+            long connectNs,
+            long headNs,
+            long idleNs,
+            long stallNs,
+            long tickNs,
+            long retryAfterNs,
+            int threads) {}
 
     /** The figures of the rules; shares of 1, multiples and ns. */
-    public record Guards(double coldFrom, long coldNs, double fallMultiple, long overloadNs, double parentColdFrom,
-            long parentColdNs, double parentFallMultiple, long purgeDoneNs, long drainGraceNs, long purgeGraceNs) {
-    }
+    public record Guards(
+            double coldFrom,
+            long coldNs,
+            double fallMultiple,
+            long overloadNs,
+            double parentColdFrom,
+            long parentColdNs,
+            double parentFallMultiple,
+            long purgeDoneNs,
+            long drainGraceNs,
+            long purgeGraceNs) {}
 
     /**
      * What holds for the fleet.
@@ -107,26 +167,28 @@
      * @param second copies of a safe request may be out at once
      * @param weighted the weights of hosts count
      */
-    public record Fleet(double pace, boolean joins, boolean direct, boolean second, boolean weighted) {
-    }
+    public record Fleet(
+            double pace, boolean joins, boolean direct, boolean second, boolean weighted) {}
 
     /**
      * Whether caches may fill from one another.
      *
      * @param allowed they may
      * @param anyZone across locations too
-     * @param share the most that all dispatchers' warming may ask of a neighbour, of what it has to spare
-     * @param bears requests a second, of mean size, that a warm cache bears; 0 where that is not stated
+     * @param share the most that all dispatchers' warming may ask of a neighbour, of what it has to
+     *     spare
+     * @param bears requests a second, of mean size, that a warm cache bears; 0 where that is not
+     *     stated
      * @param saved where what was learned is written down; null for nowhere
      */
-    public record Warming(boolean allowed, boolean anyZone, double share, double bears, Path saved) {
+    public record Warming(
+            boolean allowed, boolean anyZone, double share, double bears, Path saved) {
         /** They may not. */
         public static final Warming NONE = new Warming(false, false, 0.1, 0, null);
     }
 
     /** Where things are written; null where they are not. */
-    public record Files(Path list, Path answers, Path trace, long traceBytes) {
-    }
+    public record Files(Path list, Path answers, Path trace, long traceBytes) {}
 
     /**
      * Who may come in. Paths are null where nothing is said.
@@ -137,23 +199,36 @@
      * @param audience what tokens must name among their audience; null for any
      * @param skewMs how far a signer's clock may be off
      * @param cookie the cookie that may bear a token; null for none
-     * @param certificates pairs of a certificate chain and its key, PEM; the first is shown where no name is asked for
+     * @param certificates pairs of a certificate chain and its key, PEM; the first is shown where
+     *     no name is asked for
      * @param authorities authorities of client certificates, PEM; null asks for none
      * @param revoked lists of revoked certificates, PEM or DER
      * @param denied certificates denied by hand; null for none
-     * @param hostAuthorities authorities of the hosts' certificates, PEM: hosts are spoken to over TLS then, and shown the
-     *     first certificate; null for plain connections
-     * @param staleRevocations a list past its next update is still gone by; else its authority's certificates are refused
+     * @param hostAuthorities authorities of the hosts' certificates, PEM: hosts are spoken to over
+     *     TLS then, and shown the first certificate; null for plain connections
+     * @param staleRevocations a list past its next update is still gone by; else its authority's
+     *     certificates are refused
      */
-    public record Access(Path policy, Path keys, String issuer, String audience, long skewMs, String cookie,
-            List<Pair> certificates, Path authorities, List<Path> revoked, Path denied, Path hostAuthorities,
+    public record Access(
+            Path policy,
+            Path keys,
+            String issuer,
+            String audience,
+            long skewMs,
+            String cookie,
+            List<Pair> certificates,
+            Path authorities,
+            List<Path> revoked,
+            Path denied,
+            Path hostAuthorities,
             boolean staleRevocations) {
         /** Nobody is asked for anything. */
-        public static final Access OPEN = new Access(null, null, null, null, 30_000, null, List.of(), null, List.of(),
-                null, null, false);
+        public static final Access OPEN =
+                new Access(
+                        null, null, null, null, 30_000, null, List.of(), null, List.of(), null,
+                        null, false);
     }
 
     /** A certificate chain and its key. */
-    public record Pair(Path certificate, Path key) {
-    }
+    public record Pair(Path certificate, Path key) {}
 }
--- a/src/main/java/brooklock/config/SettingsReader.java
+++ b/src/main/java/brooklock/config/SettingsReader.java
@@ -25,7 +25,10 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Reads a settings file: every line is looked at, then the whole is checked, and all mistakes are told at once. */
+/**
+ * Reads a settings file: every line is looked at, then the whole is checked, and all mistakes are
+ * told at once.
+ */
 public final class SettingsReader {
     private static final long MS = 1_000_000L;
     private static final long S = 1000 * MS;
@@ -48,7 +51,8 @@
     private int dispatchers = 1;
     private final BoundsReader limits = new BoundsReader();
     private final AccessReader access;
-    private Guards guards = new Guards(0.2, 20 * S, 2, 1500 * MS, 0.05, 20 * S, 2, 6 * S, S, 500 * MS);
+    private Guards guards =
+            new Guards(0.2, 20 * S, 2, 1500 * MS, 0.05, 20 * S, 2, 6 * S, S, 500 * MS);
     private Fleet fleet = new Fleet(5e6, true, true, true, false);
     private Files files = new Files(null, null, null, 0);
     private Settings.Warming warming = Settings.Warming.NONE;
@@ -72,9 +76,11 @@
         } catch (NoSuchFileException e) {
             throw new SettingsException(List.of(new Problem(name, 0, "there is no such file")));
         } catch (MalformedInputException e) {
-            throw new SettingsException(List.of(new Problem(name, 0, "the file is not UTF-8 text")));
+            throw new SettingsException(
+                    List.of(new Problem(name, 0, "the file is not UTF-8 text")));
         } catch (IOException e) {
-            throw new SettingsException(List.of(new Problem(name, 0, "cannot be read: " + e.getMessage())));
+            throw new SettingsException(
+                    List.of(new Problem(name, 0, "cannot be read: " + e.getMessage())));
         }
         return parse(name, path.toAbsolutePath().getParent(), text);
     }
@@ -88,12 +94,15 @@
         String[] rows = text.split("\r?\n", -1);
         for (int i = 0; i < rows.length && i < Line.MOST_LINES; i++) {
             int number = i + 1;
-            guard(number, rows[i], row -> {
-                Line line = Line.of(file, number, row);
-                if (line != null) {
-                    statement(line);
-                }
-            });
+            guard(
+                    number,
+                    rows[i],
+                    row -> {
+                        Line line = Line.of(file, number, row);
+                        if (line != null) {
+                            statement(line);
+                        }
+                    });
         }
         if (rows.length > Line.MOST_LINES) {
             problem(0, "the file has over " + Line.MOST_LINES + " lines");
@@ -104,8 +113,22 @@
             problems.sort(java.util.Comparator.comparingInt(Problem::line));
             throw new SettingsException(problems);
         }
-        return new Settings(name, listen, control, zones(), zoneIndex(here), dispatchers, List.copyOf(hosts),
-                List.copyOf(classes.values()), List.copyOf(routes), limits.bounds(), guards, fleet, files, access.access(), warming);
+        return new Settings(
+                name,
+                listen,
+                control,
+                zones(),
+                zoneIndex(here),
+                dispatchers,
+                List.copyOf(hosts),
+                List.copyOf(classes.values()),
+                List.copyOf(routes),
+                limits.bounds(),
+                guards,
+                fleet,
+                files,
+                access.access(),
+                warming);
     }
 
     private interface Work<T> {
@@ -144,10 +167,27 @@
             case "guards" -> guards(l);
             case "fleet" -> fleet(l);
             case "warming" -> warming(once(l, verb));
-            case "list" -> files = new Files(path(once(l, verb)), files.answers(), files.trace(), files.traceBytes());
-            case "answers" -> files = new Files(files.list(), path(once(l, verb)), files.trace(), files.traceBytes());
-            case "trace" -> files = new Files(files.list(), files.answers(), path(once(l, verb)),
-                    Units.size(l.word("the most bytes, as in 64MB")));
+            case "list" ->
+                    files =
+                            new Files(
+                                    path(once(l, verb)),
+                                    files.answers(),
+                                    files.trace(),
+                                    files.traceBytes());
+            case "answers" ->
+                    files =
+                            new Files(
+                                    files.list(),
+                                    path(once(l, verb)),
+                                    files.trace(),
+                                    files.traceBytes());
+            case "trace" ->
+                    files =
+                            new Files(
+                                    files.list(),
+                                    files.answers(),
+                                    path(once(l, verb)),
+                                    Units.size(l.word("the most bytes, as in 64MB")));
             default -> throw new IllegalArgumentException("'" + verb + "' is not a statement");
         }
         l.end();
@@ -156,7 +196,8 @@
     private Line once(Line l, String verb) {
         Integer before = onceAt.putIfAbsent(verb, l.number);
         if (before != null) {
-            throw new IllegalArgumentException("'" + verb + "' stands in line " + before + " already");
+            throw new IllegalArgumentException(
+                    "'" + verb + "' stands in line " + before + " already");
         }
         return l;
     }
@@ -170,9 +211,12 @@
         String port = text.substring(colon + 1);
         String host = colon < 0 ? "" : text.substring(0, colon).replaceAll("^\\[|\\]$", "");
         // Names are not looked up: that may wait, and may answer otherwise tomorrow.
-        boolean numbers = host.matches("\\d{1,3}(\\.\\d{1,3}){3}") || host.matches("[0-9a-fA-F:.]*:[0-9a-fA-F:.]*");
+        boolean numbers =
+                host.matches("\\d{1,3}(\\.\\d{1,3}){3}")
+                        || host.matches("[0-9a-fA-F:.]*:[0-9a-fA-F:.]*");
         if (!numbers || !port.matches("\\d{1,5}") || Integer.parseInt(port) > 65535) {
-            throw new IllegalArgumentException("'" + text + "' is not an address and a port, as in 127.0.0.1:8080");
+            throw new IllegalArgumentException(
+                    "'" + text + "' is not an address and a port, as in 127.0.0.1:8080");
         }
         return new InetSocketAddress(host, Integer.parseInt(port));
     }
@@ -181,12 +225,14 @@
         String zone = l.word("a name");
         Line before = zoneLines.putIfAbsent(zone, l);
         if (before != null) {
-            throw new IllegalArgumentException("the zone '" + zone + "' stands in line " + before.number + " already");
+            throw new IllegalArgumentException(
+                    "the zone '" + zone + "' stands in line " + before.number + " already");
         }
         if (l.more()) {
             String word = l.word("hub");
             if (!word.equals("hub")) {
-                throw new IllegalArgumentException("'" + word + "' is not an option of a zone (hub)");
+                throw new IllegalArgumentException(
+                        "'" + word + "' is not an option of a zone (hub)");
             }
             hubNames.put(zone, l.word("the hub's zone"));
         }
@@ -195,7 +241,8 @@
     private void host(Line l) {
         String host = l.word("a name");
         if (!host.matches("[A-Za-z0-9][A-Za-z0-9._-]{0,62}")) {
-            throw new IllegalArgumentException("a host's name is up to 63 letters, digits, dots, dashes: '" + host + "'");
+            throw new IllegalArgumentException(
+                    "a host's name is up to 63 letters, digits, dots, dashes: '" + host + "'");
         }
         Kind kind = l.one(Kind.class, "a kind of host");
         String zone = l.word("its zone");
@@ -204,7 +251,8 @@
         if (l.more()) {
             String word = l.word("weight");
             if (!word.equals("weight")) {
-                throw new IllegalArgumentException("'" + word + "' is not an option of a host (weight)");
+                throw new IllegalArgumentException(
+                        "'" + word + "' is not an option of a host (weight)");
             }
             weight = l.number("a weight");
         }
@@ -214,22 +262,43 @@
         long id = HostId.of(host);
         for (HostLine h : hosts) {
             if (h.id() == id) {
-                throw new IllegalArgumentException("the host '" + host + "' stands here already"
-                        + (h.name().equals(host) ? "" : ": '" + h.name() + "' gives the same number"));
+                throw new IllegalArgumentException(
+                        "the host '"
+                                + host
+                                + "' stands here already"
+                                + (h.name().equals(host)
+                                        ? ""
+                                        : ": '" + h.name() + "' gives the same number"));
             }
         }
         double weighs = weight;
         int place = hosts.size();
         hosts.add(new HostLine(host, id, 0, kind, at, weight));
-        later.add(() -> guard(l.number, zone, z -> hosts.set(place,
-                new HostLine(host, id, zoneIndex(z), kind, at, weighs))));
+        later.add(
+                () ->
+                        guard(
+                                l.number,
+                                zone,
+                                z ->
+                                        hosts.set(
+                                                place,
+                                                new HostLine(
+                                                        host,
+                                                        id,
+                                                        zoneIndex(z),
+                                                        kind,
+                                                        at,
+                                                        weighs))));
     }
 
     private void classLine(Line l) {
         String cls = l.word("a name");
         classNames.add(cls);
         Effect effect = l.one(Effect.class, "an effect");
-        Group group = effect == Effect.KEYED ? l.one(Group.class, "the hosts that drop repeats") : Group.ALL;
+        Group group =
+                effect == Effect.KEYED
+                        ? l.one(Group.class, "the hosts that drop repeats")
+                        : Group.ALL;
         long window = 0;
         long aim = 0;
         double stretch = 0;
@@ -247,22 +316,34 @@
                 case "fresh" -> fresh = l.time("a time");
                 case "through" -> through = true;
                 case "streamed" -> streamed = true;
-                default -> throw new IllegalArgumentException("'" + word + "' is not an option of a class "
-                        + "(window, aim, stretch, deadline, fresh, through, streamed)");
+                default ->
+                        throw new IllegalArgumentException(
+                                "'"
+                                        + word
+                                        + "' is not an option of a class "
+                                        + "(window, aim, stretch, deadline, fresh, through, streamed)");
             }
         }
         if (aim <= 0 || deadline <= aim) {
-            throw new IllegalArgumentException("the class '" + cls + "' needs an aim, and a deadline later than it");
+            throw new IllegalArgumentException(
+                    "the class '" + cls + "' needs an aim, and a deadline later than it");
         }
         if (effect != Effect.SAFE && !through) {
-            throw new IllegalArgumentException("the class '" + cls + "' has an effect, so it needs 'through': "
-                    + "a copy kept in a cache would stand for a request that did not run");
+            throw new IllegalArgumentException(
+                    "the class '"
+                            + cls
+                            + "' has an effect, so it needs 'through': "
+                            + "a copy kept in a cache would stand for a request that did not run");
         }
         if (effect == Effect.KEYED && window <= 0) {
             throw new IllegalArgumentException("the keyed class '" + cls + "' needs a window");
         }
-        if (classes.putIfAbsent(cls, new ClassLine(cls, effect, group, window, aim, stretch, deadline, through, fresh,
-                streamed)) != null) {
+        if (classes.putIfAbsent(
+                        cls,
+                        new ClassLine(
+                                cls, effect, group, window, aim, stretch, deadline, through, fresh,
+                                streamed))
+                != null) {
             throw new IllegalArgumentException("the class '" + cls + "' stands here already");
         }
     }
@@ -280,13 +361,18 @@
                 case "unkeyed" -> unkeyed = l.word("a class");
                 case "rights" -> rights = true;
                 case "certificate" -> certificate = true;
-                default -> throw new IllegalArgumentException("'" + word + "' is not an option of a route "
-                        + "(unkeyed, rights, certificate)");
+                default ->
+                        throw new IllegalArgumentException(
+                                "'"
+                                        + word
+                                        + "' is not an option of a route "
+                                        + "(unkeyed, rights, certificate)");
             }
         }
         for (String m : methods) {
             if (!m.matches("[A-Z]+") || m.equals("CONNECT") || m.equals("TRACE")) {
-                throw new IllegalArgumentException("'" + m + "' is not a method that is routed here");
+                throw new IllegalArgumentException(
+                        "'" + m + "' is not a method that is routed here");
             }
         }
         String other = unkeyed;
@@ -294,11 +380,23 @@
         boolean only = certificate;
         int place = routes.size();
         routes.add(null);
-        later.add(() -> guard(l.number, cls, c -> {
-            int at = classIndex(c, methods);
-            routes.set(place, new RouteLine(methods, path, at, other == null ? -1 : classIndex(other, methods),
-                    asks, only));
-        }));
+        later.add(
+                () ->
+                        guard(
+                                l.number,
+                                cls,
+                                c -> {
+                                    int at = classIndex(c, methods);
+                                    routes.set(
+                                            place,
+                                            new RouteLine(
+                                                    methods,
+                                                    path,
+                                                    at,
+                                                    other == null ? -1 : classIndex(other, methods),
+                                                    asks,
+                                                    only));
+                                }));
     }
 
     private int classIndex(String cls, List<String> methods) {
@@ -315,11 +413,15 @@
         for (String m : methods) {
             boolean reads = m.equals("GET") || m.equals("HEAD") || m.equals("OPTIONS");
             if (!reads && !c.through()) {
-                throw new IllegalArgumentException(m + " cannot be answered from a copy: the class '" + cls
-                        + "' needs 'through'");
+                throw new IllegalArgumentException(
+                        m
+                                + " cannot be answered from a copy: the class '"
+                                + cls
+                                + "' needs 'through'");
             }
             if (!reads && c.effect() == Effect.SAFE && !m.equals("PUT") && !m.equals("DELETE")) {
-                throw new IllegalArgumentException(m + " is not safe to repeat, but the class '" + cls + "' says so");
+                throw new IllegalArgumentException(
+                        m + " is not safe to repeat, but the class '" + cls + "' says so");
             }
         }
         return at;
@@ -353,7 +455,18 @@
                 default -> throw new IllegalArgumentException("'" + word + "' is not a guard");
             }
         }
-        guards = new Guards(coldFrom, coldNs, fall, overload, parentFrom, parentNs, parentFall, purgeDone, drain, purge);
+        guards =
+                new Guards(
+                        coldFrom,
+                        coldNs,
+                        fall,
+                        overload,
+                        parentFrom,
+                        parentNs,
+                        parentFall,
+                        purgeDone,
+                        drain,
+                        purge);
     }
 
     private static double share(Line l) {
@@ -368,15 +481,37 @@
         Fleet f = fleet;
         while (l.more()) {
             String word = l.word("an option");
-            f = switch (word) {
-                case "pace" -> new Fleet(Units.pace(l.word("a pace")), f.joins(), f.direct(), f.second(), f.weighted());
-                case "joins" -> new Fleet(f.pace(), l.yes(word), f.direct(), f.second(), f.weighted());
-                case "straight" -> new Fleet(f.pace(), f.joins(), l.yes(word), f.second(), f.weighted());
-                case "second-copies" -> new Fleet(f.pace(), f.joins(), f.direct(), l.yes(word), f.weighted());
-                case "weights" -> new Fleet(f.pace(), f.joins(), f.direct(), f.second(), l.yes(word));
-                default -> throw new IllegalArgumentException("'" + word + "' is not an option of the fleet "
-                        + "(pace, joins, straight, second-copies, weights)");
-            };
+            f =
+                    switch (word) {
+                        case "pace" ->
+                                new Fleet(
+                                        Units.pace(l.word("a pace")),
+                                        f.joins(),
+                                        f.direct(),
+                                        f.second(),
+                                        f.weighted());
+                        case "joins" ->
+                                new Fleet(
+                                        f.pace(),
+                                        l.yes(word),
+                                        f.direct(),
+                                        f.second(),
+                                        f.weighted());
+                        case "straight" ->
+                                new Fleet(
+                                        f.pace(), f.joins(), l.yes(word), f.second(), f.weighted());
+                        case "second-copies" ->
+                                new Fleet(
+                                        f.pace(), f.joins(), f.direct(), l.yes(word), f.weighted());
+                        case "weights" ->
+                                new Fleet(f.pace(), f.joins(), f.direct(), f.second(), l.yes(word));
+                        default ->
+                                throw new IllegalArgumentException(
+                                        "'"
+                                                + word
+                                                + "' is not an option of the fleet "
+                                                + "(pace, joins, straight, second-copies, weights)");
+                    };
         }
         fleet = f;
     }
@@ -384,7 +519,8 @@
     private void warming(Line l) {
         String from = l.word("from whom: zone, all or no");
         if (!List.of("zone", "all", "no").contains(from)) {
-            throw new IllegalArgumentException("'" + from + "': caches fill from neighbours of their zone, of all, or no");
+            throw new IllegalArgumentException(
+                    "'" + from + "': caches fill from neighbours of their zone, of all, or no");
         }
         double share = warming.share();
         double bears = 0;
@@ -394,13 +530,18 @@
             switch (word) {
                 case "share" -> share = share(l);
                 case "bears" -> {
-                    bears = Units.perSecond(l.word("requests a second that a warm cache bears, as in 200/s"));
+                    bears =
+                            Units.perSecond(
+                                    l.word(
+                                            "requests a second that a warm cache bears, as in 200/s"));
                     if (bears <= 0) {
                         throw new IllegalArgumentException("a cache that bears 0/s bears nothing");
                     }
                 }
                 case "saved" -> saved = path(l);
-                default -> throw new IllegalArgumentException("'" + word + "' is not an option of warming (share, bears, saved)");
+                default ->
+                        throw new IllegalArgumentException(
+                                "'" + word + "' is not an option of warming (share, bears, saved)");
             }
         }
         warming = new Settings.Warming(!from.equals("no"), from.equals("all"), share, bears, saved);
@@ -417,7 +558,9 @@
     }
 
     private List<Zone> zones() {
-        return zoneLines.keySet().stream().map(z -> new Zone(z, zoneIndex(hubNames.getOrDefault(z, z)))).toList();
+        return zoneLines.keySet().stream()
+                .map(z -> new Zone(z, zoneIndex(hubNames.getOrDefault(z, z))))
+                .toList();
     }
 
     private void whole() {
@@ -442,12 +585,19 @@
             problem(onceAt.get("name"), "a name is up to 63 letters, digits, dots and dashes");
         }
         Bounds bounds = limits.bounds();
-        classes.values().forEach(c -> {
-            if (c.deadlineNs() <= 2 * bounds.tickNs() + bounds.connectNs()) {
-                problem(0, "the deadline of class '" + c.name() + "' leaves no time for one connection (connect "
-                        + bounds.connectNs() / MS + "ms)");
-            }
-        });
+        classes.values()
+                .forEach(
+                        c -> {
+                            if (c.deadlineNs() <= 2 * bounds.tickNs() + bounds.connectNs()) {
+                                problem(
+                                        0,
+                                        "the deadline of class '"
+                                                + c.name()
+                                                + "' leaves no time for one connection (connect "
+                                                + bounds.connectNs() / MS
+                                                + "ms)");
+                            }
+                        });
         if (routes.stream().anyMatch(r -> r != null && r.rights())) {
             access.whole().forEach(p -> problem(0, p));
         }
--- a/src/main/java/brooklock/config/Units.java
+++ b/src/main/java/brooklock/config/Units.java
@@ -2,13 +2,17 @@
 
 import java.util.Map;
 
-/** Numbers with their units. A time, size or pace without its unit is a mistake: 500 may mean 500 ms or 500 s. */
+/**
+ * Numbers with their units. A time, size or pace without its unit is a mistake: 500 may mean 500 ms
+ * or 500 s.
+ */
 public final class Units {
-    private static final Map<String, Double> TIMES = Map.of("us", 1e3, "ms", 1e6, "s", 1e9, "min", 60e9, "h", 3600e9);
-    private static final Map<String, Double> SIZES = Map.of("B", 1.0, "KB", 1e3, "MB", 1e6, "GB", 1e9);
+    private static final Map<String, Double> TIMES =
+            Map.of("us", 1e3, "ms", 1e6, "s", 1e9, "min", 60e9, "h", 3600e9);
+    private static final Map<String, Double> SIZES =
+            Map.of("B", 1.0, "KB", 1e3, "MB", 1e6, "GB", 1e9);
 
-    private Units() {
-    }
+    private Units() {}
 
     /** A time in ns. */
     public static long time(String text) {
@@ -23,15 +27,18 @@
     /** A pace in bytes a second. */
     public static double pace(String text) {
         if (!text.endsWith("/s")) {
-            throw new IllegalArgumentException("'" + text + "': a pace needs its unit, as in 5MB/s");
+            throw new IllegalArgumentException(
+                    "'" + text + "': a pace needs its unit, as in 5MB/s");
         }
-        return with(text.substring(0, text.length() - 2), SIZES, "a pace needs its unit, as in 5MB/s");
+        return with(
+                text.substring(0, text.length() - 2), SIZES, "a pace needs its unit, as in 5MB/s");
     }
 
     /** So many a second. */
     public static double perSecond(String text) {
         if (!text.endsWith("/s")) {
-            throw new IllegalArgumentException("'" + text + "': a rate needs its unit, as in 200/s");
+            throw new IllegalArgumentException(
+                    "'" + text + "': a rate needs its unit, as in 200/s");
         }
         return number(text.substring(0, text.length() - 2));
     }
@@ -57,7 +64,8 @@
     private static int digits(String text) {
         int i = 0;
         int dots = 0;
-        while (i < text.length() && (text.charAt(i) >= '0' && text.charAt(i) <= '9' || text.charAt(i) == '.')) {
+        while (i < text.length()
+                && (text.charAt(i) >= '0' && text.charAt(i) <= '9' || text.charAt(i) == '.')) {
             dots += text.charAt(i) == '.' ? 1 : 0;
             i++;
         }
--- a/src/main/java/brooklock/credentials/BadCredential.java
+++ b/src/main/java/brooklock/credentials/BadCredential.java
@@ -1,6 +1,8 @@
 package brooklock.credentials;
 
-/** A credential that is not good, with the reason in plain words; nothing of the credential itself. */
+/**
+ * A credential that is not good, with the reason in plain words; nothing of the credential itself.
+ */
 public final class BadCredential extends Exception {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/brooklock/credentials/Certificates.java
+++ b/src/main/java/brooklock/credentials/Certificates.java
@@ -6,15 +6,17 @@
 import java.util.Collection;
 import java.util.List;
 
-/** Who a client certificate stands for: its names of kind "san" (DNS, URI, e-mail) first, then its subject. */
+/**
+ * Who a client certificate stands for: its names of kind "san" (DNS, URI, e-mail) first, then its
+ * subject.
+ */
 public final class Certificates {
     // General names of RFC 5280 that bear a text.
     private static final int EMAIL = 1;
     private static final int DNS = 2;
     private static final int URI = 6;
 
-    private Certificates() {
-    }
+    private Certificates() {}
 
     /** The caller that a chain stands for. */
     public static Identity identity(X509Certificate[] chain) {
@@ -33,7 +35,9 @@
             // Names that cannot be read lead nowhere; the subject may.
         }
         names.add(new Identity.Name("subject", chain[0].getSubjectX500Principal().getName(), null));
-        return new Identity(names, chain[0].getNotAfter().getTime(),
+        return new Identity(
+                names,
+                chain[0].getNotAfter().getTime(),
                 "certificate " + ClientTrust.print(chain[0]).substring(0, 12));
     }
 }
--- a/src/main/java/brooklock/credentials/CheckPool.java
+++ b/src/main/java/brooklock/credentials/CheckPool.java
@@ -6,22 +6,33 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Threads that check signatures, so that a burst of new tokens holds up no connection of an I/O thread. Bounded: with
- * the queue full a check is refused at once, and whoever asked is told to come again.
+ * Threads that check signatures, so that a burst of new tokens holds up no connection of an I/O
+ * thread. Bounded: with the queue full a check is refused at once, and whoever asked is told to
+ * come again.
  */
 public final class CheckPool {
-    /** Checks that wait at most: at some two milliseconds each, no client waits for over a second or so. */
+    /**
+     * Checks that wait at most: at some two milliseconds each, no client waits for over a second or
+     * so.
+     */
     public static final int MOST_WAITING = 512;
 
     private final ThreadPoolExecutor threads;
 
     /** With so many threads; they are begun when they are needed and end when they are not. */
     public CheckPool(String name, int size) {
-        threads = new ThreadPoolExecutor(size, size, 10, TimeUnit.SECONDS, new ArrayBlockingQueue<>(MOST_WAITING), r -> {
-            Thread t = new Thread(r, name + "-checks");
-            t.setDaemon(true);
-            return t;
-        });
+        threads =
+                new ThreadPoolExecutor(
+                        size,
+                        size,
+                        10,
+                        TimeUnit.SECONDS,
+                        new ArrayBlockingQueue<>(MOST_WAITING),
+                        r -> {
+                            Thread t = new Thread(r, name + "-checks");
+                            t.setDaemon(true);
+                            return t;
+                        });
         threads.allowCoreThreadTimeOut(true);
     }
 
--- a/src/main/java/brooklock/credentials/ClientTrust.java
+++ b/src/main/java/brooklock/credentials/ClientTrust.java
@@ -28,8 +28,8 @@
 import javax.security.auth.x500.X500Principal;
 
 /**
- * Whose certificates are taken, and which are revoked: authorities, their lists (RFC 5280), and certificates denied by
- * hand. Immutable.
+ * Whose certificates are taken, and which are revoked: authorities, their lists (RFC 5280), and
+ * certificates denied by hand. Immutable.
  */
 public final class ClientTrust {
     // Extended key usages of RFC 5280, section 4.2.1.12: for clients, for anything.
@@ -42,7 +42,10 @@
     private final Set<String> denied;
     private final boolean staleWillDo;
 
-    private ClientTrust(Set<X509Certificate> authorities, Map<X500Principal, X509CRL> lists, Set<String> denied,
+    private ClientTrust(
+            Set<X509Certificate> authorities,
+            Map<X500Principal, X509CRL> lists,
+            Set<String> denied,
             boolean staleWillDo) {
         this.authorities = Set.copyOf(authorities);
         this.lists = Map.copyOf(lists);
@@ -55,7 +58,8 @@
      *
      * @throws IOException naming the file that cannot be used and why
      */
-    public static ClientTrust read(Path bundle, List<Path> revoked, Path denied, boolean staleWillDo, ClientTrust before)
+    public static ClientTrust read(
+            Path bundle, List<Path> revoked, Path denied, boolean staleWillDo, ClientTrust before)
             throws IOException {
         Set<X509Certificate> authorities = new HashSet<>(certificates(bundle));
         if (authorities.isEmpty()) {
@@ -76,15 +80,19 @@
             for (Map.Entry<X500Principal, X509CRL> e : before.lists.entrySet()) {
                 X509CRL now = lists.get(e.getKey());
                 if (now == null || now.getThisUpdate().before(e.getValue().getThisUpdate())) {
-                    throw new IOException("the list of revoked certificates of " + e.getKey()
-                            + " has gone or is older than the one in force");
+                    throw new IOException(
+                            "the list of revoked certificates of "
+                                    + e.getKey()
+                                    + " has gone or is older than the one in force");
                 }
             }
         }
-        return new ClientTrust(authorities, lists, denied == null ? Set.of() : prints(denied), staleWillDo);
+        return new ClientTrust(
+                authorities, lists, denied == null ? Set.of() : prints(denied), staleWillDo);
     }
 
-    private static void verify(Path p, X509CRL list, Set<X509Certificate> authorities) throws IOException {
+    private static void verify(Path p, X509CRL list, Set<X509Certificate> authorities)
+            throws IOException {
         for (X509Certificate a : authorities) {
             if (a.getSubjectX500Principal().equals(list.getIssuerX500Principal())) {
                 try {
@@ -113,11 +121,14 @@
     private static List<CRL> lists(Path p) throws IOException {
         byte[] bytes = Files.readAllBytes(p);
         try {
-            List<CRL> all = new ArrayList<>(CertificateFactory.getInstance("X.509")
-                    .generateCRLs(new ByteArrayInputStream(bytes)));
+            List<CRL> all =
+                    new ArrayList<>(
+                            CertificateFactory.getInstance("X.509")
+                                    .generateCRLs(new ByteArrayInputStream(bytes)));
             String text = new String(bytes, StandardCharsets.ISO_8859_1);
-            if (all.isEmpty() || text.contains("-----BEGIN") && text.split("-----BEGIN").length
-                    != text.split("-----END").length) {
+            if (all.isEmpty()
+                    || text.contains("-----BEGIN")
+                            && text.split("-----BEGIN").length != text.split("-----END").length) {
                 throw new IOException(p + ": no whole list in it (half-written?)");
             }
             return all;
@@ -131,10 +142,15 @@
         int n = 0;
         for (String row : Files.readAllLines(p, StandardCharsets.UTF_8)) {
             n++;
-            String word = row.replaceAll("#.*", "").replace(":", "").trim().toLowerCase(Locale.ROOT);
+            String word =
+                    row.replaceAll("#.*", "").replace(":", "").trim().toLowerCase(Locale.ROOT);
             if (!word.isEmpty()) {
                 if (!word.matches(DENIED_FORM)) {
-                    throw new IOException(p + ":" + n + ": not the SHA-256 print of a certificate, 64 hexadecimal digits");
+                    throw new IOException(
+                            p
+                                    + ":"
+                                    + n
+                                    + ": not the SHA-256 print of a certificate, 64 hexadecimal digits");
                 }
                 all.add(word);
             }
@@ -145,7 +161,8 @@
     /** SHA-256 over a certificate, in hexadecimal. */
     public static String print(X509Certificate c) {
         try {
-            return HexFormat.of().formatHex(MessageDigest.getInstance("SHA-256").digest(c.getEncoded()));
+            return HexFormat.of()
+                    .formatHex(MessageDigest.getInstance("SHA-256").digest(c.getEncoded()));
         } catch (GeneralSecurityException e) {
             throw new IllegalStateException(e);
         }
@@ -156,7 +173,10 @@
         return authorities.toArray(new X509Certificate[0]);
     }
 
-    /** Why a chain is not taken at a moment, in plain words, or null if it is. Checks signatures: for handshakes. */
+    /**
+     * Why a chain is not taken at a moment, in plain words, or null if it is. Checks signatures:
+     * for handshakes.
+     */
     public String wrong(X509Certificate[] chain, long nowMs) {
         String way = way(chain, nowMs);
         if (way != null) {
@@ -200,7 +220,10 @@
         return null;
     }
 
-    /** Why a chain that was taken once is not any more, or null if it still is. Cheap: for every request. */
+    /**
+     * Why a chain that was taken once is not any more, or null if it still is. Cheap: for every
+     * request.
+     */
     public String revoked(X509Certificate[] chain, long nowMs) {
         for (X509Certificate c : chain) {
             if (nowMs >= c.getNotAfter().getTime()) {
@@ -210,7 +233,9 @@
             if (list != null && list.getRevokedCertificate(c.getSerialNumber()) != null) {
                 return "a certificate is on its authority's list of revoked ones";
             }
-            if (list != null && !staleWillDo && list.getNextUpdate() != null
+            if (list != null
+                    && !staleWillDo
+                    && list.getNextUpdate() != null
                     && nowMs >= list.getNextUpdate().getTime()) {
                 return "the list of revoked certificates of its authority is past its time";
             }
@@ -221,7 +246,9 @@
         boolean known = false;
         for (X509Certificate c : chain) {
             for (X509Certificate a : authorities) {
-                known |= a.equals(c) || a.getSubjectX500Principal().equals(c.getIssuerX500Principal());
+                known |=
+                        a.equals(c)
+                                || a.getSubjectX500Principal().equals(c.getIssuerX500Principal());
             }
         }
         return known ? null : "its authority is none any more";
@@ -229,7 +256,9 @@
 
     /** Authorities whose list is past its time, for operators. */
     public List<String> stale(long nowMs) {
-        return lists.values().stream().filter(l -> l.getNextUpdate() != null && nowMs >= l.getNextUpdate().getTime())
-                .map(l -> l.getIssuerX500Principal().getName()).toList();
+        return lists.values().stream()
+                .filter(l -> l.getNextUpdate() != null && nowMs >= l.getNextUpdate().getTime())
+                .map(l -> l.getIssuerX500Principal().getName())
+                .toList();
     }
 }
--- a/src/main/java/brooklock/credentials/EdVerifier.java
+++ b/src/main/java/brooklock/credentials/EdVerifier.java
@@ -18,7 +18,10 @@
 import java.security.spec.NamedParameterSpec;
 import java.util.Set;
 
-/** Ed25519 (RFC 8037) by the platform's own implementation; the library's would bring a second one along. */
+/**
+ * Ed25519 (RFC 8037) by the platform's own implementation; the library's would bring a second one
+ * along.
+ */
 final class EdVerifier implements JWSVerifier {
     private static final int BYTES = 32;
 
@@ -27,7 +30,8 @@
 
     EdVerifier(OctetKeyPair jwk) {
         if (!Curve.Ed25519.equals(jwk.getCurve())) {
-            throw new IllegalArgumentException("the curve " + jwk.getCurve() + " is not taken here (Ed25519)");
+            throw new IllegalArgumentException(
+                    "the curve " + jwk.getCurve() + " is not taken here (Ed25519)");
         }
         key = publicKey(jwk.getX().decode());
     }
@@ -44,15 +48,19 @@
         boolean odd = (y[0] & 0x80) != 0;
         y[0] &= 0x7f;
         try {
-            return KeyFactory.getInstance("Ed25519").generatePublic(new EdECPublicKeySpec(NamedParameterSpec.ED25519,
-                    new EdECPoint(odd, new BigInteger(1, y))));
+            return KeyFactory.getInstance("Ed25519")
+                    .generatePublic(
+                            new EdECPublicKeySpec(
+                                    NamedParameterSpec.ED25519,
+                                    new EdECPoint(odd, new BigInteger(1, y))));
         } catch (GeneralSecurityException e) {
             throw new IllegalArgumentException("not an Ed25519 key");
         }
     }
 
     @Override
-    public boolean verify(JWSHeader header, byte[] signed, Base64URL signature) throws JOSEException {
+    public boolean verify(JWSHeader header, byte[] signed, Base64URL signature)
+            throws JOSEException {
         try {
             Signature s = Signature.getInstance("Ed25519");
             s.initVerify(key);
--- a/src/main/java/brooklock/credentials/Identity.java
+++ b/src/main/java/brooklock/credentials/Identity.java
@@ -13,14 +13,15 @@
  */
 public record Identity(List<Name> names, long untilMs, String label) {
     /** One name: a claim with its value, or a name of a certificate. */
-    public record Name(String kind, String key, String value) {
-    }
+    public record Name(String kind, String key, String value) {}
 
     /** The tenant that a policy maps this caller to, or null. */
     public Tenant tenant(Policy policy) {
         for (Name n : names) {
-            Tenant t = n.kind().equals("claim") ? policy.byClaim(n.key(), n.value())
-                    : policy.byCertificate(n.kind(), n.key());
+            Tenant t =
+                    n.kind().equals("claim")
+                            ? policy.byClaim(n.key(), n.value())
+                            : policy.byCertificate(n.kind(), n.key());
             if (t != null) {
                 return t;
             }
--- a/src/main/java/brooklock/credentials/KeyRing.java
+++ b/src/main/java/brooklock/credentials/KeyRing.java
@@ -21,20 +21,36 @@
 import org.pcollections.PMap;
 
 /**
- * The keys that tokens may be signed with: a JWK Set (RFC 7517) whose keys bear a {@code state} and, if they end at a
- * moment, {@code until} (ms since 1970). Immutable. Each key is bound to the one algorithm that its {@code alg} names.
+ * The keys that tokens may be signed with: a JWK Set (RFC 7517) whose keys bear a {@code state}
+ * and, if they end at a moment, {@code until} (ms since 1970). Immutable. Each key is bound to the
+ * one algorithm that its {@code alg} names.
  */
 public final class KeyRing {
     /** Most keys of a set. */
     public static final int MOST = 256;
+
     // RSA below this is not safe any more (NIST SP 800-131A).
     private static final int LEAST_RSA_BITS = 2048;
 
-    /** A key's life. Tokens are taken in all states but the last: a signer may switch before this set has heard of it. */
-    public enum State { ANNOUNCED, SIGNING, ACCEPTED, RETIRED }
+    /**
+     * A key's life. Tokens are taken in all states but the last: a signer may switch before this
+     * set has heard of it.
+     */
+    public enum State {
+        ANNOUNCED,
+        SIGNING,
+        ACCEPTED,
+        RETIRED
+    }
 
     /** One key. */
-    public record Key(String kid, JWSAlgorithm algorithm, State state, long untilMs, JWSVerifier verifier, String print) {
+    public record Key(
+            String kid,
+            JWSAlgorithm algorithm,
+            State state,
+            long untilMs,
+            JWSVerifier verifier,
+            String print) {
         /** Whether tokens of this key are taken at a moment. */
         public boolean takes(long nowMs) {
             return state != State.RETIRED && nowMs < untilMs;
@@ -63,7 +79,8 @@
         try {
             top = JSONObjectUtils.parse(text);
         } catch (ParseException e) {
-            throw new IllegalArgumentException("not a JWK Set: the JSON cannot be read (half-written?)");
+            throw new IllegalArgumentException(
+                    "not a JWK Set: the JSON cannot be read (half-written?)");
         }
         if (!(top.get("keys") instanceof List<?> list) || list.isEmpty() || list.size() > MOST) {
             throw new IllegalArgumentException("not a JWK Set of 1 to " + MOST + " keys");
@@ -91,20 +108,32 @@
                 throw new IllegalArgumentException("a key has no kid, or no alg to bind it to");
             }
             if (jwk.isPrivate() && !(jwk instanceof OctetSequenceKey)) {
-                throw new IllegalArgumentException("the key '" + kid + "' holds its private part: this is no place for it");
+                throw new IllegalArgumentException(
+                        "the key '" + kid + "' holds its private part: this is no place for it");
             }
-            State state = State.valueOf(String.valueOf(map.getOrDefault("state", "accepted")).toUpperCase(Locale.ROOT));
+            State state =
+                    State.valueOf(
+                            String.valueOf(map.getOrDefault("state", "accepted"))
+                                    .toUpperCase(Locale.ROOT));
             long until = map.get("until") instanceof Number n ? n.longValue() : Long.MAX_VALUE;
             JWSAlgorithm alg = JWSAlgorithm.parse(jwk.getAlgorithm().getName());
-            return new Key(kid, alg, state, until, verifier(jwk, alg, map), jwk.computeThumbprint().toString());
+            return new Key(
+                    kid,
+                    alg,
+                    state,
+                    until,
+                    verifier(jwk, alg, map),
+                    jwk.computeThumbprint().toString());
         } catch (ParseException | JOSEException e) {
-            throw new IllegalArgumentException("the key '" + kid + "' cannot be used: " + e.getMessage());
+            throw new IllegalArgumentException(
+                    "the key '" + kid + "' cannot be used: " + e.getMessage());
         } catch (IllegalArgumentException e) {
             throw new IllegalArgumentException("the key '" + kid + "': " + e.getMessage());
         }
     }
 
-    private static JWSVerifier verifier(JWK jwk, JWSAlgorithm alg, Map<String, Object> map) throws JOSEException {
+    private static JWSVerifier verifier(JWK jwk, JWSAlgorithm alg, Map<String, Object> map)
+            throws JOSEException {
         if (jwk instanceof RSAKey rsa && alg.equals(JWSAlgorithm.RS256)) {
             if (rsa.size() < LEAST_RSA_BITS) {
                 throw new IllegalArgumentException("RSA of under " + LEAST_RSA_BITS + " bits");
@@ -119,16 +148,21 @@
         }
         if (jwk instanceof OctetSequenceKey oct && alg.equals(JWSAlgorithm.HS256)) {
             if (!Boolean.TRUE.equals(map.get("shared"))) {
-                throw new IllegalArgumentException("a shared secret needs \"shared\": true beside it, so that it is meant");
+                throw new IllegalArgumentException(
+                        "a shared secret needs \"shared\": true beside it, so that it is meant");
             }
             return new MACVerifier(oct);
         }
-        throw new IllegalArgumentException("the algorithm " + alg + " does not go with this key, or is not taken here "
-                + "(EdDSA, ES256, RS256, HS256)");
+        throw new IllegalArgumentException(
+                "the algorithm "
+                        + alg
+                        + " does not go with this key, or is not taken here "
+                        + "(EdDSA, ES256, RS256, HS256)");
     }
 
     /**
-     * Looks whether a newer set may take this one's place: a key may leave only after it has been retired.
+     * Looks whether a newer set may take this one's place: a key may leave only after it has been
+     * retired.
      *
      * @throws IllegalArgumentException naming a key that has gone by accident
      */
--- a/src/main/java/brooklock/credentials/Keys.java
+++ b/src/main/java/brooklock/credentials/Keys.java
@@ -7,16 +7,16 @@
 
 /** Small things about keys. */
 final class Keys {
-    private Keys() {
-    }
+    private Keys() {}
 
     /** Whether a private key and a public one are a pair: what one signs the other finds good. */
     static boolean belong(PrivateKey mine, PublicKey theirs) {
-        String how = switch (mine.getAlgorithm()) {
-            case "RSA" -> "SHA256withRSA";
-            case "EC" -> "SHA256withECDSA";
-            default -> "Ed25519";
-        };
+        String how =
+                switch (mine.getAlgorithm()) {
+                    case "RSA" -> "SHA256withRSA";
+                    case "EC" -> "SHA256withECDSA";
+                    default -> "Ed25519";
+                };
         byte[] probe = {1, 2, 3};
         try {
             Signature s = Signature.getInstance(how);
--- a/src/main/java/brooklock/credentials/LocalAuthority.java
+++ b/src/main/java/brooklock/credentials/LocalAuthority.java
@@ -20,7 +20,10 @@
 import org.bouncycastle.cert.jcajce.JcaX509v3CertificateBuilder;
 import org.bouncycastle.operator.jcajce.JcaContentSignerBuilder;
 
-/** An authority of one's own and what it issues, to try TLS on one machine; its key is never written. */
+/**
+ * An authority of one's own and what it issues, to try TLS on one machine; its key is never
+ * written.
+ */
 public final class LocalAuthority {
     private static long serials = 1;
     private final X500Name name;
@@ -37,25 +40,46 @@
         return BigInteger.valueOf(serials++);
     }
 
-    private static X509Certificate build(X500Name issuer, X500Name subject, KeyPair signer, KeyPair mine, String dns,
-            boolean authority, long livesMs) throws Exception {
+    private static X509Certificate build(
+            X500Name issuer,
+            X500Name subject,
+            KeyPair signer,
+            KeyPair mine,
+            String dns,
+            boolean authority,
+            long livesMs)
+            throws Exception {
         long now = System.currentTimeMillis();
-        JcaX509v3CertificateBuilder b = new JcaX509v3CertificateBuilder(issuer, serial(), new Date(now - 3600_000),
-                new Date(now + livesMs), subject, mine.getPublic());
+        JcaX509v3CertificateBuilder b =
+                new JcaX509v3CertificateBuilder(
+                        issuer,
+                        serial(),
+                        new Date(now - 3600_000),
+                        new Date(now + livesMs),
+                        subject,
+                        mine.getPublic());
         b.addExtension(Extension.basicConstraints, true, new BasicConstraints(authority));
         if (dns != null) {
-            b.addExtension(Extension.subjectAlternativeName, false,
+            b.addExtension(
+                    Extension.subjectAlternativeName,
+                    false,
                     new GeneralNames(new GeneralName(GeneralName.dNSName, dns)));
         }
-        return new JcaX509CertificateConverter().getCertificate(b.build(new JcaContentSignerBuilder("SHA256withECDSA")
-                .build(signer.getPrivate())));
+        return new JcaX509CertificateConverter()
+                .getCertificate(
+                        b.build(
+                                new JcaContentSignerBuilder("SHA256withECDSA")
+                                        .build(signer.getPrivate())));
     }
 
     /** A leaf of this authority. */
     public Tls.Shown issue(String cn, String dns, long livesMs) throws Exception {
         KeyPair mine = KeyFile.generate("ES256");
-        return new Tls.Shown(new X509Certificate[] {build(name, new X500Name("CN=" + cn), keys, mine, dns, false,
-                livesMs)}, mine.getPrivate());
+        return new Tls.Shown(
+                new X509Certificate[] {
+                    build(name, new X500Name("CN=" + cn), keys, mine, dns, false, livesMs)
+                },
+                mine.getPrivate());
     }
 
     /** A list of revoked ones, in PEM. */
@@ -66,13 +90,21 @@
         for (X509Certificate c : revoked) {
             b.addCRLEntry(c.getSerialNumber(), now, CRLReason.keyCompromise);
         }
-        return pem("X509 CRL", b.build(new JcaContentSignerBuilder("SHA256withECDSA").build(keys.getPrivate()))
-                .getEncoded());
+        return pem(
+                "X509 CRL",
+                b.build(new JcaContentSignerBuilder("SHA256withECDSA").build(keys.getPrivate()))
+                        .getEncoded());
     }
 
     private static String pem(String what, byte[] der) {
-        return "-----BEGIN " + what + "-----\n" + Base64.getMimeEncoder(64, "\n".getBytes(StandardCharsets.US_ASCII))
-                .encodeToString(der) + "\n-----END " + what + "-----\n";
+        return "-----BEGIN "
+                + what
+                + "-----\n"
+                + Base64.getMimeEncoder(64, "\n".getBytes(StandardCharsets.US_ASCII))
+                        .encodeToString(der)
+                + "\n-----END "
+                + what
+                + "-----\n";
     }
 
     /** Writes a chain's leaf and, unless null, its key. */
--- a/src/main/java/brooklock/credentials/Tls.java
+++ b/src/main/java/brooklock/credentials/Tls.java
@@ -30,7 +30,10 @@
 import javax.net.ssl.X509ExtendedKeyManager;
 import javax.net.ssl.X509ExtendedTrustManager;
 
-/** A TLS context whose certificates and trust are looked up anew at each handshake, so that both change in service. */
+/**
+ * A TLS context whose certificates and trust are looked up anew at each handshake, so that both
+ * change in service.
+ */
 public final class Tls {
     /** A chain with its key. */
     public record Shown(X509Certificate[] chain, PrivateKey key) {
@@ -39,8 +42,11 @@
                 if (chain[0].getSubjectAlternativeNames() != null) {
                     for (List<?> san : chain[0].getSubjectAlternativeNames()) {
                         String name = String.valueOf(san.get(1)).toLowerCase(Locale.ROOT);
-                        boolean wild = name.startsWith("*.") && host.indexOf('.') > 0
-                                && host.substring(host.indexOf('.')).equals(name.substring(1));
+                        boolean wild =
+                                name.startsWith("*.")
+                                        && host.indexOf('.') > 0
+                                        && host.substring(host.indexOf('.'))
+                                                .equals(name.substring(1));
                         if (san.get(0).equals(2) && (name.equals(host) || wild)) {
                             return true;
                         }
@@ -53,8 +59,7 @@
         }
     }
 
-    private Tls() {
-    }
+    private Tls() {}
 
     /** Reads chains and their keys (PKCS #8, PEM); a key that is not its chain's is refused. */
     public static List<Shown> shown(List<Pair> pairs) throws IOException {
@@ -95,13 +100,19 @@
      * @param trust whose client certificates are taken; gives null where none are asked for
      * @param nowMs wall time
      */
-    public static SSLContext server(Supplier<List<Shown>> shown, Supplier<ClientTrust> trust, LongSupplier nowMs) {
+    public static SSLContext server(
+            Supplier<List<Shown>> shown, Supplier<ClientTrust> trust, LongSupplier nowMs) {
         return context(new LiveKeys(shown), new LiveTrust(trust, nowMs));
     }
 
-    /** A client's context, for stand-ins and tests: shows a chain (or null for none) and trusts some authorities. */
+    /**
+     * A client's context, for stand-ins and tests: shows a chain (or null for none) and trusts some
+     * authorities.
+     */
     public static SSLContext client(Shown mine, Supplier<ClientTrust> trust, LongSupplier nowMs) {
-        return context(new LiveKeys(() -> mine == null ? List.of() : List.of(mine)), new LiveTrust(trust, nowMs));
+        return context(
+                new LiveKeys(() -> mine == null ? List.of() : List.of(mine)),
+                new LiveTrust(trust, nowMs));
     }
 
     private static SSLContext context(KeyManager keys, TrustManager trust) {
@@ -121,13 +132,17 @@
             this.shown = shown;
         }
 
-        // The alias is the certificate's print: a change between choosing and showing finds the one that was chosen or
+        // The alias is the certificate's print: a change between choosing and showing finds the one
+        // that was chosen or
         // none, never another's key.
         private String choose(String type, SSLSession session) {
             String asked = null;
             if (session instanceof ExtendedSSLSession s) {
                 for (SNIServerName n : s.getRequestedServerNames()) {
-                    asked = n instanceof SNIHostName h ? h.getAsciiName().toLowerCase(Locale.ROOT) : asked;
+                    asked =
+                            n instanceof SNIHostName h
+                                    ? h.getAsciiName().toLowerCase(Locale.ROOT)
+                                    : asked;
                 }
             }
             Shown first = null;
@@ -157,7 +172,8 @@
         }
 
         @Override
-        public String chooseEngineClientAlias(String[] types, Principal[] issuers, SSLEngine engine) {
+        public String chooseEngineClientAlias(
+                String[] types, Principal[] issuers, SSLEngine engine) {
             for (String t : types) {
                 String a = choose(t, null);
                 if (a != null) {
@@ -211,35 +227,44 @@
 
         private void check(X509Certificate[] chain, boolean client) throws CertificateException {
             ClientTrust t = trust.get();
-            String wrong = t == null ? "no certificates are taken here"
-                    : client ? t.wrong(chain, nowMs.getAsLong()) : t.wrongServer(chain, nowMs.getAsLong());
+            String wrong =
+                    t == null
+                            ? "no certificates are taken here"
+                            : client
+                                    ? t.wrong(chain, nowMs.getAsLong())
+                                    : t.wrongServer(chain, nowMs.getAsLong());
             if (wrong != null) {
                 throw new CertificateException(wrong);
             }
         }
 
         @Override
-        public void checkClientTrusted(X509Certificate[] chain, String type) throws CertificateException {
+        public void checkClientTrusted(X509Certificate[] chain, String type)
+                throws CertificateException {
             check(chain, true);
         }
 
         @Override
-        public void checkClientTrusted(X509Certificate[] chain, String type, Socket s) throws CertificateException {
+        public void checkClientTrusted(X509Certificate[] chain, String type, Socket s)
+                throws CertificateException {
             check(chain, true);
         }
 
         @Override
-        public void checkClientTrusted(X509Certificate[] chain, String type, SSLEngine e) throws CertificateException {
+        public void checkClientTrusted(X509Certificate[] chain, String type, SSLEngine e)
+                throws CertificateException {
             check(chain, true);
         }
 
         @Override
-        public void checkServerTrusted(X509Certificate[] chain, String type) throws CertificateException {
+        public void checkServerTrusted(X509Certificate[] chain, String type)
+                throws CertificateException {
             check(chain, false);
         }
 
         @Override
-        public void checkServerTrusted(X509Certificate[] chain, String type, Socket s) throws CertificateException {
+        public void checkServerTrusted(X509Certificate[] chain, String type, Socket s)
+                throws CertificateException {
             check(chain, false);
         }
 
