--- a/src/main/java/brooklock/credentials/TokenBook.java
+++ b/src/main/java/brooklock/credentials/TokenBook.java
@@ -12,15 +12,18 @@
 import javax.crypto.spec.SecretKeySpec;
 
 /**
- * Tokens seen good lately, by a keyed digest, so that a token costs its signature's check once; and what each address
- * has cost by bad ones. Not for several threads: each I/O thread has one.
+ * Tokens seen good lately, by a keyed digest, so that a token costs its signature's check once; and
+ * what each address has cost by bad ones. Not for several threads: each I/O thread has one.
  */
 public final class TokenBook {
     /** Tokens remembered; the one unused longest is forgotten first. */
     private static final int MOST_TOKENS = 10_000;
+
     /** Addresses remembered for bad signatures. */
     private static final int MOST_ADDRESSES = 4_096;
-    // Bad signatures that one address may have checked in a second, and saved up: a client with a stale token sends
+
+    // Bad signatures that one address may have checked in a second, and saved up: a client with a
+    // stale token sends
     // one or two, who guesses sends more.
     private static final double BAD_A_SECOND = 10;
 
@@ -30,12 +33,16 @@
     /** Who checks signatures; a check may take a thousand times as long as all else here. */
     public interface Checker {
         /**
-         * Takes a check; {@code after} is to run on the thread that owns this book. False where too many wait.
+         * Takes a check; {@code after} is to run on the thread that owns this book. False where too
+         * many wait.
          */
         boolean take(Runnable check, Runnable after);
     }
 
-    /** What is told of a token: who it stands for, or why it does not, or that there was no room to find out. */
+    /**
+     * What is told of a token: who it stands for, or why it does not, or that there was no room to
+     * find out.
+     */
     public interface Taker {
         /** It is good. */
         void good(Identity caller);
@@ -90,21 +97,35 @@
     }
 
     /**
-     * Finds the caller that a token stands for. The taker is told at once where it is known or wrong at first sight,
-     * else once its signature has been checked; those who bring the same token meanwhile wait for the same check.
+     * Finds the caller that a token stands for. The taker is told at once where it is known or
+     * wrong at first sight, else once its signature has been checked; those who bring the same
+     * token meanwhile wait for the same check.
      *
      * @param address whom a bad one is booked to
      */
-    public void look(String token, KeyRing ring, String address, long nowMs, long nowNs, Checker checker, Taker taker) {
+    public void look(
+            String token,
+            KeyRing ring,
+            String address,
+            long nowMs,
+            long nowNs,
+            Checker checker,
+            Taker taker) {
         if (token.length() > TokenCheck.MOST) {
-            taker.bad(new BadCredential("the token is longer than " + TokenCheck.MOST + " characters"));
+            taker.bad(
+                    new BadCredential(
+                            "the token is longer than " + TokenCheck.MOST + " characters"));
             return;
         }
-        String digest = Base64.getEncoder().encodeToString(mac.doFinal(token.getBytes(StandardCharsets.UTF_8)));
+        String digest =
+                Base64.getEncoder()
+                        .encodeToString(mac.doFinal(token.getBytes(StandardCharsets.UTF_8)));
         TokenCheck.Good known = good.get(digest);
         if (known != null) {
-            // The same key, object for object: a set that was read anew has its tokens checked anew.
-            if (ring.get(known.key().kid()) == known.key() && known.key().takes(nowMs)
+            // The same key, object for object: a set that was read anew has its tokens checked
+            // anew.
+            if (ring.get(known.key().kid()) == known.key()
+                    && known.key().takes(nowMs)
                     && nowMs < known.identity().untilMs()) {
                 taker.good(known.identity());
                 return;
@@ -116,7 +137,13 @@
             return;
         }
         try {
-            check(check.read(token, ring, nowMs, digest.substring(0, 12)), digest, address, nowNs, checker, taker);
+            check(
+                    check.read(token, ring, nowMs, digest.substring(0, 12)),
+                    digest,
+                    address,
+                    nowNs,
+                    checker,
+                    taker);
         } catch (BadCredential e) {
             taker.bad(e);
         }
@@ -132,9 +159,15 @@
         return s.left < 1;
     }
 
-    private void check(TokenCheck.Claimed claimed, String digest, String address, long nowNs, Checker checker,
+    private void check(
+            TokenCheck.Claimed claimed,
+            String digest,
+            String address,
+            long nowNs,
+            Checker checker,
             Taker taker) {
-        // By its key too: one that was read with a set that has been replaced since is another check.
+        // By its key too: one that was read with a set that has been replaced since is another
+        // check.
         String name = digest + System.identityHashCode(claimed.key());
         UnderWay same = underWay.get(name);
         if (same != null) {
@@ -144,15 +177,17 @@
         int now = byAddress.getOrDefault(address, 0);
         UnderWay mine = new UnderWay();
         mine.takers.add(taker);
-        Runnable dear = () -> {
-            try {
-                mine.good = claimed.verify();
-            } catch (BadCredential e) {
-                mine.bad = e;
-            } catch (RuntimeException e) {
-                mine.bad = new BadCredential("the token's signature cannot be checked", true);
-            }
-        };
+        Runnable dear =
+                () -> {
+                    try {
+                        mine.good = claimed.verify();
+                    } catch (BadCredential e) {
+                        mine.bad = e;
+                    } catch (RuntimeException e) {
+                        mine.bad =
+                                new BadCredential("the token's signature cannot be checked", true);
+                    }
+                };
         if (now >= MOST_UNDER_WAY) {
             taker.full();
             return;
@@ -186,7 +221,8 @@
 
     /** A name for a credential in logs: says whether two are the same, and nothing else. */
     public String label(String credential) {
-        return Base64.getEncoder().encodeToString(mac.doFinal(credential.getBytes(StandardCharsets.UTF_8)))
+        return Base64.getEncoder()
+                .encodeToString(mac.doFinal(credential.getBytes(StandardCharsets.UTF_8)))
                 .substring(0, 12);
     }
 }
--- a/src/main/java/brooklock/credentials/TokenCheck.java
+++ b/src/main/java/brooklock/credentials/TokenCheck.java
@@ -11,12 +11,13 @@
 import java.util.Map;
 
 /**
- * Signed tokens (RFC 7519, RFC 8725). What is cheap is looked at first: size, form, header, key, times, issuer and
- * audience; only what passes all of that costs a signature's check.
+ * Signed tokens (RFC 7519, RFC 8725). What is cheap is looked at first: size, form, header, key,
+ * times, issuer and audience; only what passes all of that costs a signature's check.
  */
 public final class TokenCheck {
     /** Longest token, characters. */
     public static final int MOST = 8192;
+
     private static final int MOST_HEADER = 1024;
 
     private final String issuer;
@@ -37,8 +38,7 @@
     }
 
     /** A token found good, with the key it was signed with. */
-    public record Good(Identity identity, KeyRing.Key key) {
-    }
+    public record Good(Identity identity, KeyRing.Key key) {}
 
     /** A token of which all but the signature has been found good. */
     public static final class Claimed {
@@ -96,8 +96,12 @@
         }
         int one = token.indexOf('.');
         int two = token.indexOf('.', one + 1);
-        if (one <= 0 || two <= one + 1 || two == token.length() - 1 || token.indexOf('.', two + 1) >= 0
-                || one > MOST_HEADER || !token.chars().allMatch(TokenCheck::inForm)) {
+        if (one <= 0
+                || two <= one + 1
+                || two == token.length() - 1
+                || token.indexOf('.', two + 1) >= 0
+                || one > MOST_HEADER
+                || !token.chars().allMatch(TokenCheck::inForm)) {
             throw new BadCredential("the token is not three parts in base64url");
         }
         JWSHeader header = header(token.substring(0, one));
@@ -115,17 +119,26 @@
         long until = times(claims, nowMs);
         about(claims);
         List<Identity.Name> names = new ArrayList<>();
-        claims.forEach((k, v) -> {
-            if (v instanceof String s) {
-                names.add(new Identity.Name("claim", k, s));
-            }
-        });
-        return new Claimed(header, token.substring(0, two).getBytes(StandardCharsets.US_ASCII),
-                new Base64URL(token.substring(two + 1)), new Good(new Identity(names, until, label), key));
+        claims.forEach(
+                (k, v) -> {
+                    if (v instanceof String s) {
+                        names.add(new Identity.Name("claim", k, s));
+                    }
+                });
+        return new Claimed(
+                header,
+                token.substring(0, two).getBytes(StandardCharsets.US_ASCII),
+                new Base64URL(token.substring(two + 1)),
+                new Good(new Identity(names, until, label), key));
     }
 
     private static boolean inForm(int c) {
-        return c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9' || c == '-' || c == '_' || c == '.';
+        return c >= 'a' && c <= 'z'
+                || c >= 'A' && c <= 'Z'
+                || c >= '0' && c <= '9'
+                || c == '-'
+                || c == '_'
+                || c == '.';
     }
 
     private static JWSHeader header(String part) throws BadCredential {
@@ -139,7 +152,8 @@
             }
             return h;
         } catch (ParseException | IllegalArgumentException e) {
-            throw new BadCredential("the token's header cannot be read, or says that it is not signed");
+            throw new BadCredential(
+                    "the token's header cannot be read, or says that it is not signed");
         }
     }
 
@@ -166,7 +180,8 @@
         return until + skewMs;
     }
 
-    // Seconds since 1970, perhaps with a fraction; what does not fit is taken for the end of time on its side.
+    // Seconds since 1970, perhaps with a fraction; what does not fit is taken for the end of time
+    // on its side.
     private static long seconds(Number n) {
         double ms = n.doubleValue() * 1000;
         return ms > 1e17 ? (long) 1e17 : ms < -1e17 ? (long) -1e17 : (long) ms;
@@ -177,7 +192,9 @@
             throw new BadCredential("the token is of another issuer");
         }
         Object aud = claims.get("aud");
-        if (audience != null && !audience.equals(aud) && !(aud instanceof List<?> l && l.contains(audience))) {
+        if (audience != null
+                && !audience.equals(aud)
+                && !(aud instanceof List<?> l && l.contains(audience))) {
             throw new BadCredential("the token is for another audience");
         }
     }
--- a/src/main/java/brooklock/credentials/TokenMaker.java
+++ b/src/main/java/brooklock/credentials/TokenMaker.java
@@ -11,8 +11,7 @@
 
 /** Makes signed tokens, for trying a policy and for tests; in service that is the issuer's work. */
 public final class TokenMaker {
-    private TokenMaker() {
-    }
+    private TokenMaker() {}
 
     /** A token with these claims. */
     public static String make(PrivateKey key, String kid, Map<String, Object> claims) {
@@ -23,15 +22,20 @@
     }
 
     /** A token with any header, right or wrong. */
-    public static String make(PrivateKey key, Map<String, Object> header, Map<String, Object> claims) {
-        String signed = Base64URL.encode(JSONObjectUtils.toJSONString(header)) + "."
-                + Base64URL.encode(JSONObjectUtils.toJSONString(claims));
+    public static String make(
+            PrivateKey key, Map<String, Object> header, Map<String, Object> claims) {
+        String signed =
+                Base64URL.encode(JSONObjectUtils.toJSONString(header))
+                        + "."
+                        + Base64URL.encode(JSONObjectUtils.toJSONString(claims));
         try {
-            Signature s = Signature.getInstance(switch (key.getAlgorithm()) {
-                case "RSA" -> "SHA256withRSA";
-                case "EC" -> "SHA256withECDSAinP1363Format";
-                default -> "Ed25519";
-            });
+            Signature s =
+                    Signature.getInstance(
+                            switch (key.getAlgorithm()) {
+                                case "RSA" -> "SHA256withRSA";
+                                case "EC" -> "SHA256withECDSAinP1363Format";
+                                default -> "Ed25519";
+                            });
             s.initSign(key);
             s.update(signed.getBytes(StandardCharsets.US_ASCII));
             return signed + "." + Base64URL.encode(s.sign());
--- a/src/main/java/brooklock/credentials/WallClock.java
+++ b/src/main/java/brooklock/credentials/WallClock.java
@@ -1,9 +1,9 @@
 package brooklock.credentials;
 
 /**
- * Wall time that never goes back: set back by minutes, the system's clock would make credentials valid again that have
- * ended. It goes on by the monotonic clock then, and follows the system's clock where that is ahead.
- * Not for several threads.
+ * Wall time that never goes back: set back by minutes, the system's clock would make credentials
+ * valid again that have ended. It goes on by the monotonic clock then, and follows the system's
+ * clock where that is ahead. Not for several threads.
  */
 public final class WallClock {
     /** Where wall time comes from. */
--- a/src/main/java/brooklock/credentials/Watched.java
+++ b/src/main/java/brooklock/credentials/Watched.java
@@ -8,13 +8,17 @@
 import java.util.function.Consumer;
 
 /**
- * What is read from files that change in service. A new state of the files is taken whole, once it has stood still
- * between two looks and has been read and checked; else the one before stays in force and the reason is told, once.
+ * What is read from files that change in service. A new state of the files is taken whole, once it
+ * has stood still between two looks and has been read and checked; else the one before stays in
+ * force and the reason is told, once.
  */
 public final class Watched<T> {
     /** Reads the files' contents into a value. */
     public interface Reading<T> {
-        /** Makes the value, given the one in force (null at first); throws with the reason where it may not be used. */
+        /**
+         * Makes the value, given the one in force (null at first); throws with the reason where it
+         * may not be used.
+         */
         T read(T before) throws Exception;
     }
 
@@ -33,7 +37,8 @@
      * @param news told of each change taken, and of each refused
      * @throws IOException where the files cannot be used at the start, with the reason
      */
-    public Watched(String name, List<Path> files, Reading<T> reading, Consumer<String> news) throws IOException {
+    public Watched(String name, List<Path> files, Reading<T> reading, Consumer<String> news)
+            throws IOException {
         this.name = name;
         this.files = files;
         this.reading = reading;
@@ -83,8 +88,12 @@
         for (Path p : files) {
             try {
                 BasicFileAttributes a = Files.readAttributes(p, BasicFileAttributes.class);
-                s.append(a.lastModifiedTime().to(java.util.concurrent.TimeUnit.NANOSECONDS)).append(' ')
-                        .append(a.size()).append(' ').append(a.fileKey()).append('\n');
+                s.append(a.lastModifiedTime().to(java.util.concurrent.TimeUnit.NANOSECONDS))
+                        .append(' ')
+                        .append(a.size())
+                        .append(' ')
+                        .append(a.fileKey())
+                        .append('\n');
             } catch (IOException e) {
                 s.append("missing\n");
             }
--- a/src/main/java/brooklock/edge/Attempt.java
+++ b/src/main/java/brooklock/edge/Attempt.java
@@ -5,11 +5,11 @@
 import brooklock.RouterApi.Note;
 import brooklock.RouterApi.Outcome;
 import brooklock.RouterApi.Streaming;
+import brooklock.config.Settings.ClassLine;
 import brooklock.http.Fields;
 import brooklock.http.Framing;
 import brooklock.http.RequestHead;
 import brooklock.http.ResponseHead;
-import brooklock.config.Settings.ClassLine;
 import brooklock.members.Member;
 import brooklock.net.AnswerTaker;
 import brooklock.net.ClientCall;
@@ -18,7 +18,10 @@
 import java.nio.ByteBuffer;
 import org.xnio.XnioExecutor;
 
-/** One attempt of a request at a host, from the module's Get to its Done. Lives on the client's I/O thread. */
+/**
+ * One attempt of a request at a host, from the module's Get to its Done. Lives on the client's I/O
+ * thread.
+ */
 final class Attempt implements AnswerTaker {
     final int number;
     final Get get;
@@ -57,16 +60,24 @@
             return;
         }
         timer = exchange.client.loop().after(get.limitNs(), this::overdue);
-        RequestHead head = Upstream.head(exchange, number, get, host, source, neighbour, edge.settings.name());
-        ClientCall mine = edge.client(exchange.client.loop()).call(host.address(), head, exchange.body, this);
+        RequestHead head =
+                Upstream.head(exchange, number, get, host, source, neighbour, edge.settings.name());
+        ClientCall mine =
+                edge.client(exchange.client.loop()).call(host.address(), head, exchange.body, this);
         call = mine;
     }
 
-    /** At the last moment: a connection may have been waited for while the host or the source left, or for too long. */
+    /**
+     * At the last moment: a connection may have been waited for while the host or the source left,
+     * or for too long.
+     */
     @Override
     public boolean mayGo() {
-        return edge.book.ready(get.host()) && edge.book.ready(get.source()) && (first == 0 || edge.book.ready(first))
-                && !exchange.closed() && edge.clock.now() - sentAt <= get.beginWithinNs();
+        return edge.book.ready(get.host())
+                && edge.book.ready(get.source())
+                && (first == 0 || edge.book.ready(first))
+                && !exchange.closed()
+                && edge.clock.now() - sentAt <= get.beginWithinNs();
     }
 
     // ---- What the host answers
@@ -76,7 +87,8 @@
         reading = AnswerReading.of(head);
         if (edge.warmer() != null) {
             report = Warmer.report(head.fields(), "Brooklock-Load", sentAt, edge.clock.now());
-            ofFirst = Warmer.report(head.fields(), "Brooklock-First-Load", sentAt, edge.clock.now());
+            ofFirst =
+                    Warmer.report(head.fields(), "Brooklock-First-Load", sentAt, edge.clock.now());
             firstGave = head.fields().get("Brooklock-First");
         }
         if (reading.outcome() == Outcome.OK && exchange.closed()) {
@@ -88,7 +100,8 @@
             }
             exchange.begin(this, head, framing);
         } else if (!whole) {
-            // What an error says is read by nobody: it is reported at once and its connection dropped.
+            // What an error says is read by nobody: it is reported at once and its connection
+            // dropped.
             ClientCall mine = call;
             finish(reading.outcome(), reading.note(), reading.waitedNs());
             mine.cancel();
@@ -106,13 +119,14 @@
             return true;
         }
         heldSince = edge.clock.now();
-        exchange.client.onWritable(() -> {
-            if (!over) {
-                heldNs += edge.clock.now() - heldSince;
-                heldSince = 0;
-                call.resume();
-            }
-        });
+        exchange.client.onWritable(
+                () -> {
+                    if (!over) {
+                        heldNs += edge.clock.now() - heldSince;
+                        heldSince = 0;
+                        call.resume();
+                    }
+                });
         return false;
     }
 
@@ -128,12 +142,15 @@
 
     @Override
     public void failed(Failure failure, String why) {
-        finish(switch (failure) {
-            case NOT_CONNECTED -> Outcome.CONNECT_FAILED;
-            case NOT_SENT -> Outcome.MOOT;
-            case BROKEN -> Outcome.RESET;
-            case BAD_ANSWER -> Outcome.ERROR;
-        }, Note.NONE, 0);
+        finish(
+                switch (failure) {
+                    case NOT_CONNECTED -> Outcome.CONNECT_FAILED;
+                    case NOT_SENT -> Outcome.MOOT;
+                    case BROKEN -> Outcome.RESET;
+                    case BAD_ANSWER -> Outcome.ERROR;
+                },
+                Note.NONE,
+                0);
         if (winner) {
             exchange.broken("broken by host");
         }
@@ -185,14 +202,40 @@
         }
         long now = edge.clock.now();
         tookNs = now - sentAt - heldNs - (heldSince > 0 ? now - heldSince : 0);
-        Done done = new Done(exchange.id, number, get.host(), how, note, tookNs, waitedNs, how == Outcome.OK || winner);
+        Done done =
+                new Done(
+                        exchange.id,
+                        number,
+                        get.host(),
+                        how,
+                        note,
+                        tookNs,
+                        waitedNs,
+                        how == Outcome.OK || winner);
         if (edge.warmer() == null) {
             edge.decisions.tell(done);
         } else {
             ClassLine c = exchange.match.line();
-            boolean late = tookNs > c.aimNs() + c.stretch() * exchange.bytes / edge.settings.fleet().pace() * 1e9;
-            edge.decisions.tell(done, () -> edge.warmer().ended(done, exchange.match, get.keep() > 0, first, report,
-                    firstGave, ofFirst, late));
+            boolean late =
+                    tookNs
+                            > c.aimNs()
+                                    + c.stretch()
+                                            * exchange.bytes
+                                            / edge.settings.fleet().pace()
+                                            * 1e9;
+            edge.decisions.tell(
+                    done,
+                    () ->
+                            edge.warmer()
+                                    .ended(
+                                            done,
+                                            exchange.match,
+                                            get.keep() > 0,
+                                            first,
+                                            report,
+                                            firstGave,
+                                            ofFirst,
+                                            late));
         }
         exchange.ended(this);
     }
@@ -202,7 +245,14 @@
         Member host = edge.book.get(get.host());
         Member source = edge.book.get(get.source());
         return (host == null ? get.host() : host.name())
-                + (get.source() == get.host() ? "" : "<" + (source == null ? get.source() : source.name()))
-                + " " + outcome + (reading == null ? "" : "/" + reading.note()) + " " + tookNs / 1_000_000 + "ms";
+                + (get.source() == get.host()
+                        ? ""
+                        : "<" + (source == null ? get.source() : source.name()))
+                + " "
+                + outcome
+                + (reading == null ? "" : "/" + reading.note())
+                + " "
+                + tookNs / 1_000_000
+                + "ms";
     }
 }
--- a/src/main/java/brooklock/edge/Counts.java
+++ b/src/main/java/brooklock/edge/Counts.java
@@ -16,9 +16,21 @@
     }
 
     void write(StringBuilder s) {
-        s.append("taken ").append(taken.sum()).append('\n').append("turned-away ").append(turnedAway.sum())
-                .append('\n').append("full ").append(full.sum()).append('\n');
-        ends.forEach((how, n) -> s.append("ended ").append(how.replace(' ', '-')).append(' ').append(n.sum())
-                .append('\n'));
+        s.append("taken ")
+                .append(taken.sum())
+                .append('\n')
+                .append("turned-away ")
+                .append(turnedAway.sum())
+                .append('\n')
+                .append("full ")
+                .append(full.sum())
+                .append('\n');
+        ends.forEach(
+                (how, n) ->
+                        s.append("ended ")
+                                .append(how.replace(' ', '-'))
+                                .append(' ')
+                                .append(n.sum())
+                                .append('\n'));
     }
 }
--- a/src/main/java/brooklock/edge/Decider.java
+++ b/src/main/java/brooklock/edge/Decider.java
@@ -4,7 +4,10 @@
 import brooklock.RouterApi.Event;
 import java.util.List;
 
-/** Whoever decides. In service that is {@link brooklock.Rules}; a baseline may stand in its place to be compared. */
+/**
+ * Whoever decides. In service that is {@link brooklock.Rules}; a baseline may stand in its place to
+ * be compared.
+ */
 public interface Decider {
     /** Begins. */
     void start(long now, List<Action> out);
--- a/src/main/java/brooklock/edge/Decisions.java
+++ b/src/main/java/brooklock/edge/Decisions.java
@@ -18,12 +18,14 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The decision thread. It alone touches the decider and its timers; other threads hand events over a bounded queue. A
- * new request is taken only while half the queue is free, so that what ends a request always finds room.
+ * The decision thread. It alone touches the decider and its timers; other threads hand events over
+ * a bounded queue. A new request is taken only while half the queue is free, so that what ends a
+ * request always finds room.
  */
 final class Decisions {
     private static final Logger LOG = LoggerFactory.getLogger(Decisions.class);
-    // Events decided before their actions are handed on: bounds how long the first of them waits for the last.
+    // Events decided before their actions are handed on: bounds how long the first of them waits
+    // for the last.
     private static final int BATCH = 64;
     // Longest sleep while nothing is due, ns: a missed wake-up costs no more than this.
     private static final long MOST_SLEEP_NS = 50_000_000L;
@@ -32,23 +34,30 @@
     interface Actor {
         void act(Action action);
 
-        /** A request whose coming could not be decided: it must not wait for an answer that never comes. */
+        /**
+         * A request whose coming could not be decided: it must not wait for an answer that never
+         * comes.
+         */
         void faulted(long request);
 
         /** All of a batch have been given. */
         void flush();
     }
 
-    /** An event, or what makes one on the decision thread, with what is to be done there before and after. */
-    private record Entry(BooleanSupplier before, Event event, Supplier<Event> maker, Runnable then) {
-    }
+    /**
+     * An event, or what makes one on the decision thread, with what is to be done there before and
+     * after.
+     */
+    private record Entry(
+            BooleanSupplier before, Event event, Supplier<Event> maker, Runnable then) {}
 
     private final Decider decider;
     private final Clock clock;
     private final Actor actor;
     private final Trace trace;
     private final MpscArrayQueue<Entry> queue;
-    private final PriorityQueue<SetTimer> timers = new PriorityQueue<>(Comparator.comparingLong(SetTimer::atNs));
+    private final PriorityQueue<SetTimer> timers =
+            new PriorityQueue<>(Comparator.comparingLong(SetTimer::atNs));
     private final Thread thread;
     private final List<Action> out = new ArrayList<>();
     private final LongAdder overflows = new LongAdder();
@@ -73,11 +82,13 @@
     }
 
     /**
-     * Offers a new request, and what the decision thread asks first: if that says no, the request is no event. False if
-     * the queue is too full for it.
+     * Offers a new request, and what the decision thread asks first: if that says no, the request
+     * is no event. False if the queue is too full for it.
      */
     boolean offer(Request r, BooleanSupplier before) {
-        boolean taken = queue.size() < queue.capacity() / 2 && queue.offer(new Entry(before, r, null, null));
+        boolean taken =
+                queue.size() < queue.capacity() / 2
+                        && queue.offer(new Entry(before, r, null, null));
         if (taken) {
             wake();
         } else {
@@ -86,7 +97,10 @@
         return taken;
     }
 
-    /** Hands in what must not be lost. The half of the queue that requests leave free is there for it. */
+    /**
+     * Hands in what must not be lost. The half of the queue that requests leave free is there for
+     * it.
+     */
     void tell(Event e) {
         put(new Entry(null, e, null, null));
     }
--- a/src/main/java/brooklock/edge/Denials.java
+++ b/src/main/java/brooklock/edge/Denials.java
@@ -4,7 +4,10 @@
 import java.util.concurrent.atomic.LongAdder;
 import org.slf4j.Logger;
 
-/** The audit log of what was turned away: a bounded number of lines, then a count; never a credential. */
+/**
+ * The audit log of what was turned away: a bounded number of lines, then a count; never a
+ * credential.
+ */
 final class Denials {
     // Lines between two flushes; what is over is told as a number.
     private static final int MOST = 20;
@@ -25,9 +28,14 @@
             return;
         }
         int end = target.indexOf('?') < 0 ? target.length() : target.indexOf('?');
-        log.atWarn().addKeyValue("status", p.status()).addKeyValue("why", p.why()).addKeyValue("credential", p.label())
-                .addKeyValue("tenant", p.tenant() == null ? "" : p.tenant().name()).addKeyValue("method", method)
-                .addKeyValue("path", target.substring(0, Math.min(PATH, end))).addKeyValue("address", address)
+        log.atWarn()
+                .addKeyValue("status", p.status())
+                .addKeyValue("why", p.why())
+                .addKeyValue("credential", p.label())
+                .addKeyValue("tenant", p.tenant() == null ? "" : p.tenant().name())
+                .addKeyValue("method", method)
+                .addKeyValue("path", target.substring(0, Math.min(PATH, end)))
+                .addKeyValue("address", address)
                 .log("denied");
     }
 
--- a/src/main/java/brooklock/edge/Dispatcher.java
+++ b/src/main/java/brooklock/edge/Dispatcher.java
@@ -51,7 +51,8 @@
 /** A running dispatcher: listeners, the decision thread, and the requests at work between them. */
 public final class Dispatcher implements Closeable {
     private static final Logger LOG = LoggerFactory.getLogger(Dispatcher.class);
-    // Entries of the decision queue for each request that may be open: its coming, its end, and attempts between.
+    // Entries of the decision queue for each request that may be open: its coming, its end, and
+    // attempts between.
     private static final int EVENTS_A_REQUEST = 4;
 
     final Settings settings;
@@ -62,7 +63,8 @@
     private final Net net;
     private final Client[] clients;
     private final Routes routes;
-    // The decision thread's own: what it acts on, from before a request is decided until after its end is.
+    // The decision thread's own: what it acts on, from before a request is decided until after its
+    // end is.
     private final Map<Long, Exchange> exchanges = new HashMap<>();
     private final List<Runnable>[] batches;
     private final AtomicLong lastId = new AtomicLong();
@@ -81,21 +83,34 @@
     private volatile boolean ended;
 
     @SuppressWarnings({"unchecked", "rawtypes"})
-    private Dispatcher(Settings settings, Function<brooklock.RouterApi.Settings, Decider> decider) throws IOException {
+    private Dispatcher(Settings settings, Function<brooklock.RouterApi.Settings, Decider> decider)
+            throws IOException {
         this.settings = settings;
         Settings.Bounds b = settings.limits();
         brooklock.RouterApi.Settings module = ModuleSettings.of(settings);
-        book = new HostBook(settings.zones().stream().map(Settings.Zone::name).toList(), clock::ofWall);
+        book =
+                new HostBook(
+                        settings.zones().stream().map(Settings.Zone::name).toList(), clock::ofWall);
         routes = new Routes(settings);
         keeper = new ListKeeper(settings.files().list());
-        decisions = new Decisions(settings.name(), decider.apply(module), clock, new Hands(),
-                Trace.open(settings.files().trace(), settings.files().traceBytes(), module),
-                b.open() * EVENTS_A_REQUEST);
+        decisions =
+                new Decisions(
+                        settings.name(),
+                        decider.apply(module),
+                        clock,
+                        new Hands(),
+                        Trace.open(settings.files().trace(), settings.files().traceBytes(), module),
+                        b.open() * EVENTS_A_REQUEST);
         net = Net.open(settings.name(), b.threads());
         batches = new List[net.size()];
         clients = new Client[net.size()];
-        ClientLimits limits = ClientLimits.STANDARD.withConnectNs(b.connectNs())
-                .withConnections(b.hostConnections(), b.hostWaiting(), Math.max(1, b.hostConnections() / 4));
+        ClientLimits limits =
+                ClientLimits.STANDARD
+                        .withConnectNs(b.connectNs())
+                        .withConnections(
+                                b.hostConnections(),
+                                b.hostWaiting(),
+                                Math.max(1, b.hostConnections() / 4));
         try {
             gate = new Gate(settings.access(), net.size());
             SSLContext toHosts = gate.toHosts();
@@ -109,12 +124,28 @@
             if (warmer != null) {
                 warmer.begin();
             }
-            control = Listener.open(net, settings.control(), ServerLimits.STANDARD.withConnections(64),
-                    new Control(this)::request);
-            ServerLimits bounds = new ServerLimits(HttpLimits.STANDARD.withBody(b.body()), b.clients(), 1024,
-                    b.headNs(), b.headNs() + b.idleNs(), b.idleNs(), b.stallNs(), 1_000_000, true);
-            listener = gate.tls() == null ? Listener.open(net, settings.listen(), bounds, this::request)
-                    : Listener.openTls(net, settings.listen(), bounds, this::request, gate.tls());
+            control =
+                    Listener.open(
+                            net,
+                            settings.control(),
+                            ServerLimits.STANDARD.withConnections(64),
+                            new Control(this)::request);
+            ServerLimits bounds =
+                    new ServerLimits(
+                            HttpLimits.STANDARD.withBody(b.body()),
+                            b.clients(),
+                            1024,
+                            b.headNs(),
+                            b.headNs() + b.idleNs(),
+                            b.idleNs(),
+                            b.stallNs(),
+                            1_000_000,
+                            true);
+            listener =
+                    gate.tls() == null
+                            ? Listener.open(net, settings.listen(), bounds, this::request)
+                            : Listener.openTls(
+                                    net, settings.listen(), bounds, this::request, gate.tls());
             gate.begin(listener, settings.name());
         } catch (IOException e) {
             close();
@@ -131,8 +162,11 @@
         return start(settings, Decider::rules);
     }
 
-    /** Starts a dispatcher with another decider, to compare it or to see that its faults are found. */
-    public static Dispatcher start(Settings settings, Function<brooklock.RouterApi.Settings, Decider> decider)
+    /**
+     * Starts a dispatcher with another decider, to compare it or to see that its faults are found.
+     */
+    public static Dispatcher start(
+            Settings settings, Function<brooklock.RouterApi.Settings, Decider> decider)
             throws IOException {
         return new Dispatcher(settings, decider);
     }
@@ -144,16 +178,35 @@
             try {
                 saved = new ListFile(settings.files().list()).load();
             } catch (IOException e) {
-                LOG.error("the saved list cannot be used, the settings' hosts are taken instead", e);
+                LOG.error(
+                        "the saved list cannot be used, the settings' hosts are taken instead", e);
             }
         }
-        List<Member> hosts = settings.hosts().stream().map(h -> new Member(h.name(), h.id(), h.kind(),
-                settings.zones().get(h.zone()).name(), h.address(), HostState.READY, h.weight(), 0)).toList();
+        List<Member> hosts =
+                settings.hosts().stream()
+                        .map(
+                                h ->
+                                        new Member(
+                                                h.name(),
+                                                h.id(),
+                                                h.kind(),
+                                                settings.zones().get(h.zone()).name(),
+                                                h.address(),
+                                                HostState.READY,
+                                                h.weight(),
+                                                0))
+                        .toList();
         Membership.State first = saved;
         // Nobody is let in before it is in force: who came earlier would find no hosts.
         CountDownLatch inForce = new CountDownLatch(1);
-        members("first list", m -> first == null ? m.settings(System.currentTimeMillis(), hosts) : m.restore(first),
-                ListKind.CACHED, a -> inForce.countDown());
+        members(
+                "first list",
+                m ->
+                        first == null
+                                ? m.settings(System.currentTimeMillis(), hosts)
+                                : m.restore(first),
+                ListKind.CACHED,
+                a -> inForce.countDown());
         try {
             if (!inForce.await(10, TimeUnit.SECONDS)) {
                 throw new IOException("the first list is not in force after ten seconds");
@@ -163,36 +216,59 @@
         }
     }
 
-    /** Takes a list, on the decision thread; {@code then} is told what came of it once it has been saved. */
+    /**
+     * Takes a list, on the decision thread; {@code then} is told what came of it once it has been
+     * saved.
+     */
     void notice(Notice n, Consumer<Answer> then) {
-        members(n.stamp() == null ? "unnumbered list" : n.stamp().toString(),
-                m -> m.take(System.currentTimeMillis(), n), n.full() ? ListKind.FULL : ListKind.DELTA, then);
+        members(
+                n.stamp() == null ? "unnumbered list" : n.stamp().toString(),
+                m -> m.take(System.currentTimeMillis(), n),
+                n.full() ? ListKind.FULL : ListKind.DELTA,
+                then);
     }
 
     /**
-     * Changes the list in force. The change is made on the decision thread, by what is in force there and then; what is
-     * told to whoever sent it holds through a kill, since it is told after it was saved.
+     * Changes the list in force. The change is made on the decision thread, by what is in force
+     * there and then; what is told to whoever sent it holds through a kill, since it is told after
+     * it was saved.
      */
     void members(String what, HostBook.Change change, ListKind kind, Consumer<Answer> then) {
         Answer[] came = new Answer[1];
-        decisions.make(() -> {
-            try {
-                came[0] = book.change(change);
-            } catch (RuntimeException fault) {
-                // A fault in one notice must not stop all others, nor any decision.
-                LOG.error("notice failed: {}", what, fault);
-                came[0] = Answer.fault(fault);
-            }
-            LOG.atInfo().addKeyValue("notice", what).addKeyValue("result", came[0].result()).addKeyValue("news",
-                    came[0].full() ? came[0].told().size() + " hosts" : came[0].told().stream()
-                    .map(m -> m.name() + " " + m.state()).toList()).log("list");
-            dropIdle(came[0].told());
-            return told(book.news(came[0], kind));
-        }, () -> keeper.save(book.state(), problem -> {
-            if (then != null) {
-                then.accept(problem == null || !came[0].taken() ? came[0] : came[0].unsaved(problem));
-            }
-        }));
+        decisions.make(
+                () -> {
+                    try {
+                        came[0] = book.change(change);
+                    } catch (RuntimeException fault) {
+                        // A fault in one notice must not stop all others, nor any decision.
+                        LOG.error("notice failed: {}", what, fault);
+                        came[0] = Answer.fault(fault);
+                    }
+                    LOG.atInfo()
+                            .addKeyValue("notice", what)
+                            .addKeyValue("result", came[0].result())
+                            .addKeyValue(
+                                    "news",
+                                    came[0].full()
+                                            ? came[0].told().size() + " hosts"
+                                            : came[0].told().stream()
+                                                    .map(m -> m.name() + " " + m.state())
+                                                    .toList())
+                            .log("list");
+                    dropIdle(came[0].told());
+                    return told(book.news(came[0], kind));
+                },
+                () ->
+                        keeper.save(
+                                book.state(),
+                                problem -> {
+                                    if (then != null) {
+                                        then.accept(
+                                                problem == null || !came[0].taken()
+                                                        ? came[0]
+                                                        : came[0].unsaved(problem));
+                                    }
+                                }));
     }
 
     // What the module hears of a list.
@@ -249,8 +325,12 @@
             turnAway(client, 417, "only 100-continue can be expected", null);
         } else {
             try {
-                Routes.Match match = routes.match(head.method(), head.host(), head.target(),
-                        head.fields().get("Idempotency-Key") != null);
+                Routes.Match match =
+                        routes.match(
+                                head.method(),
+                                head.host(),
+                                head.target(),
+                                head.fields().get("Idempotency-Key") != null);
                 if (match.rights()) {
                     gate.check(client, match, pass -> passed(client, now, match, pass));
                 } else {
@@ -280,12 +360,18 @@
     // Why is for the audit log: a caller without rights learns no more than that.
     private void deny(ServerExchange client, Gate.Pass pass) {
         counts.turnedAway.increment();
-        Fields f = new Fields().add("Content-Type", "text/plain; charset=utf-8").add("Cache-Control", "no-store");
+        Fields f =
+                new Fields()
+                        .add("Content-Type", "text/plain; charset=utf-8")
+                        .add("Cache-Control", "no-store");
         if (pass.status() == 401) {
             f.add("WWW-Authenticate", "Bearer");
         }
-        client.send(pass.status(), f, (pass.status() == 400 ? pass.why() + "\n" : "not for you\n")
-                .getBytes(StandardCharsets.UTF_8));
+        client.send(
+                pass.status(),
+                f,
+                (pass.status() == 400 ? pass.why() + "\n" : "not for you\n")
+                        .getBytes(StandardCharsets.UTF_8));
     }
 
     private void take(ServerExchange client, long now, Routes.Match match, Gate.Pass pass) {
@@ -309,29 +395,39 @@
             return;
         }
         boolean[] taken = new boolean[1];
-        client.onGone(() -> {
-            if (!taken[0]) {
-                bodyBytes.addAndGet(-room);
-                open.decrementAndGet();
-            }
-        });
-        client.body(body -> {
-            taken[0] = true;
-            bodyBytes.addAndGet(body.length - room);
-            offer(client, now, deadline, match, pass, body);
-        });
+        client.onGone(
+                () -> {
+                    if (!taken[0]) {
+                        bodyBytes.addAndGet(-room);
+                        open.decrementAndGet();
+                    }
+                });
+        client.body(
+                body -> {
+                    taken[0] = true;
+                    bodyBytes.addAndGet(body.length - room);
+                    offer(client, now, deadline, match, pass, body);
+                });
     }
 
     // A client may state that it waits for less than its class says, in ms; never for more.
     private static long patience(Fields f, long most) {
         String ms = f.get("Brooklock-Patience");
-        return ms != null && ms.matches("\\d{1,9}") ? Math.min(most, Math.max(1, Long.parseLong(ms)) * 1_000_000L)
+        return ms != null && ms.matches("\\d{1,9}")
+                ? Math.min(most, Math.max(1, Long.parseLong(ms)) * 1_000_000L)
                 : most;
     }
 
-    private void offer(ServerExchange client, long now, long deadline, Routes.Match match, Gate.Pass pass,
+    private void offer(
+            ServerExchange client,
+            long now,
+            long deadline,
+            Routes.Match match,
+            Gate.Pass pass,
             byte[] body) {
-        Exchange x = new Exchange(this, lastId.incrementAndGet(), client, match, pass, body, now, deadline);
+        Exchange x =
+                new Exchange(
+                        this, lastId.incrementAndGet(), client, match, pass, body, now, deadline);
         client.onGone(x::gone);
         if (!decisions.offer(x.event(), () -> admit(x))) {
             bodyBytes.addAndGet(-body.length);
@@ -343,7 +439,8 @@
         }
     }
 
-    // On the decision thread: within its tenant's limits a request becomes an event, else it is told so.
+    // On the decision thread: within its tenant's limits a request becomes an event, else it is
+    // told so.
     private boolean admit(Exchange x) {
         if (x.pass != null) {
             Policy now = gate.policy();
@@ -352,8 +449,10 @@
                 limiter.tenants(now.tenants());
             }
             String tenant = x.pass.tenant().name();
-            Limiter.Verdict v = limiter.knows(tenant) ? limiter.ask(tenant, clock.now())
-                    : new Limiter.Verdict(Limiter.Reason.RATE, 0);
+            Limiter.Verdict v =
+                    limiter.knows(tenant)
+                            ? limiter.ask(tenant, clock.now())
+                            : new Limiter.Verdict(Limiter.Reason.RATE, 0);
             if (!v.admitted()) {
                 x.client.loop().execute(() -> x.heldBack(v));
                 return false;
@@ -369,9 +468,13 @@
 
     private void turnAway(ServerExchange client, int status, String why, String allow) {
         counts.turnedAway.increment();
-        Fields f = new Fields().add("Content-Type", "text/plain; charset=utf-8").add("Cache-Control", "no-store");
+        Fields f =
+                new Fields()
+                        .add("Content-Type", "text/plain; charset=utf-8")
+                        .add("Cache-Control", "no-store");
         if (status == 503) {
-            f.add("Retry-After", "1").add("Proxy-Status", settings.name() + "; error=connection_limit_reached");
+            f.add("Retry-After", "1")
+                    .add("Proxy-Status", settings.name() + "; error=connection_limit_reached");
         }
         if (allow != null) {
             f.add("Allow", allow);
@@ -385,13 +488,16 @@
         AnswerLog.write(x, clock.now());
         bodyBytes.addAndGet(-x.body.length);
         open.decrementAndGet();
-        // The module may have asked for more before it hears of the end; it is forgotten after that.
-        decisions.tell(null, () -> {
-            exchanges.remove(x.id);
-            if (x.admitted) {
-                limiter.done(x.pass.tenant().name(), x.bytes, x.how().equals("refused"));
-            }
-        });
+        // The module may have asked for more before it hears of the end; it is forgotten after
+        // that.
+        decisions.tell(
+                null,
+                () -> {
+                    exchanges.remove(x.id);
+                    if (x.admitted) {
+                        limiter.done(x.pass.tenant().name(), x.bytes, x.how().equals("refused"));
+                    }
+                });
     }
 
     // ---- What the module says
@@ -410,7 +516,7 @@
             } else if (a instanceof Cancel c) {
                 on(c.id(), x -> x.cancel(c.attempt()));
             } else if (a instanceof Watch) {
-                decisions.make(() -> told(book.everything(ListKind.FULL)), () -> { });
+                decisions.make(() -> told(book.everything(ListKind.FULL)), () -> {});
             }
         }
 
@@ -453,26 +559,69 @@
     /** What it has counted and how full it is, as lines of words and numbers. */
     public String state() {
         StringBuilder s = new StringBuilder();
-        s.append("name ").append(settings.name()).append('\n').append("open ").append(open.get()).append('\n')
-                .append("clients ").append(listener.connections()).append('\n')
-                .append("clients-turned-away ").append(listener.turnedAway()).append('\n')
-                .append("body-bytes ").append(bodyBytes.get()).append('\n')
-                .append("decided ").append(decisions.decided()).append('\n')
-                .append("decision-busy-us ").append(decisions.busyNs() / 1000).append('\n')
-                .append("decision-waiting ").append(decisions.waiting()).append('\n')
-                .append("decision-longest ").append(decisions.longest()).append('\n')
-                .append("decision-overflows ").append(decisions.overflows()).append('\n');
+        s.append("name ")
+                .append(settings.name())
+                .append('\n')
+                .append("open ")
+                .append(open.get())
+                .append('\n')
+                .append("clients ")
+                .append(listener.connections())
+                .append('\n')
+                .append("clients-turned-away ")
+                .append(listener.turnedAway())
+                .append('\n')
+                .append("body-bytes ")
+                .append(bodyBytes.get())
+                .append('\n')
+                .append("decided ")
+                .append(decisions.decided())
+                .append('\n')
+                .append("decision-busy-us ")
+                .append(decisions.busyNs() / 1000)
+                .append('\n')
+                .append("decision-waiting ")
+                .append(decisions.waiting())
+                .append('\n')
+                .append("decision-longest ")
+                .append(decisions.longest())
+                .append('\n')
+                .append("decision-overflows ")
+                .append(decisions.overflows())
+                .append('\n');
         counts.write(s);
         gate.state(s);
         if (warmer != null) {
             warmer.state(s);
         }
-        book.state().sources().values().forEach(v -> s.append(v).append(" heard-ms-ago ")
-                .append(Math.max(0, System.currentTimeMillis() - v.heardMs())).append('\n'));
-        book.state().byHand().forEach((id, word) -> s.append("by-hand ").append(book.get(id).name()).append(' ')
-                .append(word).append('\n'));
+        book.state()
+                .sources()
+                .values()
+                .forEach(
+                        v ->
+                                s.append(v)
+                                        .append(" heard-ms-ago ")
+                                        .append(
+                                                Math.max(
+                                                        0,
+                                                        System.currentTimeMillis() - v.heardMs()))
+                                        .append('\n'));
+        book.state()
+                .byHand()
+                .forEach(
+                        (id, word) ->
+                                s.append("by-hand ")
+                                        .append(book.get(id).name())
+                                        .append(' ')
+                                        .append(word)
+                                        .append('\n'));
         for (Member m : book.snapshot().values()) {
-            s.append("host ").append(m.name()).append(' ').append(m.state()).append(' ').append(m.startedMs())
+            s.append("host ")
+                    .append(m.name())
+                    .append(' ')
+                    .append(m.state())
+                    .append(' ')
+                    .append(m.startedMs())
                     .append('\n');
         }
         return s.toString();
@@ -491,7 +640,11 @@
     public boolean drain() throws InterruptedException {
         draining = true;
         listener.drain();
-        long longest = settings.classes().stream().mapToLong(Settings.ClassLine::deadlineNs).max().orElse(0);
+        long longest =
+                settings.classes().stream()
+                        .mapToLong(Settings.ClassLine::deadlineNs)
+                        .max()
+                        .orElse(0);
         long end = System.nanoTime() + longest + TimeUnit.SECONDS.toNanos(1);
         while (open.get() > 0 && System.nanoTime() - end < 0) {
             Thread.sleep(10);
--- a/src/main/java/brooklock/edge/Exchange.java
+++ b/src/main/java/brooklock/edge/Exchange.java
@@ -2,8 +2,8 @@
 
 import brooklock.RouterApi.Get;
 import brooklock.RouterApi.Lapsed;
-import brooklock.RouterApi.Outcome;
 import brooklock.RouterApi.Note;
+import brooklock.RouterApi.Outcome;
 import brooklock.RouterApi.Refuse;
 import brooklock.RouterApi.Request;
 import brooklock.http.Fields;
@@ -17,8 +17,9 @@
 import java.util.List;
 
 /**
- * One client's request until its final answer and until the last of its attempts has ended. Lives on the client's I/O
- * thread, which is what makes "exactly one answer" a plain field: whatever the module says later finds it closed.
+ * One client's request until its final answer and until the last of its attempts has ended. Lives
+ * on the client's I/O thread, which is what makes "exactly one answer" a plain field: whatever the
+ * module says later finds it closed.
  */
 final class Exchange {
     final Dispatcher edge;
@@ -30,8 +31,10 @@
     final long takenAt;
     final long deadline;
     long bytes;
+
     /** Whether it counts among its tenant's; the decision thread's own. */
     boolean admitted;
+
     private final List<Attempt> attempts = new ArrayList<>(2);
     private int open;
     private boolean closed;
@@ -39,8 +42,15 @@
     private int status;
     private String how;
 
-    Exchange(Dispatcher edge, long id, ServerExchange client, Routes.Match match, Gate.Pass pass, byte[] body,
-            long takenAt, long deadline) {
+    Exchange(
+            Dispatcher edge,
+            long id,
+            ServerExchange client,
+            Routes.Match match,
+            Gate.Pass pass,
+            byte[] body,
+            long takenAt,
+            long deadline) {
         this.edge = edge;
         this.id = id;
         this.client = client;
@@ -53,17 +63,24 @@
 
     /** The event that tells the module of it. */
     Request event() {
-        return new Request(id, match.cls(), match.object(), match.part(), match.group(), 0, false, deadline);
+        return new Request(
+                id, match.cls(), match.object(), match.part(), match.group(), 0, false, deadline);
     }
 
-    /** Whether its final answer has begun, or the client has left: nothing may be sent for it from then on. */
+    /**
+     * Whether its final answer has begun, or the client has left: nothing may be sent for it from
+     * then on.
+     */
     boolean closed() {
         return closed;
     }
 
     // ---- What the module says
 
-    /** Sends an attempt; {@code first} is the neighbour that a miss is to be filled from first, 0 for none. */
+    /**
+     * Sends an attempt; {@code first} is the neighbour that a miss is to be filled from first, 0
+     * for none.
+     */
     void get(Get g, long first) {
         Attempt a = new Attempt(this, attempts.size(), g, first);
         attempts.add(a);
@@ -92,16 +109,31 @@
 
     void fail() {
         boolean waiting = open > 0;
-        own(waiting ? 504 : 502, "failed", waiting ? "http_response_timeout" : "connection_terminated",
-                "failed; it may have been done", new Fields());
+        own(
+                waiting ? 504 : 502,
+                "failed",
+                waiting ? "http_response_timeout" : "connection_terminated",
+                "failed; it may have been done",
+                new Fields());
     }
 
     /** Its tenant has had its part: told apart from what the module refuses. */
     void heldBack(Limiter.Verdict v) {
-        Fields f = new Fields().add("Retry-After", Long.toString(Math.max(1, (v.retryNs() + 999_999_999L)
-                / 1_000_000_000L))).add("Brooklock-Retry-After", Long.toString(v.retryNs() / 1000));
-        own(v.reason().status, "held back", "http_request_denied; details=\"tenant " + v.reason().name()
-                .toLowerCase(java.util.Locale.ROOT) + "\"", "not done; the tenant's part is used up", f);
+        Fields f =
+                new Fields()
+                        .add(
+                                "Retry-After",
+                                Long.toString(
+                                        Math.max(1, (v.retryNs() + 999_999_999L) / 1_000_000_000L)))
+                        .add("Brooklock-Retry-After", Long.toString(v.retryNs() / 1000));
+        own(
+                v.reason().status,
+                "held back",
+                "http_request_denied; details=\"tenant "
+                        + v.reason().name().toLowerCase(java.util.Locale.ROOT)
+                        + "\"",
+                "not done; the tenant's part is used up",
+                f);
     }
 
     private void own(int code, String kind, String error, String text, Fields f) {
@@ -132,9 +164,14 @@
         if (pass != null) {
             f.set("Cache-Control", "private");
         }
-        boolean bodiless = client.head().method().equals("HEAD") || head.status() == 204 || head.status() == 304;
+        boolean bodiless =
+                client.head().method().equals("HEAD")
+                        || head.status() == 204
+                        || head.status() == 304;
         boolean known = framing.kind() == Framing.Kind.NONE || framing.kind() == Framing.Kind.FIXED;
-        client.start(new ResponseHead(head.status(), head.reason(), 1, f), known && !bodiless ? framing.length() : -1);
+        client.start(
+                new ResponseHead(head.status(), head.reason(), 1, f),
+                known && !bodiless ? framing.length() : -1);
     }
 
     void answered(String kind) {
--- a/src/main/java/brooklock/edge/FetchAhead.java
+++ b/src/main/java/brooklock/edge/FetchAhead.java
@@ -39,12 +39,14 @@
     /** Sends it; on the loop's thread. */
     void send(IoLoop loop, InetSocketAddress to, RequestHead request) {
         ClientCall call = edge.client(loop).call(to, request, new byte[0], this);
-        loop.after(MOST_NS, () -> {
-            if (!over) {
-                call.cancel();
-                over(0);
-            }
-        });
+        loop.after(
+                MOST_NS,
+                () -> {
+                    if (!over) {
+                        call.cancel();
+                        over(0);
+                    }
+                });
     }
 
     /** Rule 3, at the last moment, as for any attempt. */
--- a/src/main/java/brooklock/edge/ListKeeper.java
+++ b/src/main/java/brooklock/edge/ListKeeper.java
@@ -15,45 +15,53 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Saves the list beside the traffic: only the newest waits to be written. Whoever waits for a state to be saved is told
- * once it, or a newer one, is on disk.
+ * Saves the list beside the traffic: only the newest waits to be written. Whoever waits for a state
+ * to be saved is told once it, or a newer one, is on disk.
  */
 final class ListKeeper {
     private static final Logger LOG = LoggerFactory.getLogger(ListKeeper.class);
 
-    /** Told whether it was saved; called on the writer's thread, or at once where nothing is saved. */
+    /**
+     * Told whether it was saved; called on the writer's thread, or at once where nothing is saved.
+     */
     interface Saved {
         void done(String problem);
     }
 
-    private record Work(Membership.State state, List<Saved> waiting) {
-    }
+    private record Work(Membership.State state, List<Saved> waiting) {}
 
     private final ListFile file;
     private final AtomicReference<Work> newest = new AtomicReference<>();
     // What is on disk, as far as this has put it there.
     private volatile Membership.State saved;
-    private final ExecutorService writer = Executors.newSingleThreadExecutor(r -> {
-        Thread t = new Thread(r, "list-writer");
-        t.setDaemon(true);
-        return t;
-    });
+    private final ExecutorService writer =
+            Executors.newSingleThreadExecutor(
+                    r -> {
+                        Thread t = new Thread(r, "list-writer");
+                        t.setDaemon(true);
+                        return t;
+                    });
 
     ListKeeper(Path path) {
         file = path == null ? null : new ListFile(path);
     }
 
-    /** Saves a state; on the decision thread alone, so that the newest is the one handed in last. */
+    /**
+     * Saves a state; on the decision thread alone, so that the newest is the one handed in last.
+     */
     void save(Membership.State state, Saved then) {
         if (file == null || newest.get() == null && saved == state) {
             then.done(null);
             return;
         }
-        Work before = newest.getAndUpdate(w -> {
-            List<Saved> waiting = new ArrayList<>(w == null ? List.of() : w.waiting());
-            waiting.add(then);
-            return new Work(state, waiting);
-        });
+        Work before =
+                newest.getAndUpdate(
+                        w -> {
+                            List<Saved> waiting =
+                                    new ArrayList<>(w == null ? List.of() : w.waiting());
+                            waiting.add(then);
+                            return new Work(state, waiting);
+                        });
         if (before == null) {
             writer.execute(this::write);
         }
--- a/src/main/java/brooklock/edge/Replay.java
+++ b/src/main/java/brooklock/edge/Replay.java
@@ -18,11 +18,9 @@
      *
      * @param difference the first action that differs, with its line; null if none does
      */
-    public record Result(long events, long actions, String difference) {
-    }
+    public record Result(long events, long actions, String difference) {}
 
-    private Replay() {
-    }
+    private Replay() {}
 
     /**
      * Replays a trace.
@@ -49,8 +47,16 @@
                 if (w[0].equals("action")) {
                     Object done = TraceCodec.read(w[1]);
                     if (taken == out.size() || !out.get(taken).equals(done)) {
-                        return new Result(events, actions, path + ":" + row + ": then " + done + ", now "
-                                + (taken == out.size() ? "nothing" : out.get(taken)));
+                        return new Result(
+                                events,
+                                actions,
+                                path
+                                        + ":"
+                                        + row
+                                        + ": then "
+                                        + done
+                                        + ", now "
+                                        + (taken == out.size() ? "nothing" : out.get(taken)));
                     }
                     taken++;
                     actions++;
@@ -60,15 +66,20 @@
                     return new Result(events, actions, null);
                 }
                 if (taken < out.size()) {
-                    return new Result(events, actions, path + ":" + row + ": then nothing, now " + out.get(taken));
+                    return new Result(
+                            events,
+                            actions,
+                            path + ":" + row + ": then nothing, now " + out.get(taken));
                 }
                 out.clear();
                 taken = 0;
                 switch (w[0]) {
-                    case "settings" -> rules = new Rules((RouterApi.Settings) TraceCodec.read(w[1]));
+                    case "settings" ->
+                            rules = new Rules((RouterApi.Settings) TraceCodec.read(w[1]));
                     case "start" -> rules.start(Long.parseLong(w[1]), out);
                     case "event" -> {
-                        rules.on(Long.parseLong(w[1]), (RouterApi.Event) TraceCodec.read(w[2]), out);
+                        rules.on(
+                                Long.parseLong(w[1]), (RouterApi.Event) TraceCodec.read(w[2]), out);
                         events++;
                     }
                     default -> throw new IllegalArgumentException("unknown word '" + w[0] + "'");
--- a/src/main/java/brooklock/edge/Routes.java
+++ b/src/main/java/brooklock/edge/Routes.java
@@ -9,7 +9,9 @@
 import java.util.Locale;
 import java.util.TreeSet;
 
-/** What a request is about: its class, object, part and purge group, by the first route that fits. */
+/**
+ * What a request is about: its class, object, part and purge group, by the first route that fits.
+ */
 final class Routes {
     // Any good 64-bit hash would do; it must be the same at every dispatcher and in every version.
     private static final Hasher64 HASH = Hashing.komihash5_0();
@@ -22,8 +24,14 @@
      * @param rights the caller's rights are asked for
      * @param certificate only a client certificate tells who the caller is
      */
-    record Match(int cls, ClassLine line, long object, int part, int group, boolean rights, boolean certificate) {
-    }
+    record Match(
+            int cls,
+            ClassLine line,
+            long object,
+            int part,
+            int group,
+            boolean rights,
+            boolean certificate) {}
 
     /** Why a request has no place: the status that says so, and in plain words. */
     static final class NoRoute extends Exception {
@@ -64,11 +72,17 @@
             }
             int cls = needsKey ? r.unkeyed() : r.cls();
             String group = r.path().at(path, "group");
-            return new Match(cls, classes.get(cls), object(r, host, path, query < 0 ? "" : target.substring(query)),
-                    part(r, path), group == null ? 0 : group(group), r.rights(),
+            return new Match(
+                    cls,
+                    classes.get(cls),
+                    object(r, host, path, query < 0 ? "" : target.substring(query)),
+                    part(r, path),
+                    group == null ? 0 : group(group),
+                    r.rights(),
                     r.certificate());
         }
-        throw allowed.isEmpty() ? new NoRoute(404, "no route fits this path", null)
+        throw allowed.isEmpty()
+                ? new NoRoute(404, "no route fits this path", null)
                 : new NoRoute(405, "this path is not asked so", String.join(", ", allowed));
     }
 
@@ -84,7 +98,9 @@
     }
 
     private static long object(RouteLine r, String host, String path, String query) {
-        long h = HASH.hashCharsToLong(host.toLowerCase(Locale.ROOT) + r.path().without(path, "part") + query);
+        long h =
+                HASH.hashCharsToLong(
+                        host.toLowerCase(Locale.ROOT) + r.path().without(path, "part") + query);
         return h == 0 ? 1 : h;
     }
 
--- a/src/main/java/brooklock/edge/Trace.java
+++ b/src/main/java/brooklock/edge/Trace.java
@@ -13,11 +13,13 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Every event in and action out, in order, as lines of {@link TraceCodec}; off where there is no path. It ends when its
- * bound is reached, so that what it holds can always be replayed from the beginning.
+ * Every event in and action out, in order, as lines of {@link TraceCodec}; off where there is no
+ * path. It ends when its bound is reached, so that what it holds can always be replayed from the
+ * beginning.
  */
 final class Trace {
     private static final Logger LOG = LoggerFactory.getLogger(Trace.class);
+
     /** A trace that keeps nothing. */
     static final Trace OFF = new Trace(null, 0);
 
--- a/src/main/java/brooklock/edge/TraceCodec.java
+++ b/src/main/java/brooklock/edge/TraceCodec.java
@@ -10,8 +10,8 @@
 import java.util.List;
 
 /**
- * The records of {@link RouterApi} as text and back: {@code Name(a,b,[c,d],Inner(e))}. Made from the records themselves,
- * so that a field added there is carried here.
+ * The records of {@link RouterApi} as text and back: {@code Name(a,b,[c,d],Inner(e))}. Made from
+ * the records themselves, so that a field added there is carried here.
  */
 final class TraceCodec {
     private final String text;
@@ -103,14 +103,19 @@
             }
             throw new IllegalArgumentException("no such word: " + word);
         }
-        return c == long.class ? (Object) Long.parseLong(word)
-                : c == int.class || c == Integer.class ? (Object) Integer.parseInt(word)
-                : c == double.class ? (Object) Double.parseDouble(word) : (Object) Boolean.parseBoolean(word);
+        return c == long.class
+                ? (Object) Long.parseLong(word)
+                : c == int.class || c == Integer.class
+                        ? (Object) Integer.parseInt(word)
+                        : c == double.class
+                                ? (Object) Double.parseDouble(word)
+                                : (Object) Boolean.parseBoolean(word);
     }
 
     private Object record(Class<?> c) {
         if (!word().equals(c.getSimpleName())) {
-            throw new IllegalArgumentException("no " + c.getSimpleName() + " at " + at + " of " + text);
+            throw new IllegalArgumentException(
+                    "no " + c.getSimpleName() + " at " + at + " of " + text);
         }
         expect('(');
         RecordComponent[] parts = c.getRecordComponents();
@@ -127,7 +132,9 @@
         try {
             Constructor<?> make = c.getDeclaredConstructor(types);
             return make.newInstance(values);
-        } catch (InvocationTargetException | InstantiationException | IllegalAccessException
+        } catch (InvocationTargetException
+                | InstantiationException
+                | IllegalAccessException
                 | NoSuchMethodException e) {
             throw new IllegalStateException(e);
         }
--- a/src/main/java/brooklock/edge/Upstream.java
+++ b/src/main/java/brooklock/edge/Upstream.java
@@ -11,24 +11,36 @@
 
 /** A request's head on its way to a host; docs/protocol.md states every field. */
 final class Upstream {
-    /** Begins the names of fields between dispatcher and hosts; a client's own of such names go no further. */
+    /**
+     * Begins the names of fields between dispatcher and hosts; a client's own of such names go no
+     * further.
+     */
     static final String OURS = "brooklock-";
-    // What is asked of a cache is the module's to say, and copies are of whole parts: the client's own wishes for
+
+    // What is asked of a cache is the module's to say, and copies are of whole parts: the client's
+    // own wishes for
     // freshness and ranges are not passed on.
-    private static final Set<String> DROPPED = Set.of("cache-control", "pragma", "range", "if-range", "expect",
-            "content-length", "idempotency-key");
+    private static final Set<String> DROPPED =
+            Set.of(
+                    "cache-control",
+                    "pragma",
+                    "range",
+                    "if-range",
+                    "expect",
+                    "content-length",
+                    "idempotency-key");
 
-    private Upstream() {
-    }
+    private Upstream() {}
 
-    static RequestHead head(Exchange x, int number, Get g, Member host, Member source, Member first,
-            String name) {
+    static RequestHead head(
+            Exchange x, int number, Get g, Member host, Member source, Member first, String name) {
         RequestHead asked = x.client.head();
         Fields f = Forwarding.endToEnd(asked.fields());
-        f.removeIf(n -> {
-            String low = n.toLowerCase(Locale.ROOT);
-            return low.startsWith(OURS) || DROPPED.contains(low);
-        });
+        f.removeIf(
+                n -> {
+                    String low = n.toLowerCase(Locale.ROOT);
+                    return low.startsWith(OURS) || DROPPED.contains(low);
+                });
         // Credentials end here. A cached class gets no cookies at all: the copy is for many.
         if (x.pass != null || !x.match.line().through()) {
             f.remove("Authorization").remove("Cookie");
@@ -44,13 +56,25 @@
         long oldest = g.oldestNs() > 0 ? g.oldestNs() : cls.freshNs();
         boolean fills = g.source() != g.host();
         // Whole seconds, rounded down, for a cache that knows no finer: stricter, never laxer.
-        String control = (fills ? "" : "only-if-cached")
-                + (oldest > 0 ? (fills ? "" : ", ") + "max-age=" + oldest / 1_000_000_000L : "");
+        String control =
+                (fills ? "" : "only-if-cached")
+                        + (oldest > 0
+                                ? (fills ? "" : ", ") + "max-age=" + oldest / 1_000_000_000L
+                                : "");
         if (!control.isEmpty() && !cls.through()) {
             f.add("Cache-Control", control);
         }
-        f.add("Brooklock-Copy", "object=" + Long.toHexString(x.match.object()) + ", part=" + x.match.part() + ", group="
-                + x.match.group() + ", class=" + cls.name() + (cls.through() ? ", through" : ""));
+        f.add(
+                "Brooklock-Copy",
+                "object="
+                        + Long.toHexString(x.match.object())
+                        + ", part="
+                        + x.match.part()
+                        + ", group="
+                        + x.match.group()
+                        + ", class="
+                        + cls.name()
+                        + (cls.through() ? ", through" : ""));
         StringBuilder get = new StringBuilder("keep=").append(g.keep());
         if (fills) {
             get.append(", source=").append(source.name()).append(", at=").append(at(source));
@@ -63,8 +87,14 @@
         }
         get.append(g.join() ? ", join" : "").append(g.heldOnly() ? ", held-only" : "");
         f.add("Brooklock-Get", get.toString());
-        f.add("Brooklock-Attempt", "id=" + x.id + ", try=" + number + ", left=" + g.limitNs() / 1000);
-        return new RequestHead(asked.method(), asked.target(), asked.host().isEmpty() ? host.name() : asked.host(), 1,
+        f.add(
+                "Brooklock-Attempt",
+                "id=" + x.id + ", try=" + number + ", left=" + g.limitNs() / 1000);
+        return new RequestHead(
+                asked.method(),
+                asked.target(),
+                asked.host().isEmpty() ? host.name() : asked.host(),
+                1,
                 f);
     }
 
--- a/src/main/java/brooklock/edge/Warmer.java
+++ b/src/main/java/brooklock/edge/Warmer.java
@@ -35,8 +35,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Carries out what {@link Warming} says: turns what happens into its terms, names neighbours in attempts, hands shares to
- * the module as weights, sends fetches ahead. Everything but the fetches' sockets is the decision thread's own.
+ * Carries out what {@link Warming} says: turns what happens into its terms, names neighbours in
+ * attempts, hands shares to the module as weights, sends fetches ahead. Everything but the fetches'
+ * sockets is the decision thread's own.
  */
 final class Warmer {
     private static final Logger LOG = LoggerFactory.getLogger(Warmer.class);
@@ -51,8 +52,7 @@
     private static final long PURGE_MARGIN_NS = 1_000_000_000L;
 
     /** What is needed to ask for a part without a client. */
-    record Ask(String target, String host, int group, ClassLine cls) {
-    }
+    record Ask(String target, String host, int group, ClassLine cls) {}
 
     private final Dispatcher edge;
     private final Warming<Ask> core;
@@ -70,10 +70,21 @@
         this.edge = edge;
         settings = edge.settings;
         Settings.Guards g = settings.guards();
-        core = new Warming<>(new Law(settings.warming().anyZone(), settings.warming().share(),
-                settings.warming().bears() / 1e9, settings.dispatchers(), g.coldFrom(), g.coldNs(),
-                g.fallMultiple(), g.overloadNs()), (object, part, host) -> Rules.score(Rules.copy(object, part), host, 1),
-                settings.here(), settings.name(), edge.clock.now());
+        core =
+                new Warming<>(
+                        new Law(
+                                settings.warming().anyZone(),
+                                settings.warming().share(),
+                                settings.warming().bears() / 1e9,
+                                settings.dispatchers(),
+                                g.coldFrom(),
+                                g.coldNs(),
+                                g.fallMultiple(),
+                                g.overloadNs()),
+                        (object, part, host) -> Rules.score(Rules.copy(object, part), host, 1),
+                        settings.here(),
+                        settings.name(),
+                        edge.clock.now());
     }
 
     // ---- The list
@@ -84,29 +95,43 @@
         for (HostEntry e : edge.book.everything(ListKind.FULL).entries()) {
             Member m = edge.book.get(e.host());
             if (m.kind() == Kind.CACHE && m.state() != HostState.GONE) {
-                caches.add(new Warming.Cache(e.host(), e.zone(), m.state() == HostState.READY, e.startedAtNs(),
-                        m.startedMs()));
+                caches.add(
+                        new Warming.Cache(
+                                e.host(),
+                                e.zone(),
+                                m.state() == HostState.READY,
+                                e.startedAtNs(),
+                                m.startedMs()));
             }
         }
         core.list(caches, edge.clock.now());
-        return news == null ? null : new HostList(news.kind(), news.entries().stream().map(this::weighed).toList());
+        return news == null
+                ? null
+                : new HostList(news.kind(), news.entries().stream().map(this::weighed).toList());
     }
 
     private HostEntry weighed(HostEntry e) {
         double weight = settings.fleet().weighted() ? e.weight() : 1;
-        return new HostEntry(e.host(), e.zone(), e.kind(), e.state(), weight * core.share(e.host()), e.startedAtNs());
+        return new HostEntry(
+                e.host(),
+                e.zone(),
+                e.kind(),
+                e.state(),
+                weight * core.share(e.host()),
+                e.startedAtNs());
     }
 
     // ---- Requests
 
     /**
-     * Something was purged so long ago. Until no older copy is left anywhere nothing of it is fetched ahead: the copy that
-     * a neighbour gives might be one, and be kept.
+     * Something was purged so long ago. Until no older copy is left anywhere nothing of it is
+     * fetched ahead: the copy that a neighbour gives might be one, and be kept.
      */
     void purged(long object, int group, long agoNs) {
         long until = edge.clock.now() - agoNs + settings.guards().purgeDoneNs() + PURGE_MARGIN_NS;
         if (purged.size() >= MOST_PURGED) {
-            // No room to remember which: then nothing at all is fetched ahead until this one is over.
+            // No room to remember which: then nothing at all is fetched ahead until this one is
+            // over.
             holdUntil = Math.max(holdUntil, until);
         } else {
             purged.merge(object != 0 ? "o" + object : "g" + group, until, Math::max);
@@ -116,20 +141,35 @@
     /** A request is decided about. */
     void asked(Exchange x) {
         if (!x.match.line().through() && x.client.head().method().equals("GET")) {
-            core.asked(x.match.object(), x.match.part(), new Ask(x.client.head().target(), x.client.head().host(),
-                    x.match.group(), x.match.line()), edge.clock.now());
+            core.asked(
+                    x.match.object(),
+                    x.match.part(),
+                    new Ask(
+                            x.client.head().target(),
+                            x.client.head().host(),
+                            x.match.group(),
+                            x.match.line()),
+                    edge.clock.now());
         }
     }
 
     /** The neighbour that an attempt is to be filled from first; 0 for none. */
     long neighbour(Get g, Exchange x) {
-        return g.source() == g.host() || g.keep() == 0 || x.match.line().through() ? 0
+        return g.source() == g.host() || g.keep() == 0 || x.match.line().through()
+                ? 0
                 : core.neighbour(g.host(), x.match.object(), x.match.part(), edge.clock.now());
     }
 
     /** An attempt has ended. */
-    void ended(Done d, Routes.Match asked, boolean keeps, long neighbour, Report report, String first,
-            Report ofNeighbour, boolean late) {
+    void ended(
+            Done d,
+            Routes.Match asked,
+            boolean keeps,
+            long neighbour,
+            Report report,
+            String first,
+            Report ofNeighbour,
+            boolean late) {
         long now = edge.clock.now();
         heard(d.host(), report);
         if (d.outcome() == Outcome.OK) {
@@ -137,17 +177,28 @@
             if (keeps) {
                 core.filled(d.host(), asked.object(), asked.part());
             }
-        } else if ((d.outcome() == Outcome.FULL || d.outcome() == Outcome.ERROR) && d.note() == Note.NONE
-                || d.outcome() == Outcome.TIMEOUT || d.outcome() == Outcome.CONNECT_FAILED || d.outcome() == Outcome.RESET) {
-            core.refused(d.host(), d.outcome() == Outcome.CONNECT_FAILED || d.outcome() == Outcome.RESET, now);
+        } else if ((d.outcome() == Outcome.FULL || d.outcome() == Outcome.ERROR)
+                        && d.note() == Note.NONE
+                || d.outcome() == Outcome.TIMEOUT
+                || d.outcome() == Outcome.CONNECT_FAILED
+                || d.outcome() == Outcome.RESET) {
+            core.refused(
+                    d.host(),
+                    d.outcome() == Outcome.CONNECT_FAILED || d.outcome() == Outcome.RESET,
+                    now);
         }
         if (neighbour == 0) {
             return;
         }
         heard(neighbour, ofNeighbour);
         if (first != null) {
-            given(d.host(), neighbour, first.equals("gave") ? Given.GAVE : first.equals("lacked") ? Given.LACKED
-                    : Given.FAILED, now);
+            given(
+                    d.host(),
+                    neighbour,
+                    first.equals("gave")
+                            ? Given.GAVE
+                            : first.equals("lacked") ? Given.LACKED : Given.FAILED,
+                    now);
         } else if (d.outcome() == Outcome.OK && d.note() == Note.HIT) {
             core.unasked(neighbour);
         }
@@ -174,12 +225,15 @@
     }
 
     private void tick() {
-        edge.loop(0).after(TICK_NS, () -> {
-            if (!edge.ended()) {
-                edge.decisions.make(this::shares, this::fetch);
-                tick();
-            }
-        });
+        edge.loop(0)
+                .after(
+                        TICK_NS,
+                        () -> {
+                            if (!edge.ended()) {
+                                edge.decisions.make(this::shares, this::fetch);
+                                tick();
+                            }
+                        });
     }
 
     private HostList shares() {
@@ -191,8 +245,12 @@
             return null;
         }
         LOG.atInfo().addKeyValue("shares", news).log("warming");
-        return new HostList(ListKind.DELTA, edge.book.everything(ListKind.DELTA).entries().stream()
-                .filter(e -> news.containsKey(e.host())).map(this::weighed).toList());
+        return new HostList(
+                ListKind.DELTA,
+                edge.book.everything(ListKind.DELTA).entries().stream()
+                        .filter(e -> news.containsKey(e.host()))
+                        .map(this::weighed)
+                        .toList());
     }
 
     private void fetch() {
@@ -201,27 +259,63 @@
         if (now < holdUntil) {
             return;
         }
-        for (Warming.Fetch<Ask> f : core.ahead(now, (object, how) -> !purged.containsKey("o" + object)
-                && !purged.containsKey("g" + how.group()))) {
+        for (Warming.Fetch<Ask> f :
+                core.ahead(
+                        now,
+                        (object, how) ->
+                                !purged.containsKey("o" + object)
+                                        && !purged.containsKey("g" + how.group()))) {
             Member host = edge.book.get(f.host());
             Member source = edge.book.get(f.source());
             ahead++;
             IoLoop loop = edge.loop(fetches++ % edge.loops());
             RequestHead head = head(f, host, source);
-            loop.execute(() -> new FetchAhead(edge, f.host(), f.source(), (status, fields, sentAt) -> edge.decisions.make(
-                    () -> null, () -> fetched(f, status, fields, sentAt))).send(loop, host.address(), head));
+            loop.execute(
+                    () ->
+                            new FetchAhead(
+                                            edge,
+                                            f.host(),
+                                            f.source(),
+                                            (status, fields, sentAt) ->
+                                                    edge.decisions.make(
+                                                            () -> null,
+                                                            () ->
+                                                                    fetched(
+                                                                            f, status, fields,
+                                                                            sentAt)))
+                                    .send(loop, host.address(), head));
         }
     }
 
     private RequestHead head(Warming.Fetch<Ask> f, Member host, Member source) {
         Fields fields = new Fields().add("Via", "1.1 " + settings.name());
-        fields.add("Brooklock-Copy", "object=" + Long.toHexString(f.object()) + ", part=" + f.part() + ", group="
-                + f.how().group() + ", class=" + f.how().cls().name());
-        fields.add("Brooklock-Get", "keep=2, source=" + source.name() + ", at=" + Upstream.at(source)
-                + (f.how().cls().freshNs() > 0 ? ", oldest=" + f.how().cls().freshNs() / 1000 : "")
-                + ", join, held-only, fetch");
+        fields.add(
+                "Brooklock-Copy",
+                "object="
+                        + Long.toHexString(f.object())
+                        + ", part="
+                        + f.part()
+                        + ", group="
+                        + f.how().group()
+                        + ", class="
+                        + f.how().cls().name());
+        fields.add(
+                "Brooklock-Get",
+                "keep=2, source="
+                        + source.name()
+                        + ", at="
+                        + Upstream.at(source)
+                        + (f.how().cls().freshNs() > 0
+                                ? ", oldest=" + f.how().cls().freshNs() / 1000
+                                : "")
+                        + ", join, held-only, fetch");
         fields.add("Brooklock-Attempt", "id=0, try=0, left=" + FetchAhead.MOST_NS / 1000);
-        return new RequestHead("GET", f.how().target(), f.how().host().isEmpty() ? host.name() : f.how().host(), 1, fields);
+        return new RequestHead(
+                "GET",
+                f.how().target(),
+                f.how().host().isEmpty() ? host.name() : f.how().host(),
+                1,
+                fields);
     }
 
     private void fetched(Warming.Fetch<Ask> f, int status, Fields fields, long sentAt) {
@@ -274,14 +368,16 @@
         if (path == null) {
             return;
         }
-        String text = SnapshotText.write(System.currentTimeMillis(), core.snapshot(edge.clock.now()));
-        edge.background(() -> {
-            try {
-                ListFile.put(path, text, false);
-            } catch (IOException e) {
-                LOG.error("what was learned of cold caches cannot be written down", e);
-            }
-        });
+        String text =
+                SnapshotText.write(System.currentTimeMillis(), core.snapshot(edge.clock.now()));
+        edge.background(
+                () -> {
+                    try {
+                        ListFile.put(path, text, false);
+                    } catch (IOException e) {
+                        LOG.error("what was learned of cold caches cannot be written down", e);
+                    }
+                });
     }
 
     private void resume() {
@@ -291,10 +387,15 @@
         }
         try {
             SnapshotText.Read r = SnapshotText.read(Files.readString(path, StandardCharsets.UTF_8));
-            edge.decisions.make(() -> {
-                core.resume(r.lines(), (System.currentTimeMillis() - r.wallMs()) * 1_000_000L, edge.clock.now());
-                return null;
-            }, () -> { });
+            edge.decisions.make(
+                    () -> {
+                        core.resume(
+                                r.lines(),
+                                (System.currentTimeMillis() - r.wallMs()) * 1_000_000L,
+                                edge.clock.now());
+                        return null;
+                    },
+                    () -> {});
         } catch (NoSuchFileException first) {
             // The first start.
         } catch (IOException | IllegalArgumentException e) {
@@ -304,7 +405,14 @@
 
     /** For the state: what neighbours gave and lacked, and what was fetched ahead. */
     void state(StringBuilder s) {
-        s.append("warming-given ").append(given).append('\n').append("warming-lacked ").append(lacked).append('\n')
-                .append("warming-ahead ").append(ahead).append('\n');
+        s.append("warming-given ")
+                .append(given)
+                .append('\n')
+                .append("warming-lacked ")
+                .append(lacked)
+                .append('\n')
+                .append("warming-ahead ")
+                .append(ahead)
+                .append('\n');
     }
 }
--- a/src/main/java/brooklock/http/BodyDecoder.java
+++ b/src/main/java/brooklock/http/BodyDecoder.java
@@ -2,12 +2,21 @@
 
 import java.nio.ByteBuffer;
 
-/** Takes the framing off a body (RFC 9112, sections 6 and 7). Pieces are views of the input, nothing is copied. */
+/**
+ * Takes the framing off a body (RFC 9112, sections 6 and 7). Pieces are views of the input, nothing
+ * is copied.
+ */
 public final class BodyDecoder {
     // Fifteen hexadecimal digits fit a long with room for the sums made of them.
     private static final int SIZE_DIGITS = 15;
 
-    private enum At { DATA, SIZE, DATA_END, TRAILERS, END }
+    private enum At {
+        DATA,
+        SIZE,
+        DATA_END,
+        TRAILERS,
+        END
+    }
 
     private final HttpLimits limits;
     private final Framing framing;
@@ -19,17 +28,19 @@
     private long total;
     private Fields trailers = new Fields();
 
-    private BodyDecoder(Framing framing, HttpLimits limits, int bad, int tooLarge) throws HttpProblem {
+    private BodyDecoder(Framing framing, HttpLimits limits, int bad, int tooLarge)
+            throws HttpProblem {
         this.framing = framing;
         this.limits = limits;
         this.bad = bad;
         trailerReader = new FieldReader(limits, lines, bad, tooLarge);
         left = framing.length();
-        at = switch (framing.kind()) {
-            case NONE -> At.END;
-            case CHUNKED -> At.SIZE;
-            default -> At.DATA;
-        };
+        at =
+                switch (framing.kind()) {
+                    case NONE -> At.END;
+                    case CHUNKED -> At.SIZE;
+                    default -> At.DATA;
+                };
         count(left);
         total = 0;
     }
@@ -102,23 +113,28 @@
     private void count(long n) throws HttpProblem {
         total += n;
         if (total > limits.body()) {
-            throw new HttpProblem(bad == 400 ? 413 : bad, "body of over " + limits.body() + " bytes");
+            throw new HttpProblem(
+                    bad == 400 ? 413 : bad, "body of over " + limits.body() + " bytes");
         }
     }
 
     private long size(String line) throws HttpProblem {
         int digits = 0;
         long n = 0;
-        while (digits < line.length() && Character.digit(line.charAt(digits), 16) >= 0
+        while (digits < line.length()
+                && Character.digit(line.charAt(digits), 16) >= 0
                 && line.charAt(digits) < 128) {
             if (digits == SIZE_DIGITS) {
                 throw new HttpProblem(bad, "chunk size overflows");
             }
             n = n * 16 + Character.digit(line.charAt(digits++), 16);
         }
-        // An extension begins with a semicolon; white space before it is refused as it fools other readers.
+        // An extension begins with a semicolon; white space before it is refused as it fools other
+        // readers.
         boolean extension = digits < line.length() && line.charAt(digits) == ';';
-        if (digits == 0 || digits < line.length() && !extension || !Chars.isFieldValue(line.trim())) {
+        if (digits == 0
+                || digits < line.length() && !extension
+                || !Chars.isFieldValue(line.trim())) {
             throw new HttpProblem(bad, "not a chunk size");
         }
         return n;
--- a/src/main/java/brooklock/http/Chars.java
+++ b/src/main/java/brooklock/http/Chars.java
@@ -13,8 +13,7 @@
         }
     }
 
-    private Chars() {
-    }
+    private Chars() {}
 
     static boolean isToken(String s) {
         for (int i = 0; i < s.length(); i++) {
@@ -26,7 +25,10 @@
         return !s.isEmpty();
     }
 
-    /** Visible characters, spaces, tabs and the upper half of Latin-1, with no white space at either end. */
+    /**
+     * Visible characters, spaces, tabs and the upper half of Latin-1, with no white space at either
+     * end.
+     */
     static boolean isFieldValue(String s) {
         for (int i = 0; i < s.length(); i++) {
             char c = s.charAt(i);
@@ -41,7 +43,10 @@
         return c == ' ' || c == '\t';
     }
 
-    /** Characters of a request target: visible ASCII but for those that no URI holds and a fragment's mark. */
+    /**
+     * Characters of a request target: visible ASCII but for those that no URI holds and a
+     * fragment's mark.
+     */
     static boolean isTarget(String s) {
         for (int i = 0; i < s.length(); i++) {
             char c = s.charAt(i);
@@ -54,7 +59,8 @@
 
     /** A host with an optional port: a name, an IPv4 address or an IPv6 address in brackets. */
     static boolean isAuthority(String s) {
-        int colon = s.startsWith("[") ? s.indexOf(':', Math.max(0, s.indexOf(']'))) : s.indexOf(':');
+        int colon =
+                s.startsWith("[") ? s.indexOf(':', Math.max(0, s.indexOf(']'))) : s.indexOf(':');
         String host = colon < 0 ? s : s.substring(0, colon);
         String port = colon < 0 ? "" : s.substring(colon + 1);
         for (int i = 0; i < port.length(); i++) {
@@ -72,7 +78,8 @@
         String inner = six ? host.substring(1, host.length() - 1) : host;
         for (int i = 0; i < inner.length(); i++) {
             char c = inner.charAt(i);
-            boolean plain = c < 128 && Character.isLetterOrDigit(c) || "-._~%!$&'()*+,;=".indexOf(c) >= 0;
+            boolean plain =
+                    c < 128 && Character.isLetterOrDigit(c) || "-._~%!$&'()*+,;=".indexOf(c) >= 0;
             if (!(six ? Character.digit(c, 16) >= 0 || c == ':' || c == '.' : plain)) {
                 return false;
             }
--- a/src/main/java/brooklock/http/Forwarding.java
+++ b/src/main/java/brooklock/http/Forwarding.java
@@ -6,11 +6,19 @@
 
 /** What a proxy does to fields on their way (RFC 9110, section 7.6). */
 public final class Forwarding {
-    private static final Set<String> HOP_BY_HOP = Set.of("connection", "keep-alive", "proxy-connection", "te",
-            "trailer", "transfer-encoding", "upgrade", "proxy-authenticate", "proxy-authorization");
+    private static final Set<String> HOP_BY_HOP =
+            Set.of(
+                    "connection",
+                    "keep-alive",
+                    "proxy-connection",
+                    "te",
+                    "trailer",
+                    "transfer-encoding",
+                    "upgrade",
+                    "proxy-authenticate",
+                    "proxy-authorization");
 
-    private Forwarding() {
-    }
+    private Forwarding() {}
 
     /** A copy without the fields of this hop, those that Connection names among them. */
     public static Fields endToEnd(Fields fields) {
@@ -21,7 +29,8 @@
                 named.add(s.trim().toLowerCase(Locale.ROOT));
             }
         }
-        // Framing and Host are never a hop's to drop: a client that names them would change the message.
+        // Framing and Host are never a hop's to drop: a client that names them would change the
+        // message.
         named.remove("content-length");
         named.remove("host");
         return fields.copy().removeIf(n -> named.contains(n.toLowerCase(Locale.ROOT)));
--- a/src/main/java/brooklock/http/Framing.java
+++ b/src/main/java/brooklock/http/Framing.java
@@ -8,12 +8,19 @@
  */
 public record Framing(Kind kind, long length) {
     /** The ways in which a body ends. */
-    public enum Kind { NONE, FIXED, CHUNKED, UNTIL_CLOSE }
+    public enum Kind {
+        NONE,
+        FIXED,
+        CHUNKED,
+        UNTIL_CLOSE
+    }
 
     /** No body at all. */
     public static final Framing NONE = new Framing(Kind.NONE, 0);
+
     /** Chunks until the last one. */
     public static final Framing CHUNKED = new Framing(Kind.CHUNKED, 0);
+
     /** All that comes until the connection is closed. */
     public static final Framing UNTIL_CLOSE = new Framing(Kind.UNTIL_CLOSE, 0);
 
@@ -22,7 +29,10 @@
         return length == 0 ? NONE : new Framing(Kind.FIXED, length);
     }
 
-    /** How a request's body ends; ambiguous ones are refused, since two readers would cut them differently. */
+    /**
+     * How a request's body ends; ambiguous ones are refused, since two readers would cut them
+     * differently.
+     */
     public static Framing of(RequestHead head) throws HttpProblem {
         Framing f = stated(head.fields(), head.minor(), 400, 501);
         return f == null ? NONE : f;
@@ -31,13 +41,17 @@
     /** How an answer's body ends, by the method that was asked. */
     public static Framing of(ResponseHead head, String method) throws HttpProblem {
         Framing f = stated(head.fields(), head.minor(), 502, 502);
-        if (method.equals("HEAD") || head.status() < 200 || head.status() == 204 || head.status() == 304) {
+        if (method.equals("HEAD")
+                || head.status() < 200
+                || head.status() == 204
+                || head.status() == 304) {
             return NONE;
         }
         return f == null ? UNTIL_CLOSE : f;
     }
 
-    private static Framing stated(Fields fields, int minor, int bad, int unknown) throws HttpProblem {
+    private static Framing stated(Fields fields, int minor, int bad, int unknown)
+            throws HttpProblem {
         String coding = fields.joined("Transfer-Encoding");
         int lengths = fields.count("Content-Length");
         if (coding != null) {
@@ -60,7 +74,9 @@
 
     private static long length(String text, int bad) throws HttpProblem {
         // Eighteen digits are the most that surely fit a long.
-        if (text.isEmpty() || text.length() > 18 || !text.chars().allMatch(c -> c >= '0' && c <= '9')) {
+        if (text.isEmpty()
+                || text.length() > 18
+                || !text.chars().allMatch(c -> c >= '0' && c <= '9')) {
             throw new HttpProblem(bad, "Content-Length is not a number of bytes");
         }
         return Long.parseLong(text);
--- a/src/main/java/brooklock/http/HttpLimits.java
+++ b/src/main/java/brooklock/http/HttpLimits.java
@@ -3,7 +3,8 @@
 /**
  * The bounds of one message.
  *
- * @param startLine bytes of the request or status line; above it 414 for a request, 502 for an answer
+ * @param startLine bytes of the request or status line; above it 414 for a request, 502 for an
+ *     answer
  * @param field bytes of one field line; above it 431
  * @param head bytes of all field lines together; above it 431
  * @param fields field lines in a head, or in a trailer section; above it 431
--- a/src/main/java/brooklock/http/LineReader.java
+++ b/src/main/java/brooklock/http/LineReader.java
@@ -4,7 +4,10 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 
-/** Lines that end in CR LF, from buffers of any cut. A bare CR, a bare LF and a line over its bound are refused. */
+/**
+ * Lines that end in CR LF, from buffers of any cut. A bare CR, a bare LF and a line over its bound
+ * are refused.
+ */
 final class LineReader {
     private byte[] line = new byte[256];
     private int length;
--- a/src/main/java/brooklock/http/RequestHead.java
+++ b/src/main/java/brooklock/http/RequestHead.java
@@ -12,7 +12,9 @@
 public record RequestHead(String method, String target, String host, int minor, Fields fields) {
     /** Whether the connection may be used again after this request (RFC 9112, section 9.3). */
     public boolean keepsAlive() {
-        return minor >= 1 ? !fields.hasToken("Connection", "close") : fields.hasToken("Connection", "keep-alive");
+        return minor >= 1
+                ? !fields.hasToken("Connection", "close")
+                : fields.hasToken("Connection", "keep-alive");
     }
 
     /** Whether the client waits for 100 before it sends the body. */
--- a/src/main/java/brooklock/http/RequestParser.java
+++ b/src/main/java/brooklock/http/RequestParser.java
@@ -2,7 +2,9 @@
 
 import java.nio.ByteBuffer;
 
-/** Reads heads of requests, one after another, from buffers of any cut (RFC 9112, sections 2 and 3). */
+/**
+ * Reads heads of requests, one after another, from buffers of any cut (RFC 9112, sections 2 and 3).
+ */
 public final class RequestParser {
     // Empty lines before a request are passed over, as old clients send them, but not without end.
     private static final int EMPTY_LINES = 2;
@@ -19,7 +21,10 @@
         reader = new FieldReader(limits, lines, 400, 431);
     }
 
-    /** The next head, or null when the buffer ran out first; what follows the head stays in the buffer. */
+    /**
+     * The next head, or null when the buffer ran out first; what follows the head stays in the
+     * buffer.
+     */
     public RequestHead next(ByteBuffer in) throws HttpProblem {
         while (startLine == null) {
             String line = lines.next(in, limits.startLine(), 414, 400);
@@ -84,7 +89,8 @@
             throw new HttpProblem(400, "authority of the target is not a host");
         }
         String rest = target.substring(end);
-        return new RequestHead(method, rest.startsWith("/") ? rest : "/" + rest, authority, minor, fields);
+        return new RequestHead(
+                method, rest.startsWith("/") ? rest : "/" + rest, authority, minor, fields);
     }
 
     private static String host(Fields fields, int minor) throws HttpProblem {
@@ -100,8 +106,11 @@
     }
 
     static int minor(String version) throws HttpProblem {
-        if (version.length() != 8 || !version.startsWith("HTTP/") || version.charAt(6) != '.'
-                || !Character.isDigit(version.charAt(5)) || !Character.isDigit(version.charAt(7))) {
+        if (version.length() != 8
+                || !version.startsWith("HTTP/")
+                || version.charAt(6) != '.'
+                || !Character.isDigit(version.charAt(5))
+                || !Character.isDigit(version.charAt(7))) {
             throw new HttpProblem(400, "not a version of HTTP");
         }
         if (version.charAt(5) != '1') {
--- a/src/main/java/brooklock/http/ResponseHead.java
+++ b/src/main/java/brooklock/http/ResponseHead.java
@@ -16,6 +16,8 @@
 
     /** Whether the connection may be used again after this answer. */
     public boolean keepsAlive() {
-        return minor >= 1 ? !fields.hasToken("Connection", "close") : fields.hasToken("Connection", "keep-alive");
+        return minor >= 1
+                ? !fields.hasToken("Connection", "close")
+                : fields.hasToken("Connection", "keep-alive");
     }
 }
--- a/src/main/java/brooklock/http/ResponseParser.java
+++ b/src/main/java/brooklock/http/ResponseParser.java
@@ -15,7 +15,10 @@
         reader = new FieldReader(limits, lines, 502, 502);
     }
 
-    /** The next head, or null when the buffer ran out first; what follows the head stays in the buffer. */
+    /**
+     * The next head, or null when the buffer ran out first; what follows the head stays in the
+     * buffer.
+     */
     public ResponseHead next(ByteBuffer in) throws HttpProblem {
         if (startLine == null) {
             startLine = lines.next(in, limits.startLine(), 502, 502);
@@ -33,7 +36,9 @@
     }
 
     private static ResponseHead head(String line, Fields fields) throws HttpProblem {
-        if (line.length() < 12 || line.charAt(8) != ' ' || line.length() > 12 && line.charAt(12) != ' ') {
+        if (line.length() < 12
+                || line.charAt(8) != ' '
+                || line.length() > 12 && line.charAt(12) != ' ') {
             throw new HttpProblem(502, "not a status line");
         }
         int minor;
--- a/src/main/java/brooklock/http/StatusList.java
+++ b/src/main/java/brooklock/http/StatusList.java
@@ -6,8 +6,9 @@
 import java.util.Map;
 
 /**
- * Cache-Status (RFC 9211) and Proxy-Status (RFC 9209): a list of caches or proxies, nearest to the origin first, each
- * with parameters (RFC 8941). What cannot be read is treated as absent, as those documents ask.
+ * Cache-Status (RFC 9211) and Proxy-Status (RFC 9209): a list of caches or proxies, nearest to the
+ * origin first, each with parameters (RFC 8941). What cannot be read is treated as absent, as those
+ * documents ask.
  */
 public final class StatusList {
     // More hops than a tree of caches has; a peer that lists more is not believed.
--- a/src/main/java/brooklock/http/Writing.java
+++ b/src/main/java/brooklock/http/Writing.java
@@ -8,16 +8,20 @@
     private static final byte[] LAST_CHUNK = "0\r\n\r\n".getBytes(StandardCharsets.ISO_8859_1);
     private static final byte[] LINE_END = "\r\n".getBytes(StandardCharsets.ISO_8859_1);
 
-    private Writing() {
-    }
+    private Writing() {}
 
     /** The bytes of a request's head; Host comes first (RFC 9110, section 7.2). */
     public static ByteBuffer request(RequestHead h) {
         if (!Chars.isToken(h.method()) || !Chars.isTarget(h.target())) {
-            throw new IllegalArgumentException("not a request line: " + h.method() + " " + h.target());
+            throw new IllegalArgumentException(
+                    "not a request line: " + h.method() + " " + h.target());
         }
         StringBuilder s = new StringBuilder(512);
-        s.append(h.method()).append(' ').append(h.target()).append(" HTTP/1.1\r\nHost: ").append(h.host());
+        s.append(h.method())
+                .append(' ')
+                .append(h.target())
+                .append(" HTTP/1.1\r\nHost: ")
+                .append(h.host());
         s.append("\r\n");
         return end(s, h.fields(), true);
     }
@@ -40,7 +44,8 @@
 
     /** The line before a chunk of so many bytes. */
     public static ByteBuffer chunkStart(int bytes) {
-        return ByteBuffer.wrap((Integer.toHexString(bytes) + "\r\n").getBytes(StandardCharsets.ISO_8859_1));
+        return ByteBuffer.wrap(
+                (Integer.toHexString(bytes) + "\r\n").getBytes(StandardCharsets.ISO_8859_1));
     }
 
     /** What follows a chunk's bytes. */
--- a/src/main/java/brooklock/members/Answer.java
+++ b/src/main/java/brooklock/members/Answer.java
@@ -22,7 +22,10 @@
         OLD_EPOCH(409),
         /** Something before it is missing: a full list is needed. */
         GAP(409),
-        /** Another list is in force under the same number: two sources go by one name, or one counts wrongly. */
+        /**
+         * Another list is in force under the same number: two sources go by one name, or one counts
+         * wrongly.
+         */
         CONFLICT(409),
         /** Taken, but something else holds the host where it is. */
         HELD(409),
@@ -43,7 +46,10 @@
         return new Answer(r, why, List.of(), false);
     }
 
-    /** The same where it could not be written to disk: it is in force, but a killed dispatcher would not know of it. */
+    /**
+     * The same where it could not be written to disk: it is in force, but a killed dispatcher would
+     * not know of it.
+     */
     public Answer unsaved(String problem) {
         return new Answer(result, why + "\nnot saved: " + problem, told, full);
     }
@@ -60,6 +66,9 @@
 
     /** The answer as it is sent: its word, then what is in force. */
     public String text() {
-        return result.name().toLowerCase(java.util.Locale.ROOT).replace('_', '-') + "\n" + why + "\n";
+        return result.name().toLowerCase(java.util.Locale.ROOT).replace('_', '-')
+                + "\n"
+                + why
+                + "\n";
     }
 }
--- a/src/main/java/brooklock/members/HostBook.java
+++ b/src/main/java/brooklock/members/HostBook.java
@@ -11,8 +11,9 @@
 import java.util.function.LongUnaryOperator;
 
 /**
- * The list in force and what the module is told of it. Written by one thread; readers take an immutable snapshot. A host
- * once named stays known, as gone, until room is needed, since attempts to it may still be out.
+ * The list in force and what the module is told of it. Written by one thread; readers take an
+ * immutable snapshot. A host once named stays known, as gone, until room is needed, since attempts
+ * to it may still be out.
  */
 public final class HostBook {
     private final List<String> zones;
@@ -56,7 +57,14 @@
         for (Member m : a.told()) {
             int zone = zones.indexOf(m.zone());
             if (zone >= 0) {
-                entries.add(new HostEntry(m.id(), zone, m.kind().ordinal(), m.state(), m.weight(), started(m)));
+                entries.add(
+                        new HostEntry(
+                                m.id(),
+                                zone,
+                                m.kind().ordinal(),
+                                m.state(),
+                                m.weight(),
+                                started(m)));
             }
         }
         return new HostList(kind, entries);
@@ -64,13 +72,17 @@
 
     /** All that is in force, as the module is told of it. */
     public HostList everything(ListKind kind) {
-        return news(new Answer(Answer.Result.TAKEN, "", List.copyOf(snapshot().values()), true), kind);
+        return news(
+                new Answer(Answer.Result.TAKEN, "", List.copyOf(snapshot().values()), true), kind);
     }
 
-    // A start is turned into the module's time once: if the wall clock is set meanwhile, the same start stays the same.
+    // A start is turned into the module's time once: if the wall clock is set meanwhile, the same
+    // start stays the same.
     private long started(Member m) {
-        return m.startedMs() == 0 ? 0
-                : starts.computeIfAbsent(m.id() + "@" + m.startedMs(), k -> moduleTime.applyAsLong(m.startedMs()));
+        return m.startedMs() == 0
+                ? 0
+                : starts.computeIfAbsent(
+                        m.id() + "@" + m.startedMs(), k -> moduleTime.applyAsLong(m.startedMs()));
     }
 
     private boolean known(String start) {
--- a/src/main/java/brooklock/members/ListFile.java
+++ b/src/main/java/brooklock/members/ListFile.java
@@ -39,11 +39,18 @@
         put(path, BookText.write(state), true);
     }
 
-    /** Puts a text in place of a file, whole: written beside, forced out if that is asked for, then moved there. */
+    /**
+     * Puts a text in place of a file, whole: written beside, forced out if that is asked for, then
+     * moved there.
+     */
     public static void put(Path path, String text, boolean force) throws IOException {
         Path beside = path.resolveSibling(path.getFileName() + ".new");
-        try (FileChannel out = FileChannel.open(beside, StandardOpenOption.CREATE, StandardOpenOption.WRITE,
-                StandardOpenOption.TRUNCATE_EXISTING)) {
+        try (FileChannel out =
+                FileChannel.open(
+                        beside,
+                        StandardOpenOption.CREATE,
+                        StandardOpenOption.WRITE,
+                        StandardOpenOption.TRUNCATE_EXISTING)) {
             ByteBuffer b = StandardCharsets.UTF_8.encode(text);
             while (b.hasRemaining()) {
                 out.write(b);
@@ -52,6 +59,7 @@
                 out.force(true);
             }
         }
-        Files.move(beside, path, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+        Files.move(
+                beside, path, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
     }
 }
--- a/src/main/java/brooklock/members/ListText.java
+++ b/src/main/java/brooklock/members/ListText.java
@@ -11,28 +11,35 @@
 import java.util.Set;
 
 /**
- * A list of hosts as text: a first line "list full" or "list delta" with the list's place in its source's order, if it
- * has one ("source NAME epoch E number N", a delta "follows M" too), a line a host, and a last line "end N" with their
- * number, so that a list cut short is seen to be. A list is taken whole or not at all.
+ * A list of hosts as text: a first line "list full" or "list delta" with the list's place in its
+ * source's order, if it has one ("source NAME epoch E number N", a delta "follows M" too), a line a
+ * host, and a last line "end N" with their number, so that a list cut short is seen to be. A list
+ * is taken whole or not at all.
  */
 public final class ListText {
     /** Most hosts in one list. */
     public static final int MOST = 4096;
 
-    private ListText() {
-    }
+    private ListText() {}
 
     /** Reads a list; a wrong one throws with line and reason. */
     public static Notice parse(String text) {
         String[] rows = text.split("\n");
         String[] first = rows[0].trim().split("[ \t]+");
-        if (first.length < 2 || !first[0].equals("list") || !first[1].equals("full") && !first[1].equals("delta")) {
-            throw new IllegalArgumentException("line 1: a list begins with 'list full' or 'list delta'");
+        if (first.length < 2
+                || !first[0].equals("list")
+                || !first[1].equals("full") && !first[1].equals("delta")) {
+            throw new IllegalArgumentException(
+                    "line 1: a list begins with 'list full' or 'list delta'");
         }
         String last = rows[rows.length - 1];
         if (!last.equals("end " + (rows.length - 2)) || !text.endsWith("\n")) {
-            throw new IllegalArgumentException("line " + rows.length + ": the list does not end with 'end "
-                    + (rows.length - 2) + "': it was cut short or its hosts were miscounted");
+            throw new IllegalArgumentException(
+                    "line "
+                            + rows.length
+                            + ": the list does not end with 'end "
+                            + (rows.length - 2)
+                            + "': it was cut short or its hosts were miscounted");
         }
         if (rows.length - 2 > MOST) {
             throw new IllegalArgumentException("a list holds " + MOST + " hosts at most");
@@ -43,7 +50,8 @@
             try {
                 Member m = member(rows[i]);
                 if (!seen.add(m.id())) {
-                    throw new IllegalArgumentException("the host '" + m.name() + "' stands here twice");
+                    throw new IllegalArgumentException(
+                            "the host '" + m.name() + "' stands here twice");
                 }
                 all.add(m);
             } catch (IllegalArgumentException e) {
@@ -67,36 +75,52 @@
         for (int i = from; i < w.length; i += 2) {
             int k = (i - from) / 2;
             if (k >= keys.length || !w[i].equals(keys[k]) || i + 1 == w.length) {
-                throw new IllegalArgumentException("a list's place is: source NAME epoch E number N, and for a delta "
-                        + "follows M");
+                throw new IllegalArgumentException(
+                        "a list's place is: source NAME epoch E number N, and for a delta "
+                                + "follows M");
             }
             values[k] = w[i + 1];
             if (k > 0 && !values[k].matches("\\d{1,15}")) {
-                throw new IllegalArgumentException("'" + values[k] + "' is not a whole number of up to 15 digits");
+                throw new IllegalArgumentException(
+                        "'" + values[k] + "' is not a whole number of up to 15 digits");
             }
         }
-        return new Stamp(values[0], Long.parseLong(values[1]), Long.parseLong(values[2]), Long.parseLong(values[3]));
+        return new Stamp(
+                values[0],
+                Long.parseLong(values[1]),
+                Long.parseLong(values[2]),
+                Long.parseLong(values[3]));
     }
 
     /** Reads one host's line; a wrong one throws with the reason. */
     static Member member(String row) {
         String[] w = row.trim().split("[ \t]+");
         if (w.length != 7) {
-            throw new IllegalArgumentException("a host is: name kind zone address state weight started-ms");
+            throw new IllegalArgumentException(
+                    "a host is: name kind zone address state weight started-ms");
         }
         int colon = w[3].lastIndexOf(':');
-        if (colon < 0 || !w[3].substring(colon + 1).matches("\\d{1,5}")
+        if (colon < 0
+                || !w[3].substring(colon + 1).matches("\\d{1,5}")
                 || Integer.parseInt(w[3].substring(colon + 1)) > 65535
                 || !w[3].substring(0, colon).matches("[0-9a-fA-F:.]+")) {
             throw new IllegalArgumentException("'" + w[3] + "' is not an address and a port");
         }
         double weight = w[5].matches("\\d{1,9}(\\.\\d{1,9})?") ? Double.parseDouble(w[5]) : 0;
         if (weight <= 0 || !w[6].matches("\\d{1,15}")) {
-            throw new IllegalArgumentException("a weight is above 0, a start is ms since 1970 or 0");
+            throw new IllegalArgumentException(
+                    "a weight is above 0, a start is ms since 1970 or 0");
         }
-        return new Member(w[0], HostId.of(w[0]), word(Kind.class, w[1]), w[2],
-                new InetSocketAddress(w[3].substring(0, colon), Integer.parseInt(w[3].substring(colon + 1))),
-                word(HostState.class, w[4]), weight, Long.parseLong(w[6]));
+        return new Member(
+                w[0],
+                HostId.of(w[0]),
+                word(Kind.class, w[1]),
+                w[2],
+                new InetSocketAddress(
+                        w[3].substring(0, colon), Integer.parseInt(w[3].substring(colon + 1))),
+                word(HostState.class, w[4]),
+                weight,
+                Long.parseLong(w[6]));
     }
 
     static <E extends Enum<E>> E word(Class<E> type, String text) {
@@ -105,22 +129,40 @@
                 return e;
             }
         }
-        throw new IllegalArgumentException("'" + text + "' is not one of " + List.of(type.getEnumConstants())
-                .toString().toLowerCase(Locale.ROOT));
+        throw new IllegalArgumentException(
+                "'"
+                        + text
+                        + "' is not one of "
+                        + List.of(type.getEnumConstants()).toString().toLowerCase(Locale.ROOT));
     }
 
     /** A list as text. */
     public static String write(Notice n) {
-        StringBuilder s = new StringBuilder(n.full() ? "list full" : "list delta")
-                .append(n.stamp() == null ? "" : " " + n.stamp()).append('\n');
+        StringBuilder s =
+                new StringBuilder(n.full() ? "list full" : "list delta")
+                        .append(n.stamp() == null ? "" : " " + n.stamp())
+                        .append('\n');
         n.members().forEach(m -> s.append(write(m)).append('\n'));
         return s.append("end ").append(n.members().size()).append('\n').toString();
     }
 
     /** One host's line. */
     static String write(Member m) {
-        return m.name() + ' ' + lower(m.kind()) + ' ' + m.zone() + ' ' + m.address().getAddress().getHostAddress() + ':'
-                + m.address().getPort() + ' ' + lower(m.state()) + ' ' + plain(m.weight()) + ' ' + m.startedMs();
+        return m.name()
+                + ' '
+                + lower(m.kind())
+                + ' '
+                + m.zone()
+                + ' '
+                + m.address().getAddress().getHostAddress()
+                + ':'
+                + m.address().getPort()
+                + ' '
+                + lower(m.state())
+                + ' '
+                + plain(m.weight())
+                + ' '
+                + m.startedMs();
     }
 
     // As it is read: no exponent.
--- a/src/main/java/brooklock/members/PurgeMoments.java
+++ b/src/main/java/brooklock/members/PurgeMoments.java
@@ -4,21 +4,26 @@
 import java.util.Map;
 
 /**
- * Moments of purges in the module's time. A purge told again, or told late by another way, is the same moment whatever
- * the wall clock has done between, so that a repeat neither takes back nor widens what the first one did. Pure.
+ * Moments of purges in the module's time. A purge told again, or told late by another way, is the
+ * same moment whatever the wall clock has done between, so that a repeat neither takes back nor
+ * widens what the first one did. Pure.
  */
 public final class PurgeMoments {
-    /** Purges remembered; the one told longest ago is forgotten first, and taken as new if it comes again. */
+    /**
+     * Purges remembered; the one told longest ago is forgotten first, and taken as new if it comes
+     * again.
+     */
     public static final int MOST = 4096;
 
-    private final Map<String, Long> moments = new LinkedHashMap<>() {
-        private static final long serialVersionUID = 1L;
+    private final Map<String, Long> moments =
+            new LinkedHashMap<>() {
+                private static final long serialVersionUID = 1L;
 
-        @Override
-        protected boolean removeEldestEntry(Map.Entry<String, Long> eldest) {
-            return size() > MOST;
-        }
-    };
+                @Override
+                protected boolean removeEldestEntry(Map.Entry<String, Long> eldest) {
+                    return size() > MOST;
+                }
+            };
 
     /**
      * How long ago a purge was.
--- a/src/main/java/brooklock/members/Source.java
+++ b/src/main/java/brooklock/members/Source.java
@@ -9,11 +9,14 @@
  *
  * @param epoch 0 where it gives no order, or its order is to begin anew
  * @param heardMs wall time at which it was heard last, ms since 1970; only to be shown
- * @param words each host it has named, as it named it last; one that it took away stands here as gone
+ * @param words each host it has named, as it named it last; one that it took away stands here as
+ *     gone
  */
-public record Source(String name, long epoch, long number, long heardMs, PSortedMap<Long, Member> words) {
+public record Source(
+        String name, long epoch, long number, long heardMs, PSortedMap<Long, Member> words) {
     /** The name of the hosts in the settings, which hold until any source gives a full list. */
     public static final String SETTINGS = "*settings";
+
     /** The name of lists without an order. */
     public static final String UNNUMBERED = "*unnumbered";
 
@@ -45,8 +48,12 @@
                 next = m.state() == HostState.GONE ? next.minus(m.id()) : next;
             }
         }
-        return new Source(name, n.stamp() == null ? 0 : n.stamp().epoch(), n.stamp() == null ? 0 : n.stamp().number(),
-                ms, next);
+        return new Source(
+                name,
+                n.stamp() == null ? 0 : n.stamp().epoch(),
+                n.stamp() == null ? 0 : n.stamp().number(),
+                ms,
+                next);
     }
 
     /** Whether a full list says the same as this one holds. */
@@ -65,6 +72,8 @@
 
     @Override
     public String toString() {
-        return ordered() ? "source " + name + " epoch " + epoch + " number " + number : "source " + name;
+        return ordered()
+                ? "source " + name + " epoch " + epoch + " number " + number
+                : "source " + name;
     }
 }
--- a/src/main/java/brooklock/members/Stamp.java
+++ b/src/main/java/brooklock/members/Stamp.java
@@ -1,13 +1,14 @@
 package brooklock.members;
 
 /**
- * The place of a notice in the order of its source. Epochs grow with each start of the source, numbers with each change
- * inside an epoch.
+ * The place of a notice in the order of its source. Epochs grow with each start of the source,
+ * numbers with each change inside an epoch.
  *
  * @param source name of the source
  * @param epoch from 1; wall time of the source's start, ms, will do
  * @param number from 1; the number that the list is current as of
- * @param follows for a delta, the number it was made from, which must be in force; 0 for a full list
+ * @param follows for a delta, the number it was made from, which must be in force; 0 for a full
+ *     list
  */
 public record Stamp(String source, long epoch, long number, long follows) {
     /** Longest name of a source. */
@@ -16,8 +17,12 @@
     /** Checks it; what is wrong is told in plain words. */
     public Stamp {
         if (!source.matches("[A-Za-z0-9][A-Za-z0-9._-]{0," + (LONGEST_NAME - 1) + "}")) {
-            throw new IllegalArgumentException("a source's name is up to " + LONGEST_NAME
-                    + " letters, digits, dots, dashes: '" + source + "'");
+            throw new IllegalArgumentException(
+                    "a source's name is up to "
+                            + LONGEST_NAME
+                            + " letters, digits, dots, dashes: '"
+                            + source
+                            + "'");
         }
         if (epoch < 1 || number < 1) {
             throw new IllegalArgumentException("an epoch and a number are 1 or more");
@@ -29,6 +34,12 @@
 
     @Override
     public String toString() {
-        return "source " + source + " epoch " + epoch + " number " + number + (follows == 0 ? "" : " follows " + follows);
+        return "source "
+                + source
+                + " epoch "
+                + epoch
+                + " number "
+                + number
+                + (follows == 0 ? "" : " follows " + follows);
     }
 }
--- a/src/main/java/brooklock/net/AnswerTaker.java
+++ b/src/main/java/brooklock/net/AnswerTaker.java
@@ -6,11 +6,14 @@
 import java.nio.ByteBuffer;
 
 /**
- * Takes what a host answers; called on the I/O thread of the call. After {@code end} or {@code failed} nothing comes. One
- * that asks only for the end lets head and body pass.
+ * Takes what a host answers; called on the I/O thread of the call. After {@code end} or {@code
+ * failed} nothing comes. One that asks only for the end lets head and body pass.
  */
 public interface AnswerTaker {
-    /** Asked right before the first byte is written; false calls it off, so that the host sees nothing. */
+    /**
+     * Asked right before the first byte is written; false calls it off, so that the host sees
+     * nothing.
+     */
     default boolean mayGo() {
         return true;
     }
@@ -21,10 +24,12 @@
      * @param framing how the body ends
      * @param whole the whole body has come along with the head
      */
-    default void head(ResponseHead head, Framing framing, boolean whole) {
-    }
+    default void head(ResponseHead head, Framing framing, boolean whole) {}
 
-    /** A piece of the body. False stops reading until {@link ClientCall#resume}; the piece stays valid until then. */
+    /**
+     * A piece of the body. False stops reading until {@link ClientCall#resume}; the piece stays
+     * valid until then.
+     */
     default boolean data(ByteBuffer piece) {
         return true;
     }
--- a/src/main/java/brooklock/net/Client.java
+++ b/src/main/java/brooklock/net/Client.java
@@ -20,15 +20,23 @@
         this(loop, limits, null);
     }
 
-    /** The same with TLS by a context, plain where it is null. The context's trust checks the hosts' certificates. */
+    /**
+     * The same with TLS by a context, plain where it is null. The context's trust checks the hosts'
+     * certificates.
+     */
     public Client(IoLoop loop, ClientLimits limits, SSLContext context) {
         this.loop = loop;
         this.limits = limits;
-        tls = context == null ? null : new JsseXnioSsl(loop.thread.getWorker().getXnio(), OptionMap.EMPTY, context);
+        tls =
+                context == null
+                        ? null
+                        : new JsseXnioSsl(
+                                loop.thread.getWorker().getXnio(), OptionMap.EMPTY, context);
     }
 
     /** Sends a request; its answer goes to {@code taker}. */
-    public ClientCall call(InetSocketAddress host, RequestHead head, byte[] body, AnswerTaker taker) {
+    public ClientCall call(
+            InetSocketAddress host, RequestHead head, byte[] body, AnswerTaker taker) {
         loop.mustBeHere();
         HostPool pool = pools.computeIfAbsent(host, a -> new HostPool(loop, a, limits, tls));
         ClientCall call = new ClientCall(pool, head, body, taker);
--- a/src/main/java/brooklock/net/ClientCall.java
+++ b/src/main/java/brooklock/net/ClientCall.java
@@ -58,7 +58,10 @@
         }
     }
 
-    /** Calls the request off: its connection is closed, not used again, and the taker hears nothing more. */
+    /**
+     * Calls the request off: its connection is closed, not used again, and the taker hears nothing
+     * more.
+     */
     public void cancel() {
         if (over || cancelled) {
             return;
--- a/src/main/java/brooklock/net/ClientConnection.java
+++ b/src/main/java/brooklock/net/ClientConnection.java
@@ -91,7 +91,8 @@
             return;
         }
         try {
-            // One buffer at a time is enough: readiness is told again while there is more. Not so with TLS, where a
+            // One buffer at a time is enough: readiness is told again while there is more. Not so
+            // with TLS, where a
             // record may have been read from the socket and not been opened yet.
             while (readOnce() && tls && !closed && !held) {
                 continue;
@@ -141,14 +142,18 @@
             }
             if (h.status() < 200) {
                 if (++interim > MOST_INTERIM || h.status() == 101) {
-                    throw new HttpProblem(502, "interim answers without end, or a switch nobody asked for");
+                    throw new HttpProblem(
+                            502, "interim answers without end, or a switch nobody asked for");
                 }
                 continue;
             }
             head = h;
             Framing framing = Framing.of(h, call.head.method());
             body = BodyDecoder.ofResponse(framing, limits.http());
-            boolean whole = body.done() || framing.kind() == Framing.Kind.FIXED && in.remaining() >= framing.length();
+            boolean whole =
+                    body.done()
+                            || framing.kind() == Framing.Kind.FIXED
+                                    && in.remaining() >= framing.length();
             ClientCall mine = call;
             mine.taker.head(h, framing, whole);
             if (closed || call != mine) {
@@ -237,8 +242,10 @@
         mine.taker.end(body.trailers());
     }
 
-    // A kept connection that turns out closed before a byte was written is no attempt: another one is used. Once a
-    // byte was written the host may have run the request, whatever it had meant to do with the connection.
+    // A kept connection that turns out closed before a byte was written is no attempt: another one
+    // is used. Once a
+    // byte was written the host may have run the request, whatever it had meant to do with the
+    // connection.
     private void broken(String why) {
         ClientCall mine = call;
         if (mine == null || output.written() > writtenBefore) {
--- a/src/main/java/brooklock/net/ClientLimits.java
+++ b/src/main/java/brooklock/net/ClientLimits.java
@@ -7,20 +7,28 @@
  *
  * @param http bounds of answers; a host that breaks them has answered badly
  * @param connections connections open at once; further calls wait in line
- * @param openings connections on their way at once; further calls wait for one of them or for one that becomes free
+ * @param openings connections on their way at once; further calls wait for one of them or for one
+ *     that becomes free
  * @param waiting calls in line; further ones fail at once as not connected
  * @param idle connections kept for use again
  * @param connectNs time for a connection, or for a place in line to come up
  * @param idleNs time after which an unused connection is closed; shorter than any host's own
  * @param stallNs time in which a host sends not one byte of a body that was begun; broken
  */
-public record ClientLimits(HttpLimits http, int connections, int openings, int waiting, int idle, long connectNs, long idleNs,
+public record ClientLimits(
+        HttpLimits http,
+        int connections,
+        int openings,
+        int waiting,
+        int idle,
+        long connectNs,
+        long idleNs,
         long stallNs) {
     private static final long S = 1_000_000_000L;
 
     /** Bounds for a client that has none of its own. */
-    public static final ClientLimits STANDARD = new ClientLimits(HttpLimits.STANDARD, 256, 32, 1024, 64, S / 2, 15 * S,
-            30 * S);
+    public static final ClientLimits STANDARD =
+            new ClientLimits(HttpLimits.STANDARD, 256, 32, 1024, 64, S / 2, 15 * S, 30 * S);
 
     /** The same with another time for a connection, ns. */
     public ClientLimits withConnectNs(long ns) {
--- a/src/main/java/brooklock/net/Dial.java
+++ b/src/main/java/brooklock/net/Dial.java
@@ -10,7 +10,10 @@
 import org.xnio.StreamConnection;
 import org.xnio.XnioExecutor;
 
-/** One connection on its way to a peer that speaks a protocol other than HTTP. Ends once: opened, failed or given up. */
+/**
+ * One connection on its way to a peer that speaks a protocol other than HTTP. Ends once: opened,
+ * failed or given up.
+ */
 public final class Dial {
     private final IoLoop loop;
     private final Consumer<Stream> opened;
@@ -30,7 +33,11 @@
      *
      * @param limitNs time for the connection to come up, ns
      */
-    public static Dial to(IoLoop loop, InetSocketAddress address, long limitNs, Consumer<Stream> opened,
+    public static Dial to(
+            IoLoop loop,
+            InetSocketAddress address,
+            long limitNs,
+            Consumer<Stream> opened,
             Consumer<String> failed) {
         Dial d = new Dial(loop, opened, failed);
         d.begin(address, limitNs);
@@ -38,18 +45,26 @@
     }
 
     private void begin(InetSocketAddress address, long limitNs) {
-        future = loop.thread.openStreamConnection(address, c -> loop.execute(() -> there(c)),
-                OptionMap.create(Options.TCP_NODELAY, true));
-        timer = loop.after(limitNs, () -> {
-            future.cancel();
-            fails("no connection in time");
-        });
-        future.addNotifier(new IoFuture.HandlingNotifier<StreamConnection, Void>() {
-            @Override
-            public void handleFailed(IOException e, Void nothing) {
-                loop.execute(() -> fails(String.valueOf(e.getMessage())));
-            }
-        }, null);
+        future =
+                loop.thread.openStreamConnection(
+                        address,
+                        c -> loop.execute(() -> there(c)),
+                        OptionMap.create(Options.TCP_NODELAY, true));
+        timer =
+                loop.after(
+                        limitNs,
+                        () -> {
+                            future.cancel();
+                            fails("no connection in time");
+                        });
+        future.addNotifier(
+                new IoFuture.HandlingNotifier<StreamConnection, Void>() {
+                    @Override
+                    public void handleFailed(IOException e, Void nothing) {
+                        loop.execute(() -> fails(String.valueOf(e.getMessage())));
+                    }
+                },
+                null);
     }
 
     private void there(StreamConnection c) {
--- a/src/main/java/brooklock/net/Handler.java
+++ b/src/main/java/brooklock/net/Handler.java
@@ -1,7 +1,12 @@
 package brooklock.net;
 
-/** What a listener does with requests; called on the I/O thread of the connection, once a request. */
+/**
+ * What a listener does with requests; called on the I/O thread of the connection, once a request.
+ */
 public interface Handler {
-    /** Takes a request. It must come to {@link ServerExchange#end}, {@code send} or {@code abort} sooner or later. */
+    /**
+     * Takes a request. It must come to {@link ServerExchange#end}, {@code send} or {@code abort}
+     * sooner or later.
+     */
     void request(ServerExchange exchange);
 }
--- a/src/main/java/brooklock/net/HostPool.java
+++ b/src/main/java/brooklock/net/HostPool.java
@@ -14,9 +14,9 @@
 import org.xnio.ssl.SslConnection;
 
 /**
- * Connections of one I/O thread to one host. The bounds are per host and I/O thread; nothing is shared with the pools of
- * the other threads. A call that finds no idle connection waits in line for the first that is opened or becomes free, no
- * longer than a connection may take.
+ * Connections of one I/O thread to one host. The bounds are per host and I/O thread; nothing is
+ * shared with the pools of the other threads. A call that finds no idle connection waits in line
+ * for the first that is opened or becomes free, no longer than a connection may take.
  */
 final class HostPool {
     private final IoLoop loop;
@@ -46,11 +46,14 @@
             return;
         }
         line.add(call);
-        call.waitsUntil(loop.after(limits.connectNs(), () -> {
-            if (line.remove(call)) {
-                call.failed(Failure.NOT_CONNECTED, "no connection in time");
-            }
-        }));
+        call.waitsUntil(
+                loop.after(
+                        limits.connectNs(),
+                        () -> {
+                            if (line.remove(call)) {
+                                call.failed(Failure.NOT_CONNECTED, "no connection in time");
+                            }
+                        }));
         openMore();
     }
 
@@ -70,17 +73,21 @@
         return false;
     }
 
-    // One for each call in line, but few at a time: each opening keeps the host busy, with TLS for milliseconds, and a
+    // One for each call in line, but few at a time: each opening keeps the host busy, with TLS for
+    // milliseconds, and a
     // connection that becomes free may serve a call before its opening is done.
     private void openMore() {
-        while (opening < line.size() && opening < limits.openings() && open < limits.connections()) {
+        while (opening < line.size()
+                && opening < limits.openings()
+                && open < limits.connections()) {
             open++;
             opening++;
             new Opening().begin();
         }
     }
 
-    // One connection on its way, with its handshake. It serves whichever call is first in line when it is there; where it
+    // One connection on its way, with its handshake. It serves whichever call is first in line when
+    // it is there; where it
     // fails, so does the call that is first in line then.
     private final class Opening implements ChannelListener<StreamConnection> {
         private static final long serialVersionUID = 1L;
@@ -91,21 +98,27 @@
 
         void begin() {
             OptionMap options = OptionMap.create(Options.TCP_NODELAY, true);
-            IoFuture<? extends StreamConnection> future = tls == null
-                    ? loop.thread.openStreamConnection(address, this, options)
-                    : tls.openSslConnection(loop.thread, address, this, options);
+            IoFuture<? extends StreamConnection> future =
+                    tls == null
+                            ? loop.thread.openStreamConnection(address, this, options)
+                            : tls.openSslConnection(loop.thread, address, this, options);
             if (!settled) {
-                timer = loop.after(limits.connectNs(), () -> {
-                    future.cancel();
-                    failed("no connection in time");
-                });
+                timer =
+                        loop.after(
+                                limits.connectNs(),
+                                () -> {
+                                    future.cancel();
+                                    failed("no connection in time");
+                                });
             }
-            future.addNotifier(new IoFuture.HandlingNotifier<Object, Void>() {
-                @Override
-                public void handleFailed(IOException e, Void nothing) {
-                    loop.run(() -> failed(String.valueOf(e.getMessage())));
-                }
-            }, null);
+            future.addNotifier(
+                    new IoFuture.HandlingNotifier<Object, Void>() {
+                        @Override
+                        public void handleFailed(IOException e, Void nothing) {
+                            loop.run(() -> failed(String.valueOf(e.getMessage())));
+                        }
+                    },
+                    null);
         }
 
         private boolean settle() {
@@ -135,25 +148,29 @@
 
         @Override
         public void handleEvent(StreamConnection c) {
-            loop.run(() -> {
-                reached = c;
-                if (settled) {
-                    org.xnio.IoUtils.safeClose(c);
-                } else if (c instanceof SslConnection s) {
-                    shake(s);
-                } else {
-                    there();
-                }
-            });
+            loop.run(
+                    () -> {
+                        reached = c;
+                        if (settled) {
+                            org.xnio.IoUtils.safeClose(c);
+                        } else if (c instanceof SslConnection s) {
+                            shake(s);
+                        } else {
+                            there();
+                        }
+                    });
         }
 
         // The handshake is part of the opening: a call that is written into it would count as sent.
         private void shake(SslConnection c) {
-            c.getHandshakeSetter().set(s -> {
-                // Told from within a read or a flush: what is sent now would come in between.
-                shaken = true;
-                loop.execute(this::there);
-            });
+            c.getHandshakeSetter()
+                    .set(
+                            s -> {
+                                // Told from within a read or a flush: what is sent now would come
+                                // in between.
+                                shaken = true;
+                                loop.execute(this::there);
+                            });
             c.setCloseListener(s -> loop.run(() -> failed("closed in the handshake")));
             c.getSourceChannel().setReadListener(s -> further(c));
             c.getSinkChannel().setWriteListener(s -> further(c));
--- a/src/main/java/brooklock/net/IoLoop.java
+++ b/src/main/java/brooklock/net/IoLoop.java
@@ -5,7 +5,9 @@
 import org.xnio.XnioExecutor;
 import org.xnio.XnioIoThread;
 
-/** One I/O thread with what its connections share: buffers, timers, the way in for other threads. */
+/**
+ * One I/O thread with what its connections share: buffers, timers, the way in for other threads.
+ */
 public final class IoLoop {
     private static final XnioExecutor.Key NO_KEY = () -> false;
 
@@ -42,13 +44,14 @@
     }
 
     /**
-     * Runs work on this thread after so many nanoseconds, not before; removing the key calls it off. The selector
-     * counts in milliseconds: what is left over is rounded up, since it takes less than one for none and would run the
-     * work at once, before any socket is looked at again.
+     * Runs work on this thread after so many nanoseconds, not before; removing the key calls it
+     * off. The selector counts in milliseconds: what is left over is rounded up, since it takes
+     * less than one for none and would run the work at once, before any socket is looked at again.
      */
     public XnioExecutor.Key after(long ns, Runnable work) {
         try {
-            return thread.executeAfter(work, Math.max(1, (ns + 999_999) / 1_000_000), TimeUnit.MILLISECONDS);
+            return thread.executeAfter(
+                    work, Math.max(1, (ns + 999_999) / 1_000_000), TimeUnit.MILLISECONDS);
         } catch (RejectedExecutionException closed) {
             return NO_KEY;
         }
@@ -56,7 +59,8 @@
 
     void mustBeHere() {
         if (Thread.currentThread() != thread) {
-            throw new IllegalStateException("connection touched from " + Thread.currentThread().getName());
+            throw new IllegalStateException(
+                    "connection touched from " + Thread.currentThread().getName());
         }
     }
 }
--- a/src/main/java/brooklock/net/Listener.java
+++ b/src/main/java/brooklock/net/Listener.java
@@ -32,23 +32,29 @@
     private final Set<ServerConnection> connections = ConcurrentHashMap.newKeySet();
     private volatile boolean draining;
 
-    private Listener(Net net, InetSocketAddress at, ServerLimits limits, Handler handler, SSLContext tls)
+    private Listener(
+            Net net, InetSocketAddress at, ServerLimits limits, Handler handler, SSLContext tls)
             throws IOException {
         this.net = net;
         this.limits = limits;
         this.handler = handler;
-        OptionMap.Builder options = OptionMap.builder().set(Options.TCP_NODELAY, true)
-                .set(Options.REUSE_ADDRESSES, true).set(Options.BACKLOG, limits.backlog());
+        OptionMap.Builder options =
+                OptionMap.builder()
+                        .set(Options.TCP_NODELAY, true)
+                        .set(Options.REUSE_ADDRESSES, true)
+                        .set(Options.BACKLOG, limits.backlog());
         if (tls == null) {
             ChannelListener<AcceptingChannel<StreamConnection>> accept = this::accept;
             channel = net.worker.createStreamConnectionServer(at, accept, options.getMap());
         } else {
-            // Asked of every client, needed of none here: whether a request needs one is said by its route.
+            // Asked of every client, needed of none here: whether a request needs one is said by
+            // its route.
             options.set(Options.SSL_CLIENT_AUTH_MODE, SslClientAuthMode.REQUESTED)
                     .set(Options.SSL_ENABLED_PROTOCOLS, Sequence.of("TLSv1.3", "TLSv1.2"));
             ChannelListener<AcceptingChannel<SslConnection>> accept = this::accept;
-            channel = new JsseXnioSsl(net.worker.getXnio(), OptionMap.EMPTY, tls)
-                    .createSslConnectionServer(net.worker, at, accept, options.getMap());
+            channel =
+                    new JsseXnioSsl(net.worker.getXnio(), OptionMap.EMPTY, tls)
+                            .createSslConnectionServer(net.worker, at, accept, options.getMap());
         }
         channel.resumeAccepts();
     }
@@ -64,8 +70,12 @@
         return new Listener(net, at, limits, handler, null);
     }
 
-    /** Listens with TLS 1.3 and 1.2; a client's certificate is asked for and checked by the context's trust. */
-    public static Listener openTls(Net net, InetSocketAddress at, ServerLimits limits, Handler handler, SSLContext tls)
+    /**
+     * Listens with TLS 1.3 and 1.2; a client's certificate is asked for and checked by the
+     * context's trust.
+     */
+    public static Listener openTls(
+            Net net, InetSocketAddress at, ServerLimits limits, Handler handler, SSLContext tls)
             throws IOException {
         return new Listener(net, at, limits, handler, tls);
     }
@@ -100,7 +110,8 @@
                 begin(c);
             }
         } catch (IOException e) {
-            // The one connection is lost, or descriptors have run out; the next readiness tries again.
+            // The one connection is lost, or descriptors have run out; the next readiness tries
+            // again.
         }
     }
 
--- a/src/main/java/brooklock/net/Net.java
+++ b/src/main/java/brooklock/net/Net.java
@@ -32,10 +32,16 @@
      * @throws IOException where the platform gives no selectors
      */
     public static Net open(String name, int threads) throws IOException {
-        OptionMap options = OptionMap.builder().set(Options.WORKER_NAME, name).set(Options.WORKER_IO_THREADS, threads)
-                .set(Options.WORKER_TASK_CORE_THREADS, 1).set(Options.WORKER_TASK_MAX_THREADS, 1)
-                .set(Options.THREAD_DAEMON, true).getMap();
-        return new Net(Xnio.getInstance("nio", Net.class.getClassLoader()).createWorker(options), threads);
+        OptionMap options =
+                OptionMap.builder()
+                        .set(Options.WORKER_NAME, name)
+                        .set(Options.WORKER_IO_THREADS, threads)
+                        .set(Options.WORKER_TASK_CORE_THREADS, 1)
+                        .set(Options.WORKER_TASK_MAX_THREADS, 1)
+                        .set(Options.THREAD_DAEMON, true)
+                        .getMap();
+        return new Net(
+                Xnio.getInstance("nio", Net.class.getClassLoader()).createWorker(options), threads);
     }
 
     /** Number of I/O threads. */
--- a/src/main/java/brooklock/net/Output.java
+++ b/src/main/java/brooklock/net/Output.java
@@ -6,9 +6,9 @@
 import org.xnio.conduits.ConduitStreamSinkChannel;
 
 /**
- * What a connection has still to write. It holds the buffers themselves, not copies: whoever hands one in leaves it
- * alone until all is written, so a slow reader costs no memory beyond what its sender holds already. How much may wait
- * is bounded by whoever adds.
+ * What a connection has still to write. It holds the buffers themselves, not copies: whoever hands
+ * one in leaves it alone until all is written, so a slow reader costs no memory beyond what its
+ * sender holds already. How much may wait is bounded by whoever adds.
  */
 final class Output {
     // A head, a chunk's start, its bytes, its end, and a last chunk.
@@ -43,8 +43,10 @@
     /** Writes what the socket takes; true once nothing waits. */
     boolean flush() throws IOException {
         while (from < to) {
-            long n = to - from == 1 ? sink.write(waiting[from])
-                    : sink.write(waiting, from, Math.min(AT_ONCE, to - from));
+            long n =
+                    to - from == 1
+                            ? sink.write(waiting[from])
+                            : sink.write(waiting, from, Math.min(AT_ONCE, to - from));
             written += Math.max(0, n);
             while (from < to && !waiting[from].hasRemaining()) {
                 waiting[from++] = null;
--- a/src/main/java/brooklock/net/ServerConnection.java
+++ b/src/main/java/brooklock/net/ServerConnection.java
@@ -20,11 +20,12 @@
 import org.xnio.ssl.SslConnection;
 
 /**
- * The server's side of one connection. Requests are taken one at a time, in order: a pipelined one waits unread, at most
- * a buffer of it, until the answer before it has gone out.
+ * The server's side of one connection. Requests are taken one at a time, in order: a pipelined one
+ * waits unread, at most a buffer of it, until the answer before it has gone out.
  */
 final class ServerConnection extends Wire {
-    // Once an answer to a bad request has gone out, what the client still sends is read away for so long, so that
+    // Once an answer to a bad request has gone out, what the client still sends is read away for so
+    // long, so that
     // the system does not throw the answer away with a reset (RFC 9112, section 9.6).
     private static final long LINGER_NS = 500_000_000L;
 
@@ -37,7 +38,8 @@
     private boolean lingering;
     private boolean inputEnded;
 
-    ServerConnection(Listener listener, IoLoop loop, StreamConnection connection, boolean unwanted) {
+    ServerConnection(
+            Listener listener, IoLoop loop, StreamConnection connection, boolean unwanted) {
         super(loop, connection);
         this.listener = listener;
         this.unwanted = unwanted;
@@ -105,7 +107,8 @@
                 source.suspendReads();
                 return;
             }
-            // Readiness is told again while there is more, but not for a record of TLS that was read and not opened yet.
+            // Readiness is told again while there is more, but not for a record of TLS that was
+            // read and not opened yet.
             if (n == 0 || !full && !tls) {
                 return;
             }
@@ -154,7 +157,8 @@
         }
     }
 
-    // The client's side has ended: between requests that is the end, within one it has left or waits on.
+    // The client's side has ended: between requests that is the end, within one it has left or
+    // waits on.
     private void ended() {
         inputEnded = true;
         giveBuffer();
@@ -167,12 +171,13 @@
 
     void resumeBody() {
         // The request's body may have come along with its head.
-        loop.execute(() -> {
-            if (!closed) {
-                source.resumeReads();
-                again();
-            }
-        });
+        loop.execute(
+                () -> {
+                    if (!closed) {
+                        source.resumeReads();
+                        again();
+                    }
+                });
     }
 
     private void again() {
@@ -194,7 +199,10 @@
 
     // ---- Writing
 
-    /** Hands buffers to the socket; true if it took all, else {@link ServerExchange#onWritable} is called later. */
+    /**
+     * Hands buffers to the socket; true if it took all, else {@link ServerExchange#onWritable} is
+     * called later.
+     */
     boolean write(ByteBuffer... buffers) {
         if (closed) {
             return true;
@@ -248,8 +256,12 @@
         current = null;
         body = null;
         headBegun = false;
-        boolean goesOn = keep && bodyRead && !inputEnded && !listener.draining()
-                && served < listener.limits.requests();
+        boolean goesOn =
+                keep
+                        && bodyRead
+                        && !inputEnded
+                        && !listener.draining()
+                        && served < listener.limits.requests();
         if (!goesOn) {
             lingering = true;
             if (output.empty()) {
@@ -258,11 +270,12 @@
             return;
         }
         watchdog.in(listener.limits.idleNs());
-        loop.execute(() -> {
-            if (!closed && current == null) {
-                again();
-            }
-        });
+        loop.execute(
+                () -> {
+                    if (!closed && current == null) {
+                        again();
+                    }
+                });
     }
 
     // What the client still sends is read away for a moment before the connection is closed.
@@ -296,13 +309,17 @@
             return;
         }
         byte[] text = (why + "\n").getBytes(java.nio.charset.StandardCharsets.UTF_8);
-        Fields f = new Fields().add("Content-Type", "text/plain; charset=utf-8")
-                .add("Content-Length", Integer.toString(text.length)).add("Connection", "close");
+        Fields f =
+                new Fields()
+                        .add("Content-Type", "text/plain; charset=utf-8")
+                        .add("Content-Length", Integer.toString(text.length))
+                        .add("Connection", "close");
         if (status == 503) {
             f.add("Retry-After", "1");
         }
         lingering = true;
-        if (write(Writing.response(new ResponseHead(status, f)), ByteBuffer.wrap(text)) && !closed) {
+        if (write(Writing.response(new ResponseHead(status, f)), ByteBuffer.wrap(text))
+                && !closed) {
             linger();
         }
     }
@@ -341,7 +358,8 @@
         try {
             connection.setOption(Options.CLOSE_ABORT, true);
         } catch (IOException e) {
-            // Closed then in the ordinary way: a body with a length or chunks is seen to be short all the same.
+            // Closed then in the ordinary way: a body with a length or chunks is seen to be short
+            // all the same.
         }
         kill();
     }
@@ -358,7 +376,9 @@
         }
     }
 
-    /** The client's certificates, its own first; null where it showed none or the way is not TLS. */
+    /**
+     * The client's certificates, its own first; null where it showed none or the way is not TLS.
+     */
     X509Certificate[] certificates() {
         if (!(connection instanceof SslConnection tls) || tls.getSslSession() == null) {
             return null;
--- a/src/main/java/brooklock/net/ServerExchange.java
+++ b/src/main/java/brooklock/net/ServerExchange.java
@@ -67,7 +67,10 @@
 
     // ---- The request's body
 
-    /** Asks for the whole body, which the listener's limits bound; called at once where there is none. */
+    /**
+     * Asks for the whole body, which the listener's limits bound; called at once where there is
+     * none.
+     */
     public void body(Consumer<byte[]> taker) {
         if (!hasBody) {
             taker.accept(NOTHING);
@@ -118,7 +121,8 @@
     }
 
     /**
-     * Begins the answer. Fields about the connection and the framing are set here; of those given, any are replaced.
+     * Begins the answer. Fields about the connection and the framing are set here; of those given,
+     * any are replaced.
      *
      * @param length bytes of the body, or -1 where that is not known
      * @return false where the socket is full already
@@ -133,8 +137,11 @@
         bodiless = head.method().equals("HEAD") || answer.status() == 204 || answer.status() == 304;
         chunked = length < 0 && head.minor() >= 1 && !bodiless;
         left = bodiless ? 0 : length < 0 ? Long.MAX_VALUE : length;
-        keep = head.keepsAlive() && connection.mayKeep() && (length >= 0 || chunked || bodiless)
-                && (!hasBody || bodyTaker != null && body == null);
+        keep =
+                head.keepsAlive()
+                        && connection.mayKeep()
+                        && (length >= 0 || chunked || bodiless)
+                        && (!hasBody || bodyTaker != null && body == null);
         if (chunked) {
             f.remove("Content-Length").add("Transfer-Encoding", "chunked");
         } else if (length >= 0 && answer.status() != 204 && answer.status() != 304) {
@@ -151,7 +158,8 @@
     /**
      * Sends a piece of the body, which must be left alone until all is written.
      *
-     * @return true if the socket took it; else the action given to {@link #onWritable} is run when it has
+     * @return true if the socket took it; else the action given to {@link #onWritable} is run when
+     *     it has
      */
     public boolean write(ByteBuffer piece) {
         if (over || bodiless) {
@@ -165,7 +173,8 @@
             return true;
         }
         if (chunked) {
-            return connection.write(Writing.chunkStart(piece.remaining()), piece, Writing.chunkEnd());
+            return connection.write(
+                    Writing.chunkStart(piece.remaining()), piece, Writing.chunkEnd());
         }
         left -= left == Long.MAX_VALUE ? 0 : piece.remaining();
         return connection.write(piece);
@@ -207,7 +216,10 @@
         }
     }
 
-    /** Breaks the answer off so that the client sees it: no last chunk, a short body, a reset connection. */
+    /**
+     * Breaks the answer off so that the client sees it: no last chunk, a short body, a reset
+     * connection.
+     */
     public void abort() {
         if (!over) {
             over = true;
--- a/src/main/java/brooklock/net/Stream.java
+++ b/src/main/java/brooklock/net/Stream.java
@@ -8,32 +8,31 @@
 import org.xnio.StreamConnection;
 
 /**
- * A connection that carries a protocol other than HTTP: bytes in, bytes out, one moving deadline, one end. Belongs to
- * one I/O thread, on which everything here is called. Reads one buffer a readiness, so that a peer at full speed leaves
- * the others their turns.
+ * A connection that carries a protocol other than HTTP: bytes in, bytes out, one moving deadline,
+ * one end. Belongs to one I/O thread, on which everything here is called. Reads one buffer a
+ * readiness, so that a peer at full speed leaves the others their turns.
  */
 public final class Stream extends Wire {
     /** Whoever speaks the protocol. */
     public interface Taker {
         /**
-         * Takes bytes. What is left in the buffer is offered again with what follows; leaving a whole buffer of
-         * {@value BufferPool#SIZE} bytes ends the connection.
+         * Takes bytes. What is left in the buffer is offered again with what follows; leaving a
+         * whole buffer of {@value BufferPool#SIZE} bytes ends the connection.
          */
         void bytes(ByteBuffer in);
 
         /** All that waited to be written has been taken by the system. */
-        default void allWritten() {
-        }
+        default void allWritten() {}
 
         /** The deadline has passed. */
-        default void late() {
-        }
+        default void late() {}
 
         /** The connection has ended by itself; not called after {@link Stream#close}. */
         void ended(String why);
     }
 
-    // Bytes read and left after the sending side was shut; a peer that sends more is not waited for.
+    // Bytes read and left after the sending side was shut; a peer that sends more is not waited
+    // for.
     private static final long MOST_LEFT = 256 * 1024;
 
     private static final Logger LOG = LoggerFactory.getLogger(Stream.class);
@@ -56,8 +55,11 @@
      * @throws IOException where descriptors have run out
      */
     public static Stream[] pair(IoLoop loop) throws IOException {
-        ChannelPipe<StreamConnection, StreamConnection> pipe = loop.thread.createFullDuplexPipeConnection();
-        return new Stream[] {new Stream(loop, pipe.getLeftSide()), new Stream(loop, pipe.getRightSide())};
+        ChannelPipe<StreamConnection, StreamConnection> pipe =
+                loop.thread.createFullDuplexPipeConnection();
+        return new Stream[] {
+            new Stream(loop, pipe.getLeftSide()), new Stream(loop, pipe.getRightSide())
+        };
     }
 
     /** Begins to read for a taker. */
@@ -128,8 +130,9 @@
     }
 
     /**
-     * Ends it in order: what waits is written, then the sending side is shut, and what still comes is read and left until
-     * the peer has closed too. A close over unread bytes would reset the connection and take written answers with it.
+     * Ends it in order: what waits is written, then the sending side is shut, and what still comes
+     * is read and left until the peer has closed too. A close over unread bytes would reset the
+     * connection and take written answers with it.
      *
      * @param limitNs longest that it may take, ns
      * @param ended called once its descriptor is free
@@ -201,7 +204,8 @@
         } catch (IOException e) {
             broken(String.valueOf(e.getMessage()));
         } catch (RuntimeException fault) {
-            // A fault of whoever speaks the protocol costs this connection, not the thread: its bytes would be ready for ever.
+            // A fault of whoever speaks the protocol costs this connection, not the thread: its
+            // bytes would be ready for ever.
             LOG.error("a connection's bytes could not be taken", fault);
             broken("a fault here");
         }
--- a/src/main/java/brooklock/net/StreamListener.java
+++ b/src/main/java/brooklock/net/StreamListener.java
@@ -15,19 +15,28 @@
 public final class StreamListener implements Closeable {
     // Connections taken before other sockets have their turn.
     private static final int AT_ONCE = 64;
-    // Rest after an accept that failed, ns: with no descriptor left the socket stays ready, and trying at once would spin.
+    // Rest after an accept that failed, ns: with no descriptor left the socket stays ready, and
+    // trying at once would spin.
     private static final long REST_NS = 50_000_000L;
 
     private final Net net;
     private final Consumer<Stream> taker;
     private final AcceptingChannel<? extends StreamConnection> channel;
 
-    private StreamListener(Net net, InetSocketAddress at, int backlog, Consumer<Stream> taker) throws IOException {
+    private StreamListener(Net net, InetSocketAddress at, int backlog, Consumer<Stream> taker)
+            throws IOException {
         this.net = net;
         this.taker = taker;
         ChannelListener<AcceptingChannel<StreamConnection>> accept = this::accept;
-        channel = net.worker.createStreamConnectionServer(at, accept, OptionMap.builder()
-                .set(Options.TCP_NODELAY, true).set(Options.REUSE_ADDRESSES, true).set(Options.BACKLOG, backlog).getMap());
+        channel =
+                net.worker.createStreamConnectionServer(
+                        at,
+                        accept,
+                        OptionMap.builder()
+                                .set(Options.TCP_NODELAY, true)
+                                .set(Options.REUSE_ADDRESSES, true)
+                                .set(Options.BACKLOG, backlog)
+                                .getMap());
         channel.resumeAccepts();
     }
 
@@ -39,8 +48,8 @@
      * @param taker is given each connection on its I/O thread
      * @throws IOException where the address is taken or not this machine's
      */
-    public static StreamListener open(Net net, InetSocketAddress at, int backlog, Consumer<Stream> taker)
-            throws IOException {
+    public static StreamListener open(
+            Net net, InetSocketAddress at, int backlog, Consumer<Stream> taker) throws IOException {
         return new StreamListener(net, at, backlog, taker);
     }
 
@@ -64,7 +73,9 @@
         }
     }
 
-    /** Takes what the system has accepted already, then stops listening; called on an I/O thread. */
+    /**
+     * Takes what the system has accepted already, then stops listening; called on an I/O thread.
+     */
     public void finish() {
         accept(channel);
         close();
--- a/src/main/java/brooklock/net/Watchdog.java
+++ b/src/main/java/brooklock/net/Watchdog.java
@@ -3,8 +3,9 @@
 import org.xnio.XnioExecutor;
 
 /**
- * One moving deadline. Moving it later costs a field write: the timer that is out looks again when it fires, so a
- * connection that is busy all the time sets a timer no more often than its time-out is long.
+ * One moving deadline. Moving it later costs a field write: the timer that is out looks again when
+ * it fires, so a connection that is busy all the time sets a timer no more often than its time-out
+ * is long.
  */
 final class Watchdog {
     private final IoLoop loop;
--- a/src/main/java/brooklock/net/Wire.java
+++ b/src/main/java/brooklock/net/Wire.java
@@ -9,8 +9,9 @@
 import org.xnio.ssl.SslConnection;
 
 /**
- * What both sides of a connection share: the bytes that have come and were not taken yet, what is still to be written,
- * one moving deadline, and an end that happens once. Belongs to one I/O thread.
+ * What both sides of a connection share: the bytes that have come and were not taken yet, what is
+ * still to be written, one moving deadline, and an end that happens once. Belongs to one I/O
+ * thread.
  */
 abstract class Wire {
     final IoLoop loop;
@@ -18,10 +19,19 @@
     final ConduitStreamSourceChannel source;
     final Output output;
     final Watchdog watchdog;
-    /** A record of TLS may have been read from the socket and not been opened yet, so readiness alone does not do. */
+
+    /**
+     * A record of TLS may have been read from the socket and not been opened yet, so readiness
+     * alone does not do.
+     */
     final boolean tls;
-    /** Bytes not taken yet, ready to be added to; null while there are none, so that an idle connection holds none. */
+
+    /**
+     * Bytes not taken yet, ready to be added to; null while there are none, so that an idle
+     * connection holds none.
+     */
     ByteBuffer in;
+
     boolean closed;
 
     Wire(IoLoop loop, StreamConnection connection) {
@@ -36,7 +46,10 @@
     /** The deadline has passed. */
     abstract void late();
 
-    /** Reads into the buffer, which is taken from the pool where there is none: bytes, or -1 at the end. */
+    /**
+     * Reads into the buffer, which is taken from the pool where there is none: bytes, or -1 at the
+     * end.
+     */
     final int fill() throws IOException {
         if (in == null) {
             in = loop.buffers.take();
@@ -44,7 +57,10 @@
         return source.read(in);
     }
 
-    /** Writes what waits, and asks to be called again while something does; true once nothing does after such a call. */
+    /**
+     * Writes what waits, and asks to be called again while something does; true once nothing does
+     * after such a call.
+     */
     final boolean flushed() throws IOException {
         ConduitStreamSinkChannel sink = connection.getSinkChannel();
         if (!output.flush()) {
@@ -58,7 +74,10 @@
         return waited;
     }
 
-    /** Keeps what was not taken of a buffer that was flipped for reading; gives it back where nothing was left. */
+    /**
+     * Keeps what was not taken of a buffer that was flipped for reading; gives it back where
+     * nothing was left.
+     */
     final void keepRest() {
         if (in != null) {
             in.compact();
--- a/src/main/java/brooklock/platform/ClientLink.java
+++ b/src/main/java/brooklock/platform/ClientLink.java
@@ -7,11 +7,15 @@
 import java.util.List;
 import java.util.Map;
 
-/** One client's connection: calls in, one answer to each, in any order. Belongs to the I/O thread. */
+/**
+ * One client's connection: calls in, one answer to each, in any order. Belongs to the I/O thread.
+ */
 final class ClientLink implements Stream.Taker {
     /** Calls open on one connection; the protocol's bound, further ones are refused. */
     static final int MOST_OPEN = 32;
-    // Messages out of order before their connection is closed: a client that sends nothing else costs little more.
+
+    // Messages out of order before their connection is closed: a client that sends nothing else
+    // costs little more.
     private static final int MOST_WRONG = 4;
     // Time in which more of a message has to come, and a new connection's first byte, ns.
     private static final long MESSAGE_NS = 2_000_000_000L;
@@ -50,7 +54,10 @@
         return !stream.closed() && open.isEmpty() && pending() == 0 && !halfRead;
     }
 
-    /** Ends in order if nothing is open here even after what the system holds has been read; whether it does. */
+    /**
+     * Ends in order if nothing is open here even after what the system holds has been read; whether
+     * it does.
+     */
     boolean retire() {
         while (idle() && stream.readNow()) {
             // A call that has come is taken, and this one is not idle any more.
@@ -84,7 +91,9 @@
     public void bytes(ByteBuffer in) {
         try {
             boolean begins = !halfRead;
-            for (RpcMessage m = decoder.next(in); m != null && !stream.closed(); m = decoder.next(in)) {
+            for (RpcMessage m = decoder.next(in);
+                    m != null && !stream.closed();
+                    m = decoder.next(in)) {
                 spoke = true;
                 begins = true;
                 idleSince = System.nanoTime();
@@ -142,7 +151,8 @@
         }
     }
 
-    // What has come together is looked at together: a call that is taken back in the same breath is none.
+    // What has come together is looked at together: a call that is taken back in the same breath is
+    // none.
     private void takeFresh() throws Malformed {
         for (RpcMessage.Call call : fresh.values()) {
             ask(call);
@@ -160,7 +170,9 @@
         }
         if (front.engine().isOpen(ask.id())) {
             wrong(call, "Invalid", "an id that is open");
-        } else if (front.closing() || !front.engine().take(ask, this, call.number(), j -> open.put(call.number(), j))) {
+        } else if (front.closing()
+                || !front.engine()
+                        .take(ask, this, call.number(), j -> open.put(call.number(), j))) {
             write(RpcWriter.error(call.number(), "Overloaded", Map.of()));
         }
     }
@@ -178,16 +190,24 @@
     void served(Job job, Frame answer) {
         if (open.remove(job.message, job)) {
             boolean same = answer.code() == Frame.SAME;
-            write(RpcWriter.served(job.message, same ? new byte[0] : answer.body(),
-                    same ? Map.of("notmod", "1") : Map.of()));
+            write(
+                    RpcWriter.served(
+                            job.message,
+                            same ? new byte[0] : answer.body(),
+                            same ? Map.of("notmod", "1") : Map.of()));
         }
     }
 
     /** The final answer: declined, and trying again is harmless. */
     void refused(Job job, long retryInNs) {
         if (open.remove(job.message, job)) {
-            write(RpcWriter.error(job.message, "Overloaded",
-                    retryInNs > 0 ? Map.of("w", Long.toString(Math.max(1, retryInNs / 1_000_000))) : Map.of()));
+            write(
+                    RpcWriter.error(
+                            job.message,
+                            "Overloaded",
+                            retryInNs > 0
+                                    ? Map.of("w", Long.toString(Math.max(1, retryInNs / 1_000_000)))
+                                    : Map.of()));
         }
     }
 
--- a/src/main/java/brooklock/platform/ClientRequest.java
+++ b/src/main/java/brooklock/platform/ClientRequest.java
@@ -4,8 +4,8 @@
 import java.util.regex.Pattern;
 
 /**
- * What a client asks, checked. A request that is out of order is never passed on: hosts close on what they can't read,
- * whatever else is open there. Pure.
+ * What a client asks, checked. A request that is out of order is never passed on: hosts close on
+ * what they can't read, whatever else is open there. Pure.
  *
  * @param id as 16 hex digits on the wire
  * @param cls the class by its place in the settings
@@ -20,8 +20,19 @@
  * @param tag tag of the client's copy, or null
  * @param body the bytes to be written; empty where there are none
  */
-record ClientRequest(long id, int cls, String name, String object, int part, int group, double sizeKb, int waitMs,
-        boolean repeat, String key, String tag, byte[] body) {
+record ClientRequest(
+        long id,
+        int cls,
+        String name,
+        String object,
+        int part,
+        int group,
+        double sizeKb,
+        int waitMs,
+        boolean repeat,
+        String key,
+        String tag,
+        byte[] body) {
     private static final Pattern HEX16 = Pattern.compile("[0-9a-f]{16}");
     private static final Pattern HEX32 = Pattern.compile("[0-9a-f]{32}");
     private static final Pattern WHOLE = Pattern.compile("0|[1-9][0-9]{0,8}");
@@ -30,8 +41,7 @@
     private static final int MOST_GROUP = 255;
 
     /** What is known of a class here. */
-    record Form(int number, boolean keyed, boolean writes, long deadlineMs) {
-    }
+    record Form(int number, boolean keyed, boolean writes, long deadlineMs) {}
 
     /** The object as a number. */
     long objectId() {
@@ -57,8 +67,19 @@
         if (call.body().length > 0 && !form.writes()) {
             throw new Malformed("a body where nothing is written");
         }
-        return new ClientRequest(id, form.number(), call.method(), object, whole(f, "seg", 0, 0, MOST_PART),
-                whole(f, "bucket", 0, 0, MOST_GROUP), size(f.get("m")), wait, "1".equals(repeat), key, tag, call.body());
+        return new ClientRequest(
+                id,
+                form.number(),
+                call.method(),
+                object,
+                whole(f, "seg", 0, 0, MOST_PART),
+                whole(f, "bucket", 0, 0, MOST_GROUP),
+                size(f.get("m")),
+                wait,
+                "1".equals(repeat),
+                key,
+                tag,
+                call.body());
     }
 
     private static String must(Map<String, String> f, String name, Pattern form) throws Malformed {
@@ -69,7 +90,8 @@
         return v;
     }
 
-    private static int whole(Map<String, String> f, String name, int absent, long least, long most) throws Malformed {
+    private static int whole(Map<String, String> f, String name, int absent, long least, long most)
+            throws Malformed {
         String v = f.get(name);
         if (v == null && absent >= 0) {
             return absent;
--- a/src/main/java/brooklock/platform/CommandChannel.java
+++ b/src/main/java/brooklock/platform/CommandChannel.java
@@ -12,8 +12,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The command channel: events in their order, each once, over connections that break, fall silent or repeat. Belongs to
- * the I/O thread.
+ * The command channel: events in their order, each once, over connections that break, fall silent
+ * or repeat. Belongs to the I/O thread.
  */
 final class CommandChannel implements Stream.Taker {
     private static final Logger LOG = LoggerFactory.getLogger(CommandChannel.class);
@@ -24,7 +24,8 @@
     // Wait before the next try, ns; doubled with each that failed, up to so much.
     private static final long AGAIN_NS = 100_000_000L;
     private static final long MOST_AGAIN_NS = 500_000_000L;
-    // A wait lasts between these parts of itself, drawn anew: what cuts one dispatcher off cuts off the whole fleet, which
+    // A wait lasts between these parts of itself, drawn anew: what cuts one dispatcher off cuts off
+    // the whole fleet, which
     // must not come back in one instant.
     private static final double WAIT_FROM = 0.2;
     private static final double WAIT_TO = 1.6;
@@ -40,7 +41,12 @@
     private long again = AGAIN_NS;
     private int round;
 
-    CommandChannel(IoLoop loop, InetSocketAddress address, long cursor, long seed, Consumer<Command> taker) {
+    CommandChannel(
+            IoLoop loop,
+            InetSocketAddress address,
+            long cursor,
+            long seed,
+            Consumer<Command> taker) {
         this.loop = loop;
         this.address = address;
         this.cursor = cursor;
@@ -95,11 +101,13 @@
 
     private void connectLater() {
         int mine = ++round;
-        loop.after((long) (again * random.nextDouble(WAIT_FROM, WAIT_TO)), () -> {
-            if (mine == round) {
-                connect();
-            }
-        });
+        loop.after(
+                (long) (again * random.nextDouble(WAIT_FROM, WAIT_TO)),
+                () -> {
+                    if (mine == round) {
+                        connect();
+                    }
+                });
         again = Math.min(MOST_AGAIN_NS, again * 2);
     }
 
@@ -119,7 +127,8 @@
     private void take(Command c) throws Malformed {
         if (c instanceof Command.Beat) {
             if (c.cursor() > cursor) {
-                throw new Malformed("event " + c.cursor() + " is out, " + cursor + " was the last told");
+                throw new Malformed(
+                        "event " + c.cursor() + " is out, " + cursor + " was the last told");
             }
         } else if (c.cursor() > cursor + 1) {
             throw new Malformed("event " + c.cursor() + " after " + cursor);
--- a/src/main/java/brooklock/platform/CommandReader.java
+++ b/src/main/java/brooklock/platform/CommandReader.java
@@ -10,7 +10,10 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Lines of the command channel read from any cut of bytes. An event that has not come whole is none. Pure. */
+/**
+ * Lines of the command channel read from any cut of bytes. An event that has not come whole is
+ * none. Pure.
+ */
 public final class CommandReader {
     /** Bytes of a line: a list of some thousand hosts. */
     static final int MOST_LINE = 1 << 20;
@@ -39,8 +42,12 @@
         try {
             JsonElement e = JsonParser.parseString(text);
             return e.isJsonPrimitive() ? new Command.Beat(e.getAsLong()) : of(e.getAsJsonObject());
-        } catch (JsonParseException | IllegalStateException | NumberFormatException | UnsupportedOperationException e) {
-            throw new Malformed("a line that can't be read: " + text.substring(0, Math.min(80, text.length())));
+        } catch (JsonParseException
+                | IllegalStateException
+                | NumberFormatException
+                | UnsupportedOperationException e) {
+            throw new Malformed(
+                    "a line that can't be read: " + text.substring(0, Math.min(80, text.length())));
         }
     }
 
@@ -58,19 +65,32 @@
             }
             if (o.has("drop")) {
                 JsonObject drop = o.getAsJsonObject("drop");
-                return new Command.Drop(cursor, drop.has("id") ? Long.parseUnsignedLong(drop.get("id").getAsString(), 16) : 0,
-                        drop.has("family") ? drop.get("family").getAsInt() : 0, drop.get("when").getAsLong());
+                return new Command.Drop(
+                        cursor,
+                        drop.has("id")
+                                ? Long.parseUnsignedLong(drop.get("id").getAsString(), 16)
+                                : 0,
+                        drop.has("family") ? drop.get("family").getAsInt() : 0,
+                        drop.get("when").getAsLong());
             }
             return new Command.Other(cursor);
-        } catch (NullPointerException | ClassCastException | IllegalStateException | NumberFormatException
+        } catch (NullPointerException
+                | ClassCastException
+                | IllegalStateException
+                | NumberFormatException
                 | UnsupportedOperationException e) {
             throw new Malformed("an event that can't be read");
         }
     }
 
     private static Command.Endpoint endpoint(JsonObject o) {
-        return new Command.Endpoint(o.get("name").getAsString(), text(o, "address"), text(o, "zone"), text(o, "type"),
-                o.get("status").getAsString(), o.has("weight") ? o.get("weight").getAsDouble() : 1,
+        return new Command.Endpoint(
+                o.get("name").getAsString(),
+                text(o, "address"),
+                text(o, "zone"),
+                text(o, "type"),
+                o.get("status").getAsString(),
+                o.has("weight") ? o.get("weight").getAsDouble() : 1,
                 o.has("since_ms") ? o.get("since_ms").getAsLong() : 0);
     }
 
--- a/src/main/java/brooklock/platform/Engine.java
+++ b/src/main/java/brooklock/platform/Engine.java
@@ -21,14 +21,17 @@
 import org.xnio.XnioExecutor;
 
 /**
- * Between the module and the sockets, all on one I/O thread: events go to the module one after another, its actions are
- * carried out in their order, its timers and the time-outs of attempts are kept. Every attempt comes to one outcome.
+ * Between the module and the sockets, all on one I/O thread: events go to the module one after
+ * another, its actions are carried out in their order, its timers and the time-outs of attempts are
+ * kept. Every attempt comes to one outcome.
  */
 final class Engine {
     private static final Logger LOG = LoggerFactory.getLogger(Engine.class);
-    // Requests taken and not ended; further ones are refused at once. Above what one core can serve in a deadline.
+    // Requests taken and not ended; further ones are refused at once. Above what one core can serve
+    // in a deadline.
     private static final int MOST_JOBS = 8192;
-    // Part of the heap that the bodies of open requests may take together; further ones are refused at once.
+    // Part of the heap that the bodies of open requests may take together; further ones are refused
+    // at once.
     private static final int HEAP_PART = 8;
 
     /** Where attempts and answers go. */
@@ -40,8 +43,7 @@
         void stop(Try t);
     }
 
-    private record Due(long atNs, Runnable work) {
-    }
+    private record Due(long atNs, Runnable work) {}
 
     private final Vitals vitals = new Vitals();
     private final Decider decider;
@@ -88,7 +90,10 @@
         return open;
     }
 
-    /** Takes a request whose id is not open; false where there is no room, which the caller tells the client. */
+    /**
+     * Takes a request whose id is not open; false where there is no room, which the caller tells
+     * the client.
+     */
     boolean take(ClientRequest ask, ClientLink client, long message, Consumer<Job> taken) {
         if (open >= MOST_JOBS || bodyBytes + ask.body().length > mostBodyBytes) {
             return false;
@@ -101,8 +106,16 @@
         open++;
         taken.accept(job);
         vitals.taken();
-        tell(new RouterApi.Request(job.number, ask.cls(), ask.objectId(), ask.part(),
-                ask.group(), ask.sizeKb(), ask.repeat(), job.deadlineNs));
+        tell(
+                new RouterApi.Request(
+                        job.number,
+                        ask.cls(),
+                        ask.objectId(),
+                        ask.part(),
+                        ask.group(),
+                        ask.sizeKb(),
+                        ask.repeat(),
+                        job.deadlineNs));
         return true;
     }
 
@@ -140,8 +153,16 @@
             vitals.served(clock.now() - job.takenNs);
             job.client.served(job, answer);
         }
-        tell(new RouterApi.Done(job.number, t.attempt, t.get.host(), outcome, note,
-                clock.now() - t.begunAtNs, waitedNs, job.closed));
+        tell(
+                new RouterApi.Done(
+                        job.number,
+                        t.attempt,
+                        t.get.host(),
+                        outcome,
+                        note,
+                        clock.now() - t.begunAtNs,
+                        waitedNs,
+                        job.closed));
         forget(job);
     }
 
@@ -179,7 +200,8 @@
         try {
             decider.on(clock.now(), e, out);
         } catch (RuntimeException fault) {
-            // A fault in one decision must not stop all others, and its request must not wait for nothing.
+            // A fault in one decision must not stop all others, and its request must not wait for
+            // nothing.
             LOG.error("decision failed: {}", e, fault);
             out.clear();
             if (e instanceof RouterApi.Request r) {
@@ -235,7 +257,10 @@
             ended(t, Outcome.MOOT, Note.NONE, 0, null);
             return;
         }
-        due.add(new Due(Math.min(job.deadlineNs, t.sentAtNs + a.limitNs()), () -> stop(t, Outcome.TIMEOUT)));
+        due.add(
+                new Due(
+                        Math.min(job.deadlineNs, t.sentAtNs + a.limitNs()),
+                        () -> stop(t, Outcome.TIMEOUT)));
         if (a.beginWithinNs() < a.limitNs()) {
             due.add(new Due(t.sentAtNs + a.beginWithinNs(), () -> stopUnlessBegun(t)));
         }
--- a/src/main/java/brooklock/platform/Frame.java
+++ b/src/main/java/brooklock/platform/Frame.java
@@ -13,30 +13,43 @@
 public record Frame(int code, long id, Map<String, String> fields, byte[] body) {
     /** Marks what comes from a dispatcher. */
     static final int FROM_DISPATCHER = 165;
+
     /** Marks what comes from a cache host. */
     static final int FROM_HOST = 90;
+
     /** A request. */
     static final int ASK = 16;
+
     /** Gives a request up. */
     static final int QUIT = 17;
+
     /** The bytes. */
     static final int OK = 64;
+
     /** The client's copy is the one. */
     static final int SAME = 65;
+
     /** Not held, not filled. */
     static final int MISS = 66;
+
     /** No room. */
     static final int FULL = 67;
+
     /** Failed. */
     static final int ERROR = 68;
+
     /** Was over already. */
     static final int MOOT = 69;
+
     /** The connection works. */
     static final int GREEN = 70;
+
     /** Bytes of a head. */
     static final int HEAD = 16;
+
     /** Bytes of a body; the protocol's bound of an object. */
     public static final int MOST_BODY = 240_000;
+
     /** Bytes of an answer's fields, some times what the protocol names. */
     public static final int MOST_FIELDS = 4096;
 }
--- a/src/main/java/brooklock/platform/FrameWriter.java
+++ b/src/main/java/brooklock/platform/FrameWriter.java
@@ -6,8 +6,7 @@
 
 /** Frames to and from cache hosts. Pure. */
 final class FrameWriter {
-    private FrameWriter() {
-    }
+    private FrameWriter() {}
 
     /** A frame of a dispatcher with its fields as they go on the wire. */
     static ByteBuffer frame(int code, long id, String fields, byte[] body) {
@@ -20,8 +19,15 @@
         CRC32 check = new CRC32();
         check.update(f);
         check.update(body);
-        return ByteBuffer.allocate(Frame.HEAD + f.length + body.length + 4).put((byte) mark)
-                .put((byte) code).putShort((short) f.length).putInt(body.length).putLong(id).put(f).put(body)
-                .putInt((int) check.getValue()).flip();
+        return ByteBuffer.allocate(Frame.HEAD + f.length + body.length + 4)
+                .put((byte) mark)
+                .put((byte) code)
+                .putShort((short) f.length)
+                .putInt(body.length)
+                .putLong(id)
+                .put(f)
+                .put(body)
+                .putInt((int) check.getValue())
+                .flip();
     }
 }
--- a/src/main/java/brooklock/platform/Front.java
+++ b/src/main/java/brooklock/platform/Front.java
@@ -22,13 +22,16 @@
     // Time without a call after which a connection is closed, ns; clients close theirs after 4 s.
     private static final long IDLE_NS = 8_000_000_000L;
     private static final long SWEEP_NS = 500_000_000L;
-    // Time for a whole message, ns: above every deadline, and a client that sends byte by byte holds no place for ever.
+    // Time for a whole message, ns: above every deadline, and a client that sends byte by byte
+    // holds no place for ever.
     private static final long MESSAGE_NS = 6_000_000_000L;
-    // Part of the heap that answers may take together until their clients take them; then the one with most is closed.
+    // Part of the heap that answers may take together until their clients take them; then the one
+    // with most is closed.
     private static final int HEAP_PART = 4;
     // Time between looks at whether all has been answered, at the end, ns.
     static final long LOOK_NS = 10_000_000L;
-    // Connections that may be ending in order above the bound: their descriptors are counted in Node's.
+    // Connections that may be ending in order above the bound: their descriptors are counted in
+    // Node's.
     static final int MOST_FINISHING = 16;
 
     private final IoLoop loop;
@@ -90,7 +93,9 @@
 
     private void sweep() {
         long before = System.nanoTime() - IDLE_NS;
-        List.copyOf(links).stream().filter(l -> l.idle() && l.idleSince() - before < 0).forEach(ClientLink::retire);
+        List.copyOf(links).stream()
+                .filter(l -> l.idle() && l.idleSince() - before < 0)
+                .forEach(ClientLink::retire);
         loop.after(SWEEP_NS, this::sweep);
     }
 
@@ -115,7 +120,9 @@
     /** An answer waits for its client to take it. */
     void stalls() {
         if (links.stream().mapToLong(ClientLink::pending).sum() > mostPending) {
-            links.stream().max(Comparator.comparingLong(ClientLink::pending)).ifPresent(ClientLink::close);
+            links.stream()
+                    .max(Comparator.comparingLong(ClientLink::pending))
+                    .ifPresent(ClientLink::close);
         }
     }
 
@@ -154,17 +161,20 @@
     }
 
     /**
-     * Refuses new requests from now on, listens no more and ends each connection in order once all of it is answered.
+     * Refuses new requests from now on, listens no more and ends each connection in order once all
+     * of it is answered.
      *
      * @param ended called when the last has ended
      */
     void end(Runnable ended) {
         closing = true;
         // Connections that the system has taken are on their way to this thread yet.
-        loop.after(LOOK_NS, () -> {
-            listener.finish();
-            endIdle(ended);
-        });
+        loop.after(
+                LOOK_NS,
+                () -> {
+                    listener.finish();
+                    endIdle(ended);
+                });
     }
 
     private void endIdle(Runnable ended) {
--- a/src/main/java/brooklock/platform/Gathered.java
+++ b/src/main/java/brooklock/platform/Gathered.java
@@ -4,7 +4,8 @@
 import java.util.Arrays;
 
 /**
- * Bytes of a stated length that come bit by bit. Memory grows with what has come, not with what was announced. Pure.
+ * Bytes of a stated length that come bit by bit. Memory grows with what has come, not with what was
+ * announced. Pure.
  */
 final class Gathered {
     // First piece; most texts fit, and a body doubles it a few times.
