--- a/src/main/java/brooklock/warming/Warming.java
+++ b/src/main/java/brooklock/warming/Warming.java
@@ -13,35 +13,42 @@
 import java.util.function.BiPredicate;
 
 /**
- * Brings cold caches up to their full share. It is told what the dispatcher sees and says three things: how large a
- * share a cold cache is to have, which neighbour a miss there is filled from first, and what is to be fetched ahead.
- * Deterministic, bounded, without a clock; for one thread.
+ * Brings cold caches up to their full share. It is told what the dispatcher sees and says three
+ * things: how large a share a cold cache is to have, which neighbour a miss there is filled from
+ * first, and what is to be fetched ahead. Deterministic, bounded, without a clock; for one thread.
  *
  * @param <T> what the dispatcher needs to ask for a part by itself
  */
 public final class Warming<T> {
-    // A cache's copies are not back when its link is: so long after its start a neighbour is asked first, unless its
+    // A cache's copies are not back when its link is: so long after its start a neighbour is asked
+    // first, unless its
     // own hits are back before.
     private static final long EMPTY_NS = 120_000_000_000L;
     // Share of its neighbours' share of hits at which a cache has its copies back.
     private static final double FILLED = 0.9;
-    // Parts looked at for fetching ahead in one go, and time until the list of the hottest is made anew.
+    // Parts looked at for fetching ahead in one go, and time until the list of the hottest is made
+    // anew.
     private static final int LOOKED_AT = 64;
     // Of those that belong to one cold cache, the hottest kept at hand.
     private static final int QUEUED = 256;
     // Parts in a row that cannot be fetched now, and are passed over.
     private static final int PASSED_OVER = 8;
-    // Neighbours of the own location are asked first while they give at least this part as often as those elsewhere.
+    // Neighbours of the own location are asked first while they give at least this part as often as
+    // those elsewhere.
     private static final double NEARER = 0.5;
     private static final long LIST_NS = 1_000_000_000L;
-    // Connections broken one after the other from which a cache is taken for dead and back, as the module does.
+    // Connections broken one after the other from which a cache is taken for dead and back, as the
+    // module does.
     private static final int BROKE = 3;
     // How often what holds for all caches is reckoned anew.
     private static final long LOOK_NS = 100_000_000L;
     // Most parts remembered as there at one cache.
     private static final int THERE_MOST = 20_000;
 
-    /** Weight of a cache for a part, as the module hashes: the same order, or neighbours would be asked in vain. */
+    /**
+     * Weight of a cache for a part, as the module hashes: the same order, or neighbours would be
+     * asked in vain.
+     */
     public interface Order {
         /** Greater is nearer. */
         double score(long object, int part, long host);
@@ -53,19 +60,22 @@
      * @param startedNs its last start by the clock of all calls here; 0 for long ago
      * @param startedMs the same as it is told, which stays through a restart of this dispatcher
      */
-    public record Cache(long host, int zone, boolean ready, long startedNs, long startedMs) {
-    }
+    public record Cache(long host, int zone, boolean ready, long startedNs, long startedMs) {}
 
     /** One part to fetch at a cold cache, from one that surely holds it or not at all. */
-    public record Fetch<T>(long host, long source, long object, int part, T how) {
-    }
+    public record Fetch<T>(long host, long source, long object, int part, T how) {}
 
     /** How the asking of a neighbour came out. */
-    public enum Given { GAVE, LACKED, FAILED }
+    public enum Given {
+        GAVE,
+        LACKED,
+        FAILED
+    }
 
     private static final class Known {
         Cache cache;
-        // Its last start: as the list has it, or as its broken connections tell, whichever is later.
+        // Its last start: as the list has it, or as its broken connections tell, whichever is
+        // later.
         long startedNs;
         int broke;
         Ramp ramp;
@@ -222,8 +232,8 @@
     /**
      * A cache refused for want of room, failed, or did not answer.
      *
-     * @param broke its connection broke or could not be had: so often running, it is taken for started anew, whatever
-     *     the list says
+     * @param broke its connection broke or could not be had: so often running, it is taken for
+     *     started anew, whatever the list says
      */
     public void refused(long host, boolean broke, long now) {
         Known k = caches.get(host);
@@ -257,7 +267,8 @@
         }
         Known cold = caches.get(host);
         if (cold != null && how != Given.FAILED) {
-            (k.cache.zone() == cold.cache.zone() ? cold.near : cold.far).came(how == Given.GAVE, now);
+            (k.cache.zone() == cold.cache.zone() ? cold.near : cold.far)
+                    .came(how == Given.GAVE, now);
         }
         switch (how) {
             case GAVE -> k.giver.gave();
@@ -283,14 +294,15 @@
     /** Shares of cold caches that have changed enough to be told: by host, of 1. */
     public Map<Long, Double> shares(long now) {
         Map<Long, Double> news = new TreeMap<>();
-        caches.forEach((host, k) -> {
-            double share = share(k, now);
-            boolean whole = share == 1 && k.told != 1;
-            if (whole || Math.abs(share - k.told) >= Ramp.LEAST / 2) {
-                k.told = share;
-                news.put(host, share);
-            }
-        });
+        caches.forEach(
+                (host, k) -> {
+                    double share = share(k, now);
+                    boolean whole = share == 1 && k.told != 1;
+                    if (whole || Math.abs(share - k.told) >= Ramp.LEAST / 2) {
+                        k.told = share;
+                        news.put(host, share);
+                    }
+                });
         return news;
     }
 
@@ -304,7 +316,10 @@
         return k.ramp == null || k.cache.zone() != zone ? 1 : k.ramp.share(now);
     }
 
-    /** The neighbour that a miss of a part at a cache is filled from first; 0 for none. It is taken to be asked. */
+    /**
+     * The neighbour that a miss of a part at a cache is filled from first; 0 for none. It is taken
+     * to be asked.
+     */
     public long neighbour(long host, long object, int part, long now) {
         Known k = caches.get(host);
         if (k == null || !empty(k, now)) {
@@ -317,7 +332,8 @@
         return from;
     }
 
-    // Of the own location the two nearest by hash, which took over while this one was gone; elsewhere the nearest, which
+    // Of the own location the two nearest by hash, which took over while this one was gone;
+    // elsewhere the nearest, which
     // holds it for its own clients. The kind goes first that had more of late.
     private long giver(Known cold, long object, int part, long now) {
         double each = law.partPerNs(served.perNs(now));
@@ -329,7 +345,11 @@
         double farScore = 0;
         for (Known k : caches.values()) {
             boolean near = k.cache.zone() == cold.cache.zone();
-            if (k == cold || !k.cache.ready() || !near && !law.anyZone() || !warm(k, now) || k.ramp != null && empty(k, now)) {
+            if (k == cold
+                    || !k.cache.ready()
+                    || !near && !law.anyZone()
+                    || !warm(k, now)
+                    || k.ramp != null && empty(k, now)) {
                 continue;
             }
             double score = order.score(object, part, k.cache.host());
@@ -349,7 +369,8 @@
             }
         }
         boolean farFirst = far != null && cold.near.chance(now) < NEARER * cold.far.chance(now);
-        for (Known k : farFirst ? new Known[] {far, first, second} : new Known[] {first, second, far}) {
+        for (Known k :
+                farFirst ? new Known[] {far, first, second} : new Known[] {first, second, far}) {
             if (k != null && k.giver.may(each, law.neighbourShare(), now)) {
                 return k.cache.host();
             }
@@ -390,14 +411,23 @@
     }
 
     /**
-     * The next parts to fetch ahead: the hottest that belong to a cold cache and are not there yet, from neighbours that
-     * have something to spare. Each is taken to be under way until {@link #fetched}.
+     * The next parts to fetch ahead: the hottest that belong to a cold cache and are not there yet,
+     * from neighbours that have something to spare. Each is taken to be under way until {@link
+     * #fetched}.
      *
-     * @param allowed whether a copy of an object may be passed on now; not while older ones than a purge may be about
+     * @param allowed whether a copy of an object may be passed on now; not while older ones than a
+     *     purge may be about
      */
     public List<Fetch<T>> ahead(long now, BiPredicate<Long, T> allowed) {
-        List<Known> cold = caches.values().stream().filter(k -> k.ahead != null && k.cache.ready()
-                && k.cache.zone() == zone && empty(k, now)).toList();
+        List<Known> cold =
+                caches.values().stream()
+                        .filter(
+                                k ->
+                                        k.ahead != null
+                                                && k.cache.ready()
+                                                && k.cache.zone() == zone
+                                                && empty(k, now))
+                        .toList();
         if (cold.isEmpty()) {
             return List.of();
         }
@@ -407,13 +437,18 @@
         for (Known k : cold) {
             ArrayDeque<HotParts.Hot<T>> queue = queues.get(k);
             int passed = 0;
-            while (queue != null && !queue.isEmpty() && passed < PASSED_OVER
+            while (queue != null
+                    && !queue.isEmpty()
+                    && passed < PASSED_OVER
                     && k.ahead.may(law, law.warmth(now - k.startedNs), each, now)) {
                 HotParts.Hot<T> h = queue.poll();
                 if (k.there.contains(h.key)) {
                     continue;
                 }
-                long from = allowed.test(h.key.object(), h.how) ? giver(k, h.key.object(), h.key.part(), now) : 0;
+                long from =
+                        allowed.test(h.key.object(), h.how)
+                                ? giver(k, h.key.object(), h.key.part(), now)
+                                : 0;
                 if (from == 0) {
                     queue.add(h);
                     passed++;
@@ -428,7 +463,8 @@
         return all;
     }
 
-    // Gives each cold cache its own of the hottest parts, some more each time, from the hottest on anew each second.
+    // Gives each cold cache its own of the hottest parts, some more each time, from the hottest on
+    // anew each second.
     private void queue(List<Known> cold, long now) {
         if (now >= listAt) {
             hottest = hot.hottest(now);
@@ -454,27 +490,34 @@
 
     // The cache of the own location that a part belongs to; 0 where there is none.
     private long owner(HotParts.Key key) {
-        return caches.values().stream().filter(k -> k.cache.ready() && k.cache.zone() == zone)
-                .max(Comparator.comparingDouble(k -> order.score(key.object(), key.part(), k.cache.host())))
-                .map(k -> k.cache.host()).orElse(0L);
+        return caches.values().stream()
+                .filter(k -> k.cache.ready() && k.cache.zone() == zone)
+                .max(
+                        Comparator.comparingDouble(
+                                k -> order.score(key.object(), key.part(), k.cache.host())))
+                .map(k -> k.cache.host())
+                .orElse(0L);
     }
 
     // ---- What is written down
 
     /** One line of a snapshot: a cache's start, and what had been learned of it. */
-    public record Line(long host, long startedMs, double share, double part) {
-    }
+    public record Line(long host, long startedMs, double share, double part) {}
 
     /** What is worth going on from. */
     public List<Line> snapshot(long now) {
         List<Line> all = new ArrayList<>();
-        caches.forEach((host, k) -> all.add(new Line(host, k.cache.startedMs(), share(k, now), k.giver.part())));
+        caches.forEach(
+                (host, k) ->
+                        all.add(
+                                new Line(
+                                        host, k.cache.startedMs(), share(k, now), k.giver.part())));
         return all;
     }
 
     /**
-     * Goes on from a snapshot: only for caches that have not started since, and by its age. One that is older than a few
-     * seconds is worth nothing: the ramps begin as they would without.
+     * Goes on from a snapshot: only for caches that have not started since, and by its age. One
+     * that is older than a few seconds is worth nothing: the ramps begin as they would without.
      */
     public void resume(List<Line> lines, long ageNs, long now) {
         if (ageNs < 0 || ageNs > RESUME_NS) {
@@ -483,7 +526,9 @@
         double worth = 1 - ageNs / (double) RESUME_NS;
         for (Line l : lines) {
             Known k = caches.get(l.host());
-            if (k == null || k.cache.startedMs() != l.startedMs() || !(l.share() >= 0 && l.share() <= 1)) {
+            if (k == null
+                    || k.cache.startedMs() != l.startedMs()
+                    || !(l.share() >= 0 && l.share() <= 1)) {
                 continue;
             }
             k.giver.resume(l.part() * worth);
--- a/src/test/java/brooklock/RandomDay.java
+++ b/src/test/java/brooklock/RandomDay.java
@@ -57,7 +57,10 @@
                 feed(new Purged(object, 3, 50 * Rig.MS));
                 purged.put(object, rig.now - 50 * Rig.MS);
             } else if (what < 32) {
-                Request r = rig.request(random.nextInt(10) == 0 ? 1 + random.nextInt(2) : 0, 1 + random.nextInt(30));
+                Request r =
+                        rig.request(
+                                random.nextInt(10) == 0 ? 1 + random.nextInt(2) : 0,
+                                1 + random.nextInt(30));
                 open.put(r.id(), r);
                 feed(r);
             }
@@ -76,7 +79,8 @@
         if (!back) {
             leaving.add(id);
         }
-        HostState state = back ? HostState.READY : random.nextBoolean() ? HostState.DRAINING : HostState.GONE;
+        HostState state =
+                back ? HostState.READY : random.nextBoolean() ? HostState.DRAINING : HostState.GONE;
         rig.change(Rig.host(id, kind == Rig.PARENT ? 0 : 1, kind, state, back ? rig.now : 0));
     }
 
@@ -99,7 +103,16 @@
             if (!d.outcome().provesNotRun) {
                 mayHaveRunSince.putIfAbsent(d.id(), rig.now);
             }
-            e = new Done(d.id(), d.attempt(), d.host(), d.outcome(), d.note(), d.tookNs(), 0, closed);
+            e =
+                    new Done(
+                            d.id(),
+                            d.attempt(),
+                            d.host(),
+                            d.outcome(),
+                            d.note(),
+                            d.tookNs(),
+                            0,
+                            closed);
         } else if (e instanceof Lapsed l) {
             if (!open.containsKey(l.id())) {
                 return;
@@ -115,8 +128,10 @@
         } else if (a instanceof Refuse r) {
             Request q = open.get(r.id());
             assertTrue(q != null && rig.now <= q.deadlineNs());
-            assertTrue(q.cls() != Rig.UNSAFE || !mayHaveRunSince.containsKey(r.id())
-                    && out.getOrDefault(r.id(), 0) == 0);
+            assertTrue(
+                    q.cls() != Rig.UNSAFE
+                            || !mayHaveRunSince.containsKey(r.id())
+                                    && out.getOrDefault(r.id(), 0) == 0);
             end(r.id());
         } else if (a instanceof Fail f) {
             assertTrue(open.containsKey(f.id()));
@@ -130,7 +145,9 @@
     private void send(Get g) {
         Request q = open.get(g.id());
         assertTrue(q != null, "a send for a request that has ended");
-        assertFalse(leaving.contains(g.host()) || leaving.contains(g.source()), "sent to a host that leaves");
+        assertFalse(
+                leaving.contains(g.host()) || leaving.contains(g.source()),
+                "sent to a host that leaves");
         int n = attempts.merge(g.id(), 1, Integer::sum);
         assertTrue(n <= 6);
         firstSent.putIfAbsent(g.id(), rig.now);
@@ -147,7 +164,10 @@
         Outcome[] outcomes = Outcome.values();
         boolean well = random.nextInt(3) > 0;
         Outcome outcome = well ? Outcome.OK : outcomes[random.nextInt(outcomes.length)];
-        Note note = outcome == Outcome.OK ? Note.HIT : Note.values()[random.nextInt(Note.values().length)];
+        Note note =
+                outcome == Outcome.OK
+                        ? Note.HIT
+                        : Note.values()[random.nextInt(Note.values().length)];
         long took = Math.min(g.limitNs(), (1 + random.nextInt(800)) * Rig.MS);
         due.computeIfAbsent(rig.now + took, k -> new ArrayList<>())
                 .add(new Done(g.id(), n - 1, g.host(), outcome, note, took, 0, false));
--- a/src/test/java/brooklock/Rig.java
+++ b/src/test/java/brooklock/Rig.java
@@ -52,13 +52,26 @@
     }
 
     static Settings settings(boolean duplicates, Group group, int routers) {
-        List<ClassSettings> classes = List.of(
-                new ClassSettings(300 * MS, 2, Effect.SAFE, Group.ALL, 0, false, 8000 * MS),
-                new ClassSettings(500 * MS, 0, Effect.KEYED, group, 2000 * MS, true, 0),
-                new ClassSettings(500 * MS, 0, Effect.UNSAFE, Group.ALL, 0, true, 0));
-        return new Settings(classes, new Limits(true, duplicates, true, 6, 500 * MS, 400 * MS),
-                new Guards(0.2, 15_000 * MS, 2, 2000 * MS, 0.06, 20_000 * MS, 2, 6000 * MS), routers, 1,
-                List.of(0, 0, 0), PARENT, ORIGIN, false, false, true, true, 5000, 2 * MS);
+        List<ClassSettings> classes =
+                List.of(
+                        new ClassSettings(300 * MS, 2, Effect.SAFE, Group.ALL, 0, false, 8000 * MS),
+                        new ClassSettings(500 * MS, 0, Effect.KEYED, group, 2000 * MS, true, 0),
+                        new ClassSettings(500 * MS, 0, Effect.UNSAFE, Group.ALL, 0, true, 0));
+        return new Settings(
+                classes,
+                new Limits(true, duplicates, true, 6, 500 * MS, 400 * MS),
+                new Guards(0.2, 15_000 * MS, 2, 2000 * MS, 0.06, 20_000 * MS, 2, 6000 * MS),
+                routers,
+                1,
+                List.of(0, 0, 0),
+                PARENT,
+                ORIGIN,
+                false,
+                false,
+                true,
+                true,
+                5000,
+                2 * MS);
     }
 
     /** Four caches 11..14 in zone 1, one in zone 2, parents 801 and 802 in the hub, the origin. */
@@ -104,7 +117,11 @@
     }
 
     static Get get(List<Action> actions) {
-        return actions.stream().filter(Get.class::isInstance).map(Get.class::cast).findFirst().orElse(null);
+        return actions.stream()
+                .filter(Get.class::isInstance)
+                .map(Get.class::cast)
+                .findFirst()
+                .orElse(null);
     }
 
     static <T> List<T> all(List<Action> actions, Class<T> type) {
@@ -113,8 +130,16 @@
 
     /** Ends the newest attempt of a request. */
     List<Action> done(Get g, Outcome outcome, Note note, long tookMs) {
-        return on(new RouterApi.Done(g.id(), sends.get(g.id()) - 1, g.host(), outcome, note, tookMs * MS, 0,
-                outcome == Outcome.OK));
+        return on(
+                new RouterApi.Done(
+                        g.id(),
+                        sends.get(g.id()) - 1,
+                        g.host(),
+                        outcome,
+                        note,
+                        tookMs * MS,
+                        0,
+                        outcome == Outcome.OK));
     }
 
     /** Asks and answers at once, in time. */
--- a/src/test/java/brooklock/RulesTest.java
+++ b/src/test/java/brooklock/RulesTest.java
@@ -78,7 +78,11 @@
         Rig rig = new Rig().withFleet();
         for (int part = 0; part < 4; part++) {
             Request r = rig.request(PAGE, 42);
-            Get g = Rig.get(rig.on(new Request(r.id(), PAGE, 42, part, 3, 50, false, r.deadlineNs())));
+            Get g =
+                    Rig.get(
+                            rig.on(
+                                    new Request(
+                                            r.id(), PAGE, 42, part, 3, 50, false, r.deadlineNs())));
             assertEquals(0, g.keep(), "part " + part);
             rig.done(g, Outcome.OK, Note.HIT, 10);
         }
@@ -88,7 +92,8 @@
     @Test
     void aRefusedRequestsRetryDoesNotListItsObject() {
         Rig rig = new Rig();
-        assertEquals(1, Rig.all(rig.on(rig.request(PAGE, 42)), Refuse.class).size(), "no host is known");
+        assertEquals(
+                1, Rig.all(rig.on(rig.request(PAGE, 42)), Refuse.class).size(), "no host is known");
         rig.withFleet();
         assertEquals(0, rig.hit(PAGE, 42).keep());
     }
@@ -132,7 +137,21 @@
         assertEquals(1, Rig.all(out, Refuse.class).size());
         assertEquals(1, Rig.all(out, Cancel.class).size());
         out = rig.done(Rig.get(rig.on(rig.request(PAGE, 43))), Outcome.ERROR, Note.NONE, 1);
-        assertEquals(0, Rig.all(rig.on(new RouterApi.Done(r.id(), 0, 11, Outcome.CANCELLED, Note.NONE, 1, 0, true)), Get.class).size());
+        assertEquals(
+                0,
+                Rig.all(
+                                rig.on(
+                                        new RouterApi.Done(
+                                                r.id(),
+                                                0,
+                                                11,
+                                                Outcome.CANCELLED,
+                                                Note.NONE,
+                                                1,
+                                                0,
+                                                true)),
+                                Get.class)
+                        .size());
     }
 
     @Test
@@ -156,7 +175,8 @@
         Rig rig = new Rig();
         Refuse refuse = Rig.all(rig.on(rig.request(PAGE, 1)), Refuse.class).get(0);
         assertTrue(refuse.retryInNs() > 0 && refuse.retryInNs() <= 500 * MS);
-        assertEquals(1, Rig.all(rig.on(rig.request(UNSAFE, 1)), Refuse.class).size(), "it never ran");
+        assertEquals(
+                1, Rig.all(rig.on(rig.request(UNSAFE, 1)), Refuse.class).size(), "it never ran");
     }
 
     // ---- Rule 2: effects
@@ -196,7 +216,8 @@
         rig.now += 2000 * MS;
         List<Action> out = rig.done(again, Outcome.ERROR, Note.NONE, 2000);
         assertNull(Rig.get(out));
-        assertEquals(1, Rig.all(out, Refuse.class).size(), "the group is all: a refusal is allowed");
+        assertEquals(
+                1, Rig.all(out, Refuse.class).size(), "the group is all: a refusal is allowed");
     }
 
     @Test
@@ -210,7 +231,10 @@
     @Test
     void noSecondCopyWhereItIsNotAllowed() {
         Rig rig = new Rig(Rig.settings(false, Group.ALL)).withFleet();
-        assertEquals(1, Rig.all(rig.on(rig.request(PAGE, 42)), SetTimer.class).size(), "the deadline's alone");
+        assertEquals(
+                1,
+                Rig.all(rig.on(rig.request(PAGE, 42)), SetTimer.class).size(),
+                "the deadline's alone");
     }
 
     @Test
@@ -220,7 +244,9 @@
         Get first = Rig.get(out);
         SetTimer hedge = Rig.all(out, SetTimer.class).get(1);
         rig.now = hedge.atNs();
-        assertNull(Rig.get(rig.on(new RouterApi.TimerFired(hedge.token()))), "late, but not alone at a silent host");
+        assertNull(
+                Rig.get(rig.on(new RouterApi.TimerFired(hedge.token()))),
+                "late, but not alone at a silent host");
         List<SetTimer> timers = new ArrayList<>();
         for (int i = 0; i < 30; i++) {
             timers.addAll(Rig.all(rig.on(rig.request(PAGE, i)), SetTimer.class));
@@ -228,8 +254,10 @@
         rig.now += 1200 * MS;
         int copies = 0;
         for (SetTimer t : timers) {
-            copies += t.atNs() <= rig.now
-                    ? Rig.all(rig.on(new RouterApi.TimerFired(t.token())), Get.class).size() : 0;
+            copies +=
+                    t.atNs() <= rig.now
+                            ? Rig.all(rig.on(new RouterApi.TimerFired(t.token())), Get.class).size()
+                            : 0;
         }
         assertTrue(copies > 0, "first host " + first.host());
     }
@@ -239,7 +267,8 @@
     @Test
     void aDrainingHostIsLeftAtOnceAsTargetAndAsSource() {
         Rig rig = new Rig().withFleet();
-        rig.change(Rig.host(12, 1, Rig.CACHE, HostState.DRAINING, 0),
+        rig.change(
+                Rig.host(12, 1, Rig.CACHE, HostState.DRAINING, 0),
                 Rig.host(801, 0, Rig.PARENT, HostState.DRAINING, 0));
         for (long o = 1; o <= 200; o++) {
             Get g = rig.hit(PAGE, o);
@@ -251,8 +280,12 @@
     @Test
     void aHostAbsentFromAFullListIsGone() {
         Rig rig = new Rig().withFleet();
-        rig.on(new HostList(ListKind.FULL, List.of(Rig.host(11, 1, Rig.CACHE, HostState.READY, 0),
-                Rig.host(802, 0, Rig.PARENT, HostState.READY, 0))));
+        rig.on(
+                new HostList(
+                        ListKind.FULL,
+                        List.of(
+                                Rig.host(11, 1, Rig.CACHE, HostState.READY, 0),
+                                Rig.host(802, 0, Rig.PARENT, HostState.READY, 0))));
         for (long o = 1; o <= 50; o++) {
             Get g = rig.hit(PAGE, o);
             assertEquals(11, g.host());
@@ -301,8 +334,10 @@
         Rig rig = new Rig().withFleet();
         warmUp(rig);
         rig.change(Rig.host(12, 1, Rig.CACHE, HostState.READY, rig.now - 10_000 * MS));
-        rig.change(Rig.host(11, 1, Rig.CACHE, HostState.DRAINING, 0),
-                Rig.host(13, 1, Rig.CACHE, HostState.DRAINING, 0), Rig.host(14, 1, Rig.CACHE, HostState.DRAINING, 0));
+        rig.change(
+                Rig.host(11, 1, Rig.CACHE, HostState.DRAINING, 0),
+                Rig.host(13, 1, Rig.CACHE, HostState.DRAINING, 0),
+                Rig.host(14, 1, Rig.CACHE, HostState.DRAINING, 0));
         long sent = 0;
         for (int i = 0; i < 200; i++) {
             rig.now += 5 * MS;
@@ -431,8 +466,13 @@
             Get g = rig.ask(PAGE, i);
             boolean failing = g.host() == 12;
             asked += failing ? 1 : 0;
-            Get next = Rig.get(rig.done(g, failing ? Outcome.ERROR : Outcome.OK,
-                    failing ? Note.ORIGIN_FAILED : Note.HIT, 5));
+            Get next =
+                    Rig.get(
+                            rig.done(
+                                    g,
+                                    failing ? Outcome.ERROR : Outcome.OK,
+                                    failing ? Note.ORIGIN_FAILED : Note.HIT,
+                                    5));
             if (next != null) {
                 rig.done(next, Outcome.OK, Note.HIT, 5);
             }
@@ -448,8 +488,13 @@
             rig.now += 5 * MS;
             Get g = rig.ask(PAGE, i);
             origin = g.source() == Rig.ORIGIN_HOST;
-            Get next = Rig.get(rig.done(g, origin ? Outcome.OK : Outcome.FULL,
-                    origin ? Note.FILLED : Note.SOURCE_BROKE, 5));
+            Get next =
+                    Rig.get(
+                            rig.done(
+                                    g,
+                                    origin ? Outcome.OK : Outcome.FULL,
+                                    origin ? Note.FILLED : Note.SOURCE_BROKE,
+                                    5));
             if (next != null) {
                 rig.done(next, Outcome.OK, Note.HIT, 5);
             }
@@ -477,7 +522,9 @@
             Get g = Rig.get(rig.on(r));
             rig.now += 20 * MS;
             rig.on(new RouterApi.Lapsed(r.id()));
-            rig.on(new RouterApi.Done(r.id(), 0, g.host(), Outcome.CANCELLED, Note.NONE, 20 * MS, 0, true));
+            rig.on(
+                    new RouterApi.Done(
+                            r.id(), 0, g.host(), Outcome.CANCELLED, Note.NONE, 20 * MS, 0, true));
             Get late = rig.ask(PAGE, 9000 + i);
             rig.now += 700 * MS;
             rig.done(late, i % 2 == 0 ? Outcome.MOOT : Outcome.CONNECT_FAILED, Note.NONE, 700);
@@ -489,7 +536,8 @@
     }
 
     private static Request unsized(Request r) {
-        return new Request(r.id(), r.cls(), r.object(), r.part(), r.group(), 0, r.repeat(), r.deadlineNs());
+        return new Request(
+                r.id(), r.cls(), r.object(), r.part(), r.group(), 0, r.repeat(), r.deadlineNs());
     }
 
     private static void jam(Rig rig) {
@@ -525,7 +573,8 @@
             List<Action> y = b.on(b.request(PAGE, object));
             assertEquals(x, y);
             if (Rig.get(x) != null && random.nextBoolean()) {
-                assertEquals(a.done(Rig.get(x), Outcome.ERROR, Note.NONE, 3),
+                assertEquals(
+                        a.done(Rig.get(x), Outcome.ERROR, Note.NONE, 3),
                         b.done(Rig.get(y), Outcome.ERROR, Note.NONE, 3));
             }
         }
@@ -550,8 +599,14 @@
         all.add(Rig.host(Rig.ORIGIN_HOST, 0, Rig.ORIGIN, HostState.READY, 0));
         Rig rig = new Rig();
         rig.on(new HostList(ListKind.CACHED, all));
-        List<Long> nearest = all.stream().map(HostEntry::host).filter(h -> h <= 130)
-                .sorted(Comparator.comparingDouble(h -> -Rules.score(Rules.copy(7, 0), h, 1))).toList();
+        List<Long> nearest =
+                all.stream()
+                        .map(HostEntry::host)
+                        .filter(h -> h <= 130)
+                        .sorted(
+                                Comparator.comparingDouble(
+                                        h -> -Rules.score(Rules.copy(7, 0), h, 1)))
+                        .toList();
         List<Long> chosen = new ArrayList<>();
         for (int i = 0; i < 200 && chosen.size() < 12; i++) {
             Get g = rig.ask(PAGE, 7);
@@ -560,7 +615,13 @@
             }
             long ails = g.host();
             while (g != null) {
-                g = Rig.get(rig.done(g, g.host() == ails ? Outcome.ERROR : Outcome.OK, Note.NONE, 1));
+                g =
+                        Rig.get(
+                                rig.done(
+                                        g,
+                                        g.host() == ails ? Outcome.ERROR : Outcome.OK,
+                                        Note.NONE,
+                                        1));
             }
         }
         assertEquals(nearest.subList(0, 12), chosen);
@@ -578,13 +639,18 @@
             assertEquals(host, rig.hit(PAGE, 100 + i).host());
             rig.now = Rig.all(out, SetTimer.class).get(0).atNs();
             rig.on(new RouterApi.TimerFired(Rig.all(out, SetTimer.class).get(0).token()));
-            rig.on(new RouterApi.Done(lost.id(), 0, host, Outcome.CANCELLED, Note.NONE, 2900 * MS, 0, true));
+            rig.on(
+                    new RouterApi.Done(
+                            lost.id(), 0, host, Outcome.CANCELLED, Note.NONE, 2900 * MS, 0, true));
         }
         assertNotNull(askedAgain(rig, 600));
         assertNotNull(rig.ask(PAGE, 700), "what is lost shuts no gate");
     }
 
-    /** Asks, has the same cache answer another, and returns the second copy that the first one's delay brings. */
+    /**
+     * Asks, has the same cache answer another, and returns the second copy that the first one's
+     * delay brings.
+     */
     private static Get askedAgain(Rig rig, long object) {
         List<Action> out = rig.on(rig.request(PAGE, object));
         rig.now += 20 * MS;
@@ -615,8 +681,13 @@
             Get g = rig.ask(PAGE, 1000 + i);
             while (g != null) {
                 boolean looked = g.heldOnly() || g.source() == g.host();
-                g = Rig.get(rig.done(g, looked ? Outcome.MISS : Outcome.FULL,
-                        looked ? Note.NONE : Note.ORIGIN_FAILED, 50));
+                g =
+                        Rig.get(
+                                rig.done(
+                                        g,
+                                        looked ? Outcome.MISS : Outcome.FULL,
+                                        looked ? Note.NONE : Note.ORIGIN_FAILED,
+                                        50));
             }
         }
         return rig;
@@ -626,7 +697,9 @@
     void onlyListedObjectsAreFetchedWhileTheOriginsGateIsNarrowerThanOne() {
         Rig rig = failedOrigin(400);
         rig.now += 5000 * MS;
-        assertTrue(rig.ask(PAGE, 1059).source() >= 801 && !rig.hit(PAGE, 1059).heldOnly(), "asked before: listed");
+        assertTrue(
+                rig.ask(PAGE, 1059).source() >= 801 && !rig.hit(PAGE, 1059).heldOnly(),
+                "asked before: listed");
         rig.now += 5000 * MS;
         assertTrue(rig.hit(PAGE, 6000).heldOnly(), "asked once");
     }
@@ -640,8 +713,18 @@
             Get g = rig.ask(PAGE, 2000 + i);
             if (g.source() == 801) {
                 late += i >= 40 ? 1 : 0;
-                g = Rig.get(rig.on(new RouterApi.Done(g.id(), 0, g.host(), Outcome.ERROR, Note.SOURCE_BROKE, 600 * MS,
-                        600 * MS, false)));
+                g =
+                        Rig.get(
+                                rig.on(
+                                        new RouterApi.Done(
+                                                g.id(),
+                                                0,
+                                                g.host(),
+                                                Outcome.ERROR,
+                                                Note.SOURCE_BROKE,
+                                                600 * MS,
+                                                600 * MS,
+                                                false)));
             }
             if (g != null) {
                 rig.done(g, Outcome.OK, Note.FILLED, 20);
@@ -677,12 +760,17 @@
                 }
             }
             int cold = sentTo(routers, 15 - struck, 15, 4, 100) / struck;
-            assertTrue(cold <= 2 * 4 * warm * (0.2 + 0.8 * 4 / 15), struck + " struck: " + cold + " of " + warm);
+            assertTrue(
+                    cold <= 2 * 4 * warm * (0.2 + 0.8 * 4 / 15),
+                    struck + " struck: " + cold + " of " + warm);
             assertTrue(cold > 0, "they are used as far as the budget goes");
         }
     }
 
-    /** Each router asks twice a second for so long, answered at once; counts what goes to the hosts named. */
+    /**
+     * Each router asks twice a second for so long, answered at once; counts what goes to the hosts
+     * named.
+     */
     private static int sentTo(List<Rig> routers, long from, long to, int seconds, int offset) {
         int count = 0;
         for (int i = 0; i < 2 * seconds; i++) {
--- a/src/test/java/brooklock/bench/WireTest.java
+++ b/src/test/java/brooklock/bench/WireTest.java
@@ -22,7 +22,8 @@
 import org.junit.jupiter.api.Test;
 
 class WireTest {
-    private static final String SETTINGS = """
+    private static final String SETTINGS =
+            """
             {"lanes": [{"name": "page", "effect": "read_like", "onTimeNs": 300000000, "giveUpNs": 3000000000}],
              "extra": {"secondTierKind": 1, "storeKind": 2, "passThroughOk": true, "unheardOf": [1]},
              "limits": {"tryLimit": 6}, "tickNs": 2000000, "zone": 1, "machineTypes": ["c", "p", "o"]}""";
@@ -38,14 +39,25 @@
     }
 
     private static byte[] record(int code, byte[] fields) {
-        return ByteBuffer.allocate(5 + fields.length).order(ByteOrder.LITTLE_ENDIAN).put((byte) code)
-                .putInt(fields.length).put(fields).array();
+        return ByteBuffer.allocate(5 + fields.length)
+                .order(ByteOrder.LITTLE_ENDIAN)
+                .put((byte) code)
+                .putInt(fields.length)
+                .put(fields)
+                .array();
     }
 
     private static byte[] up(int who, String settings) {
         byte[] text = settings.getBytes(StandardCharsets.UTF_8);
-        return record(16, ByteBuffer.allocate(16 + text.length).order(ByteOrder.LITTLE_ENDIAN).putInt(who).putLong(9)
-                .putInt(text.length).put(text).array());
+        return record(
+                16,
+                ByteBuffer.allocate(16 + text.length)
+                        .order(ByteOrder.LITTLE_ENDIAN)
+                        .putInt(who)
+                        .putLong(9)
+                        .putInt(text.length)
+                        .put(text)
+                        .array());
     }
 
     private static byte[] frame(byte[]... records) {
@@ -53,7 +65,11 @@
         for (byte[] r : records) {
             n += r.length;
         }
-        ByteBuffer b = ByteBuffer.allocate(12 + n).order(ByteOrder.LITTLE_ENDIAN).putInt(n).putLong(5_000_000_000L);
+        ByteBuffer b =
+                ByteBuffer.allocate(12 + n)
+                        .order(ByteOrder.LITTLE_ENDIAN)
+                        .putInt(n)
+                        .putLong(5_000_000_000L);
         for (byte[] r : records) {
             b.put(r);
         }
@@ -72,8 +88,10 @@
 
     @Test
     void aRequestIsRead() {
-        WireCodec.Reader r = read("12 2c000000 03000000 c4913a5d3ef60e00 01 0000 00004040 00 00003041"
-                + "640ad2557c3bf091 00002044 90dbb60302000000");
+        WireCodec.Reader r =
+                read(
+                        "12 2c000000 03000000 c4913a5d3ef60e00 01 0000 00004040 00 00003041"
+                                + "640ad2557c3bf091 00002044 90dbb60302000000");
         assertEquals(3, r.instance());
         Request q = (Request) r.event(0);
         assertEquals(3, q.part());
@@ -84,8 +102,11 @@
 
     @Test
     void anOutcomeIsRead() {
-        Done d = (Done) read("14 36000000 03000000 c4913a5d3ef60e00 0a00 a0491a0100000000 02000000 074a1203 01 0000"
-                + "c06e8f0000000000 03 52b81e3f0000e040cdcccc3e").event(0);
+        Done d =
+                (Done)
+                        read("14 36000000 03000000 c4913a5d3ef60e00 0a00 a0491a0100000000 02000000 074a1203 01 0000"
+                                        + "c06e8f0000000000 03 52b81e3f0000e040cdcccc3e")
+                                .event(0);
         assertEquals(Outcome.OK, d.outcome());
         assertEquals(Note.FILLED, d.note());
         assertTrue(d.closed());
@@ -100,16 +121,23 @@
 
     @Test
     void probesAndOtherRoutersMessagesAreReadAndIgnored() {
-        assertNull(read("17 1f000000 03000000 f211902c 0a00 c05c150000000000 03 52b81e3f0000e040cdcccc3e").event(0));
+        assertNull(
+                read("17 1f000000 03000000 f211902c 0a00 c05c150000000000 03 52b81e3f0000e040cdcccc3e")
+                        .event(0));
         assertNull(read("18 0c000000 03000000 0200 0400 68692037").event(0));
-        assertThrows(WireCodec.WireFault.class, () -> read("18 0a000000 03000000 0200 0400 6869").event(0));
+        assertThrows(
+                WireCodec.WireFault.class,
+                () -> read("18 0a000000 03000000 0200 0400 6869").event(0));
     }
 
     @Test
     void aHostListIsRead() {
-        HostList l = (HostList) read("11 3d000000 03000000 02 2900000000000000 02000000"
-                + "074a1203 00 0000 0000 01 0000803f 0000000000000000"
-                + "f211902c 01 0000 0000 01 0000c03f 009d966b01000000").event(0);
+        HostList l =
+                (HostList)
+                        read("11 3d000000 03000000 02 2900000000000000 02000000"
+                                        + "074a1203 00 0000 0000 01 0000803f 0000000000000000"
+                                        + "f211902c 01 0000 0000 01 0000c03f 009d966b01000000")
+                                .event(0);
         assertEquals(RouterApi.ListKind.CACHED, l.kind());
         assertEquals(1.5, l.entries().get(1).weight());
     }
@@ -117,7 +145,10 @@
     @Test
     void actionsAreWrittenAsTheWireAsks() {
         WireCodec.Writer w = new WireCodec.Writer();
-        w.action(3, new RouterApi.Get(0x0ef63e5d3a91c4L, 0x03124a07, 60, 0x2c9011f2L, 2, 7, true, true, 60));
+        w.action(
+                3,
+                new RouterApi.Get(
+                        0x0ef63e5d3a91c4L, 0x03124a07, 60, 0x2c9011f2L, 2, 7, true, true, 60));
         w.action(3, new RouterApi.SetTimer(0x4d, 0x0213362490L));
         ByteBuffer b = ByteBuffer.wrap(w.frame()).order(ByteOrder.LITTLE_ENDIAN);
         assertEquals(b.capacity() - 4, b.getInt(0));
@@ -126,8 +157,11 @@
         assertArrayEquals(hex("14 10000000 03000000 4d000000 9024361302000000"), timer);
         byte[] get = new byte[43];
         b.position(4).get(get);
-        assertArrayEquals(hex("1c 26000000 03000000 c4913a5d3ef60e00 074a1203 3c00000000000000 f211902c 02"
-                + "0700000000000000 03"), get);
+        assertArrayEquals(
+                hex(
+                        "1c 26000000 03000000 c4913a5d3ef60e00 074a1203 3c00000000000000 f211902c 02"
+                                + "0700000000000000 03"),
+                get);
     }
 
     @Test
@@ -144,13 +178,17 @@
     @Test
     void aTruncatedFrameIsNamed() {
         byte[] whole = frame(up(3, SETTINGS));
-        assertTrue(fault(java.util.Arrays.copyOf(whole, 7)).contains("truncated frame: header has 7"));
-        assertTrue(fault(java.util.Arrays.copyOf(whole, 40)).contains("truncated frame: body has 28"));
+        assertTrue(
+                fault(java.util.Arrays.copyOf(whole, 7)).contains("truncated frame: header has 7"));
+        assertTrue(
+                fault(java.util.Arrays.copyOf(whole, 40)).contains("truncated frame: body has 28"));
     }
 
     @Test
     void anUnknownCodeIsNamed() {
-        assertTrue(fault(frame(record(99, hex("03000000")))).contains("record at byte 0: unknown event code 99"));
+        assertTrue(
+                fault(frame(record(99, hex("03000000"))))
+                        .contains("record at byte 0: unknown event code 99"));
     }
 
     @Test
@@ -163,13 +201,17 @@
     @Test
     void settingsThatDoNotParseAreNamed() {
         assertTrue(fault(frame(up(3, "{\"lanes\": 1,"))).contains("(settings)"));
-        assertTrue(fault(frame(up(3, "{\"lanes\": [{\"effect\": \"odd\"}]}"))).contains("unknown effect 'odd'"));
+        assertTrue(
+                fault(frame(up(3, "{\"lanes\": [{\"effect\": \"odd\"}]}")))
+                        .contains("unknown effect 'odd'"));
     }
 
     @Test
     void aFaultOfTheModuleBecomesABailOut() throws IOException {
-        byte[] request = hex("12 2c000000 03000000 c4913a5d3ef60e00 01 0000 00004040 05 00003041"
-                + "640ad2557c3bf091 00002044 90dbb60302000000");
+        byte[] request =
+                hex(
+                        "12 2c000000 03000000 c4913a5d3ef60e00 01 0000 00004040 05 00003041"
+                                + "640ad2557c3bf091 00002044 90dbb60302000000");
         byte[] reply = serve(frame(up(3, SETTINGS), request));
         assertEquals(25, reply[4]);
     }
--- a/src/test/java/brooklock/config/SettingsTest.java
+++ b/src/test/java/brooklock/config/SettingsTest.java
@@ -13,7 +13,8 @@
 
 /** Settings are taken whole, and a mistake is told with its line in plain words. */
 class SettingsTest {
-    private static final String RIGHT = """
+    private static final String RIGHT =
+            """
             name d1                      # this dispatcher
             listen 127.0.0.1:8080
             control 127.0.0.1:8081
@@ -35,7 +36,9 @@
             """;
 
     private static String problems(String text) {
-        return assertThrows(SettingsException.class, () -> SettingsReader.parse("f.conf", Path.of("/base"), text))
+        return assertThrows(
+                        SettingsException.class,
+                        () -> SettingsReader.parse("f.conf", Path.of("/base"), text))
                 .getMessage();
     }
 
@@ -52,46 +55,54 @@
         assertEquals(2, s.routes().get(1).unkeyed());
         assertEquals(Path.of("/base/trace.log"), s.files().trace());
         assertEquals(17_000_000_000L, s.guards().coldNs());
-        assertEquals(250, SettingsReader.parse("f.conf", Path.of("/base"), RIGHT + "warming all share 0.2 bears 250/s\n")
-                .warming().bears());
+        assertEquals(
+                250,
+                SettingsReader.parse(
+                                "f.conf",
+                                Path.of("/base"),
+                                RIGHT + "warming all share 0.2 bears 250/s\n")
+                        .warming()
+                        .bears());
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {
-        "name d1                      # this dispatcher | | f.conf: the statement 'name NAME' is missing",
-        "listen 127.0.0.1:8080 | listen here:80 | f.conf:2: 'here:80' is not an address and a port",
-        "here north | here south | f.conf:6: there is no zone 'south'",
-        "zone north hub centre | zone north hub middle | f.conf:5: there is no zone 'middle'",
-        "dispatchers 4 | dispatchers 0 | f.conf:7: the number of dispatchers must be a whole number from 1",
-        "aim 300ms stretch | aim 300 stretch | f.conf:8: '300': a time needs its unit, as in 500ms, 2s or 5min",
-        "deadline 3s fresh | deadline 200ms fresh | f.conf:8: the class 'pages' needs an aim, and a deadline later",
-        "window 5s through | through | f.conf:9: the keyed class 'orders' needs a window",
-        "window 5s through | window 5s | f.conf:9: the class 'orders' has an effect, so it needs 'through'",
-        "notes unsafe | notes harmless | f.conf:10: 'harmless' is not an effect (safe, keyed, unsafe)",
-        "GET,HEAD | GET,POST | f.conf:11: POST cannot be answered from a copy: the class 'pages' needs 'through'",
-        "{part}\" | x{part}\" | f.conf:11: a place in braces is a whole segment of the path: 'x{part}'",
-        "{part}\" | {part} | f.conf:11: a quote is not closed",
-        "unkeyed notes | unkeyed other | f.conf:12: there is no class 'other'",
-        "host c1 cache | host o1 cache | f.conf:14: the host 'o1' stands here already",
-        "weight 2 | weight 0 | f.conf:13: a weight is above 0",
-        "weight 2 | wait 2 | f.conf:13: 'wait' is not an option of a host (weight)",
-        "cache north 127 | cache nowhere 127 | f.conf:13: there is no zone 'nowhere'",
-        "host o1 origin | host o1 parent | f.conf: there is no origin among the hosts",
-        "tries 6 | trys 6 | f.conf:15: 'trys' is not a limit",
-        "connect 250ms | connect 250 | f.conf:15: '250': a time needs its unit",
-        "connect 250ms | connect 2s | f.conf: the deadline of class 'orders' leaves no time for one connection",
-        "body 1MB | body 1GB | f.conf: one request body (body) may be larger than all of them together (bodies)",
-        "cold-from 0.24 | cold-from 24 | f.conf:16: a share lies above 0 and is 1 at most",
-        "pace 5MB/s | pace 5MB | f.conf:17: '5MB': a pace needs its unit, as in 5MB/s",
-        "weights yes | weights 1 | f.conf:17: '1': weights is yes or no",
-        "trace trace.log 64MB | trace trace.log | f.conf:18: 'trace' needs the most bytes, as in 64MB",
-        "trace trace.log 64MB | serve all | f.conf:18: 'serve' is not a statement",
-        "trace trace.log 64MB | name d2 | f.conf:18: 'name' stands in line 1 already",
-        "trace trace.log 64MB | warming all bears 200 | f.conf:18: '200': a rate needs its unit, as in 200/s",
-        "trace trace.log 64MB | warming all bears 0/s | f.conf:18: a cache that bears 0/s bears nothing",
-        "trace trace.log 64MB | warming all bear 9/s | f.conf:18: 'bear' is not an option of warming (share, bears, saved)",
-        "here north | here north now | f.conf:6: 'now' is one word too many",
-    })
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "name d1                      # this dispatcher | | f.conf: the statement 'name NAME' is missing",
+                "listen 127.0.0.1:8080 | listen here:80 | f.conf:2: 'here:80' is not an address and a port",
+                "here north | here south | f.conf:6: there is no zone 'south'",
+                "zone north hub centre | zone north hub middle | f.conf:5: there is no zone 'middle'",
+                "dispatchers 4 | dispatchers 0 | f.conf:7: the number of dispatchers must be a whole number from 1",
+                "aim 300ms stretch | aim 300 stretch | f.conf:8: '300': a time needs its unit, as in 500ms, 2s or 5min",
+                "deadline 3s fresh | deadline 200ms fresh | f.conf:8: the class 'pages' needs an aim, and a deadline later",
+                "window 5s through | through | f.conf:9: the keyed class 'orders' needs a window",
+                "window 5s through | window 5s | f.conf:9: the class 'orders' has an effect, so it needs 'through'",
+                "notes unsafe | notes harmless | f.conf:10: 'harmless' is not an effect (safe, keyed, unsafe)",
+                "GET,HEAD | GET,POST | f.conf:11: POST cannot be answered from a copy: the class 'pages' needs 'through'",
+                "{part}\" | x{part}\" | f.conf:11: a place in braces is a whole segment of the path: 'x{part}'",
+                "{part}\" | {part} | f.conf:11: a quote is not closed",
+                "unkeyed notes | unkeyed other | f.conf:12: there is no class 'other'",
+                "host c1 cache | host o1 cache | f.conf:14: the host 'o1' stands here already",
+                "weight 2 | weight 0 | f.conf:13: a weight is above 0",
+                "weight 2 | wait 2 | f.conf:13: 'wait' is not an option of a host (weight)",
+                "cache north 127 | cache nowhere 127 | f.conf:13: there is no zone 'nowhere'",
+                "host o1 origin | host o1 parent | f.conf: there is no origin among the hosts",
+                "tries 6 | trys 6 | f.conf:15: 'trys' is not a limit",
+                "connect 250ms | connect 250 | f.conf:15: '250': a time needs its unit",
+                "connect 250ms | connect 2s | f.conf: the deadline of class 'orders' leaves no time for one connection",
+                "body 1MB | body 1GB | f.conf: one request body (body) may be larger than all of them together (bodies)",
+                "cold-from 0.24 | cold-from 24 | f.conf:16: a share lies above 0 and is 1 at most",
+                "pace 5MB/s | pace 5MB | f.conf:17: '5MB': a pace needs its unit, as in 5MB/s",
+                "weights yes | weights 1 | f.conf:17: '1': weights is yes or no",
+                "trace trace.log 64MB | trace trace.log | f.conf:18: 'trace' needs the most bytes, as in 64MB",
+                "trace trace.log 64MB | serve all | f.conf:18: 'serve' is not a statement",
+                "trace trace.log 64MB | name d2 | f.conf:18: 'name' stands in line 1 already",
+                "trace trace.log 64MB | warming all bears 200 | f.conf:18: '200': a rate needs its unit, as in 200/s",
+                "trace trace.log 64MB | warming all bears 0/s | f.conf:18: a cache that bears 0/s bears nothing",
+                "trace trace.log 64MB | warming all bear 9/s | f.conf:18: 'bear' is not an option of warming (share, bears, saved)",
+                "here north | here north now | f.conf:6: 'now' is one word too many",
+            })
     void mistakesAreToldInPlainWords(String right, String wrong, String message) {
         assertTrue(RIGHT.contains(right), right);
         String told = problems(RIGHT.replace(right, wrong == null ? "" : wrong));
@@ -100,14 +111,22 @@
 
     @Test
     void allMistakesAreToldAtOnceInTheOrderOfTheirLines() {
-        String told = problems(RIGHT.replace("300ms", "300").replace("64MB", "64").replace("here north", "here x"));
+        String told =
+                problems(
+                        RIGHT.replace("300ms", "300")
+                                .replace("64MB", "64")
+                                .replace("here north", "here x"));
         assertEquals(3, told.lines().count(), told);
-        assertTrue(told.indexOf(":6:") < told.indexOf(":8:") && told.indexOf(":8:") < told.indexOf(":18:"), told);
+        assertTrue(
+                told.indexOf(":6:") < told.indexOf(":8:")
+                        && told.indexOf(":8:") < told.indexOf(":18:"),
+                told);
     }
 
     @Test
     void numbersWithoutSenseAreNotNumbers() {
-        for (String bad : new String[] {"", ".", "1.", "1..2s", "s", "-1s", "1e3s", "0x1s", "1 s"}) {
+        for (String bad :
+                new String[] {"", ".", "1.", "1..2s", "s", "-1s", "1e3s", "0x1s", "1 s"}) {
             assertThrows(IllegalArgumentException.class, () -> Units.time(bad), bad);
         }
         assertEquals(1_500_000L, Units.time("1.5ms"));
--- a/src/test/java/brooklock/credentials/AtOnce.java
+++ b/src/test/java/brooklock/credentials/AtOnce.java
@@ -5,18 +5,25 @@
     private Identity good;
     private BadCredential bad;
 
-    private AtOnce() {
-    }
+    private AtOnce() {}
 
     /** The caller, or why not. */
-    public static Identity look(TokenBook book, String token, KeyRing ring, String address, long nowMs, long nowNs)
+    public static Identity look(
+            TokenBook book, String token, KeyRing ring, String address, long nowMs, long nowNs)
             throws BadCredential {
         AtOnce mine = new AtOnce();
-        book.look(token, ring, address, nowMs, nowNs, (check, after) -> {
-            check.run();
-            after.run();
-            return true;
-        }, mine);
+        book.look(
+                token,
+                ring,
+                address,
+                nowMs,
+                nowNs,
+                (check, after) -> {
+                    check.run();
+                    after.run();
+                    return true;
+                },
+                mine);
         if (mine.bad != null) {
             throw mine.bad;
         }
--- a/src/test/java/brooklock/credentials/CredentialFuzzTest.java
+++ b/src/test/java/brooklock/credentials/CredentialFuzzTest.java
@@ -6,17 +6,29 @@
 import java.util.Arrays;
 import org.junit.jupiter.api.Assertions;
 
-/** Whatever is shown as a token is refused with a reason; nothing but the holder of the key gets in. */
+/**
+ * Whatever is shown as a token is refused with a reason; nothing but the holder of the key gets in.
+ */
 class CredentialFuzzTest {
-    private static final KeyRing RING = KeyRing.parse(com.nimbusds.jose.util.JSONObjectUtils.toJSONString(
-            java.util.Map.of("keys", java.util.List.of(KeyFile.entry("k", "EdDSA", KeyFile.generate("EdDSA"),
-            KeyRing.State.SIGNING)))));
+    private static final KeyRing RING =
+            KeyRing.parse(
+                    com.nimbusds.jose.util.JSONObjectUtils.toJSONString(
+                            java.util.Map.of(
+                                    "keys",
+                                    java.util.List.of(
+                                            KeyFile.entry(
+                                                    "k",
+                                                    "EdDSA",
+                                                    KeyFile.generate("EdDSA"),
+                                                    KeyRing.State.SIGNING)))));
     private static final TokenCheck CHECK = new TokenCheck(null, null, 0);
 
     @FuzzTest(maxDuration = "2m")
     void anyToken(byte[] data) {
-        String token = StandardCharsets.ISO_8859_1.decode(ByteBuffer.wrap(Arrays.copyOf(data,
-                Math.min(data.length, 9000)))).toString();
+        String token =
+                StandardCharsets.ISO_8859_1
+                        .decode(ByteBuffer.wrap(Arrays.copyOf(data, Math.min(data.length, 9000))))
+                        .toString();
         Assertions.assertThrows(BadCredential.class, () -> CHECK.check(token, RING, 0, "l"));
     }
 }
--- a/src/test/java/brooklock/credentials/TokenTest.java
+++ b/src/test/java/brooklock/credentials/TokenTest.java
@@ -26,14 +26,20 @@
     private static final KeyPair ED = KeyFile.generate("EdDSA");
     private static final KeyPair EC = KeyFile.generate("ES256");
     private static final KeyPair RSA = KeyFile.generate("RS256");
-    private static final KeyRing RING = KeyRing.parse(set(KeyFile.entry("ed", "EdDSA", ED, KeyRing.State.SIGNING),
-            KeyFile.entry("ec", "ES256", EC, KeyRing.State.ACCEPTED),
-            KeyFile.entry("rsa", "RS256", RSA, KeyRing.State.ANNOUNCED),
-            KeyFile.entry("old", "EdDSA", KeyFile.generate("EdDSA"), KeyRing.State.RETIRED)));
+    private static final KeyRing RING =
+            KeyRing.parse(
+                    set(
+                            KeyFile.entry("ed", "EdDSA", ED, KeyRing.State.SIGNING),
+                            KeyFile.entry("ec", "ES256", EC, KeyRing.State.ACCEPTED),
+                            KeyFile.entry("rsa", "RS256", RSA, KeyRing.State.ANNOUNCED),
+                            KeyFile.entry(
+                                    "old",
+                                    "EdDSA",
+                                    KeyFile.generate("EdDSA"),
+                                    KeyRing.State.RETIRED)));
     private static final TokenCheck CHECK = new TokenCheck("issuer", "edge", 30_000);
 
-    @TempDir
-    Path dir;
+    @TempDir Path dir;
 
     @SafeVarargs
     private static String set(Map<String, Object>... keys) {
@@ -41,8 +47,17 @@
     }
 
     private static Map<String, Object> claims(Object... changes) {
-        Map<String, Object> c = new LinkedHashMap<>(Map.of("iss", "issuer", "aud", List.of("other", "edge"), "tenant",
-                "acme", "exp", NOW / 1000 + 60));
+        Map<String, Object> c =
+                new LinkedHashMap<>(
+                        Map.of(
+                                "iss",
+                                "issuer",
+                                "aud",
+                                List.of("other", "edge"),
+                                "tenant",
+                                "acme",
+                                "exp",
+                                NOW / 1000 + 60));
         for (int i = 0; i < changes.length; i += 2) {
             if (changes[i + 1] == null) {
                 c.remove(changes[i]);
@@ -54,7 +69,8 @@
     }
 
     private static String why(String token) {
-        return assertThrows(BadCredential.class, () -> CHECK.check(token, RING, NOW, "l")).getMessage();
+        return assertThrows(BadCredential.class, () -> CHECK.check(token, RING, NOW, "l"))
+                .getMessage();
     }
 
     private static String token(Object... changes) {
@@ -71,9 +87,14 @@
 
     @Test
     void goodOnesOfEachAlgorithm() throws BadCredential {
-        for (String token : List.of(token(), TokenMaker.make(EC.getPrivate(), "ec", claims()),
-                TokenMaker.make(RSA.getPrivate(), "rsa", claims()), token("exp", NOW / 1000 - 29),
-                token("nbf", NOW / 1000 + 29), token("aud", "edge"))) {
+        for (String token :
+                List.of(
+                        token(),
+                        TokenMaker.make(EC.getPrivate(), "ec", claims()),
+                        TokenMaker.make(RSA.getPrivate(), "rsa", claims()),
+                        token("exp", NOW / 1000 - 29),
+                        token("nbf", NOW / 1000 + 29),
+                        token("aud", "edge"))) {
             Identity i = CHECK.check(token, RING, NOW, "l").identity();
             assertTrue(i.names().contains(new Identity.Name("claim", "tenant", "acme")));
         }
@@ -96,18 +117,35 @@
         cases.put(headed("kid", "old"), "the token's key has been retired");
         cases.put(headed("alg", "ES256"), "the token's algorithm is not its key's");
         cases.put(headed("alg", "HS256"), "the token's algorithm is not its key's");
-        cases.put(headed("crit", List.of("exp")), "the token asks for an extension that is not known here");
+        cases.put(
+                headed("crit", List.of("exp")),
+                "the token asks for an extension that is not known here");
         cases.put(headed("cty", "JWT"), "the token holds another token");
-        cases.put(Base64URL.encode("{\"alg\":\"none\",\"kid\":\"ed\"}") + "." + parts[1] + "." + parts[2],
+        cases.put(
+                Base64URL.encode("{\"alg\":\"none\",\"kid\":\"ed\"}")
+                        + "."
+                        + parts[1]
+                        + "."
+                        + parts[2],
                 "the token's header cannot be read, or says that it is not signed");
         cases.put(parts[0] + "." + parts[1] + ".", "the token is not three parts in base64url");
         cases.put(good + ".x", "the token is not three parts in base64url");
-        cases.put(parts[0] + "." + parts[1] + "=." + parts[2], "the token is not three parts in base64url");
-        cases.put(parts[0] + "." + Base64URL.encode("not json") + "." + parts[2], "the token's claims cannot be read");
-        cases.put(TokenMaker.make(KeyFile.generate("EdDSA").getPrivate(), "ed", claims()),
+        cases.put(
+                parts[0] + "." + parts[1] + "=." + parts[2],
+                "the token is not three parts in base64url");
+        cases.put(
+                parts[0] + "." + Base64URL.encode("not json") + "." + parts[2],
+                "the token's claims cannot be read");
+        cases.put(
+                TokenMaker.make(KeyFile.generate("EdDSA").getPrivate(), "ed", claims()),
+                "the token's signature is wrong");
+        cases.put(
+                parts[0]
+                        + "."
+                        + Base64URL.encode(JSONObjectUtils.toJSONString(claims("tenant", "beta")))
+                        + "."
+                        + parts[2],
                 "the token's signature is wrong");
-        cases.put(parts[0] + "." + Base64URL.encode(JSONObjectUtils.toJSONString(claims("tenant", "beta"))) + "."
-                + parts[2], "the token's signature is wrong");
         cases.put("a".repeat(9000), "the token is longer than 8192 characters");
         cases.put("{}".repeat(3), "the token is not three parts in base64url");
         cases.forEach((t, reason) -> assertEquals(reason, why(t)));
@@ -116,11 +154,24 @@
     @Test
     void aPublicKeyIsNoSharedSecret() {
         Map<String, Object> header = Map.of("alg", "HS256", "kid", "rsa");
-        assertEquals("the token's algorithm is not its key's",
+        assertEquals(
+                "the token's algorithm is not its key's",
                 why(TokenMaker.make(RSA.getPrivate(), header, claims())));
-        Map<String, Object> secret = new LinkedHashMap<>(Map.of("kty", "oct", "k", Base64URL.encode(new byte[32])
-                .toString(), "kid", "s", "alg", "HS256"));
-        assertThrows(IllegalArgumentException.class, () -> KeyRing.parse(set(secret)), "only where a file says so");
+        Map<String, Object> secret =
+                new LinkedHashMap<>(
+                        Map.of(
+                                "kty",
+                                "oct",
+                                "k",
+                                Base64URL.encode(new byte[32]).toString(),
+                                "kid",
+                                "s",
+                                "alg",
+                                "HS256"));
+        assertThrows(
+                IllegalArgumentException.class,
+                () -> KeyRing.parse(set(secret)),
+                "only where a file says so");
         secret.put("shared", true);
         assertEquals(1, KeyRing.parse(set(secret)).all().size());
     }
@@ -136,8 +187,17 @@
         open.put("d", Base64URL.encode(new byte[32]).toString());
         Map<String, Object> state = new LinkedHashMap<>(a);
         state.put("state", "lost");
-        for (String bad : List.of(set(a, a), set(noAlg), set(wrongAlg), set(open), set(state), set(), "{}", "[",
-                set(a).substring(0, 80))) {
+        for (String bad :
+                List.of(
+                        set(a, a),
+                        set(noAlg),
+                        set(wrongAlg),
+                        set(open),
+                        set(state),
+                        set(),
+                        "{}",
+                        "[",
+                        set(a).substring(0, 80))) {
             assertThrows(IllegalArgumentException.class, () -> KeyRing.parse(bad), bad);
         }
     }
@@ -147,17 +207,32 @@
         TokenBook book = new TokenBook(CHECK, new byte[32]);
         int checked = 0;
         for (int i = 0; i < 200; i++) {
-            String forged = TokenMaker.make(RSA.getPrivate(), Map.of("alg", "EdDSA", "kid", "ed"), claims("n", "" + i));
-            String reason = assertThrows(BadCredential.class, () -> AtOnce.look(book, forged, RING, "1.2.3.4", NOW, 1))
-                    .getMessage();
+            String forged =
+                    TokenMaker.make(
+                            RSA.getPrivate(),
+                            Map.of("alg", "EdDSA", "kid", "ed"),
+                            claims("n", "" + i));
+            String reason =
+                    assertThrows(
+                                    BadCredential.class,
+                                    () -> AtOnce.look(book, forged, RING, "1.2.3.4", NOW, 1))
+                            .getMessage();
             checked += reason.equals("the token's signature is wrong") ? 1 : 0;
         }
         assertEquals(10, checked);
         String good = token();
-        assertThrows(BadCredential.class, () -> AtOnce.look(book, good, RING, "1.2.3.4", NOW, 2), "guesses from there cost all");
+        assertThrows(
+                BadCredential.class,
+                () -> AtOnce.look(book, good, RING, "1.2.3.4", NOW, 2),
+                "guesses from there cost all");
         assertTrue(AtOnce.look(book, good, RING, "5.6.7.8", NOW, 2) != null);
-        assertTrue(AtOnce.look(book, good, RING, "1.2.3.4", NOW, 3) != null, "a token that is known costs nothing");
-        assertThrows(BadCredential.class, () -> AtOnce.look(book, good, RING, "5.6.7.8", NOW + 91_000, 4), "forgotten at its end");
+        assertTrue(
+                AtOnce.look(book, good, RING, "1.2.3.4", NOW, 3) != null,
+                "a token that is known costs nothing");
+        assertThrows(
+                BadCredential.class,
+                () -> AtOnce.look(book, good, RING, "5.6.7.8", NOW + 91_000, 4),
+                "forgotten at its end");
     }
 
     /** What a book told, and how often. */
@@ -200,7 +275,8 @@
         }
         assertEquals(1, checks.size(), "six came with the same new token");
         checks.get(0).run();
-        assertTrue(all.stream().allMatch(h -> h.told == 0), "nobody is told on the checker's thread");
+        assertTrue(
+                all.stream().allMatch(h -> h.told == 0), "nobody is told on the checker's thread");
         afters.get(0).run();
         assertTrue(all.stream().allMatch(h -> h.told == 1 && h.good != null));
         int refused = 0;
@@ -231,7 +307,8 @@
         TokenBook book = new TokenBook(CHECK, new byte[32]);
         String good = token();
         AtOnce.look(book, good, RING, "a", NOW, 1);
-        KeyRing retired = KeyRing.parse(set(KeyFile.entry("ed", "EdDSA", ED, KeyRing.State.RETIRED)));
+        KeyRing retired =
+                KeyRing.parse(set(KeyFile.entry("ed", "EdDSA", ED, KeyRing.State.RETIRED)));
         assertThrows(BadCredential.class, () -> AtOnce.look(book, good, retired, "a", NOW, 2));
         Map<String, Object> ending = KeyFile.entry("ed", "EdDSA", ED, KeyRing.State.ACCEPTED);
         ending.put("until", NOW + 1000);
@@ -256,8 +333,10 @@
         f.drop("a");
         assertEquals(1, KeyRing.parse(Files.readString(dir.resolve("set"))).all().size());
         KeyRing other = KeyRing.parse(set(KeyFile.entry("b", "EdDSA", ED, KeyRing.State.SIGNING)));
-        assertThrows(IllegalArgumentException.class, () -> KeyRing.parse(Files.readString(dir.resolve("set")))
-                .replacedBy(other, NOW), "another key under the same id");
+        assertThrows(
+                IllegalArgumentException.class,
+                () -> KeyRing.parse(Files.readString(dir.resolve("set"))).replacedBy(other, NOW),
+                "another key under the same id");
     }
 
     @Test
@@ -279,8 +358,12 @@
         Path p = dir.resolve("f");
         Files.writeString(p, "1");
         List<String> news = new ArrayList<>();
-        Watched<Integer> w = new Watched<>("file", List.of(p), before -> Integer.parseInt(Files.readString(p)),
-                news::add);
+        Watched<Integer> w =
+                new Watched<>(
+                        "file",
+                        List.of(p),
+                        before -> Integer.parseInt(Files.readString(p)),
+                        news::add);
         Files.writeString(p, "22");
         assertFalse(w.look(), "seen for the first time: it may be half-written");
         assertTrue(w.look());
--- a/src/test/java/brooklock/edge/Bed.java
+++ b/src/test/java/brooklock/edge/Bed.java
@@ -44,9 +44,12 @@
         }
     }
 
-    private StandInHost add(String name, HostModel.Role role, InetSocketAddress origin) throws IOException {
-        HostModel m = new HostModel(name, role, 50, 50e6, 500, 1000, 0.2, 2000 * MS, 0, 1500 * MS, MS, 0);
-        StandInHost h = new StandInHost(net, m, ledger, this::size, c -> 10.0 * MS, origin, hosts.size());
+    private StandInHost add(String name, HostModel.Role role, InetSocketAddress origin)
+            throws IOException {
+        HostModel m =
+                new HostModel(name, role, 50, 50e6, 500, 1000, 0.2, 2000 * MS, 0, 1500 * MS, MS, 0);
+        StandInHost h =
+                new StandInHost(net, m, ledger, this::size, c -> 10.0 * MS, origin, hosts.size());
         hosts.put(name, h);
         return h;
     }
@@ -56,22 +59,33 @@
     }
 
     public String settingsText() {
-        StringBuilder s = new StringBuilder("name d1\nlisten 127.0.0.1:0\ncontrol 127.0.0.1:0\nzone hub\n"
-                + "zone here hub hub\nhere here\n"
-                + "class scans safe aim 500ms stretch 2 deadline 2s\n"
-                + "class big safe aim 3s deadline 6s\n"
-                + "class huge safe aim 3s deadline 6s streamed\n"
-                + "class orders keyed all window 3s through aim 1s deadline 2s\n"
-                + "class notes unsafe through aim 1s deadline 2s\n"
-                + "route GET,HEAD /scans/{group}/{object}/{part} scans\n"
-                + "route GET /big/{object} big\nroute GET /huge/{object} huge\n"
-                + "route POST /orders/{object} orders unkeyed notes\nroute POST /notes/{object} notes\n"
-                + (extra.contains("rights ") ? "route GET,HEAD /own/{group}/{object}/{part} scans rights\n"
-                + "route GET /ownbig/{group}/{object} big rights\n" : ""));
-        hosts.forEach((name, h) -> s.append("host ").append(name).append(' ')
-                .append(h.model().role().name().toLowerCase(java.util.Locale.ROOT)).append(' ')
-                .append(h.model().role() == HostModel.Role.CACHE ? "here " : "hub ").append("127.0.0.1:")
-                .append(h.address().getPort()).append('\n'));
+        StringBuilder s =
+                new StringBuilder(
+                        "name d1\nlisten 127.0.0.1:0\ncontrol 127.0.0.1:0\nzone hub\n"
+                                + "zone here hub hub\nhere here\n"
+                                + "class scans safe aim 500ms stretch 2 deadline 2s\n"
+                                + "class big safe aim 3s deadline 6s\n"
+                                + "class huge safe aim 3s deadline 6s streamed\n"
+                                + "class orders keyed all window 3s through aim 1s deadline 2s\n"
+                                + "class notes unsafe through aim 1s deadline 2s\n"
+                                + "route GET,HEAD /scans/{group}/{object}/{part} scans\n"
+                                + "route GET /big/{object} big\nroute GET /huge/{object} huge\n"
+                                + "route POST /orders/{object} orders unkeyed notes\nroute POST /notes/{object} notes\n"
+                                + (extra.contains("rights ")
+                                        ? "route GET,HEAD /own/{group}/{object}/{part} scans rights\n"
+                                                + "route GET /ownbig/{group}/{object} big rights\n"
+                                        : ""));
+        hosts.forEach(
+                (name, h) ->
+                        s.append("host ")
+                                .append(name)
+                                .append(' ')
+                                .append(h.model().role().name().toLowerCase(java.util.Locale.ROOT))
+                                .append(' ')
+                                .append(h.model().role() == HostModel.Role.CACHE ? "here " : "hub ")
+                                .append("127.0.0.1:")
+                                .append(h.address().getPort())
+                                .append('\n'));
         return s.append(extra).append('\n').toString();
     }
 
@@ -85,7 +99,10 @@
         return this;
     }
 
-    /** What came back: the head as text, the body's bytes, and whether the connection ended before its end. */
+    /**
+     * What came back: the head as text, the body's bytes, and whether the connection ended before
+     * its end.
+     */
     public record Answer(String head, byte[] body, boolean broken) {
         public int status() {
             return head.length() < 12 ? 0 : Integer.parseInt(head.substring(9, 12));
@@ -109,15 +126,23 @@
     }
 
     public static String post(String path, String more, String body) {
-        return "POST " + path + " HTTP/1.1\r\nHost: a.example\r\nContent-Length: " + body.length() + "\r\n" + more
-                + "\r\n" + body;
+        return "POST "
+                + path
+                + " HTTP/1.1\r\nHost: a.example\r\nContent-Length: "
+                + body.length()
+                + "\r\n"
+                + more
+                + "\r\n"
+                + body;
     }
 
     /** Connects with TLS as a client with or without a certificate. */
     public javax.net.ssl.SSLSocket connectTls(javax.net.ssl.SSLContext context) throws IOException {
         Socket plain = connect();
-        javax.net.ssl.SSLSocket s = (javax.net.ssl.SSLSocket) context.getSocketFactory().createSocket(plain, "localhost",
-                edge.address().getPort(), true);
+        javax.net.ssl.SSLSocket s =
+                (javax.net.ssl.SSLSocket)
+                        context.getSocketFactory()
+                                .createSocket(plain, "localhost", edge.address().getPort(), true);
         s.startHandshake();
         return s;
     }
@@ -131,10 +156,18 @@
     }
 
     public Answer control(String method, String target, String body) throws IOException {
-        try (Socket s = new Socket(InetAddress.getLoopbackAddress(), edge.controlAddress().getPort())) {
+        try (Socket s =
+                new Socket(InetAddress.getLoopbackAddress(), edge.controlAddress().getPort())) {
             s.setSoTimeout(20_000);
-            write(s, method + " " + target + " HTTP/1.1\r\nHost: a\r\nContent-Length: " + body.length() + "\r\n\r\n"
-                    + body);
+            write(
+                    s,
+                    method
+                            + " "
+                            + target
+                            + " HTTP/1.1\r\nHost: a\r\nContent-Length: "
+                            + body.length()
+                            + "\r\n\r\n"
+                            + body);
             return read(s.getInputStream());
         }
     }
@@ -166,11 +199,13 @@
     /** What reached hosts for a client's request, in its order. */
     public List<brooklock.standin.Sighting> seen(String request) {
         List<brooklock.standin.Sighting> all = new ArrayList<>();
-        ledger.sightings().forEach(s -> {
-            if (request.equals(s.request)) {
-                all.add(s);
-            }
-        });
+        ledger.sightings()
+                .forEach(
+                        s -> {
+                            if (request.equals(s.request)) {
+                                all.add(s);
+                            }
+                        });
         return all;
     }
 
--- a/src/test/java/brooklock/edge/HardCasesTest.java
+++ b/src/test/java/brooklock/edge/HardCasesTest.java
@@ -26,21 +26,22 @@
 
 /** Troubles provoked one by one; what crossed the sockets is counted at the stand-ins. */
 class HardCasesTest {
-    @TempDir
-    Path dir;
+    @TempDir Path dir;
 
     private static String named(String name) {
         return "X-Request-Id: " + name + "\r\n";
     }
 
     private static CompletableFuture<Bed.Answer> later(Bed bed, String request) {
-        return CompletableFuture.supplyAsync(() -> {
-            try {
-                return bed.ask(request);
-            } catch (IOException e) {
-                return new Bed.Answer("", new byte[0], true);
-            }
-        }, r -> new Thread(r).start());
+        return CompletableFuture.supplyAsync(
+                () -> {
+                    try {
+                        return bed.ask(request);
+                    } catch (IOException e) {
+                        return new Bed.Answer("", new byte[0], true);
+                    }
+                },
+                r -> new Thread(r).start());
     }
 
     // ---- No effect twice
@@ -75,7 +76,10 @@
     void anUnsafeRequestThatWasRefusedBeforeItRanMayGoAgain() throws Exception {
         try (Bed bed = new Bed(dir, 2, 1, "").start()) {
             bed.hosts.get("o1").faults.refuses = 1;
-            assertEquals(503, bed.ask(post("/notes/x", named("u"), "body")).status(), "refused: harmless to repeat");
+            assertEquals(
+                    503,
+                    bed.ask(post("/notes/x", named("u"), "body")).status(),
+                    "refused: harmless to repeat");
             assertTrue(bed.seen("u").size() >= 2 && bed.seen("u").stream().noneMatch(s -> s.ran));
         }
     }
@@ -99,7 +103,9 @@
                 assertEquals(200, f.get().status(), "a parent gives it straight");
             }
             first.get();
-            assertTrue(bed.ledger.sightings().stream().noneMatch(s -> s.host.equals("c1") && s.atNs > told));
+            assertTrue(
+                    bed.ledger.sightings().stream()
+                            .noneMatch(s -> s.host.equals("c1") && s.atNs > told));
         }
     }
 
@@ -112,22 +118,32 @@
                 assertEquals(200, bed.ask(get("/scans/g/d" + i + "/0", "")).status());
             }
             assertTrue(bed.ledger.sightings().stream().anyMatch(s -> "p2".equals(s.source)));
-            assertTrue(bed.ledger.sightings().stream().noneMatch(s -> s.atNs > told
-                    && ("p1".equals(s.source) || s.host.equals("p1"))));
+            assertTrue(
+                    bed.ledger.sightings().stream()
+                            .noneMatch(
+                                    s ->
+                                            s.atNs > told
+                                                    && ("p1".equals(s.source)
+                                                            || s.host.equals("p1"))));
         }
     }
 
     @Test
     void aDispatcherThatWasKilledKeepsItsLastList() throws Exception {
         try (Bed bed = new Bed(dir, 2, 1, "list hosts.list").start()) {
-            assertEquals(200, bed.control("POST", "/gone?host=c1", "").status(), "it is saved when it is answered");
+            assertEquals(
+                    200,
+                    bed.control("POST", "/gone?host=c1", "").status(),
+                    "it is saved when it is answered");
             bed.edge.close();
             bed.start();
             long told = System.nanoTime();
             for (int i = 0; i < 30; i++) {
                 assertEquals(200, bed.ask(get("/scans/g/k" + i + "/0", "")).status());
             }
-            assertTrue(bed.ledger.sightings().stream().noneMatch(s -> s.host.equals("c1") && s.atNs > told));
+            assertTrue(
+                    bed.ledger.sightings().stream()
+                            .noneMatch(s -> s.host.equals("c1") && s.atNs > told));
         }
     }
 
@@ -140,7 +156,9 @@
             Bed.Answer a = bed.ask(get("/big/x", named("b")));
             assertEquals(200, a.status());
             assertTrue(a.broken(), "a short body must not look whole");
-            assertEquals(1, bed.seen("b").stream().filter(Sighting::straight).count(),
+            assertEquals(
+                    1,
+                    bed.seen("b").stream().filter(Sighting::straight).count(),
                     "after the head has gone out no second answer starts");
         }
     }
@@ -180,7 +198,9 @@
         try (Bed bed = new Bed(dir, 1, 1, "").start()) {
             bed.hosts.get("o1").faults.slower = 20;
             CompletableFuture<Bed.Answer> first = later(bed, get("/big/x", named("before")));
-            Bed.await("the fill at the origin", () -> bed.seen("before").stream().anyMatch(s -> s.served > 0));
+            Bed.await(
+                    "the fill at the origin",
+                    () -> bed.seen("before").stream().anyMatch(s -> s.served > 0));
             purgeAndWait(bed, "url=http://a.example/big/x");
             long moment = System.nanoTime() - 500 * Bed.MS;
             assertEquals(200, bed.ask(get("/big/x", named("after"))).status());
@@ -192,15 +212,23 @@
     private static void purgeAndWait(Bed bed, String what) throws Exception {
         long at = System.currentTimeMillis();
         assertEquals(200, bed.control("POST", "/purge?" + what + "&at=" + at, "").status());
-        assertEquals(200, bed.control("POST", "/purge?" + what + "&at=" + at, "").status(), "again, without harm");
+        assertEquals(
+                200,
+                bed.control("POST", "/purge?" + what + "&at=" + at, "").status(),
+                "again, without harm");
         Thread.sleep(500);
     }
 
     private static void assertYounger(Bed bed, String request, long momentNs) {
-        Sighting s = bed.seen(request).stream().filter(Sighting::straight).reduce((a, b) -> b).orElseThrow();
+        Sighting s =
+                bed.seen(request).stream()
+                        .filter(Sighting::straight)
+                        .reduce((a, b) -> b)
+                        .orElseThrow();
         assertTrue(s.served > 0);
-        assertTrue(bed.ledger.bornAt(s.served) - momentNs > 0, "born "
-                + (bed.ledger.bornAt(s.served) - momentNs) / Bed.MS + " ms from the purge");
+        assertTrue(
+                bed.ledger.bornAt(s.served) - momentNs > 0,
+                "born " + (bed.ledger.bornAt(s.served) - momentNs) / Bed.MS + " ms from the purge");
     }
 
     // ---- Clients that read slowly, leave, or send slowly
@@ -223,9 +251,14 @@
             for (int i = 0; i < 50; i++) {
                 assertEquals(200, bed.ask(get("/scans/g/s" + i + "/0", "")).status());
             }
-            long direct = ManagementFactory.getPlatformMXBeans(BufferPoolMXBean.class).stream()
-                    .filter(p -> p.getName().equals("direct")).mapToLong(BufferPoolMXBean::getMemoryUsed).sum();
-            assertTrue(direct < 64_000_000, "buffers hold " + direct + " bytes for 40 answers of 8 MB");
+            long direct =
+                    ManagementFactory.getPlatformMXBeans(BufferPoolMXBean.class).stream()
+                            .filter(p -> p.getName().equals("direct"))
+                            .mapToLong(BufferPoolMXBean::getMemoryUsed)
+                            .sum();
+            assertTrue(
+                    direct < 64_000_000,
+                    "buffers hold " + direct + " bytes for 40 answers of 8 MB");
             for (Socket s : readers) {
                 s.close();
             }
@@ -242,7 +275,9 @@
             Bed.write(midHead, "GET /scans/g/o/0 HTT");
             midHead.close();
             Socket midBody = bed.connect();
-            Bed.write(midBody, "POST /notes/x HTTP/1.1\r\nHost: a\r\nX-Request-Id: mb\r\nContent-Length: 9\r\n\r\nabc");
+            Bed.write(
+                    midBody,
+                    "POST /notes/x HTTP/1.1\r\nHost: a\r\nX-Request-Id: mb\r\nContent-Length: 9\r\n\r\nabc");
             Bed.await("the body's reservation", () -> bed.edge.open() == 1);
             midBody.close();
             Socket waiting = bed.connect();
@@ -262,7 +297,8 @@
 
     @Test
     void aClientThatEndsItsSideMayStillBeAnsweredBetweenPipelinedRequests() throws Exception {
-        try (Bed bed = new Bed(dir, 2, 1, "").start(); Socket s = bed.connect()) {
+        try (Bed bed = new Bed(dir, 2, 1, "").start();
+                Socket s = bed.connect()) {
             Bed.write(s, get("/scans/g/o/0", "") + get("/scans/g/p/0", "Connection: close\r\n"));
             assertEquals(200, Bed.read(s.getInputStream()).status());
             assertEquals(200, Bed.read(s.getInputStream()).status());
@@ -272,7 +308,8 @@
 
     @Test
     void aRequestOfAByteNowAndThenIsEndedAndOthersAreServed() throws Exception {
-        try (Bed bed = new Bed(dir, 1, 1, "limits head 400ms").start(); Socket s = bed.connect()) {
+        try (Bed bed = new Bed(dir, 1, 1, "limits head 400ms").start();
+                Socket s = bed.connect()) {
             long begun = System.nanoTime();
             String request = get("/scans/g/o/0", "");
             int sent = 0;
@@ -288,12 +325,17 @@
 
     @Test
     void expectedBodiesAndChunkedOnesAreTakenWhole() throws Exception {
-        try (Bed bed = new Bed(dir, 1, 1, "").start(); Socket s = bed.connect()) {
-            Bed.write(s, "POST /notes/x HTTP/1.1\r\nHost: a\r\nExpect: 100-continue\r\nContent-Length: 5\r\n\r\n");
+        try (Bed bed = new Bed(dir, 1, 1, "").start();
+                Socket s = bed.connect()) {
+            Bed.write(
+                    s,
+                    "POST /notes/x HTTP/1.1\r\nHost: a\r\nExpect: 100-continue\r\nContent-Length: 5\r\n\r\n");
             assertEquals(100, Bed.read(s.getInputStream()).status());
             Bed.write(s, "hello");
             assertEquals(200, Bed.read(s.getInputStream()).status());
-            Bed.write(s, "POST /notes/x HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n");
+            Bed.write(
+                    s,
+                    "POST /notes/x HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n");
             assertEquals(200, Bed.read(s.getInputStream()).status());
             Bed.write(s, "POST /notes/x HTTP/1.1\r\nHost: a\r\nContent-Length: 2000000\r\n\r\n");
             assertEquals(413, Bed.read(s.getInputStream()).status());
@@ -310,11 +352,15 @@
             Thread peer = new Thread(() -> scripted(origin, whole));
             peer.setDaemon(true);
             peer.start();
-            String text = bed.settingsText().replaceAll("host o1 origin hub 127.0.0.1:\\d+",
-                    "host o1 origin hub 127.0.0.1:" + origin.getLocalPort());
+            String text =
+                    bed.settingsText()
+                            .replaceAll(
+                                    "host o1 origin hub 127.0.0.1:\\d+",
+                                    "host o1 origin hub 127.0.0.1:" + origin.getLocalPort());
             bed.edge = Dispatcher.start(brooklock.config.SettingsReader.parse("x", dir, text));
             assertEquals(200, bed.ask(post("/notes/x", "", "a")).status());
-            // The peer has closed the connection meanwhile: the next request goes out on a fresh one.
+            // The peer has closed the connection meanwhile: the next request goes out on a fresh
+            // one.
             assertEquals(200, bed.ask(post("/notes/x", "", "b")).status());
             assertEquals(2, whole.get());
             // Now it reads the request on the kept connection and closes: that one may have run.
@@ -324,7 +370,8 @@
         }
     }
 
-    // First connection: one answer, then closed. Second: one answer, the next request read and dropped.
+    // First connection: one answer, then closed. Second: one answer, the next request read and
+    // dropped.
     private static void scripted(ServerSocket server, AtomicInteger whole) {
         String ok = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
         try {
@@ -362,25 +409,32 @@
     @Test
     void aFullDecisionQueueAnswersAtOnceWithARetryHint() throws Exception {
         CountDownLatch stuck = new CountDownLatch(1);
-        try (Bed bed = new Bed(dir, 1, 1, "limits open 8").start(s -> new Bent(s) {
-            @Override
-            protected Event event(Event event) {
-                if (event instanceof Request) {
-                    try {
-                        stuck.await();
-                    } catch (InterruptedException e) {
-                        Thread.currentThread().interrupt();
-                    }
-                }
-                return event;
-            }
-        })) {
+        try (Bed bed =
+                new Bed(dir, 1, 1, "limits open 8")
+                        .start(
+                                s ->
+                                        new Bent(s) {
+                                            @Override
+                                            protected Event event(Event event) {
+                                                if (event instanceof Request) {
+                                                    try {
+                                                        stuck.await();
+                                                    } catch (InterruptedException e) {
+                                                        Thread.currentThread().interrupt();
+                                                    }
+                                                }
+                                                return event;
+                                            }
+                                        })) {
             List<CompletableFuture<Bed.Answer>> all = new ArrayList<>();
             for (int i = 0; i < 40; i++) {
                 all.add(later(bed, get("/scans/g/q" + i + "/0", "")));
             }
-            Bed.await("most to be turned away", () -> all.stream().filter(CompletableFuture::isDone).count() >= 32);
-            Bed.Answer a = all.stream().filter(CompletableFuture::isDone).findFirst().orElseThrow().get();
+            Bed.await(
+                    "most to be turned away",
+                    () -> all.stream().filter(CompletableFuture::isDone).count() >= 32);
+            Bed.Answer a =
+                    all.stream().filter(CompletableFuture::isDone).findFirst().orElseThrow().get();
             assertEquals(503, a.status());
             assertTrue(a.head().contains("Retry-After: "), a.head());
             stuck.countDown();
@@ -403,13 +457,15 @@
                 assertEquals(503, Bed.read(fifth.getInputStream()).status());
             }
             held.get(0).close();
-            Bed.await("room", () -> {
-                try {
-                    return bed.ask(get("/scans/g/o/0", "")).status() == 200;
-                } catch (IOException e) {
-                    return false;
-                }
-            });
+            Bed.await(
+                    "room",
+                    () -> {
+                        try {
+                            return bed.ask(get("/scans/g/o/0", "")).status() == 200;
+                        } catch (IOException e) {
+                            return false;
+                        }
+                    });
             for (Socket s : held) {
                 s.close();
             }
@@ -418,15 +474,19 @@
 
     @Test
     void aFaultInADecisionEndsItsRequestAndNoOther() throws Exception {
-        try (Bed bed = new Bed(dir, 1, 1, "").start(s -> new Bent(s) {
-            @Override
-            protected Event event(Event event) {
-                if (event instanceof Request r && r.part() == 13) {
-                    throw new IllegalStateException("provoked");
-                }
-                return event;
-            }
-        })) {
+        try (Bed bed =
+                new Bed(dir, 1, 1, "")
+                        .start(
+                                s ->
+                                        new Bent(s) {
+                                            @Override
+                                            protected Event event(Event event) {
+                                                if (event instanceof Request r && r.part() == 13) {
+                                                    throw new IllegalStateException("provoked");
+                                                }
+                                                return event;
+                                            }
+                                        })) {
             assertEquals(502, bed.ask(get("/scans/g/o/13", "")).status());
             assertEquals(200, bed.ask(get("/scans/g/o/1", "")).status());
             Bed.await("both to be over", () -> bed.edge.open() == 0);
--- a/src/test/java/brooklock/edge/OrderedNoticesTest.java
+++ b/src/test/java/brooklock/edge/OrderedNoticesTest.java
@@ -27,31 +27,52 @@
 
 /** Notices over several connections: whichever comes first, the newest is in force. */
 class OrderedNoticesTest {
-    @TempDir
-    Path dir;
+    @TempDir Path dir;
 
     private static String list(Bed bed, long epoch, long number, long follows, String gone) {
         List<Member> all = new ArrayList<>();
-        bed.hosts.forEach((name, h) -> {
-            if (follows == 0 || name.equals("c1")) {
-                all.add(member(name, h, name.equals(gone) ? HostState.GONE : HostState.READY));
-            }
-        });
-        return ListText.write(new Notice(new Stamp("registry", epoch, number, follows), follows == 0, all));
+        bed.hosts.forEach(
+                (name, h) -> {
+                    if (follows == 0 || name.equals("c1")) {
+                        all.add(
+                                member(
+                                        name,
+                                        h,
+                                        name.equals(gone) ? HostState.GONE : HostState.READY));
+                    }
+                });
+        return ListText.write(
+                new Notice(new Stamp("registry", epoch, number, follows), follows == 0, all));
     }
 
     private static Member member(String name, StandInHost h, HostState state) {
         Kind kind = Kind.valueOf(h.model().role().name());
-        return new Member(name, HostId.of(name), kind, kind == Kind.CACHE ? "here" : "hub", h.address(), state, 1, 0);
+        return new Member(
+                name,
+                HostId.of(name),
+                kind,
+                kind == Kind.CACHE ? "here" : "hub",
+                h.address(),
+                state,
+                1,
+                0);
     }
 
     private static Bed.Answer post(Socket s, String target, String body) throws IOException {
-        Bed.write(s, "POST " + target + " HTTP/1.1\r\nHost: a\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
+        Bed.write(
+                s,
+                "POST "
+                        + target
+                        + " HTTP/1.1\r\nHost: a\r\nContent-Length: "
+                        + body.length()
+                        + "\r\n\r\n"
+                        + body);
         return Bed.read(s.getInputStream());
     }
 
     private static Socket control(Bed bed) throws IOException {
-        Socket s = new Socket(InetAddress.getLoopbackAddress(), bed.edge.controlAddress().getPort());
+        Socket s =
+                new Socket(InetAddress.getLoopbackAddress(), bed.edge.controlAddress().getPort());
         s.setTcpNoDelay(true);
         s.setSoTimeout(20_000);
         return s;
@@ -59,13 +80,19 @@
 
     private static String state(Bed bed, String host) throws IOException {
         String all = new String(bed.control("GET", "/state", "").body());
-        return all.lines().filter(l -> l.startsWith("host " + host + " ")).findFirst().orElseThrow().split(" ")[2];
+        return all.lines()
+                .filter(l -> l.startsWith("host " + host + " "))
+                .findFirst()
+                .orElseThrow()
+                .split(" ")[2];
     }
 
     @Test
     void ofTwoListsOnTwoConnectionsTheNewerHoldsThousandTimesOver() throws Exception {
         ExecutorService two = Executors.newFixedThreadPool(2);
-        try (Bed bed = new Bed(dir, 2, 1, "").start(); Socket one = control(bed); Socket other = control(bed)) {
+        try (Bed bed = new Bed(dir, 2, 1, "").start();
+                Socket one = control(bed);
+                Socket other = control(bed)) {
             Random r = new Random(5);
             int overtaken = 0;
             for (int i = 1; i <= 1000; i++) {
@@ -81,12 +108,17 @@
                 assertEquals(200, both.get(first ? 1 : 0).get().status());
                 if (toOlder.status() == 409) {
                     overtaken++;
-                    assertEquals("older\nsource registry epoch 1 number " + (2 * i + 1) + "\n", new String(toOlder.body()));
+                    assertEquals(
+                            "older\nsource registry epoch 1 number " + (2 * i + 1) + "\n",
+                            new String(toOlder.body()));
                 }
-                assertEquals(goneLast ? HostState.GONE : HostState.READY,
-                        bed.edge.book.get(HostId.of("c1")).state(), "try " + i);
+                assertEquals(
+                        goneLast ? HostState.GONE : HostState.READY,
+                        bed.edge.book.get(HostId.of("c1")).state(),
+                        "try " + i);
             }
-            assertTrue(overtaken > 50 && overtaken < 950, "both ways round were seen: " + overtaken);
+            assertTrue(
+                    overtaken > 50 && overtaken < 950, "both ways round were seen: " + overtaken);
         } finally {
             two.shutdown();
         }
@@ -95,12 +127,19 @@
     @Test
     void aDrainByHandThatRacesFullListsHoldsAndUndoesNothingOfThem() throws Exception {
         ExecutorService two = Executors.newFixedThreadPool(2);
-        try (Bed bed = new Bed(dir, 2, 1, "").start(); Socket one = control(bed); Socket other = control(bed)) {
+        try (Bed bed = new Bed(dir, 2, 1, "").start();
+                Socket one = control(bed);
+                Socket other = control(bed)) {
             for (int i = 1; i <= 200; i++) {
                 String list = list(bed, 1, i, 0, null);
-                // Each list moves c1: by hand its state is changed, and nothing else of it is put back.
-                String moved = list.replaceAll("(c1 cache here \\S+ ready) 1.0 0", "$1 " + i + ".0 " + i);
-                two.invokeAll(List.of(() -> post(one, "/hosts", moved), () -> post(other, "/drain?host=c1", "")));
+                // Each list moves c1: by hand its state is changed, and nothing else of it is put
+                // back.
+                String moved =
+                        list.replaceAll("(c1 cache here \\S+ ready) 1.0 0", "$1 " + i + ".0 " + i);
+                two.invokeAll(
+                        List.of(
+                                () -> post(one, "/hosts", moved),
+                                () -> post(other, "/drain?host=c1", "")));
                 Member c1 = bed.edge.book.get(HostId.of("c1"));
                 assertEquals(HostState.DRAINING, c1.state());
                 assertEquals(i, c1.weight());
@@ -125,17 +164,30 @@
             bed.start();
             assertEquals("GONE", state(bed, "c1"));
             assertEquals("DRAINING", state(bed, "c2"));
-            assertTrue(new String(bed.control("GET", "/state", "").body())
-                    .contains("source registry epoch 3 number 8 heard-ms-ago "));
+            assertTrue(
+                    new String(bed.control("GET", "/state", "").body())
+                            .contains("source registry epoch 3 number 8 heard-ms-ago "));
             assertEquals(409, bed.control("POST", "/hosts", list(bed, 3, 7, 0, null)).status());
             assertEquals(409, bed.control("POST", "/hosts", list(bed, 2, 99, 0, null)).status());
-            assertEquals(409, bed.control("POST", "/hosts", list(bed, 3, 11, 10, null)).status(), "a gap");
-            assertEquals(409, bed.control("POST", "/ready?host=c1", "").status(), "the registry says that it is gone");
+            assertEquals(
+                    409,
+                    bed.control("POST", "/hosts", list(bed, 3, 11, 10, null)).status(),
+                    "a gap");
+            assertEquals(
+                    409,
+                    bed.control("POST", "/ready?host=c1", "").status(),
+                    "the registry says that it is gone");
             assertEquals("GONE", state(bed, "c1"));
             assertEquals(200, bed.control("POST", "/hosts", list(bed, 4, 1, 0, null)).status());
             assertEquals("READY", state(bed, "c1"));
             assertEquals("DRAINING", state(bed, "c2"), "by hand, until it is taken back by hand");
-            assertEquals(400, bed.control("POST", "/hosts", list(bed, 4, 2, 0, null).replace("epoch 4", "epoch x")).status());
+            assertEquals(
+                    400,
+                    bed.control(
+                                    "POST",
+                                    "/hosts",
+                                    list(bed, 4, 2, 0, null).replace("epoch 4", "epoch x"))
+                            .status());
             assertEquals(404, bed.control("POST", "/reset?source=nobody", "").status());
             assertEquals(404, bed.control("POST", "/forget", "").status());
         }
--- a/src/test/java/brooklock/edge/PathTest.java
+++ b/src/test/java/brooklock/edge/PathTest.java
@@ -13,8 +13,7 @@
 
 /** The path of one request through real sockets. */
 class PathTest {
-    @TempDir
-    Path dir;
+    @TempDir Path dir;
 
     @Test
     void aSecondAskingIsKeptAndTheThirdIsAHit() throws Exception {
@@ -33,9 +32,14 @@
 
     @Test
     void pipelinedRequestsAreAnsweredInOrder() throws Exception {
-        try (Bed bed = new Bed(dir, 2, 1, "").start(); Socket s = bed.connect()) {
-            Bed.write(s, get("/scans/g1/a/0", "") + post("/notes/x", "", "hello") + get("/nowhere", "")
-                    + get("/scans/g1/b/1", ""));
+        try (Bed bed = new Bed(dir, 2, 1, "").start();
+                Socket s = bed.connect()) {
+            Bed.write(
+                    s,
+                    get("/scans/g1/a/0", "")
+                            + post("/notes/x", "", "hello")
+                            + get("/nowhere", "")
+                            + get("/scans/g1/b/1", ""));
             assertEquals(200, Bed.read(s.getInputStream()).status());
             assertEquals(200, Bed.read(s.getInputStream()).status());
             assertEquals(404, Bed.read(s.getInputStream()).status());
--- a/src/test/java/brooklock/edge/TraceTest.java
+++ b/src/test/java/brooklock/edge/TraceTest.java
@@ -13,8 +13,7 @@
 import org.junit.jupiter.api.io.TempDir;
 
 class TraceTest {
-    @TempDir
-    Path dir;
+    @TempDir Path dir;
 
     private Path traced(String bound) throws Exception {
         try (Bed bed = new Bed(dir, 3, 2, "trace t.log " + bound).start()) {
@@ -41,7 +40,9 @@
         Path trace = traced("64MB");
         String text = Files.readString(trace);
         int at = text.indexOf("action Get(");
-        Files.writeString(trace, text.substring(0, at) + text.substring(at).replaceFirst(",1,0,true", ",3,0,true"));
+        Files.writeString(
+                trace,
+                text.substring(0, at) + text.substring(at).replaceFirst(",1,0,true", ",3,0,true"));
         assertNotNull(Replay.run(trace).difference());
     }
 
@@ -59,8 +60,16 @@
 
     @Test
     void recordsReadBack() {
-        brooklock.RouterApi.Event e = new brooklock.RouterApi.Done(3, 1, 9, brooklock.RouterApi.Outcome.RESET,
-                brooklock.RouterApi.Note.SOURCE_BROKE, 7, 8, true);
+        brooklock.RouterApi.Event e =
+                new brooklock.RouterApi.Done(
+                        3,
+                        1,
+                        9,
+                        brooklock.RouterApi.Outcome.RESET,
+                        brooklock.RouterApi.Note.SOURCE_BROKE,
+                        7,
+                        8,
+                        true);
         assertEquals(e, TraceCodec.read(TraceCodec.write(e)));
         assertThrows(IllegalArgumentException.class, () -> TraceCodec.read("Done(1,2"));
         assertThrows(IllegalArgumentException.class, () -> TraceCodec.read("Nothing(1)"));
--- a/src/test/java/brooklock/edge/WarmerTest.java
+++ b/src/test/java/brooklock/edge/WarmerTest.java
@@ -30,8 +30,7 @@
 class WarmerTest {
     private static final int OBJECTS = 300;
 
-    @TempDir
-    Path dir;
+    @TempDir Path dir;
 
     private static void askAll(Bed bed, Socket s, int times) throws IOException {
         for (int t = 0; t < times; t++) {
@@ -40,15 +39,33 @@
                 Bed.write(s, get(path, ""));
                 Bed.Answer a = Bed.read(s.getInputStream());
                 assertEquals(200, a.status(), a.head());
-                assertTrue(new String(a.body()).startsWith(path), "the bytes are those of its path");
+                assertTrue(
+                        new String(a.body()).startsWith(path), "the bytes are those of its path");
             }
         }
     }
 
     private static void tell(Bed bed, String host, HostState state) throws IOException {
         StandInHost h = bed.hosts.get(host);
-        assertEquals(200, bed.control("POST", "/hosts", ListText.write(Notice.unnumbered(false, List.of(new Member(host,
-                HostId.of(host), Kind.CACHE, "here", h.address(), state, 1, h.startedMs()))))).status());
+        assertEquals(
+                200,
+                bed.control(
+                                "POST",
+                                "/hosts",
+                                ListText.write(
+                                        Notice.unnumbered(
+                                                false,
+                                                List.of(
+                                                        new Member(
+                                                                host,
+                                                                HostId.of(host),
+                                                                Kind.CACHE,
+                                                                "here",
+                                                                h.address(),
+                                                                state,
+                                                                1,
+                                                                h.startedMs())))))
+                        .status());
     }
 
     /** c1 has died and is back cold; its neighbours took over meanwhile and hold what it held. */
@@ -66,7 +83,9 @@
     }
 
     private static long given(Bed bed, long after) {
-        return bed.ledger.sightings().stream().filter(s -> byNeighbour(s) && s.atNs - after > 0 && s.served != 0).count();
+        return bed.ledger.sightings().stream()
+                .filter(s -> byNeighbour(s) && s.atNs - after > 0 && s.served != 0)
+                .count();
     }
 
     private static boolean byNeighbour(Sighting s) {
@@ -105,14 +124,26 @@
             until(bed, 0, 2);
             bed.hosts.get("c3").faults.cut = 1;
             try (Socket s = bed.connect()) {
-                // c3 itself may be asked by clients, whose transfers it cuts: only its giving is looked at.
+                // c3 itself may be asked by clients, whose transfers it cuts: only its giving is
+                // looked at.
                 tell(bed, "c3", HostState.DRAINING);
                 long told = System.nanoTime();
                 askAll(bed, s, 4);
-                assertTrue(bed.ledger.sightings().stream().noneMatch(x -> x.host.equals("c3") && x.atNs - told > 0
-                        && x.straight()), "nor asked itself");
-                assertTrue(bed.ledger.sightings().stream().noneMatch(x -> byNeighbour(x) && x.host.equals("c3")
-                        && x.atNs - told > 0));
+                assertTrue(
+                        bed.ledger.sightings().stream()
+                                .noneMatch(
+                                        x ->
+                                                x.host.equals("c3")
+                                                        && x.atNs - told > 0
+                                                        && x.straight()),
+                        "nor asked itself");
+                assertTrue(
+                        bed.ledger.sightings().stream()
+                                .noneMatch(
+                                        x ->
+                                                byNeighbour(x)
+                                                        && x.host.equals("c3")
+                                                        && x.atNs - told > 0));
             }
         }
     }
@@ -123,9 +154,15 @@
             until(bed, 0, 2);
             long moment = System.nanoTime();
             for (int g = 0; g < 5; g++) {
-                // Hosts are not told: every copy is older than the purge, and only the dispatcher knows.
-                assertEquals(200, bed.control("POST", "/purge?group=g" + g + "&at=" + System.currentTimeMillis(), "")
-                        .status());
+                // Hosts are not told: every copy is older than the purge, and only the dispatcher
+                // knows.
+                assertEquals(
+                        200,
+                        bed.control(
+                                        "POST",
+                                        "/purge?group=g" + g + "&at=" + System.currentTimeMillis(),
+                                        "")
+                                .status());
             }
             long told = System.nanoTime();
             try (Socket s = bed.connect()) {
@@ -133,7 +170,9 @@
             }
             for (Sighting s : bed.ledger.sightings()) {
                 if (s.straight() && s.atNs - told > 0 && s.served != 0) {
-                    assertTrue(bed.ledger.bornAt(s.served) - moment > -2 * Bed.MS, s + ": an old copy");
+                    assertTrue(
+                            bed.ledger.bornAt(s.served) - moment > -2 * Bed.MS,
+                            s + ": an old copy");
                 }
             }
         }
@@ -144,7 +183,8 @@
         try (Bed bed = coldOne("warming zone share 1\n")) {
             long end = System.nanoTime() + 15_000 * Bed.MS;
             try (Socket s = bed.connect()) {
-                // Clients go on asking, so that hosts tell how they are; a fetch ahead names no client's request.
+                // Clients go on asking, so that hosts tell how they are; a fetch ahead names no
+                // client's request.
                 while (System.nanoTime() - end < 0 && !fetched(bed)) {
                     askAll(bed, s, 1);
                 }
@@ -159,16 +199,35 @@
             bed.hosts.get("c1").faults.silent = true;
             CompletableFuture<Integer> status = new CompletableFuture<>();
             IoLoop loop = bed.edge.loop(0);
-            loop.execute(() -> new FetchAhead(bed.edge, HostId.of("c1"), HostId.of("p1"), (s, f, at) -> status.complete(s))
-                    .send(loop, bed.hosts.get("c1").address(), new RequestHead("GET", "/scans/g1/x/0", "a", 1,
-                    new Fields().add("Via", "1.1 d1"))));
+            loop.execute(
+                    () ->
+                            new FetchAhead(
+                                            bed.edge,
+                                            HostId.of("c1"),
+                                            HostId.of("p1"),
+                                            (s, f, at) -> status.complete(s))
+                                    .send(
+                                            loop,
+                                            bed.hosts.get("c1").address(),
+                                            new RequestHead(
+                                                    "GET",
+                                                    "/scans/g1/x/0",
+                                                    "a",
+                                                    1,
+                                                    new Fields().add("Via", "1.1 d1"))));
             assertEquals(0, status.get(20, TimeUnit.SECONDS));
         }
     }
 
     private static boolean fetched(Bed bed) {
-        return bed.ledger.sightings().stream().anyMatch(s -> s.host.equals("c1") && s.straight() && s.request == null
-                && s.source != null && s.source.startsWith("c"));
+        return bed.ledger.sightings().stream()
+                .anyMatch(
+                        s ->
+                                s.host.equals("c1")
+                                        && s.straight()
+                                        && s.request == null
+                                        && s.source != null
+                                        && s.source.startsWith("c"));
     }
 
     @Test
@@ -177,8 +236,12 @@
             Bed.await("the snapshot", () -> Files.exists(dir.resolve("warm")));
             bed.edge.close();
             String whole = Files.readString(dir.resolve("warm"));
-            for (String bad : List.of(whole.substring(0, whole.length() / 2), whole.replaceFirst("warming 1", "warming 9"),
-                    whole.replaceFirst("\n([0-9a-f])", "\nx"), "")) {
+            for (String bad :
+                    List.of(
+                            whole.substring(0, whole.length() / 2),
+                            whole.replaceFirst("warming 1", "warming 9"),
+                            whole.replaceFirst("\n([0-9a-f])", "\nx"),
+                            "")) {
                 Files.writeString(dir.resolve("warm"), bad);
                 bed.start();
                 try (Socket s = bed.connect()) {
--- a/src/test/java/brooklock/http/CodecPropertyTest.java
+++ b/src/test/java/brooklock/http/CodecPropertyTest.java
@@ -15,22 +15,36 @@
     private static final String TOKEN = "abcXYZ019!#$%&'*+-.^_`|~";
 
     private static Arbitrary<Fields> someFields() {
-        Arbitrary<String> name = Arbitraries.strings().withChars(TOKEN).ofMinLength(1).ofMaxLength(12)
-                .map(s -> "x-" + s);
-        Arbitrary<String> value = Arbitraries.strings().withCharRange(' ', '~').withChars("\u00e9\u00ff\t")
-                .ofMaxLength(40).map(s -> s.replaceAll("^[ \t]+|[ \t]+$", ""));
-        return Combinators.combine(name, value).as((n, v) -> new String[] {n, v}).list().ofMaxSize(8)
-                .map(all -> {
-                    Fields f = new Fields();
-                    all.forEach(p -> f.add(p[0], p[1]));
-                    return f;
-                });
+        Arbitrary<String> name =
+                Arbitraries.strings()
+                        .withChars(TOKEN)
+                        .ofMinLength(1)
+                        .ofMaxLength(12)
+                        .map(s -> "x-" + s);
+        Arbitrary<String> value =
+                Arbitraries.strings()
+                        .withCharRange(' ', '~')
+                        .withChars("\u00e9\u00ff\t")
+                        .ofMaxLength(40)
+                        .map(s -> s.replaceAll("^[ \t]+|[ \t]+$", ""));
+        return Combinators.combine(name, value)
+                .as((n, v) -> new String[] {n, v})
+                .list()
+                .ofMaxSize(8)
+                .map(
+                        all -> {
+                            Fields f = new Fields();
+                            all.forEach(p -> f.add(p[0], p[1]));
+                            return f;
+                        });
     }
 
     private static String chunked(List<String> chunks) {
         StringBuilder s = new StringBuilder();
         for (String c : chunks) {
-            s.append(Integer.toHexString(c.length())).append(c.length() % 2 == 0 ? "" : ";x=\"y\"").append("\r\n");
+            s.append(Integer.toHexString(c.length()))
+                    .append(c.length() % 2 == 0 ? "" : ";x=\"y\"")
+                    .append("\r\n");
             s.append(c).append("\r\n");
         }
         return s + "0\r\nx-trailer: t\r\n\r\n";
@@ -43,21 +57,35 @@
     /** A request as it stands on the wire, with its body in one of the three framings. */
     @Provide
     Arbitrary<String> requests() {
-        Arbitrary<List<String>> bodies = Arbitraries.strings().withCharRange('\0', '\u00ff').ofMinLength(1)
-                .ofMaxLength(60).list().ofMaxSize(5);
-        Arbitrary<String> target = Arbitraries.strings().withChars("abc/%?=&.~").ofMaxLength(30).map(s -> "/" + s);
-        return Combinators.combine(someFields(), target, bodies, Arbitraries.of(0, 1, 2)).as((f, t, b, kind) -> {
-            String whole = String.join("", b);
-            String body = kind == 0 ? "" : kind == 1 ? whole : chunked(b);
-            if (kind > 0) {
-                f.add(kind == 1 ? "Content-Length" : "Transfer-Encoding", kind == 1 ? "" + whole.length() : "chunked");
-            }
-            return text(Writing.request(new RequestHead("PUT", t, "a.example", 1, f))) + body;
-        });
+        Arbitrary<List<String>> bodies =
+                Arbitraries.strings()
+                        .withCharRange('\0', '\u00ff')
+                        .ofMinLength(1)
+                        .ofMaxLength(60)
+                        .list()
+                        .ofMaxSize(5);
+        Arbitrary<String> target =
+                Arbitraries.strings().withChars("abc/%?=&.~").ofMaxLength(30).map(s -> "/" + s);
+        return Combinators.combine(someFields(), target, bodies, Arbitraries.of(0, 1, 2))
+                .as(
+                        (f, t, b, kind) -> {
+                            String whole = String.join("", b);
+                            String body = kind == 0 ? "" : kind == 1 ? whole : chunked(b);
+                            if (kind > 0) {
+                                f.add(
+                                        kind == 1 ? "Content-Length" : "Transfer-Encoding",
+                                        kind == 1 ? "" + whole.length() : "chunked");
+                            }
+                            return text(
+                                            Writing.request(
+                                                    new RequestHead("PUT", t, "a.example", 1, f)))
+                                    + body;
+                        });
     }
 
     @Property(tries = 400, seed = "71")
-    void anyCutReadsAlike(@ForAll("requests") String text, @ForAll List<Integer> cuts) throws HttpProblem {
+    void anyCutReadsAlike(@ForAll("requests") String text, @ForAll List<Integer> cuts)
+            throws HttpProblem {
         Messages.Read whole = Messages.request(text, List.of());
         assertEquals(whole, Messages.request(text, cuts));
         assertEquals(whole, Messages.request(text, Messages.everyByte(text)));
@@ -73,7 +101,8 @@
     }
 
     @Property(tries = 200, seed = "73")
-    void answersReadBack(@ForAll("heads") ResponseHead head, @ForAll List<Integer> cuts) throws HttpProblem {
+    void answersReadBack(@ForAll("heads") ResponseHead head, @ForAll List<Integer> cuts)
+            throws HttpProblem {
         String text = text(Writing.response(head)) + "until the end";
         Messages.Read read = Messages.response(text, "GET", cuts);
         assertEquals(head, read.head());
@@ -82,12 +111,14 @@
 
     @Provide
     Arbitrary<ResponseHead> heads() {
-        Arbitrary<Integer> status = Arbitraries.integers().between(200, 599).filter(s -> s != 204 && s != 304);
+        Arbitrary<Integer> status =
+                Arbitraries.integers().between(200, 599).filter(s -> s != 204 && s != 304);
         return Combinators.combine(status, someFields()).as((s, f) -> new ResponseHead(s, f));
     }
 
     @Property(tries = 300, seed = "74")
-    void aSecondRequestIsLeftWhole(@ForAll("requests") String first, @ForAll("requests") String second)
+    void aSecondRequestIsLeftWhole(
+            @ForAll("requests") String first, @ForAll("requests") String second)
             throws HttpProblem {
         assertEquals(second.length(), Messages.request(first + second, List.of()).left());
     }
--- a/src/test/java/brooklock/http/Messages.java
+++ b/src/test/java/brooklock/http/Messages.java
@@ -6,12 +6,13 @@
 
 /** Feeds messages in pieces. */
 final class Messages {
-    private Messages() {
-    }
+    private Messages() {}
 
-    /** What came out of one message: its head as text, its body and trailers, and what was left over. */
-    record Read(Object head, String body, Fields trailers, int left) {
-    }
+    /**
+     * What came out of one message: its head as text, its body and trailers, and what was left
+     * over.
+     */
+    record Read(Object head, String body, Fields trailers, int left) {}
 
     static ByteBuffer bytes(String s) {
         return ByteBuffer.wrap(s.getBytes(StandardCharsets.ISO_8859_1));
@@ -29,7 +30,11 @@
         final StringBuilder out = new StringBuilder();
         int left;
 
-        Reading(String text, List<Integer> cuts, Step<ByteBuffer, H> parser, Step<H, BodyDecoder> decoder)
+        Reading(
+                String text,
+                List<Integer> cuts,
+                Step<ByteBuffer, H> parser,
+                Step<H, BodyDecoder> decoder)
                 throws HttpProblem {
             for (ByteBuffer piece : pieces(text, cuts)) {
                 if (head == null) {
@@ -44,27 +49,42 @@
         }
 
         Read read(boolean whole) {
-            return new Read(head, whole ? out.toString() : null, body == null ? null : body.trailers(), left);
+            return new Read(
+                    head,
+                    whole ? out.toString() : null,
+                    body == null ? null : body.trailers(),
+                    left);
         }
     }
 
     /** Reads one request that comes cut at the given places (taken modulo its length). */
     static Read request(String text, List<Integer> cuts) throws HttpProblem {
-        Reading<RequestHead> r = new Reading<>(text, cuts, new RequestParser(HttpLimits.STANDARD)::next,
-                head -> BodyDecoder.ofRequest(Framing.of(head), HttpLimits.STANDARD));
+        Reading<RequestHead> r =
+                new Reading<>(
+                        text,
+                        cuts,
+                        new RequestParser(HttpLimits.STANDARD)::next,
+                        head -> BodyDecoder.ofRequest(Framing.of(head), HttpLimits.STANDARD));
         return r.read(r.body != null && r.body.done());
     }
 
     static Read response(String text, String method, List<Integer> cuts) throws HttpProblem {
-        Reading<ResponseHead> r = new Reading<>(text, cuts, new ResponseParser(HttpLimits.STANDARD)::next,
-                head -> BodyDecoder.ofResponse(Framing.of(head, method), HttpLimits.STANDARD));
+        Reading<ResponseHead> r =
+                new Reading<>(
+                        text,
+                        cuts,
+                        new ResponseParser(HttpLimits.STANDARD)::next,
+                        head ->
+                                BodyDecoder.ofResponse(
+                                        Framing.of(head, method), HttpLimits.STANDARD));
         if (r.body != null) {
             r.body.ended();
         }
         return r.read(true);
     }
 
-    private static void drain(BodyDecoder body, ByteBuffer in, StringBuilder out) throws HttpProblem {
+    private static void drain(BodyDecoder body, ByteBuffer in, StringBuilder out)
+            throws HttpProblem {
         for (ByteBuffer b = body.next(in); b != null; b = body.next(in)) {
             out.append(StandardCharsets.ISO_8859_1.decode(b));
         }
--- a/src/test/java/brooklock/http/ParserFuzzTest.java
+++ b/src/test/java/brooklock/http/ParserFuzzTest.java
@@ -8,13 +8,15 @@
 import org.junit.jupiter.api.Assertions;
 
 /**
- * Whatever comes, the parsers end with a message or with an {@link HttpProblem}, the same whole and byte by byte. The
- * seeds beside this class run with the tests; {@code JAZZER_FUZZ=1 mvn test -Dtest=ParserFuzzTest} searches on.
+ * Whatever comes, the parsers end with a message or with an {@link HttpProblem}, the same whole and
+ * byte by byte. The seeds beside this class run with the tests; {@code JAZZER_FUZZ=1 mvn test
+ * -Dtest=ParserFuzzTest} searches on.
  */
 class ParserFuzzTest {
     private static String outcome(String text, boolean request, List<Integer> cuts) {
         try {
-            Messages.Read r = request ? Messages.request(text, cuts) : Messages.response(text, "GET", cuts);
+            Messages.Read r =
+                    request ? Messages.request(text, cuts) : Messages.response(text, "GET", cuts);
             return r.head() + "|" + r.body() + "|" + r.trailers();
         } catch (HttpProblem e) {
             return e.status + " " + e.getMessage();
@@ -26,7 +28,8 @@
         byte[] some = Arrays.copyOf(data, Math.min(data.length, 4096));
         String text = StandardCharsets.ISO_8859_1.decode(ByteBuffer.wrap(some)).toString();
         for (boolean request : new boolean[] {true, false}) {
-            Assertions.assertEquals(outcome(text, request, List.of()),
+            Assertions.assertEquals(
+                    outcome(text, request, List.of()),
                     outcome(text, request, Messages.everyByte(text)));
         }
         StatusList.parse(text);
--- a/src/test/java/brooklock/http/StrictnessTest.java
+++ b/src/test/java/brooklock/http/StrictnessTest.java
@@ -17,62 +17,83 @@
     private static final String GET = "GET /a HTTP/1.1\r\nHost: x\r\n";
 
     private static String text(String escaped) {
-        return escaped.replace("\\r", "\r").replace("\\n", "\n").replace("\\t", "\t").replace("\\0", "\0");
+        return escaped.replace("\\r", "\r")
+                .replace("\\n", "\n")
+                .replace("\\t", "\t")
+                .replace("\\0", "\0");
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {
-        "400 | GET /a HTTP/1.1\\r\\n\\r\\n",
-        "400 | GET /a HTTP/1.1\\r\\nHost: a\\r\\nHost: a\\r\\n\\r\\n",
-        "400 | GET /a HTTP/1.1\\r\\nHost: a b\\r\\n\\r\\n",
-        "400 | GET /a HTTP/1.1\\r\\nHost: a:99999x\\r\\n\\r\\n",
-        "400 | GET  /a HTTP/1.1\\r\\nHost: a\\r\\n\\r\\n",
-        "400 | GET /a HTTP/1.1 \\r\\nHost: a\\r\\n\\r\\n",
-        "400 | GET /a b HTTP/1.1\\r\\nHost: a\\r\\n\\r\\n",
-        "400 | GET /a#b HTTP/1.1\\r\\nHost: a\\r\\n\\r\\n",
-        "400 | GET a HTTP/1.1\\r\\nHost: a\\r\\n\\r\\n",
-        "400 | GET * HTTP/1.1\\r\\nHost: a\\r\\n\\r\\n",
-        "400 | G(T /a HTTP/1.1\\r\\nHost: a\\r\\n\\r\\n",
-        "400 | GET /a HTTQ/1.1\\r\\nHost: a\\r\\n\\r\\n",
-        "505 | GET /a HTTP/2.0\\r\\nHost: a\\r\\n\\r\\n",
-        "501 | CONNECT a:1 HTTP/1.1\\r\\nHost: a\\r\\n\\r\\n",
-        "400 | GET /a HTTP/1.1\\nHost: a\\r\\n\\r\\n",
-        "400 | GET /a HTTP/1.1\\rHost: a\\r\\n\\r\\n",
-        "400 | GET /a HTTP/1.1\\r\\nHost : a\\r\\n\\r\\n",
-        "400 | GET /a HTTP/1.1\\r\\nHost: a\\r\\n b\\r\\n\\r\\n",
-        "400 | GET /a HTTP/1.1\\r\\nHost: a\\r\\nX: a\\0b\\r\\n\\r\\n",
-        "400 | GET /a HTTP/1.1\\r\\nHost: a\\r\\n: b\\r\\n\\r\\n",
-        "400 | GET /a HTTP/1.1\\r\\nHost: a\\r\\nnocolon\\r\\n\\r\\n",
-        "400 | PUT /a HTTP/1.1\\r\\nHost: a\\r\\nContent-Length: 1\\r\\nTransfer-Encoding: chunked\\r\\n\\r\\n",
-        "400 | PUT /a HTTP/1.1\\r\\nHost: a\\r\\nContent-Length: 1\\r\\nContent-Length: 2\\r\\n\\r\\n",
-        "400 | PUT /a HTTP/1.1\\r\\nHost: a\\r\\nContent-Length: 1, 1\\r\\n\\r\\n",
-        "400 | PUT /a HTTP/1.1\\r\\nHost: a\\r\\nContent-Length: +1\\r\\n\\r\\n",
-        "400 | PUT /a HTTP/1.1\\r\\nHost: a\\r\\nContent-Length: 9999999999999999999\\r\\n\\r\\n",
-        "413 | PUT /a HTTP/1.1\\r\\nHost: a\\r\\nContent-Length: 99999999999999999\\r\\n\\r\\n",
-        "501 | PUT /a HTTP/1.1\\r\\nHost: a\\r\\nTransfer-Encoding: gzip, chunked\\r\\n\\r\\n",
-        "400 | PUT /a HTTP/1.0\\r\\nTransfer-Encoding: chunked\\r\\n\\r\\n",
-        "400 | PUT /a HTTP/1.1\\r\\nHost: a\\r\\nTransfer-Encoding: chunked\\r\\n\\r\\nzz\\r\\n",
-        "400 | PUT /a HTTP/1.1\\r\\nHost: a\\r\\nTransfer-Encoding: chunked\\r\\n\\r\\n1 ;a\\r\\n",
-        "400 | PUT /a HTTP/1.1\\r\\nHost: a\\r\\nTransfer-Encoding: chunked\\r\\n\\r\\n1\\nx",
-        "400 | PUT /a HTTP/1.1\\r\\nHost: a\\r\\nTransfer-Encoding: chunked\\r\\n\\r\\n1\\r\\nxy\\r\\n",
-        "400 | PUT /a HTTP/1.1\\r\\nHost: a\\r\\nTransfer-Encoding: chunked\\r\\n\\r\\nfffffffffffffffff\\r\\n",
-        "400 | \\r\\n\\r\\n\\r\\n\\r\\nGET /a HTTP/1.1\\r\\nHost: a\\r\\n\\r\\n",
-    })
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "400 | GET /a HTTP/1.1\\r\\n\\r\\n",
+                "400 | GET /a HTTP/1.1\\r\\nHost: a\\r\\nHost: a\\r\\n\\r\\n",
+                "400 | GET /a HTTP/1.1\\r\\nHost: a b\\r\\n\\r\\n",
+                "400 | GET /a HTTP/1.1\\r\\nHost: a:99999x\\r\\n\\r\\n",
+                "400 | GET  /a HTTP/1.1\\r\\nHost: a\\r\\n\\r\\n",
+                "400 | GET /a HTTP/1.1 \\r\\nHost: a\\r\\n\\r\\n",
+                "400 | GET /a b HTTP/1.1\\r\\nHost: a\\r\\n\\r\\n",
+                "400 | GET /a#b HTTP/1.1\\r\\nHost: a\\r\\n\\r\\n",
+                "400 | GET a HTTP/1.1\\r\\nHost: a\\r\\n\\r\\n",
+                "400 | GET * HTTP/1.1\\r\\nHost: a\\r\\n\\r\\n",
+                "400 | G(T /a HTTP/1.1\\r\\nHost: a\\r\\n\\r\\n",
+                "400 | GET /a HTTQ/1.1\\r\\nHost: a\\r\\n\\r\\n",
+                "505 | GET /a HTTP/2.0\\r\\nHost: a\\r\\n\\r\\n",
+                "501 | CONNECT a:1 HTTP/1.1\\r\\nHost: a\\r\\n\\r\\n",
+                "400 | GET /a HTTP/1.1\\nHost: a\\r\\n\\r\\n",
+                "400 | GET /a HTTP/1.1\\rHost: a\\r\\n\\r\\n",
+                "400 | GET /a HTTP/1.1\\r\\nHost : a\\r\\n\\r\\n",
+                "400 | GET /a HTTP/1.1\\r\\nHost: a\\r\\n b\\r\\n\\r\\n",
+                "400 | GET /a HTTP/1.1\\r\\nHost: a\\r\\nX: a\\0b\\r\\n\\r\\n",
+                "400 | GET /a HTTP/1.1\\r\\nHost: a\\r\\n: b\\r\\n\\r\\n",
+                "400 | GET /a HTTP/1.1\\r\\nHost: a\\r\\nnocolon\\r\\n\\r\\n",
+                "400 | PUT /a HTTP/1.1\\r\\nHost: a\\r\\nContent-Length: 1\\r\\nTransfer-Encoding: chunked\\r\\n\\r\\n",
+                "400 | PUT /a HTTP/1.1\\r\\nHost: a\\r\\nContent-Length: 1\\r\\nContent-Length: 2\\r\\n\\r\\n",
+                "400 | PUT /a HTTP/1.1\\r\\nHost: a\\r\\nContent-Length: 1, 1\\r\\n\\r\\n",
+                "400 | PUT /a HTTP/1.1\\r\\nHost: a\\r\\nContent-Length: +1\\r\\n\\r\\n",
+                "400 | PUT /a HTTP/1.1\\r\\nHost: a\\r\\nContent-Length: 9999999999999999999\\r\\n\\r\\n",
+                "413 | PUT /a HTTP/1.1\\r\\nHost: a\\r\\nContent-Length: 99999999999999999\\r\\n\\r\\n",
+                "501 | PUT /a HTTP/1.1\\r\\nHost: a\\r\\nTransfer-Encoding: gzip, chunked\\r\\n\\r\\n",
+                "400 | PUT /a HTTP/1.0\\r\\nTransfer-Encoding: chunked\\r\\n\\r\\n",
+                "400 | PUT /a HTTP/1.1\\r\\nHost: a\\r\\nTransfer-Encoding: chunked\\r\\n\\r\\nzz\\r\\n",
+                "400 | PUT /a HTTP/1.1\\r\\nHost: a\\r\\nTransfer-Encoding: chunked\\r\\n\\r\\n1 ;a\\r\\n",
+                "400 | PUT /a HTTP/1.1\\r\\nHost: a\\r\\nTransfer-Encoding: chunked\\r\\n\\r\\n1\\nx",
+                "400 | PUT /a HTTP/1.1\\r\\nHost: a\\r\\nTransfer-Encoding: chunked\\r\\n\\r\\n1\\r\\nxy\\r\\n",
+                "400 | PUT /a HTTP/1.1\\r\\nHost: a\\r\\nTransfer-Encoding: chunked\\r\\n\\r\\nfffffffffffffffff\\r\\n",
+                "400 | \\r\\n\\r\\n\\r\\n\\r\\nGET /a HTTP/1.1\\r\\nHost: a\\r\\n\\r\\n",
+            })
     void refused(int status, String escaped) {
         String text = text(escaped);
-        assertEquals(status, assertThrows(HttpProblem.class, () -> Messages.request(text, List.of())).status);
-        assertEquals(status,
-                assertThrows(HttpProblem.class, () -> Messages.request(text, Messages.everyByte(text))).status);
+        assertEquals(
+                status,
+                assertThrows(HttpProblem.class, () -> Messages.request(text, List.of())).status);
+        assertEquals(
+                status,
+                assertThrows(
+                                HttpProblem.class,
+                                () -> Messages.request(text, Messages.everyByte(text)))
+                        .status);
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {"HTTP/1.1 200 OK\\r\\nContent-Length: 5\\r\\n\\r\\nabc",
-        "HTTP/1.1 200 OK\\r\\nTransfer-Encoding: chunked\\r\\n\\r\\n3\\r\\nabc\\r\\n",
-        "HTTP/1.1 200 OK\\r\\nTransfer-Encoding: chunked\\r\\nContent-Length: 3\\r\\n\\r\\n3\\r\\nabc\\r\\n0\\r\\n\\r\\n",
-        "HTTP/1.1 20 OK\\r\\n\\r\\n", "HTTP/3.0 200 OK\\r\\n\\r\\n", "HTTP/1.1 999 OK\\r\\n\\r\\n", "ICY 200 OK\\r\\n\\r\\n"})
+    @ValueSource(
+            strings = {
+                "HTTP/1.1 200 OK\\r\\nContent-Length: 5\\r\\n\\r\\nabc",
+                "HTTP/1.1 200 OK\\r\\nTransfer-Encoding: chunked\\r\\n\\r\\n3\\r\\nabc\\r\\n",
+                "HTTP/1.1 200 OK\\r\\nTransfer-Encoding: chunked\\r\\nContent-Length: 3\\r\\n\\r\\n3\\r\\nabc\\r\\n0\\r\\n\\r\\n",
+                "HTTP/1.1 20 OK\\r\\n\\r\\n",
+                "HTTP/3.0 200 OK\\r\\n\\r\\n",
+                "HTTP/1.1 999 OK\\r\\n\\r\\n",
+                "ICY 200 OK\\r\\n\\r\\n"
+            })
     void answersThatAreShortOrAmbiguousAreTheHostsFault(String escaped) {
-        assertEquals(502, assertThrows(HttpProblem.class,
-                () -> Messages.response(text(escaped), "GET", List.of())).status);
+        assertEquals(
+                502,
+                assertThrows(
+                                HttpProblem.class,
+                                () -> Messages.response(text(escaped), "GET", List.of()))
+                        .status);
     }
 
     @Test
@@ -82,7 +103,8 @@
         assertEquals(431, problem(GET + ("X: " + "a".repeat(4000) + "\r\n").repeat(9)));
         assertEquals(431, problem(GET + "X: a\r\n".repeat(100) + "\r\n"));
         String trailers = "X: a\r\n".repeat(101);
-        assertEquals(431, problem(GET + "Transfer-Encoding: chunked\r\n\r\n0\r\n" + trailers + "\r\n"));
+        assertEquals(
+                431, problem(GET + "Transfer-Encoding: chunked\r\n\r\n0\r\n" + trailers + "\r\n"));
     }
 
     private static int problem(String text) {
@@ -109,14 +131,23 @@
         assertEquals("", Messages.response("HTTP/1.1 200 OK\r\n" + head, "HEAD", List.of()).body());
         assertEquals("", Messages.response("HTTP/1.1 304 x\r\n" + head, "GET", List.of()).body());
         assertEquals("", Messages.response("HTTP/1.1 204 \r\n\r\n", "GET", List.of()).body());
-        assertEquals("", Messages.response("HTTP/1.1 100 Continue\r\n\r\n", "GET", List.of()).body());
-        assertEquals("until close", Messages.response("HTTP/1.1 200\r\n\r\nuntil close", "GET", List.of()).body());
+        assertEquals(
+                "", Messages.response("HTTP/1.1 100 Continue\r\n\r\n", "GET", List.of()).body());
+        assertEquals(
+                "until close",
+                Messages.response("HTTP/1.1 200\r\n\r\nuntil close", "GET", List.of()).body());
     }
 
     @Test
     void fieldsOfAHopStayBehind() {
-        Fields f = new Fields().add("Connection", "x-mine, content-length").add("X-Mine", "1").add("TE", "a")
-                .add("Transfer-Encoding", "chunked").add("Content-Length", "3").add("Accept", "b");
+        Fields f =
+                new Fields()
+                        .add("Connection", "x-mine, content-length")
+                        .add("X-Mine", "1")
+                        .add("TE", "a")
+                        .add("Transfer-Encoding", "chunked")
+                        .add("Content-Length", "3")
+                        .add("Accept", "b");
         Fields on = Forwarding.endToEnd(f);
         assertEquals(new Fields().add("Content-Length", "3").add("Accept", "b"), on);
         Forwarding.via(on, 1, "edge-1");
@@ -130,13 +161,18 @@
     void aFieldCannotEndItsLine() {
         assertThrows(IllegalArgumentException.class, () -> new Fields().add("A", "b\r\nC: d"));
         assertThrows(IllegalArgumentException.class, () -> new Fields().add("A:", "b"));
-        assertThrows(IllegalArgumentException.class, () -> Writing.request(
-                new RequestHead("GET", "/ HTTP/1.1\r\nX: y", "a", 1, new Fields())));
+        assertThrows(
+                IllegalArgumentException.class,
+                () ->
+                        Writing.request(
+                                new RequestHead(
+                                        "GET", "/ HTTP/1.1\r\nX: y", "a", 1, new Fields())));
     }
 
     @Test
     void statusListsOfTwoHops() {
-        List<StatusList.Member> all = StatusList.parse("origin;fwd=miss;fwd-status=200, \"edge, 1\"; hit; ttl=-4");
+        List<StatusList.Member> all =
+                StatusList.parse("origin;fwd=miss;fwd-status=200, \"edge, 1\"; hit; ttl=-4");
         assertEquals(2, all.size());
         assertEquals("edge, 1", all.get(1).name());
         assertTrue(all.get(1).flag("hit"));
--- a/src/test/java/brooklock/members/MembershipTest.java
+++ b/src/test/java/brooklock/members/MembershipTest.java
@@ -20,11 +20,19 @@
 
 /** The order of notices: for any interleaving, the newest notice that arrived is in force. */
 class MembershipTest {
-    // The first two belong to one source each and are left out of its full lists when gone; the others both may name.
+    // The first two belong to one source each and are left out of its full lists when gone; the
+    // others both may name.
     private static final List<String> NAMES = List.of("a-1", "b-1", "c1", "c2", "c3");
 
     private static Member host(String name, HostState state, long started) {
-        return new Member(name, HostId.of(name), Kind.CACHE, "north", new InetSocketAddress("127.0.0.1", 9000), state, 1,
+        return new Member(
+                name,
+                HostId.of(name),
+                Kind.CACHE,
+                "north",
+                new InetSocketAddress("127.0.0.1", 9000),
+                state,
+                1,
                 started);
     }
 
@@ -32,7 +40,8 @@
         return new Notice(new Stamp(source, epoch, number, 0), true, List.of(all));
     }
 
-    private static Notice delta(String source, long epoch, long number, long follows, Member... all) {
+    private static Notice delta(
+            String source, long epoch, long number, long follows, Member... all) {
         return new Notice(new Stamp(source, epoch, number, follows), false, List.of(all));
     }
 
@@ -48,20 +57,39 @@
     @Test
     void anOlderNoticeAGapAnOldEpochAndARepeatChangeNothingAndSayWhatIsInForce() {
         Membership m = new Membership(List.of("north"));
-        assertEquals(Result.GAP, m.take(1, delta("r", 5, 2, 1, ready("c1"))).result(), "nothing to follow yet");
+        assertEquals(
+                Result.GAP,
+                m.take(1, delta("r", 5, 2, 1, ready("c1"))).result(),
+                "nothing to follow yet");
         assertEquals(Result.TAKEN, m.take(1, full("r", 5, 10, ready("c1"), ready("c2"))).result());
-        assertEquals(Result.TAKEN, m.take(1, delta("r", 5, 11, 10, host("c1", HostState.GONE, 0))).result());
+        assertEquals(
+                Result.TAKEN,
+                m.take(1, delta("r", 5, 11, 10, host("c1", HostState.GONE, 0))).result());
         Membership.State before = m.state();
         Answer late = m.take(1, full("r", 5, 10, ready("c1"), ready("c2")));
         assertEquals(Result.OLDER, late.result());
         assertEquals("older\nsource r epoch 5 number 11\n", late.text());
         assertEquals(Result.GAP, m.take(1, delta("r", 5, 13, 12, ready("c1"))).result());
-        assertEquals(Result.GAP, m.take(1, delta("r", 5, 14, 10, ready("c2"))).result(), "c1 left and came back between");
+        assertEquals(
+                Result.GAP,
+                m.take(1, delta("r", 5, 14, 10, ready("c2"))).result(),
+                "c1 left and came back between");
         assertEquals(Result.OLD_EPOCH, m.take(1, full("r", 4, 99, ready("c1"))).result());
-        assertEquals(Result.GAP, m.take(1, delta("r", 6, 1 + 1, 1, ready("c1"))).result(), "an epoch begins with all");
-        assertEquals(Result.REPEATED, m.take(1, delta("r", 5, 11, 10, host("c1", HostState.GONE, 0))).result());
-        assertEquals(Result.REPEATED, m.take(1, full("r", 5, 11, ready("c2"))).result(), "the same, said whole");
-        assertEquals(Result.CONFLICT, m.take(1, full("r", 5, 11, ready("c1"))).result(), "two go by one name");
+        assertEquals(
+                Result.GAP,
+                m.take(1, delta("r", 6, 1 + 1, 1, ready("c1"))).result(),
+                "an epoch begins with all");
+        assertEquals(
+                Result.REPEATED,
+                m.take(1, delta("r", 5, 11, 10, host("c1", HostState.GONE, 0))).result());
+        assertEquals(
+                Result.REPEATED,
+                m.take(1, full("r", 5, 11, ready("c2"))).result(),
+                "the same, said whole");
+        assertEquals(
+                Result.CONFLICT,
+                m.take(1, full("r", 5, 11, ready("c1"))).result(),
+                "two go by one name");
         assertEquals(before, m.state());
         assertEquals(Result.TAKEN, m.take(1, delta("r", 5, 14, 11, ready("c1"))).result());
         assertEquals(Result.TAKEN, m.take(1, full("r", 6, 1, ready("c2"))).result());
@@ -75,10 +103,19 @@
         m.take(1, full("r", 1, 1, host("c1", HostState.READY, 40)));
         assertEquals(Result.TAKEN, m.byHand("c1", HostState.DRAINING).result());
         m.take(1, full("r", 1, 2, host("c1", HostState.READY, 50)));
-        assertEquals(HostState.DRAINING, state(m, "c1"), "a list that knows nothing of it does not undo it");
-        assertEquals(50, m.state().inForce().get(HostId.of("c1")).startedMs(), "nor does it hold back what is new");
+        assertEquals(
+                HostState.DRAINING,
+                state(m, "c1"),
+                "a list that knows nothing of it does not undo it");
+        assertEquals(
+                50,
+                m.state().inForce().get(HostId.of("c1")).startedMs(),
+                "nor does it hold back what is new");
         m.take(1, delta("r", 1, 3, 2, host("c1", HostState.GONE, 50)));
-        assertEquals(Result.HELD, m.byHand("c1", HostState.READY).result(), "the source's word is not the hand's");
+        assertEquals(
+                Result.HELD,
+                m.byHand("c1", HostState.READY).result(),
+                "the source's word is not the hand's");
         assertEquals(HostState.GONE, state(m, "c1"));
         m.take(1, delta("r", 1, 4, 3, host("c1", HostState.READY, 60)));
         assertEquals(HostState.READY, state(m, "c1"));
@@ -95,7 +132,8 @@
         m.take(1, full("b", 1, 1, ready("c2"), ready("c3")));
         assertEquals(HostState.READY, state(m, "c1"));
         m.take(1, full("a", 1, 2, ready("c1")));
-        assertEquals(HostState.GONE, state(m, "c2"), "b, which is silent, does not undo what a removed");
+        assertEquals(
+                HostState.GONE, state(m, "c2"), "b, which is silent, does not undo what a removed");
         assertEquals(Result.TAKEN, m.reset("a").result());
         assertEquals(HostState.READY, state(m, "c1"));
         assertEquals(Result.TAKEN, m.take(1, full("a", 1, 1, ready("c1"))).result());
@@ -115,11 +153,15 @@
         for (int i = 0; i < ListText.MOST; i++) {
             many.add(ready("h" + i));
         }
-        assertEquals(Result.TAKEN, m.take(1, full("a", 1, 1, many.toArray(Member[]::new))).result());
+        assertEquals(
+                Result.TAKEN, m.take(1, full("a", 1, 1, many.toArray(Member[]::new))).result());
         assertEquals(Result.REFUSED, m.take(1, full("b", 1, 1, ready("c1"))).result());
         assertEquals(null, state(m, "c1"));
         m.take(1, delta("a", 1, 2, 1, host("h7", HostState.GONE, 0)));
-        assertEquals(Result.TAKEN, m.take(1, full("b", 1, 1, ready("c1"))).result(), "what is gone makes room");
+        assertEquals(
+                Result.TAKEN,
+                m.take(1, full("b", 1, 1, ready("c1"))).result(),
+                "what is gone makes room");
     }
 
     @Test
@@ -152,7 +194,8 @@
                 epoch++;
                 number = 0;
             }
-            TreeMap<Long, Map<String, HostState>> mine = said.computeIfAbsent(epoch, k -> new TreeMap<>());
+            TreeMap<Long, Map<String, HostState>> mine =
+                    said.computeIfAbsent(epoch, k -> new TreeMap<>());
             Map<String, HostState> was = last;
             Map<String, HostState> is = new TreeMap<>(was);
             for (int i = r.nextInt(3); i >= 0; i--) {
@@ -161,13 +204,19 @@
             }
             mine.put(++number, is);
             last = is;
-            long follows = number == 1 || r.nextInt(3) == 0 ? 0 : number - 1 - r.nextInt((int) Math.min(3, number - 1));
+            long follows =
+                    number == 1 || r.nextInt(3) == 0
+                            ? 0
+                            : number - 1 - r.nextInt((int) Math.min(3, number - 1));
             List<Member> hosts = new ArrayList<>();
-            is.forEach((h, s) -> {
-                if (follows == 0 ? s != HostState.GONE || !h.startsWith(name) : s != mine.get(follows).get(h)) {
-                    hosts.add(host(h, s, 0));
-                }
-            });
+            is.forEach(
+                    (h, s) -> {
+                        if (follows == 0
+                                ? s != HostState.GONE || !h.startsWith(name)
+                                : s != mine.get(follows).get(h)) {
+                            hosts.add(host(h, s, 0));
+                        }
+                    });
             return new Notice(new Stamp(name, epoch, number, follows), follows == 0, hosts);
         }
     }
@@ -205,10 +254,13 @@
                         Stamp s = n.stamp();
                         Stamp had = newest.get(s.source());
                         Answer a = m.take(step, n);
-                        boolean newer = had == null || s.epoch() > had.epoch()
-                                || s.epoch() == had.epoch() && s.number() > had.number();
+                        boolean newer =
+                                had == null
+                                        || s.epoch() > had.epoch()
+                                        || s.epoch() == had.epoch() && s.number() > had.number();
                         if (newer && n.full()) {
-                            assertEquals(Result.TAKEN, a.result(), "a newer full list is always taken");
+                            assertEquals(
+                                    Result.TAKEN, a.result(), "a newer full list is always taken");
                         }
                         assertTrue(!a.taken() || newer, "an older one is never taken");
                         if (a.taken()) {
@@ -221,7 +273,8 @@
                 HostState expected = null;
                 for (Saying s : sources) {
                     Stamp at = newest.get(s.name);
-                    HostState word = at == null ? null : s.said.get(at.epoch()).get(at.number()).get(h);
+                    HostState word =
+                            at == null ? null : s.said.get(at.epoch()).get(at.number()).get(h);
                     if (word != null) {
                         expected = expected == null ? word : Membership.tighter(expected, word);
                     }
--- a/src/test/java/brooklock/net/HostPoolTest.java
+++ b/src/test/java/brooklock/net/HostPoolTest.java
@@ -34,8 +34,7 @@
     private static final int OPENINGS = 2;
     private static final long LONG_NS = 20_000_000_000L;
 
-    @TempDir
-    private Path dir;
+    @TempDir private Path dir;
     private Net net;
     private SSLContext server;
     private SSLContext client;
@@ -61,32 +60,41 @@
         final AtomicInteger accepted = new AtomicInteger();
 
         Narrow(InetSocketAddress behind, int lets) throws IOException {
-            Thread t = new Thread(() -> {
-                try {
-                    while (true) {
-                        Socket s = in.accept();
-                        if (accepted.incrementAndGet() <= lets) {
-                            Socket on = new Socket(behind.getAddress(), behind.getPort());
-                            pipe(s, on);
-                            pipe(on, s);
-                        }
-                    }
-                } catch (IOException closed) {
-                    // The test is over.
-                }
-            }, "narrow");
+            Thread t =
+                    new Thread(
+                            () -> {
+                                try {
+                                    while (true) {
+                                        Socket s = in.accept();
+                                        if (accepted.incrementAndGet() <= lets) {
+                                            Socket on =
+                                                    new Socket(
+                                                            behind.getAddress(), behind.getPort());
+                                            pipe(s, on);
+                                            pipe(on, s);
+                                        }
+                                    }
+                                } catch (IOException closed) {
+                                    // The test is over.
+                                }
+                            },
+                            "narrow");
             t.setDaemon(true);
             t.start();
         }
 
         private static void pipe(Socket from, Socket to) {
-            Thread t = new Thread(() -> {
-                try (InputStream in = from.getInputStream(); OutputStream out = to.getOutputStream()) {
-                    in.transferTo(out);
-                } catch (IOException closed) {
-                    // The test is over.
-                }
-            }, "pipe");
+            Thread t =
+                    new Thread(
+                            () -> {
+                                try (InputStream in = from.getInputStream();
+                                        OutputStream out = to.getOutputStream()) {
+                                    in.transferTo(out);
+                                } catch (IOException closed) {
+                                    // The test is over.
+                                }
+                            },
+                            "pipe");
             t.setDaemon(true);
             t.start();
         }
@@ -129,15 +137,31 @@
 
     private Taker call(Client c, InetSocketAddress to) {
         Taker t = new Taker();
-        net.loop(0).execute(() -> c.call(to, new RequestHead("GET", "/", "localhost", 1, new Fields()), new byte[0], t));
+        net.loop(0)
+                .execute(
+                        () ->
+                                c.call(
+                                        to,
+                                        new RequestHead("GET", "/", "localhost", 1, new Fields()),
+                                        new byte[0],
+                                        t));
         return t;
     }
 
     @Test
     void aBurstAtASilentHostOpensFewConnectionsAndEachCallFailsOnceUnsent() throws Exception {
         try (Narrow silent = new Narrow(null, 0)) {
-            Client c = new Client(net.loop(0), ClientLimits.STANDARD.withOpenings(OPENINGS).withConnectNs(300_000_000L), client);
-            List<Taker> all = java.util.stream.IntStream.range(0, 50).mapToObj(i -> call(c, silent.address())).toList();
+            Client c =
+                    new Client(
+                            net.loop(0),
+                            ClientLimits.STANDARD
+                                    .withOpenings(OPENINGS)
+                                    .withConnectNs(300_000_000L),
+                            client);
+            List<Taker> all =
+                    java.util.stream.IntStream.range(0, 50)
+                            .mapToObj(i -> call(c, silent.address()))
+                            .toList();
             for (Taker t : all) {
                 assertTrue(t.ended().startsWith("NOT_CONNECTED"), t.ended());
                 assertFalse(t.went, "nothing is sent before the handshake is over");
@@ -150,10 +174,19 @@
     @Test
     void aCallTakesAConnectionThatBecomesFreeWhileAnotherIsStillOnItsWay() throws Exception {
         BlockingQueue<ServerExchange> asked = new LinkedBlockingQueue<>();
-        Listener host = Listener.openTls(net, new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), ServerLimits.STANDARD,
-                asked::add, server);
+        Listener host =
+                Listener.openTls(
+                        net,
+                        new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
+                        ServerLimits.STANDARD,
+                        asked::add,
+                        server);
         try (Narrow narrow = new Narrow(host.address(), 1)) {
-            Client c = new Client(net.loop(0), ClientLimits.STANDARD.withOpenings(OPENINGS).withConnectNs(LONG_NS), client);
+            Client c =
+                    new Client(
+                            net.loop(0),
+                            ClientLimits.STANDARD.withOpenings(OPENINGS).withConnectNs(LONG_NS),
+                            client);
             Taker first = call(c, narrow.address());
             ServerExchange x = asked.poll(20, TimeUnit.SECONDS);
             Taker second = call(c, narrow.address());
@@ -181,27 +214,60 @@
         try (ServerSocket s = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             nobody = new InetSocketAddress(s.getInetAddress(), s.getLocalPort());
         }
-        Client c = new Client(net.loop(0), ClientLimits.STANDARD.withOpenings(OPENINGS).withConnectNs(LONG_NS));
+        Client c =
+                new Client(
+                        net.loop(0),
+                        ClientLimits.STANDARD.withOpenings(OPENINGS).withConnectNs(LONG_NS));
         long from = System.nanoTime();
-        List<Taker> all = java.util.stream.IntStream.range(0, 50).mapToObj(i -> call(c, nobody)).toList();
+        List<Taker> all =
+                java.util.stream.IntStream.range(0, 50).mapToObj(i -> call(c, nobody)).toList();
         for (Taker t : all) {
             assertTrue(t.ended().startsWith("NOT_CONNECTED"), t.ended());
         }
-        assertTrue(System.nanoTime() - from < LONG_NS / 2, "none of them waited for its time in line to end");
+        assertTrue(
+                System.nanoTime() - from < LONG_NS / 2,
+                "none of them waited for its time in line to end");
     }
 
     @Test
     void noAnswerIsLostToAHandshakeThatEndsWhileItIsRead() throws Exception {
-        Listener host = Listener.openTls(net, new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), ServerLimits.STANDARD,
-                x -> x.send(200, new Fields(), new byte[0]), server);
-        Client c = new Client(net.loop(0), ClientLimits.STANDARD.withOpenings(8).withConnectNs(LONG_NS), client);
+        Listener host =
+                Listener.openTls(
+                        net,
+                        new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
+                        ServerLimits.STANDARD,
+                        x -> x.send(200, new Fields(), new byte[0]),
+                        server);
+        Client c =
+                new Client(
+                        net.loop(0),
+                        ClientLimits.STANDARD.withOpenings(8).withConnectNs(LONG_NS),
+                        client);
         for (int round = 0; round < 40; round++) {
-            List<Taker> all = java.util.stream.IntStream.range(0, 8).mapToObj(i -> {
-                Taker t = new Taker();
-                net.loop(0).execute(() -> c.call(host.address(), new RequestHead("GET", "/", "localhost", 1,
-                        new Fields().add("Connection", "close")), new byte[0], t));
-                return t;
-            }).toList();
+            List<Taker> all =
+                    java.util.stream.IntStream.range(0, 8)
+                            .mapToObj(
+                                    i -> {
+                                        Taker t = new Taker();
+                                        net.loop(0)
+                                                .execute(
+                                                        () ->
+                                                                c.call(
+                                                                        host.address(),
+                                                                        new RequestHead(
+                                                                                "GET",
+                                                                                "/",
+                                                                                "localhost",
+                                                                                1,
+                                                                                new Fields()
+                                                                                        .add(
+                                                                                                "Connection",
+                                                                                                "close")),
+                                                                        new byte[0],
+                                                                        t));
+                                        return t;
+                                    })
+                            .toList();
             for (Taker t : all) {
                 assertEquals("whole", t.ended());
             }
--- a/src/test/java/brooklock/platform/Caller.java
+++ b/src/test/java/brooklock/platform/Caller.java
@@ -13,8 +13,8 @@
 /** A client of the platform, as blocking as can be. */
 final class Caller implements Closeable {
     /** An answer: what kind, by its words, and its body. */
-    record Answer(long number, String error, byte[] body, Map<String, String> fields, boolean truth) {
-    }
+    record Answer(
+            long number, String error, byte[] body, Map<String, String> fields, boolean truth) {}
 
     private final Socket socket;
     private final PackReader pack = new PackReader(Frame.MOST_BODY);
@@ -35,14 +35,19 @@
     }
 
     static byte[] call(long number, String method, Map<String, String> fields, byte[] body) {
-        ByteBuffer b = ByteBuffer.allocate(4096 + (body == null ? 0 : body.length)).put((byte) 0x94).put((byte) 0)
-                .put((byte) 0xce).putInt((int) number);
+        ByteBuffer b =
+                ByteBuffer.allocate(4096 + (body == null ? 0 : body.length))
+                        .put((byte) 0x94)
+                        .put((byte) 0)
+                        .put((byte) 0xce)
+                        .putInt((int) number);
         RpcWriter.text(b, method);
         b.put((byte) (body == null ? 0x91 : 0x92)).put((byte) 0xde).putShort((short) fields.size());
-        fields.forEach((k, v) -> {
-            RpcWriter.text(b, k);
-            RpcWriter.text(b, v);
-        });
+        fields.forEach(
+                (k, v) -> {
+                    RpcWriter.text(b, k);
+                    RpcWriter.text(b, v);
+                });
         if (body != null) {
             b.put((byte) 0xc6).putInt(body.length).put(body);
         }
@@ -52,13 +57,27 @@
     }
 
     static byte[] forget(long number) {
-        return join(new byte[] {(byte) 0x93, 2, (byte) 0xa6}, "forget".getBytes(StandardCharsets.US_ASCII),
+        return join(
+                new byte[] {(byte) 0x93, 2, (byte) 0xa6},
+                "forget".getBytes(StandardCharsets.US_ASCII),
                 new byte[] {(byte) 0x91, (byte) number});
     }
 
     static Map<String, String> fields(long id, long object, int waitMs) {
-        return new HashMap<>(Map.of("i", String.format("%016x", id), "d", Integer.toString(waitMs), "o",
-                String.format("%016x", object), "seg", "0", "bucket", "1", "m", "20.0"));
+        return new HashMap<>(
+                Map.of(
+                        "i",
+                        String.format("%016x", id),
+                        "d",
+                        Integer.toString(waitMs),
+                        "o",
+                        String.format("%016x", object),
+                        "seg",
+                        "0",
+                        "bucket",
+                        "1",
+                        "m",
+                        "20.0"));
     }
 
     void send(byte[] bytes) throws IOException {
--- a/src/test/java/brooklock/platform/ClosingTest.java
+++ b/src/test/java/brooklock/platform/ClosingTest.java
@@ -31,13 +31,17 @@
 
     @BeforeEach
     void begin() throws Exception {
-        rig = new Rig(64, (e, out) -> {
-            if (e instanceof Request r) {
-                out.add(Rig.get(r.id(), "a", 2000, 2000));
-            } else if (e instanceof brooklock.RouterApi.Done d && d.outcome() != Outcome.OK) {
-                out.add(new Refuse(d.id(), 0));
-            }
-        });
+        rig =
+                new Rig(
+                        64,
+                        (e, out) -> {
+                            if (e instanceof Request r) {
+                                out.add(Rig.get(r.id(), "a", 2000, 2000));
+                            } else if (e instanceof brooklock.RouterApi.Done d
+                                    && d.outcome() != Outcome.OK) {
+                                out.add(new Refuse(d.id(), 0));
+                            }
+                        });
         rig.list("active", "a");
         client = new Socket(rig.address.getAddress(), rig.address.getPort());
         client.setSoTimeout(20_000);
@@ -80,13 +84,16 @@
         endsOnTheThread();
         Runnable free = rig.hold();
         client.getOutputStream().write(call(2, 0x21));
-        // Held until the moment in which idle connections are ended has come: it does so before it looks at sockets again.
-        for (long from = System.nanoTime(); System.nanoTime() - from < 2 * Front.LOOK_NS;) {
+        // Held until the moment in which idle connections are ended has come: it does so before it
+        // looks at sockets again.
+        for (long from = System.nanoTime(); System.nanoTime() - from < 2 * Front.LOOK_NS; ) {
             Thread.onSpinWait();
         }
         free.run();
         byte[] answer = client.getInputStream().readAllBytes();
-        assertTrue(new String(answer, java.nio.charset.StandardCharsets.ISO_8859_1).contains("Overloaded"));
+        assertTrue(
+                new String(answer, java.nio.charset.StandardCharsets.ISO_8859_1)
+                        .contains("Overloaded"));
         client.close();
         assertTrue(ended.await(20, TimeUnit.SECONDS));
     }
@@ -100,7 +107,9 @@
             endsOnTheThread();
             free.run();
             byte[] answer = late.getInputStream().readAllBytes();
-            assertTrue(new String(answer, java.nio.charset.StandardCharsets.ISO_8859_1).contains("Overloaded"));
+            assertTrue(
+                    new String(answer, java.nio.charset.StandardCharsets.ISO_8859_1)
+                            .contains("Overloaded"));
         }
     }
 
@@ -122,7 +131,9 @@
         isKnown();
         byte[] call = call(2, 0x25);
         // One byte of a token that has more: nothing of it has been taken yet.
-        byte[] wide = Caller.join(new byte[] {(byte) 0xdc, 0, 4}, Arrays.copyOfRange(call, 1, call.length));
+        byte[] wide =
+                Caller.join(
+                        new byte[] {(byte) 0xdc, 0, 4}, Arrays.copyOfRange(call, 1, call.length));
         client.getOutputStream().write(wide, 0, 1);
         endsOnTheThread();
         // The listener closes in the same breath in which idle connections are ended.
@@ -131,17 +142,26 @@
         }
         rig.on(() -> null);
         client.getOutputStream().write(wide, 1, wide.length - 1);
-        assertTrue(new String(client.getInputStream().readAllBytes(), java.nio.charset.StandardCharsets.ISO_8859_1)
-                .contains("Overloaded"));
+        assertTrue(
+                new String(
+                                client.getInputStream().readAllBytes(),
+                                java.nio.charset.StandardCharsets.ISO_8859_1)
+                        .contains("Overloaded"));
     }
 
     @Test
     void aMessageThatComesByteByByteHoldsNoPlaceForEver() throws Exception {
-        rig.on(() -> {
-            rig.front.messageNs(100_000_000);
-            return null;
-        });
-        byte[] call = Caller.call(1, Configs.WRITES, Caller.fields(0x28, 0x7f, 2000), new byte[RpcDecoder.MOST_BODY]);
+        rig.on(
+                () -> {
+                    rig.front.messageNs(100_000_000);
+                    return null;
+                });
+        byte[] call =
+                Caller.call(
+                        1,
+                        Configs.WRITES,
+                        Caller.fields(0x28, 0x7f, 2000),
+                        new byte[RpcDecoder.MOST_BODY]);
         int sent = 0;
         client.setSoTimeout(1);
         int read = 0;
@@ -158,10 +178,11 @@
 
     @Test
     void bodiesThatTheHeapCantHoldAreRefused() throws Exception {
-        rig.on(() -> {
-            rig.engine.mostBodyBytes(1500);
-            return null;
-        });
+        rig.on(
+                () -> {
+                    rig.engine.mostBodyBytes(1500);
+                    return null;
+                });
         try (Caller caller = new Caller(rig.address)) {
             for (int i = 1; i <= 2; i++) {
                 Map<String, String> f = Caller.fields(0x30 + i, 0x7f, 2000);
@@ -180,10 +201,11 @@
 
     @Test
     void aClientThatTakesNoneOfItsAnswersIsClosedBeforeTheyFillTheHeap() throws Exception {
-        rig.on(() -> {
-            rig.front.mostPending(300_000);
-            return null;
-        });
+        rig.on(
+                () -> {
+                    rig.front.mostPending(300_000);
+                    return null;
+                });
         isKnown();
         Rig.Peer host = null;
         for (int i = 1; i <= 64 && rig.on(rig.front::connections) > 0; i++) {
@@ -201,22 +223,24 @@
         CountDownLatch told = new CountDownLatch(1);
         AtomicInteger calls = new AtomicInteger();
         Stream[] pair = rig.on(() -> Stream.pair(rig.loop));
-        rig.on(() -> {
-            pair[0].start(new Stream.Taker() {
-                @Override
-                public void bytes(ByteBuffer in) {
-                    calls.incrementAndGet();
-                    throw new IllegalStateException("a fault of the test's own");
-                }
-
-                @Override
-                public void ended(String why) {
-                    told.countDown();
-                }
-            });
-            pair[1].write(ByteBuffer.allocate(3));
-            return null;
-        });
+        rig.on(
+                () -> {
+                    pair[0].start(
+                            new Stream.Taker() {
+                                @Override
+                                public void bytes(ByteBuffer in) {
+                                    calls.incrementAndGet();
+                                    throw new IllegalStateException("a fault of the test's own");
+                                }
+
+                                @Override
+                                public void ended(String why) {
+                                    told.countDown();
+                                }
+                            });
+                    pair[1].write(ByteBuffer.allocate(3));
+                    return null;
+                });
         assertTrue(told.await(20, TimeUnit.SECONDS));
         isKnown();
         assertEquals(1, calls.get());
@@ -248,6 +272,8 @@
         free.run();
         // A reset would throw here, or bring less.
         byte[] answer = client.getInputStream().readAllBytes();
-        assertTrue(new String(answer, java.nio.charset.StandardCharsets.ISO_8859_1).contains("Overloaded"));
+        assertTrue(
+                new String(answer, java.nio.charset.StandardCharsets.ISO_8859_1)
+                        .contains("Overloaded"));
     }
 }
--- a/src/test/java/brooklock/platform/CodecTest.java
+++ b/src/test/java/brooklock/platform/CodecTest.java
@@ -24,8 +24,12 @@
 
 /** The protocols' parsers at every cut, and what they turn away. */
 class CodecTest {
-    private static final Map<String, ClientRequest.Form> CLASSES = Map.of(
-            "pages", new ClientRequest.Form(0, false, false, 2500), "orders", new ClientRequest.Form(1, true, true, 3000));
+    private static final Map<String, ClientRequest.Form> CLASSES =
+            Map.of(
+                    "pages",
+                    new ClientRequest.Form(0, false, false, 2500),
+                    "orders",
+                    new ClientRequest.Form(1, true, true, 3000));
 
     private interface Reader<T> {
         T next(ByteBuffer in) throws Malformed;
@@ -58,8 +62,11 @@
     void callsAreReadAtEveryCut() throws Malformed {
         byte[] body = new byte[300];
         new Random(7).nextBytes(body);
-        byte[] bytes = Caller.join(Caller.call(7, "pages", Map.of("i", "9b1f03aa5c7e2d41", "d", "1500"), body),
-                Caller.forget(7), Caller.call(300, "isWell", Map.of(), null));
+        byte[] bytes =
+                Caller.join(
+                        Caller.call(7, "pages", Map.of("i", "9b1f03aa5c7e2d41", "d", "1500"), body),
+                        Caller.forget(7),
+                        Caller.call(300, "isWell", Map.of(), null));
         for (int cut = 0; cut <= bytes.length; cut++) {
             List<RpcMessage> got = read(new RpcDecoder()::next, bytes, cut);
             assertEquals(3, got.size());
@@ -72,24 +79,25 @@
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {
-        "c1", // no token
-        "95 00", // a message of five parts
-        "94 01", // an answer
-        "93 00", // a notice that is a call
-        "94 00 ff", // a message number below 0
-        "94 00 cf ffffffffffffffff", // ... or above all numbers
-        "94 00 ca 3f800000", // ... or with a point
-        "94 00 01 c6 03938700", // a name of 60 MB
-        "94 00 01 a1 61 92 df ffffffff", // four thousand million fields
-        "94 00 01 a1 61 92 81 01", // a field without a name
-        "94 00 01 a1 61 92 82 a1 69 a1 31 a1 69 a1 31", // a field twice
-        "94 00 01 a1 61 92 81 a1 69 c4 01 31", // a value that is no text
-        "94 00 01 a1 61 92 80 c6 7fffffff", // a body without end
-        "94 00 01 a1 61 92 80 a1 31", // a body that is a text
-        "94 00 01 a1 ff 92 80", // a name that is no UTF-8
-        "93 02 a4 73746f70", // an unknown notice
-    })
+    @ValueSource(
+            strings = {
+                "c1", // no token
+                "95 00", // a message of five parts
+                "94 01", // an answer
+                "93 00", // a notice that is a call
+                "94 00 ff", // a message number below 0
+                "94 00 cf ffffffffffffffff", // ... or above all numbers
+                "94 00 ca 3f800000", // ... or with a point
+                "94 00 01 c6 03938700", // a name of 60 MB
+                "94 00 01 a1 61 92 df ffffffff", // four thousand million fields
+                "94 00 01 a1 61 92 81 01", // a field without a name
+                "94 00 01 a1 61 92 82 a1 69 a1 31 a1 69 a1 31", // a field twice
+                "94 00 01 a1 61 92 81 a1 69 c4 01 31", // a value that is no text
+                "94 00 01 a1 61 92 80 c6 7fffffff", // a body without end
+                "94 00 01 a1 61 92 80 a1 31", // a body that is a text
+                "94 00 01 a1 ff 92 80", // a name that is no UTF-8
+                "93 02 a4 73746f70", // an unknown notice
+            })
     void whatIsNoMessageIsToldAtOnce(String text) {
         assertThrows(Malformed.class, () -> read(new RpcDecoder()::next, hex(text), 0));
     }
@@ -98,9 +106,11 @@
     void framesAreReadAtEveryCut() throws Malformed {
         byte[] body = new byte[700];
         new Random(9).nextBytes(body);
-        byte[] bytes = Caller.join(
-                FrameWriter.frame(Frame.FROM_HOST, Frame.OK, -5, "rev=4be0,tell=hit", body).array(),
-                FrameWriter.frame(Frame.FROM_HOST, Frame.MISS, 6, "", new byte[0]).array());
+        byte[] bytes =
+                Caller.join(
+                        FrameWriter.frame(Frame.FROM_HOST, Frame.OK, -5, "rev=4be0,tell=hit", body)
+                                .array(),
+                        FrameWriter.frame(Frame.FROM_HOST, Frame.MISS, 6, "", new byte[0]).array());
         for (int cut = 0; cut <= bytes.length; cut++) {
             List<Frame> got = read(new FrameDecoder()::next, bytes, cut);
             assertEquals(2, got.size());
@@ -113,7 +123,9 @@
 
     @Test
     void everyBitOfAFrameCounts() {
-        byte[] good = FrameWriter.frame(Frame.FROM_HOST, Frame.OK, 77, "rev=4b,tell=hit", new byte[40]).array();
+        byte[] good =
+                FrameWriter.frame(Frame.FROM_HOST, Frame.OK, 77, "rev=4b,tell=hit", new byte[40])
+                        .array();
         for (int bit = 0; bit < good.length * 8; bit++) {
             byte[] bad = good.clone();
             bad[bit / 8] ^= (byte) (1 << bit % 8);
@@ -129,9 +141,14 @@
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {"5a 40 0000 c0000000 0000000000000001", "5a 40 ffff 00000000 0000000000000001",
-        "a5 40 0000 00000000 0000000000000001", "5a 10 0000 00000000 0000000000000001",
-        "5a 40 0000 00000000 0000000000000001 00000001"})
+    @ValueSource(
+            strings = {
+                "5a 40 0000 c0000000 0000000000000001",
+                "5a 40 ffff 00000000 0000000000000001",
+                "a5 40 0000 00000000 0000000000000001",
+                "5a 10 0000 00000000 0000000000000001",
+                "5a 40 0000 00000000 0000000000000001 00000001"
+            })
     void framesThatDoNotFitAreToldFromTheirHead(String text) {
         assertThrows(Malformed.class, () -> read(new FrameDecoder()::next, hex(text), 0));
     }
@@ -139,15 +156,23 @@
     @Test
     void fieldsOfFramesAreStrict() {
         for (String bad : List.of("rev", "=1", "a=1,a=2", "a=1,", ",")) {
-            assertThrows(Malformed.class, () -> FrameDecoder.fieldsOf(bad.getBytes(StandardCharsets.ISO_8859_1)), bad);
+            assertThrows(
+                    Malformed.class,
+                    () -> FrameDecoder.fieldsOf(bad.getBytes(StandardCharsets.ISO_8859_1)),
+                    bad);
         }
     }
 
     @Test
     void theCommandChannelIsReadAtEveryCut() throws Malformed {
-        String text = Configs.nodes(41, false, List.of(Configs.endpoint("s-1", "127.0.0.1:5", "box", "leaving"))) + "\n"
-                + "{\"cursor\":42,\"drop\":{\"id\":\"7f3a9c21e0b4d655\",\"when\":1764576000123}}\n"
-                + "{\"cursor\":43,\"drop\":{\"family\":17,\"when\":1764576000480}}\n43\n{\"cursor\":44,\"else\":{}}\n{\"cur";
+        String text =
+                Configs.nodes(
+                                41,
+                                false,
+                                List.of(Configs.endpoint("s-1", "127.0.0.1:5", "box", "leaving")))
+                        + "\n"
+                        + "{\"cursor\":42,\"drop\":{\"id\":\"7f3a9c21e0b4d655\",\"when\":1764576000123}}\n"
+                        + "{\"cursor\":43,\"drop\":{\"family\":17,\"when\":1764576000480}}\n43\n{\"cursor\":44,\"else\":{}}\n{\"cur";
         byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
         for (int cut = 0; cut <= bytes.length; cut++) {
             List<Command> got = read(new CommandReader()::next, bytes, cut);
@@ -161,16 +186,40 @@
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {"", "{", "null", "[]", "{}", "{\"cursor\":\"x\"}", "{\"cursor\":1,\"drop\":{}}",
-        "{\"cursor\":1,\"drop\":{\"id\":\"x\",\"when\":1}}",
-        "{\"cursor\":1,\"nodes\":{\"snapshot\":true,\"endpoints\":[{}]}}", "43 44", "\u0000"})
+    @ValueSource(
+            strings = {
+                "",
+                "{",
+                "null",
+                "[]",
+                "{}",
+                "{\"cursor\":\"x\"}",
+                "{\"cursor\":1,\"drop\":{}}",
+                "{\"cursor\":1,\"drop\":{\"id\":\"x\",\"when\":1}}",
+                "{\"cursor\":1,\"nodes\":{\"snapshot\":true,\"endpoints\":[{}]}}",
+                "43 44",
+                "\u0000"
+            })
     void linesThatTellNothingAreTold(String line) {
         assertThrows(Malformed.class, () -> CommandReader.of(line));
     }
 
     private static Map<String, String> with(String name, String value) {
-        Map<String, String> f = new HashMap<>(Map.of("i", "9b1f03aa5c7e2d41", "d", "1500", "o", "7f3a9c21e0b4d655", "seg",
-                "3", "bucket", "17", "m", "412.5"));
+        Map<String, String> f =
+                new HashMap<>(
+                        Map.of(
+                                "i",
+                                "9b1f03aa5c7e2d41",
+                                "d",
+                                "1500",
+                                "o",
+                                "7f3a9c21e0b4d655",
+                                "seg",
+                                "3",
+                                "bucket",
+                                "17",
+                                "m",
+                                "412.5"));
         if (value == null) {
             f.remove(name);
         } else {
@@ -179,7 +228,8 @@
         return f;
     }
 
-    private static ClientRequest ask(String cls, Map<String, String> fields, int body) throws Malformed {
+    private static ClientRequest ask(String cls, Map<String, String> fields, int body)
+            throws Malformed {
         return ClientRequest.of(new RpcMessage.Call(1, cls, fields, new byte[body]), CLASSES);
     }
 
@@ -187,20 +237,45 @@
     void requestsAreTakenAsTheyStand() throws Malformed {
         ClientRequest r = ask("pages", with("r", "1"), 0);
         assertEquals(0x9b1f03aa5c7e2d41L, r.id());
-        assertEquals(List.of(3, 17, 1500, 412.5, true), List.of(r.part(), r.group(), r.waitMs(), r.sizeKb(), r.repeat()));
+        assertEquals(
+                List.of(3, 17, 1500, 412.5, true),
+                List.of(r.part(), r.group(), r.waitMs(), r.sizeKb(), r.repeat()));
         assertNull(r.tag());
-        assertEquals("5c0f6e1a2b3d4c59a8b7c6d5e4f30211",
+        assertEquals(
+                "5c0f6e1a2b3d4c59a8b7c6d5e4f30211",
                 ask("orders", with("k", "5c0f6e1a2b3d4c59a8b7c6d5e4f30211"), 9).key());
     }
 
     @Test
     void requestsOutOfOrderAreTurnedAway() {
-        String[][] bad = {{"i", null}, {"i", "9b1f03aa5c7e2d4"}, {"i", "9B1F03AA5C7E2D41"}, {"i", "9b1f03aa5c7e2d4,"},
-            {"d", null}, {"d", "0"}, {"d", "-5"}, {"d", "2501"}, {"d", "1e3"}, {"d", "99999999999999999999"}, {"o", null},
-            {"o", "x"}, {"seg", "-1"}, {"seg", "70000"}, {"bucket", "256"}, {"bucket", "a"}, {"m", "NaN"}, {"m", "-1"},
-            {"m", "1e400"}, {"r", "yes"}, {"etag", "a,up=b"}};
+        String[][] bad = {
+            {"i", null},
+            {"i", "9b1f03aa5c7e2d4"},
+            {"i", "9B1F03AA5C7E2D41"},
+            {"i", "9b1f03aa5c7e2d4,"},
+            {"d", null},
+            {"d", "0"},
+            {"d", "-5"},
+            {"d", "2501"},
+            {"d", "1e3"},
+            {"d", "99999999999999999999"},
+            {"o", null},
+            {"o", "x"},
+            {"seg", "-1"},
+            {"seg", "70000"},
+            {"bucket", "256"},
+            {"bucket", "a"},
+            {"m", "NaN"},
+            {"m", "-1"},
+            {"m", "1e400"},
+            {"r", "yes"},
+            {"etag", "a,up=b"}
+        };
         for (String[] b : bad) {
-            assertThrows(Malformed.class, () -> ask("pages", with(b[0], b[1]), 0), String.join(" ", b[0], "" + b[1]));
+            assertThrows(
+                    Malformed.class,
+                    () -> ask("pages", with(b[0], b[1]), 0),
+                    String.join(" ", b[0], "" + b[1]));
         }
         assertThrows(Malformed.class, () -> ask("nothing", with("r", "1"), 0));
         assertThrows(Malformed.class, () -> ask("pages", with("r", "1"), 1));
@@ -210,23 +285,55 @@
     @Test
     void hostsAreTheSameNumberEverywhereAndTheirStartsOneMoment() {
         long[] moment = {100};
-        HostTable table = new HostTable(List.of("west"), List.of("box", "origin"), ms -> moment[0]++);
-        Command.Endpoint a = new Command.Endpoint("s-a", "127.0.0.1:1", "west", "box", "active", 4, 1000);
-        HostList first = table.take(new Command.Nodes(1, true, List.of(a,
-                new Command.Endpoint("s-b", "127.0.0.1:2", "nowhere", "box", "active", 4, 0))));
+        HostTable table =
+                new HostTable(List.of("west"), List.of("box", "origin"), ms -> moment[0]++);
+        Command.Endpoint a =
+                new Command.Endpoint("s-a", "127.0.0.1:1", "west", "box", "active", 4, 1000);
+        HostList first =
+                table.take(
+                        new Command.Nodes(
+                                1,
+                                true,
+                                List.of(
+                                        a,
+                                        new Command.Endpoint(
+                                                "s-b",
+                                                "127.0.0.1:2",
+                                                "nowhere",
+                                                "box",
+                                                "active",
+                                                4,
+                                                0))));
         assertEquals(ListKind.FULL, first.kind());
         assertEquals(1, first.entries().size());
         long number = first.entries().get(0).host();
         HostTable other = new HostTable(List.of("west"), List.of("box", "origin"), ms -> 1);
-        assertEquals(number, other.take(new Command.Nodes(1, true, List.of(a))).entries().get(0).host());
+        assertEquals(
+                number, other.take(new Command.Nodes(1, true, List.of(a))).entries().get(0).host());
         HostList again = table.take(new Command.Nodes(2, false, List.of(a)));
         assertEquals(ListKind.DELTA, again.kind());
         assertEquals(100, again.entries().get(0).startedAtNs());
-        HostList restarted = table.take(new Command.Nodes(3, false, List.of(
-                new Command.Endpoint("s-a", "127.0.0.1:1", "west", "box", "active", 4, 2000))));
+        HostList restarted =
+                table.take(
+                        new Command.Nodes(
+                                3,
+                                false,
+                                List.of(
+                                        new Command.Endpoint(
+                                                "s-a",
+                                                "127.0.0.1:1",
+                                                "west",
+                                                "box",
+                                                "active",
+                                                4,
+                                                2000))));
         assertNotEquals(100, restarted.entries().get(0).startedAtNs());
-        HostList left = table.take(new Command.Nodes(4, false, List.of(
-                new Command.Endpoint("s-a", "", "", "", "left", 0, 0))));
+        HostList left =
+                table.take(
+                        new Command.Nodes(
+                                4,
+                                false,
+                                List.of(new Command.Endpoint("s-a", "", "", "", "left", 0, 0))));
         assertEquals(HostState.GONE, left.entries().get(0).state());
         assertTrue(table.get(number).gone());
     }
@@ -234,8 +341,23 @@
     @Test
     void aListThatLeavesAHostOutTakesItAway() {
         HostTable table = new HostTable(List.of("west"), List.of("box"), ms -> 1);
-        long number = table.take(new Command.Nodes(1, true, List.of(
-                new Command.Endpoint("s-a", "127.0.0.1:1", "west", "box", "active", 4, 0)))).entries().get(0).host();
+        long number =
+                table.take(
+                                new Command.Nodes(
+                                        1,
+                                        true,
+                                        List.of(
+                                                new Command.Endpoint(
+                                                        "s-a",
+                                                        "127.0.0.1:1",
+                                                        "west",
+                                                        "box",
+                                                        "active",
+                                                        4,
+                                                        0))))
+                        .entries()
+                        .get(0)
+                        .host();
         table.take(new Command.Nodes(2, true, List.of()));
         assertTrue(table.get(number).gone());
     }
@@ -243,8 +365,13 @@
     @Test
     void aConfigurationThatIsNoneIsToldAsOne() {
         String good = Configs.config("127.0.0.1:1", List.of());
-        for (String bad : List.of("", "{}", good.substring(0, good.length() / 2), good.replace("127.0.0.1:1", "a.host:1"),
-                good.replace("\"lanes\"", "\"lines\""))) {
+        for (String bad :
+                List.of(
+                        "",
+                        "{}",
+                        good.substring(0, good.length() / 2),
+                        good.replace("127.0.0.1:1", "a.host:1"),
+                        good.replace("\"lanes\"", "\"lines\""))) {
             assertThrows(IOException.class, () -> NodeConfig.of(bad));
         }
     }
--- a/src/test/java/brooklock/platform/Configs.java
+++ b/src/test/java/brooklock/platform/Configs.java
@@ -10,8 +10,7 @@
     static final String READS = "pages";
     static final String WRITES = "orders";
 
-    private Configs() {
-    }
+    private Configs() {}
 
     static JsonObject endpoint(String name, String address, String type, String status) {
         JsonObject o = new JsonObject();
@@ -56,7 +55,10 @@
         o.add("limits", limits);
         o.addProperty("channel", channel);
         o.add("known", known);
-        o.add("settings", JsonParser.parseString("""
+        o.add(
+                "settings",
+                JsonParser.parseString(
+                        """
                 {"balancers": 1, "dcs": ["west"], "discovery": "push", "tickNs": 2000000, "weights": "nominal", "zone": 0,
                  "machineTypes": ["box", "parent", "origin"],
                  "extra": {"goesThrough": [false, true], "goneEverywhereNs": 6000000000, "goodForNs": [0, 0],
@@ -78,7 +80,11 @@
 
     /** Writes one, for a start by hand. */
     public static void main(String[] args) {
-        System.out.println(config("127.0.0.1:9", List.of(endpoint("s-1", "127.0.0.1:8", "box", "active"),
-                endpoint("s-2", "127.0.0.1:7", "origin", "active"))));
+        System.out.println(
+                config(
+                        "127.0.0.1:9",
+                        List.of(
+                                endpoint("s-1", "127.0.0.1:8", "box", "active"),
+                                endpoint("s-2", "127.0.0.1:7", "origin", "active"))));
     }
 }
--- a/src/test/java/brooklock/platform/FakeHost.java
+++ b/src/test/java/brooklock/platform/FakeHost.java
@@ -14,8 +14,7 @@
 /** A cache host on loopback that does to each request what a test says. */
 final class FakeHost implements Closeable {
     /** A request as it came. */
-    record Asked(int code, long id, Map<String, String> fields, byte[] body) {
-    }
+    record Asked(int code, long id, Map<String, String> fields, byte[] body) {}
 
     /** What to do with a request. */
     interface Way {
@@ -29,12 +28,14 @@
 
     FakeHost(Way way) throws IOException {
         this.way = way;
-        accepting = run(() -> {
-            while (true) {
-                Socket s = listener.accept();
-                run(() -> serve(s));
-            }
-        });
+        accepting =
+                run(
+                        () -> {
+                            while (true) {
+                                Socket s = listener.accept();
+                                run(() -> serve(s));
+                            }
+                        });
     }
 
     private interface Work {
@@ -42,13 +43,16 @@
     }
 
     private static Thread run(Work w) {
-        Thread t = new Thread(() -> {
-            try {
-                w.go();
-            } catch (Exception ended) {
-                // The connection or the test is over.
-            }
-        }, "fake-host");
+        Thread t =
+                new Thread(
+                        () -> {
+                            try {
+                                w.go();
+                            } catch (Exception ended) {
+                                // The connection or the test is over.
+                            }
+                        },
+                        "fake-host");
         t.setDaemon(true);
         t.start();
         return t;
@@ -84,10 +88,14 @@
 
     /** Answers with these bytes. */
     static Way serves(byte[] body) {
-        return (a, out, s) -> out.write(frame(Frame.OK, a.id(), "rev=4be0c1927d55a6f3,since=1,tell=hit", body));
+        return (a, out, s) ->
+                out.write(frame(Frame.OK, a.id(), "rev=4be0c1927d55a6f3,since=1,tell=hit", body));
     }
 
-    /** Stops listening; the system may keep the socket until the thread that accepts has let go, which is waited for. */
+    /**
+     * Stops listening; the system may keep the socket until the thread that accepts has let go,
+     * which is waited for.
+     */
     @Override
     public void close() throws IOException {
         listener.close();
