--- a/src/test/java/brooklock/platform/NodeTest.java
+++ b/src/test/java/brooklock/platform/NodeTest.java
@@ -31,8 +31,7 @@
 class NodeTest {
     private static final byte[] BODY = "the bytes of the part".getBytes(StandardCharsets.US_ASCII);
 
-    @TempDir
-    private Path dir;
+    @TempDir private Path dir;
     private final List<FakeHost> hosts = new ArrayList<>();
     private ServerSocket channel;
     private Node node;
@@ -89,8 +88,23 @@
         assertArrayEquals(BODY, a.body());
         FakeHost.Asked asked = hosts.get(0).asked.get(0);
         assertEquals(0x11, asked.id());
-        assertEquals(Map.of("cls", "pages", "item", "000000000000007f", "chunk", "0", "up", "s-o", "store", "1", "do", "share",
-                "limit", asked.fields().get("limit")), asked.fields());
+        assertEquals(
+                Map.of(
+                        "cls",
+                        "pages",
+                        "item",
+                        "000000000000007f",
+                        "chunk",
+                        "0",
+                        "up",
+                        "s-o",
+                        "store",
+                        "1",
+                        "do",
+                        "share",
+                        "limit",
+                        asked.fields().get("limit")),
+                asked.fields());
         assertTrue(Integer.parseInt(asked.fields().get("limit")) <= 2000);
     }
 
@@ -109,7 +123,14 @@
 
     @Test
     void aCopyThatHoldsIsToldWithoutBytes() throws Exception {
-        start((a, out, s) -> out.write(FakeHost.frame(Frame.SAME, a.id(), "rev=0123456789abcdef,tell=hit", new byte[0])));
+        start(
+                (a, out, s) ->
+                        out.write(
+                                FakeHost.frame(
+                                        Frame.SAME,
+                                        a.id(),
+                                        "rev=0123456789abcdef,tell=hit",
+                                        new byte[0])));
         Map<String, String> f = Caller.fields(0x13, 0x81, 2000);
         f.put("etag", "0123456789abcdef");
         caller.send(Caller.call(1, Configs.READS, f, new byte[0]));
@@ -122,13 +143,14 @@
     @Test
     void aSpoiltAnswerIsNotPassedOnAndTriedElsewhere() throws Exception {
         AtomicInteger spoilt = new AtomicInteger();
-        FakeHost.Way once = (a, out, s) -> {
-            byte[] f = FakeHost.frame(Frame.OK, a.id(), "tell=hit", BODY);
-            if (spoilt.getAndIncrement() == 0) {
-                f[f.length - 6] ^= 1;
-            }
-            out.write(f);
-        };
+        FakeHost.Way once =
+                (a, out, s) -> {
+                    byte[] f = FakeHost.frame(Frame.OK, a.id(), "tell=hit", BODY);
+                    if (spoilt.getAndIncrement() == 0) {
+                        f[f.length - 6] ^= 1;
+                    }
+                    out.write(f);
+                };
         start(once, once);
         assertArrayEquals(BODY, caller.ask(1, 0x14, 0x82, 2000).body());
         assertEquals(2, spoilt.get());
@@ -137,8 +159,16 @@
     @Test
     void anAnswerWhoseFieldsCantBeUsedEndsItsAttemptAtOnce() throws Exception {
         AtomicInteger asked = new AtomicInteger();
-        FakeHost.Way once = (a, out, s) -> out.write(FakeHost.frame(Frame.OK, a.id(),
-                asked.getAndIncrement() == 0 ? "tell=hit,fill=soon" : "tell=hit", BODY));
+        FakeHost.Way once =
+                (a, out, s) ->
+                        out.write(
+                                FakeHost.frame(
+                                        Frame.OK,
+                                        a.id(),
+                                        asked.getAndIncrement() == 0
+                                                ? "tell=hit,fill=soon"
+                                                : "tell=hit",
+                                        BODY));
         start(once, once);
         assertArrayEquals(BODY, caller.ask(1, 0x31, 0x95, 2000).body());
         assertEquals(2, asked.get());
@@ -146,11 +176,12 @@
 
     @Test
     void answersNobodyWaitsForAreLeft() throws Exception {
-        start((a, out, s) -> {
-            out.write(FakeHost.frame(Frame.OK, 999, "tell=hit", new byte[5000]));
-            out.write(FakeHost.frame(Frame.OK, a.id(), "tell=hit", BODY));
-            out.write(FakeHost.frame(Frame.OK, a.id(), "tell=hit", BODY));
-        });
+        start(
+                (a, out, s) -> {
+                    out.write(FakeHost.frame(Frame.OK, 999, "tell=hit", new byte[5000]));
+                    out.write(FakeHost.frame(Frame.OK, a.id(), "tell=hit", BODY));
+                    out.write(FakeHost.frame(Frame.OK, a.id(), "tell=hit", BODY));
+                });
         for (int i = 1; i <= 20; i++) {
             assertArrayEquals(BODY, caller.ask(i, 0x100 + i, 0x83, 2000).body());
         }
@@ -159,21 +190,22 @@
     @Test
     void aHostThatBreaksOffIsReplacedByAnother() throws Exception {
         AtomicInteger asked = new AtomicInteger();
-        FakeHost.Way once = (a, out, s) -> {
-            if (asked.getAndIncrement() == 0) {
-                out.write(FakeHost.frame(Frame.OK, a.id(), "tell=hit", BODY), 0, 20);
-                s.close();
-            } else {
-                FakeHost.serves(BODY).go(a, out, s);
-            }
-        };
+        FakeHost.Way once =
+                (a, out, s) -> {
+                    if (asked.getAndIncrement() == 0) {
+                        out.write(FakeHost.frame(Frame.OK, a.id(), "tell=hit", BODY), 0, 20);
+                        s.close();
+                    } else {
+                        FakeHost.serves(BODY).go(a, out, s);
+                    }
+                };
         start(once, once);
         assertArrayEquals(BODY, caller.ask(1, 0x15, 0x84, 2000).body());
     }
 
     @Test
     void aSilentHostLeavesNoRequestWithoutAnAnswer() throws Exception {
-        start((a, out, s) -> { });
+        start((a, out, s) -> {});
         Answer a = caller.ask(1, 0x16, 0x85, 300);
         assertEquals("Overloaded", a.error());
         assertEquals("2000", a.fields().get("w"));
@@ -190,11 +222,12 @@
 
     @Test
     void aRequestThatIsTakenBackGetsNoAnswerAndItsNumberIsFree() throws Exception {
-        start((a, out, s) -> {
-            if (a.id() != 0x18) {
-                FakeHost.serves(BODY).go(a, out, s);
-            }
-        });
+        start(
+                (a, out, s) -> {
+                    if (a.id() != 0x18) {
+                        FakeHost.serves(BODY).go(a, out, s);
+                    }
+                });
         caller.send(Caller.call(1, Configs.READS, Caller.fields(0x18, 0x87, 2000), new byte[0]));
         caller.send(Caller.forget(1));
         assertArrayEquals(BODY, caller.ask(1, 0x19, 0x87, 2000).body());
@@ -205,8 +238,15 @@
         start(FakeHost.serves(BODY));
         byte[] burst = new byte[0];
         for (int i = 1; i <= 60; i++) {
-            burst = Caller.join(burst, Caller.call(i, Configs.READS, Caller.fields(0x400 + i, 0x500 + i, 2000), new byte[0]),
-                    Caller.forget(i));
+            burst =
+                    Caller.join(
+                            burst,
+                            Caller.call(
+                                    i,
+                                    Configs.READS,
+                                    Caller.fields(0x400 + i, 0x500 + i, 2000),
+                                    new byte[0]),
+                            Caller.forget(i));
         }
         caller.send(burst);
         assertArrayEquals(BODY, caller.ask(100, 0x27, 0x93, 2000).body());
@@ -215,11 +255,12 @@
 
     @Test
     void whatIsOutOfOrderIsAnsweredAndHarmsNoOther() throws Exception {
-        start((a, out, s) -> {
-            if (a.id() != 0x20) {
-                FakeHost.serves(BODY).go(a, out, s);
-            }
-        });
+        start(
+                (a, out, s) -> {
+                    if (a.id() != 0x20) {
+                        FakeHost.serves(BODY).go(a, out, s);
+                    }
+                });
         caller.send(Caller.call(1, Configs.READS, Caller.fields(0x20, 0x88, 2000), new byte[0]));
         until(() -> !hosts.get(0).asked.isEmpty());
         try (Caller bad = new Caller(node.address())) {
@@ -234,9 +275,14 @@
 
     @Test
     void callsAboveTheBoundOfAConnectionAreRefused() throws Exception {
-        start((a, out, s) -> { });
+        start((a, out, s) -> {});
         for (int i = 1; i <= ClientLink.MOST_OPEN + 1; i++) {
-            caller.send(Caller.call(i, Configs.READS, Caller.fields(0x200 + i, 0x300 + i, 2400), new byte[0]));
+            caller.send(
+                    Caller.call(
+                            i,
+                            Configs.READS,
+                            Caller.fields(0x200 + i, 0x300 + i, 2400),
+                            new byte[0]));
         }
         Answer a = caller.answer();
         assertEquals("Overloaded", a.error());
@@ -285,15 +331,26 @@
         start(FakeHost.serves(BODY));
         try (Socket first = channel.accept()) {
             assertEquals("resume 1", resumed(first));
-            tell(first, "{\"cursor\":2,\"drop\":{\"family\":1,\"when\":" + System.currentTimeMillis() + "}}");
-            first.getOutputStream().write("{\"cursor\":3,\"drop\":{\"fam".getBytes(StandardCharsets.UTF_8));
+            tell(
+                    first,
+                    "{\"cursor\":2,\"drop\":{\"family\":1,\"when\":"
+                            + System.currentTimeMillis()
+                            + "}}");
+            first.getOutputStream()
+                    .write("{\"cursor\":3,\"drop\":{\"fam".getBytes(StandardCharsets.UTF_8));
         }
         try (Socket second = channel.accept()) {
             assertEquals("resume 2", resumed(second));
             tell(second, "{\"cursor\":2,\"drop\":{\"family\":1,\"when\":1}}");
             tell(second, 2);
-            tell(second, Configs.nodes(3, false, List.of(
-                    Configs.endpoint("s-1", hosts.get(0).address(), "box", "left"))));
+            tell(
+                    second,
+                    Configs.nodes(
+                            3,
+                            false,
+                            List.of(
+                                    Configs.endpoint(
+                                            "s-1", hosts.get(0).address(), "box", "left"))));
             tell(second, "{\"cursor\":5,\"drop\":{\"family\":1,\"when\":1}}");
             try (Socket third = channel.accept()) {
                 assertEquals("resume 3", resumed(third));
@@ -313,8 +370,20 @@
         hosts.add(moved);
         try (Socket s = channel.accept()) {
             resumed(s);
-            tell(s, Configs.nodes(2, false, List.of(Configs.endpoint("s-1", hosts.get(0).address(), "box", "left"))));
-            tell(s, Configs.nodes(3, false, List.of(Configs.endpoint("s-1", moved.address(), "box", "active"))));
+            tell(
+                    s,
+                    Configs.nodes(
+                            2,
+                            false,
+                            List.of(
+                                    Configs.endpoint(
+                                            "s-1", hosts.get(0).address(), "box", "left"))));
+            tell(
+                    s,
+                    Configs.nodes(
+                            3,
+                            false,
+                            List.of(Configs.endpoint("s-1", moved.address(), "box", "active"))));
             int i = 2;
             while (moved.asked.isEmpty()) {
                 assertArrayEquals(BODY, caller.ask(i, 0x30 + i, 0x94, 2000).body());
@@ -340,7 +409,8 @@
     @Test
     void aNewConfigurationMovesTheCommandChannel() throws Exception {
         start(FakeHost.serves(BODY));
-        try (Socket first = channel.accept(); ServerSocket next = new ServerSocket(0, 9, InetAddress.getLoopbackAddress())) {
+        try (Socket first = channel.accept();
+                ServerSocket next = new ServerSocket(0, 9, InetAddress.getLoopbackAddress())) {
             assertEquals("resume 1", resumed(first));
             write("{\"chan");
             node.reload();
@@ -353,32 +423,36 @@
 
     @Test
     void anEndLetsWhatIsTakenBeAnswered() throws Exception {
-        start((a, out, s) -> {
-            if (a.id() == 0x25) {
-                until2(() -> hosts.get(0).asked.size() > 1);
-            }
-            FakeHost.serves(BODY).go(a, out, s);
-        });
+        start(
+                (a, out, s) -> {
+                    if (a.id() == 0x25) {
+                        until2(() -> hosts.get(0).asked.size() > 1);
+                    }
+                    FakeHost.serves(BODY).go(a, out, s);
+                });
         caller.send(Caller.call(1, Configs.READS, Caller.fields(0x25, 0x91, 2400), new byte[0]));
         until(() -> !hosts.get(0).asked.isEmpty());
-        Thread end = new Thread(() -> {
-            try {
-                node.drain();
-            } catch (InterruptedException e) {
-                Thread.currentThread().interrupt();
-            }
-        });
+        Thread end =
+                new Thread(
+                        () -> {
+                            try {
+                                node.drain();
+                            } catch (InterruptedException e) {
+                                Thread.currentThread().interrupt();
+                            }
+                        });
         end.start();
         try (Caller other = new Caller(node.address())) {
             other.send(Caller.call(1, "isWell", Map.of(), null));
-            until(() -> {
-                try {
-                    other.send(Caller.call(2, "isWell", Map.of(), null));
-                    return !other.answer().truth();
-                } catch (IOException | Malformed e) {
-                    throw new IllegalStateException(e);
-                }
-            });
+            until(
+                    () -> {
+                        try {
+                            other.send(Caller.call(2, "isWell", Map.of(), null));
+                            return !other.answer().truth();
+                        } catch (IOException | Malformed e) {
+                            throw new IllegalStateException(e);
+                        }
+                    });
             assertArrayEquals(BODY, ask(other));
         }
         assertArrayEquals(BODY, caller.answer().body());
--- a/src/test/java/brooklock/platform/ProcessTest.java
+++ b/src/test/java/brooklock/platform/ProcessTest.java
@@ -33,8 +33,7 @@
 class ProcessTest {
     private static final Pattern SERVING = Pattern.compile("serving /(127\\.0\\.0\\.1):([0-9]+)");
 
-    @TempDir
-    private Path dir;
+    @TempDir private Path dir;
     private Process process;
     private BufferedReader log;
 
@@ -47,11 +46,20 @@
 
     private void start(String config) throws IOException {
         Path file = Files.writeString(dir.resolve("config.json"), config);
-        ProcessBuilder b = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-Xmx48m",
-                "-cp", System.getProperty("java.class.path"), "brooklock.Main", "node").redirectErrorStream(true);
+        ProcessBuilder b =
+                new ProcessBuilder(
+                                Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                                "-Xmx48m",
+                                "-cp",
+                                System.getProperty("java.class.path"),
+                                "brooklock.Main",
+                                "node")
+                        .redirectErrorStream(true);
         b.environment().put("NODE_CONFIG", file.toString());
         process = b.start();
-        log = new BufferedReader(new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8));
+        log =
+                new BufferedReader(
+                        new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8));
     }
 
     private InetSocketAddress serving() throws IOException {
@@ -67,7 +75,12 @@
     @Test
     void aNoticeToEndAlsoTwiceIsFollowedByAnEndOfItsOwn() throws Exception {
         try (FakeHost origin = new FakeHost(FakeHost.serves(new byte[] {7}))) {
-            start(Configs.config("127.0.0.1:9", List.of(Configs.endpoint("s-o", origin.address(), "origin", "active"))));
+            start(
+                    Configs.config(
+                            "127.0.0.1:9",
+                            List.of(
+                                    Configs.endpoint(
+                                            "s-o", origin.address(), "origin", "active"))));
             try (Caller caller = new Caller(serving())) {
                 Map<String, String> f = Caller.fields(0x41, 0x42, 2400);
                 caller.send(Caller.call(1, Configs.READS, f, new byte[0]));
@@ -110,7 +123,8 @@
     @ParameterizedTest
     @CsvSource({"settings", "known", "name", "listen", "channel"})
     void whatIsMissingEndsTheStartWithOneLine(String field) throws Exception {
-        JsonObject config = JsonParser.parseString(Configs.config("127.0.0.1:9", List.of())).getAsJsonObject();
+        JsonObject config =
+                JsonParser.parseString(Configs.config("127.0.0.1:9", List.of())).getAsJsonObject();
         config.remove(field);
         start(config.toString());
         assertEquals("starting", word());
@@ -123,7 +137,8 @@
     @ParameterizedTest
     @ValueSource(strings = {"dcs", "lanes", "machineTypes", "limits", "extra", "invariants"})
     void settingsWithoutAPartServeOrEndTheStartWithOneLine(String field) throws Exception {
-        JsonObject config = JsonParser.parseString(Configs.config("127.0.0.1:9", List.of())).getAsJsonObject();
+        JsonObject config =
+                JsonParser.parseString(Configs.config("127.0.0.1:9", List.of())).getAsJsonObject();
         config.getAsJsonObject("settings").remove(field);
         config.addProperty("unheard-of", 1);
         start(config.toString());
--- a/src/test/java/brooklock/platform/Rig.java
+++ b/src/test/java/brooklock/platform/Rig.java
@@ -9,7 +9,6 @@
 import brooklock.net.Net;
 import brooklock.net.Stream;
 import java.io.Closeable;
-import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
@@ -26,19 +25,19 @@
 import java.util.function.Consumer;
 
 /**
- * The parts of a dispatcher with a decider that the test writes, a front on a real socket, and connections to hosts that come
- * up when the test lets them: what crosses is forced.
+ * The parts of a dispatcher with a decider that the test writes, a front on a real socket, and
+ * connections to hosts that come up when the test lets them: what crosses is forced.
  */
 final class Rig implements Closeable {
     /** A connection on its way to a host; the test opens it or lets it fail. */
-    record Dialled(InetSocketAddress to, Consumer<Stream> opened, Consumer<String> failed) {
-    }
+    record Dialled(InetSocketAddress to, Consumer<Stream> opened, Consumer<String> failed) {}
 
     /** The far end of a connection to a host. */
     final class Peer implements Stream.Taker {
         final BlockingQueue<Frame> frames = new LinkedBlockingQueue<>();
         final CountDownLatch ended = new CountDownLatch(1);
-        private final FrameDecoder decoder = new FrameDecoder(Frame.FROM_DISPATCHER, Frame.ASK, Frame.QUIT);
+        private final FrameDecoder decoder =
+                new FrameDecoder(Frame.FROM_DISPATCHER, Frame.ASK, Frame.QUIT);
         private Stream stream;
 
         @Override
@@ -62,10 +61,13 @@
         }
 
         void answers(int code, long id, String fields, int bytes) throws Exception {
-            on(() -> {
-                stream.write(FrameWriter.frame(Frame.FROM_HOST, code, id, fields, new byte[bytes]));
-                return null;
-            });
+            on(
+                    () -> {
+                        stream.write(
+                                FrameWriter.frame(
+                                        Frame.FROM_HOST, code, id, fields, new byte[bytes]));
+                        return null;
+                    });
         }
 
         Frame asked() throws InterruptedException {
@@ -85,45 +87,64 @@
     final InetSocketAddress address;
     private long cursor;
 
-    /** Decides by what is given; hosts are numbered as the table numbers them, see {@link #host}. */
+    /**
+     * Decides by what is given; hosts are numbered as the table numbers them, see {@link #host}.
+     */
     Rig(int connections, BiConsumer<Event, List<Action>> decides) throws Exception {
         NodeConfig config = NodeConfig.of(Configs.config("127.0.0.1:9", List.of()));
-        hosts = new Hosts(loop, new HostTable(config.zones(), config.kinds(), clock::ofWall), config, connections,
-                (to, limitNs, opened, failed) -> {
-                    dials.add(new Dialled(to, opened, failed));
-                    return () -> { };
-                });
-        engine = new Engine(new Decider() {
-            @Override
-            public void start(long now, List<Action> out) {
-                // Nothing is decided before the first event.
-            }
-
-            @Override
-            public void on(long now, Event event, List<Action> out) {
-                seen.add(event);
-                events.add(event);
-                decides.accept(event, out);
-            }
-        }, clock, loop, hosts);
+        hosts =
+                new Hosts(
+                        loop,
+                        new HostTable(config.zones(), config.kinds(), clock::ofWall),
+                        config,
+                        connections,
+                        (to, limitNs, opened, failed) -> {
+                            dials.add(new Dialled(to, opened, failed));
+                            return () -> {};
+                        });
+        engine =
+                new Engine(
+                        new Decider() {
+                            @Override
+                            public void start(long now, List<Action> out) {
+                                // Nothing is decided before the first event.
+                            }
+
+                            @Override
+                            public void on(long now, Event event, List<Action> out) {
+                                seen.add(event);
+                                events.add(event);
+                                decides.accept(event, out);
+                            }
+                        },
+                        clock,
+                        loop,
+                        hosts);
         front = new Front(loop, config.classes(), 8, engine);
-        address = on(() -> {
-            hosts.start(engine);
-            engine.start();
-            return front.open(net, new InetSocketAddress(InetAddress.getLoopbackAddress(), 0)).address();
-        });
+        address =
+                on(
+                        () -> {
+                            hosts.start(engine);
+                            engine.start();
+                            return front.open(
+                                            net,
+                                            new InetSocketAddress(
+                                                    InetAddress.getLoopbackAddress(), 0))
+                                    .address();
+                        });
     }
 
     /** Runs work on the I/O thread and waits for it. */
     <T> T on(Callable<T> work) throws Exception {
         CompletableFuture<T> done = new CompletableFuture<>();
-        loop.execute(() -> {
-            try {
-                done.complete(work.call());
-            } catch (Exception e) {
-                done.completeExceptionally(e);
-            }
-        });
+        loop.execute(
+                () -> {
+                    try {
+                        done.complete(work.call());
+                    } catch (Exception e) {
+                        done.completeExceptionally(e);
+                    }
+                });
         return done.get(20, TimeUnit.SECONDS);
     }
 
@@ -131,14 +152,15 @@
     Runnable hold() throws InterruptedException {
         CountDownLatch held = new CountDownLatch(1);
         CountDownLatch free = new CountDownLatch(1);
-        loop.execute(() -> {
-            held.countDown();
-            try {
-                free.await();
-            } catch (InterruptedException e) {
-                Thread.currentThread().interrupt();
-            }
-        });
+        loop.execute(
+                () -> {
+                    held.countDown();
+                    try {
+                        free.await();
+                    } catch (InterruptedException e) {
+                        Thread.currentThread().interrupt();
+                    }
+                });
         held.await();
         return free::countDown;
     }
@@ -149,10 +171,11 @@
         for (String n : names) {
             entries.add(new Command.Endpoint(n, "127.0.0.1:7", "west", "box", state, 1, 0));
         }
-        on(() -> {
-            hosts.take(new Command.Nodes(++cursor, false, entries));
-            return null;
-        });
+        on(
+                () -> {
+                    hosts.take(new Command.Nodes(++cursor, false, entries));
+                    return null;
+                });
     }
 
     /** The number that the table gives a host. */
@@ -164,7 +187,15 @@
 
     /** An attempt at a host that fills from nobody. */
     static RouterApi.Get get(long request, String host, long limitMs, long beginMs) {
-        return new RouterApi.Get(request, host(host), limitMs * 1_000_000, host(host), 0, 0, false, false,
+        return new RouterApi.Get(
+                request,
+                host(host),
+                limitMs * 1_000_000,
+                host(host),
+                0,
+                0,
+                false,
+                false,
                 beginMs * 1_000_000);
     }
 
@@ -175,18 +206,21 @@
     /** Lets a connection come up. */
     Peer open(Dialled d) throws Exception {
         Peer p = new Peer();
-        return on(() -> {
-            Stream[] pair = Stream.pair(loop);
-            p.stream = pair[1];
-            pair[1].start(p);
-            d.opened().accept(pair[0]);
-            return p;
-        });
+        return on(
+                () -> {
+                    Stream[] pair = Stream.pair(loop);
+                    p.stream = pair[1];
+                    pair[1].start(p);
+                    d.opened().accept(pair[0]);
+                    return p;
+                });
     }
 
     /** The next event of a kind. */
     <E extends Event> E event(Class<E> kind) throws InterruptedException {
-        for (Event e = events.poll(20, TimeUnit.SECONDS); e != null; e = events.poll(20, TimeUnit.SECONDS)) {
+        for (Event e = events.poll(20, TimeUnit.SECONDS);
+                e != null;
+                e = events.poll(20, TimeUnit.SECONDS)) {
             if (kind.isInstance(e)) {
                 return kind.cast(e);
             }
--- a/src/test/java/brooklock/platform/WaitingTest.java
+++ b/src/test/java/brooklock/platform/WaitingTest.java
@@ -10,8 +10,8 @@
 import brooklock.RouterApi.Event;
 import brooklock.RouterApi.Fail;
 import brooklock.RouterApi.Outcome;
-import brooklock.RouterApi.Request;
 import brooklock.RouterApi.Refuse;
+import brooklock.RouterApi.Request;
 import brooklock.RouterApi.SetTimer;
 import brooklock.RouterApi.TimerFired;
 import java.util.List;
@@ -21,7 +21,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Attempts that wait for a connection: whatever changes meanwhile, what is written is true at its first byte. */
+/**
+ * Attempts that wait for a connection: whatever changes meanwhile, what is written is true at its
+ * first byte.
+ */
 @Timeout(60)
 class WaitingTest {
     private static final int WAIT_MS = 2400;
@@ -75,7 +78,8 @@
             Thread.onSpinWait();
         }
         Frame f = rig.open(late).asked();
-        assertTrue(Integer.parseInt(f.fields().get("limit")) <= WAIT_MS - 60, f.fields().toString());
+        assertTrue(
+                Integer.parseInt(f.fields().get("limit")) <= WAIT_MS - 60, f.fields().toString());
     }
 
     @Test
@@ -90,15 +94,17 @@
     void aPurgeToldMeanwhileHandsItBack() throws Exception {
         rig = new Rig(64, WaitingTest::once);
         Rig.Dialled late = asks(0x13);
-        rig.on(() -> {
-            rig.hosts.purged(0x80, 0);
-            return null;
-        });
+        rig.on(
+                () -> {
+                    rig.hosts.purged(0x80, 0);
+                    return null;
+                });
         assertNull(rig.events.stream().filter(Done.class::isInstance).findAny().orElse(null));
-        rig.on(() -> {
-            rig.hosts.purged(0x7f, 0);
-            return null;
-        });
+        rig.on(
+                () -> {
+                    rig.hosts.purged(0x7f, 0);
+                    return null;
+                });
         isHandedBackAtOnce(late);
     }
 
@@ -106,23 +112,29 @@
     void aPurgeOfItsGroupHandsItBack() throws Exception {
         rig = new Rig(64, WaitingTest::once);
         Rig.Dialled late = asks(0x14);
-        rig.on(() -> {
-            rig.hosts.purged(0, 1);
-            return null;
-        });
+        rig.on(
+                () -> {
+                    rig.hosts.purged(0, 1);
+                    return null;
+                });
         isHandedBackAtOnce(late);
     }
 
     @Test
     void itsLastMomentToBeginHandsItBack() throws Exception {
-        rig = new Rig(64, (e, out) -> {
-            if (e instanceof Request r) {
-                out.add(Rig.get(r.id(), "a", WAIT_MS, 40));
-                out.add(new SetTimer(1, rig.clock.now() + WAIT_MS / 2 * 1_000_000L));
-            } else if (e instanceof Done d) {
-                out.add(new Fail(d.id()));
-            }
-        });
+        rig =
+                new Rig(
+                        64,
+                        (e, out) -> {
+                            if (e instanceof Request r) {
+                                out.add(Rig.get(r.id(), "a", WAIT_MS, 40));
+                                out.add(
+                                        new SetTimer(
+                                                1, rig.clock.now() + WAIT_MS / 2 * 1_000_000L));
+                            } else if (e instanceof Done d) {
+                                out.add(new Fail(d.id()));
+                            }
+                        });
         Rig.Dialled late = asks(0x15);
         isHandedBack(late);
         rig.event(TimerFired.class);
@@ -151,13 +163,16 @@
 
     @Test
     void aSecondAnswerIsNotTakenForALaterAttemptsAtTheSameHost() throws Exception {
-        rig = new Rig(64, (e, out) -> {
-            if (e instanceof Request r) {
-                out.add(Rig.get(r.id(), "a", WAIT_MS, WAIT_MS));
-            } else if (e instanceof Done d && d.attempt() == 0) {
-                out.add(Rig.get(d.id(), "a", WAIT_MS, WAIT_MS));
-            }
-        });
+        rig =
+                new Rig(
+                        64,
+                        (e, out) -> {
+                            if (e instanceof Request r) {
+                                out.add(Rig.get(r.id(), "a", WAIT_MS, WAIT_MS));
+                            } else if (e instanceof Done d && d.attempt() == 0) {
+                                out.add(Rig.get(d.id(), "a", WAIT_MS, WAIT_MS));
+                            }
+                        });
         Rig.Peer first = rig.open(asks(0x18));
         assertEquals(0x18, first.asked().id());
         first.answers(Frame.MISS, 0x18, "");
@@ -217,13 +232,21 @@
 
     @Test
     void aConnectionForAnAttemptThatDoesNotBeginIsThereForTheNext() throws Exception {
-        rig = new Rig(64, (e, out) -> {
-            if (e instanceof Request r) {
-                out.add(Rig.get(r.id(), "a", WAIT_MS, r.object() == 0x80 ? -1 : WAIT_MS));
-            } else if (e instanceof Done d && d.outcome() != Outcome.OK) {
-                out.add(new Fail(d.id()));
-            }
-        });
+        rig =
+                new Rig(
+                        64,
+                        (e, out) -> {
+                            if (e instanceof Request r) {
+                                out.add(
+                                        Rig.get(
+                                                r.id(),
+                                                "a",
+                                                WAIT_MS,
+                                                r.object() == 0x80 ? -1 : WAIT_MS));
+                            } else if (e instanceof Done d && d.outcome() != Outcome.OK) {
+                                out.add(new Fail(d.id()));
+                            }
+                        });
         Rig.Peer p = rig.open(asks(0x2c));
         p.asked();
         p.answers(Frame.OK, 0x2c, "rev=1");
@@ -252,13 +275,21 @@
 
     @Test
     void anIdleConnectionElsewhereGivesItsPlace() throws Exception {
-        rig = new Rig(1, (e, out) -> {
-            if (e instanceof Request r) {
-                out.add(Rig.get(r.id(), r.object() == 0x7f ? "a" : "b", WAIT_MS, WAIT_MS));
-            } else if (e instanceof Done d && d.outcome() != Outcome.OK) {
-                out.add(new Refuse(d.id(), 0));
-            }
-        });
+        rig =
+                new Rig(
+                        1,
+                        (e, out) -> {
+                            if (e instanceof Request r) {
+                                out.add(
+                                        Rig.get(
+                                                r.id(),
+                                                r.object() == 0x7f ? "a" : "b",
+                                                WAIT_MS,
+                                                WAIT_MS));
+                            } else if (e instanceof Done d && d.outcome() != Outcome.OK) {
+                                out.add(new Refuse(d.id(), 0));
+                            }
+                        });
         Rig.Dialled toA = asks(0x1a);
         rig.list("active", "b");
         Rig.Peer a = rig.open(toA);
--- a/src/test/java/brooklock/rights/LimiterTest.java
+++ b/src/test/java/brooklock/rights/LimiterTest.java
@@ -22,13 +22,20 @@
 
     @Test
     void rateConcurrencyAndBytesAreTheTenantsOwn() {
-        Limiter l = limiter(new Tenant(0, "r", 1, 10, 0, 0), new Tenant(1, "c", 1, 0, 2, 0),
-                new Tenant(2, "b", 1, 0, 0, 1000));
+        Limiter l =
+                limiter(
+                        new Tenant(0, "r", 1, 10, 0, 0),
+                        new Tenant(1, "c", 1, 0, 2, 0),
+                        new Tenant(2, "b", 1, 0, 0, 1000));
         int admitted = 0;
         for (int i = 0; i < 30; i++) {
             Limiter.Verdict v = l.ask("r", 5);
             admitted += v.admitted() ? 1 : 0;
-            assertTrue(v.admitted() || v.reason() == Limiter.Reason.RATE && v.retryNs() > 0 && v.retryNs() < 200 * MS);
+            assertTrue(
+                    v.admitted()
+                            || v.reason() == Limiter.Reason.RATE
+                                    && v.retryNs() > 0
+                                    && v.retryNs() < 200 * MS);
         }
         assertEquals(10, admitted);
         assertTrue(l.ask("r", 105 * MS).admitted(), "a tenth of a second later there is one more");
@@ -52,9 +59,12 @@
         assertFalse(l.ask("r", 1_000 * MS).admitted());
     }
 
-    /** Plays seconds in which a module bears so many a second and refuses the rest by chance alike for all. */
-    private static double[] served(Limiter l, long fromMs, double capacity, int seconds, String[] names,
-            double[] demand) {
+    /**
+     * Plays seconds in which a module bears so many a second and refuses the rest by chance alike
+     * for all.
+     */
+    private static double[] served(
+            Limiter l, long fromMs, double capacity, int seconds, String[] names, double[] demand) {
         java.util.Random chance = new java.util.Random(3);
         double[] served = new double[names.length];
         double[] due = new double[names.length];
@@ -124,7 +134,8 @@
                 served += refused || ms < 30_000 ? 0 : 1;
             }
         }
-        // An ailing host behind fails three in ten, however little is sent: 140 a second is all there is.
+        // An ailing host behind fails three in ten, however little is sent: 140 a second is all
+        // there is.
         assertTrue(served / 30 > 100, "served " + served / 30);
     }
 
--- a/src/test/java/brooklock/rights/PolicyTest.java
+++ b/src/test/java/brooklock/rights/PolicyTest.java
@@ -17,7 +17,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 class PolicyTest {
-    private static final String POLICY = """
+    private static final String POLICY =
+            """
             tenant acme weight 2 rate 50/s
             tenant beta
             tenant carl
@@ -58,7 +59,13 @@
         "acme, GET, /Open, scans, 2027-01-01T00:00:00Z, false, 0",
         "nobody, GET, /open, scans, 2027-01-01T00:00:00Z, false, 0",
     })
-    void decidesAndNamesTheLine(String tenant, String method, String path, String cls, String at, boolean allowed,
+    void decidesAndNamesTheLine(
+            String tenant,
+            String method,
+            String path,
+            String cls,
+            String at,
+            boolean allowed,
             int line) {
         Decision d = policy().decide(tenant, method, path, cls, Instant.parse(at).toEpochMilli());
         assertEquals(allowed, d.allowed(), d.why());
@@ -72,20 +79,25 @@
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {
-        "tenant beta | tenant acme | p:2: the name 'acme' is taken already",
-        "group partners acme beta | group partners acme gamma | p:4: there is no tenant or group 'gamma'",
-        "map claim tenant acme acme | map name acme acme | p:5: 'name' is not a kind of name",
-        "allow acme GET,HEAD | allow acme | p:7: ",
-        "until 2027-01-31T08:00:00Z | until soon | p:10: 'soon' is not a moment",
-        "until 2027-01-31T08:00:00Z | from 2027-01-31T08:00:00Z until 2026-01-31T08:00:00Z | p:10: this holds at no time",
-        "/open | /o%70en | p:12: the path is not in form",
-        "rate 50/s | rate 50 | p:1: '50': a rate needs its unit",
-    })
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "tenant beta | tenant acme | p:2: the name 'acme' is taken already",
+                "group partners acme beta | group partners acme gamma | p:4: there is no tenant or group 'gamma'",
+                "map claim tenant acme acme | map name acme acme | p:5: 'name' is not a kind of name",
+                "allow acme GET,HEAD | allow acme | p:7: ",
+                "until 2027-01-31T08:00:00Z | until soon | p:10: 'soon' is not a moment",
+                "until 2027-01-31T08:00:00Z | from 2027-01-31T08:00:00Z until 2026-01-31T08:00:00Z | p:10: this holds at no time",
+                "/open | /o%70en | p:12: the path is not in form",
+                "rate 50/s | rate 50 | p:1: '50': a rate needs its unit",
+            })
     void mistakesAreToldWithTheirLine(String right, String wrong, String told) {
         assertTrue(POLICY.contains(right));
-        String message = assertThrows(SettingsException.class, () -> PolicyReader.parse("p",
-                POLICY.replace(right, wrong))).getMessage();
+        String message =
+                assertThrows(
+                                SettingsException.class,
+                                () -> PolicyReader.parse("p", POLICY.replace(right, wrong)))
+                        .getMessage();
         assertTrue(message.lines().anyMatch(l -> l.startsWith(told)), message);
     }
 
@@ -93,21 +105,56 @@
     void anEmptiedOrHalfWrittenFileIsNoPolicy() {
         assertThrows(SettingsException.class, () -> PolicyReader.parse("p", ""));
         assertThrows(SettingsException.class, () -> PolicyReader.parse("p", "tenant a\n"));
-        assertThrows(SettingsException.class, () -> PolicyReader.parse("p", POLICY.substring(0, POLICY.length() - 1)));
+        assertThrows(
+                SettingsException.class,
+                () -> PolicyReader.parse("p", POLICY.substring(0, POLICY.length() - 1)));
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {"/scans/%2e%2e/x", "/scans/../x", "/scans/./x", "/scans//x", "/scans/a%2Fb", "/scans/a%2fb",
-        "/scans/a%252Fb", "/scans/a;b=1/x", "/scans/%C0%AE%C0%AE/x", "/scans/%E0%80%AF", "/scans/a%00", "/scans/%41",
-        "/scans/a%5Cb", "/scans/a\\b", "/scans/%", "/scans/%4", "/scans/%zz", "/scans/a?x=1&x=2", "/scans/a?x&y=1&x",
-        "/scans/\u00e9", "/scans/%c3%a9", "/scans/%3B", "scans/a", "/scans/%ED%A0%80"})
+    @ValueSource(
+            strings = {
+                "/scans/%2e%2e/x",
+                "/scans/../x",
+                "/scans/./x",
+                "/scans//x",
+                "/scans/a%2Fb",
+                "/scans/a%2fb",
+                "/scans/a%252Fb",
+                "/scans/a;b=1/x",
+                "/scans/%C0%AE%C0%AE/x",
+                "/scans/%E0%80%AF",
+                "/scans/a%00",
+                "/scans/%41",
+                "/scans/a%5Cb",
+                "/scans/a\\b",
+                "/scans/%",
+                "/scans/%4",
+                "/scans/%zz",
+                "/scans/a?x=1&x=2",
+                "/scans/a?x&y=1&x",
+                "/scans/\u00e9",
+                "/scans/%c3%a9",
+                "/scans/%3B",
+                "scans/a",
+                "/scans/%ED%A0%80"
+            })
     void pathsThatAnotherReaderMightTakeOtherwiseAreRefused(String target) {
         assertNotNull(PathForm.wrong(target), target);
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {"/", "/scans/", "/scans/a.b/x-1", "/scans/%C3%A9", "/scans/a%20b", "/scans/a?x=1&y=%2F",
-        "/scans/...", "/a/@b:c", "/scans/%22"})
+    @ValueSource(
+            strings = {
+                "/",
+                "/scans/",
+                "/scans/a.b/x-1",
+                "/scans/%C3%A9",
+                "/scans/a%20b",
+                "/scans/a?x=1&y=%2F",
+                "/scans/...",
+                "/a/@b:c",
+                "/scans/%22"
+            })
     void pathsInFormAreTakenAsTheyAre(String target) {
         assertNull(PathForm.wrong(target), target);
     }
@@ -121,22 +168,37 @@
         }
         List<String[]> lines = new ArrayList<>();
         for (int i = 0; i < 3000; i++) {
-            String path = "/" + (r.nextInt(6) == 0 ? "{x}" : "a" + r.nextInt(8)) + "/"
-                    + (r.nextInt(5) == 0 ? "{rest}" : (r.nextInt(5) == 0 ? "{y}" : "b" + r.nextInt(8))
-                    + (r.nextInt(3) == 0 ? "/c" + r.nextInt(3) : ""));
-            String[] line = {r.nextInt(3) == 0 ? "deny" : "allow", "t" + r.nextInt(20), "GET", path};
+            String path =
+                    "/"
+                            + (r.nextInt(6) == 0 ? "{x}" : "a" + r.nextInt(8))
+                            + "/"
+                            + (r.nextInt(5) == 0
+                                    ? "{rest}"
+                                    : (r.nextInt(5) == 0 ? "{y}" : "b" + r.nextInt(8))
+                                            + (r.nextInt(3) == 0 ? "/c" + r.nextInt(3) : ""));
+            String[] line = {
+                r.nextInt(3) == 0 ? "deny" : "allow", "t" + r.nextInt(20), "GET", path
+            };
             lines.add(line);
             s.append(String.join(" ", line)).append('\n');
         }
         Policy p = PolicyReader.parse("many", s.toString());
         for (int i = 0; i < 3000; i++) {
             String tenant = "t" + r.nextInt(20);
-            String path = "/a" + r.nextInt(9) + "/b" + r.nextInt(9) + (r.nextBoolean() ? "/c" + r.nextInt(3) : "");
+            String path =
+                    "/a"
+                            + r.nextInt(9)
+                            + "/b"
+                            + r.nextInt(9)
+                            + (r.nextBoolean() ? "/c" + r.nextInt(3) : "");
             int allow = 0;
             int deny = 0;
             for (int n = lines.size() - 1; n >= 0; n--) {
                 String[] l = lines.get(n);
-                String regex = l[3].replace("{rest}", ".*").replace("{x}", "[^/]+").replace("{y}", "[^/]+");
+                String regex =
+                        l[3].replace("{rest}", ".*")
+                                .replace("{x}", "[^/]+")
+                                .replace("{y}", "[^/]+");
                 if (l[1].equals(tenant) && path.matches(regex)) {
                     deny = l[0].equals("deny") ? n + 21 : deny;
                     allow = l[0].equals("allow") ? n + 21 : allow;
--- a/src/test/java/brooklock/warming/WarmingTest.java
+++ b/src/test/java/brooklock/warming/WarmingTest.java
@@ -24,7 +24,8 @@
     private static final long S = 1000 * MS;
     private static final Law LAW = new Law(false, 0.2, 0, 1, 0.2, 10 * S, 2.5, 1500 * MS);
     // The nearest by number, so that tests can be read.
-    private static final Warming.Order ORDER = (object, part, host) -> -Math.abs(object % 100 - host);
+    private static final Warming.Order ORDER =
+            (object, part, host) -> -Math.abs(object % 100 - host);
 
     private static Cache warm(long host) {
         return new Cache(host, 0, true, 0, 0);
@@ -38,7 +39,10 @@
         return new Report(util, 3, hits, now - MS, now);
     }
 
-    /** Caches 1 to 5, of which 1 is cold since 100 s; the others have been asked much by this one and say they have room. */
+    /**
+     * Caches 1 to 5, of which 1 is cold since 100 s; the others have been asked much by this one
+     * and say they have room.
+     */
     private static Warming<String> fleet(Law law, long now) {
         Warming<String> w = new Warming<>(law, ORDER, 0, "d1", now - 20 * S);
         w.list(List.of(warm(1), warm(2), warm(3), warm(4), warm(5)), now - 20 * S);
@@ -79,7 +83,8 @@
         // A fifth of the 250 a second that it is sent, at most.
         assertTrue(asked > 3 && asked <= 150, "asked " + asked);
         w.heard(2, report(0.95, 0.9, now + 6 * S));
-        assertNotEquals(2, first(w, 1, now + 6 * S, now + 6 * S + 900 * MS), "its own clients need it");
+        assertNotEquals(
+                2, first(w, 1, now + 6 * S, now + 6 * S + 900 * MS), "its own clients need it");
     }
 
     @Test
@@ -103,19 +108,23 @@
             failedOnce.answered(4, true, false, at);
             asked2 += failedOnce.neighbour(1, 1, 0, at) == 2 ? 1 : 0;
         }
-        assertTrue(asked2 > 0, "a failure is not for good, though it tells nothing until it is asked");
+        assertTrue(
+                asked2 > 0, "a failure is not for good, though it tells nothing until it is asked");
         Warming<String> ailing = fleet(LAW, now);
         for (long at = now; at < now + 3 * S; at += 50 * MS) {
             ailing.heard(2, report(0.2, 0.9, at));
             ailing.refused(2, false, at);
-            assertNotEquals(2, ailing.neighbour(1, 1, 0, at), "it says that it is well and answers nobody");
+            assertNotEquals(
+                    2, ailing.neighbour(1, 1, 0, at), "it says that it is well and answers nobody");
         }
         Warming<String> silent = fleet(LAW, now);
         int asked = 0;
         for (long at = now + 10 * S; at < now + 15 * S; at += 10 * MS) {
             asked += silent.neighbour(1, 1, 0, at) != 0 ? 1 : 0;
         }
-        assertTrue(asked <= 14, "nobody has told anything for ten seconds: a trickle at most, " + asked);
+        assertTrue(
+                asked <= 14,
+                "nobody has told anything for ten seconds: a trickle at most, " + asked);
     }
 
     @Test
@@ -159,9 +168,13 @@
         assertTrue(before > 0.7, "grown to " + before);
         Ramp frozen = new Ramp(0, 100 * S);
         for (int i = 0; i < 200; i++) {
-            frozen.heard(new Report(1, i % 5, 0.5, 100 * S + i * 300 * MS - MS, 100 * S + i * 300 * MS));
+            frozen.heard(
+                    new Report(1, i % 5, 0.5, 100 * S + i * 300 * MS - MS, 100 * S + i * 300 * MS));
         }
-        assertEquals(1, frozen.share(200 * S), "a figure that stands still is none: the module's budget alone");
+        assertEquals(
+                1,
+                frozen.share(200 * S),
+                "a figure that stands still is none: the module's budget alone");
     }
 
     private static List<Fetch<String>> ahead(Warming<String> w, long from, long to) {
@@ -209,7 +222,9 @@
         filled.answered(1, false, true, now);
         filled.filled(1, 1, 0);
         List<Fetch<String>> others = ahead(filled, now, now + 8 * S);
-        assertTrue(!others.isEmpty() && others.stream().noneMatch(f -> f.object() == 1), "a source was late, and 1 is there");
+        assertTrue(
+                !others.isEmpty() && others.stream().noneMatch(f -> f.object() == 1),
+                "a source was late, and 1 is there");
     }
 
     @Test
@@ -224,10 +239,15 @@
         }
         w.list(List.of(cold(1, now), warm(2), warm(3), warm(4), warm(5)), now + 5 * S + 10 * MS);
         w.heard(1, new Report(0.1, 1, 0.9, now + 4 * S, now + 5 * S + 20 * MS));
-        assertEquals(List.of(), w.ahead(now + 5 * S + 30 * MS, (o, how) -> true), "what it said before it died is nothing");
+        assertEquals(
+                List.of(),
+                w.ahead(now + 5 * S + 30 * MS, (o, how) -> true),
+                "what it said before it died is nothing");
         ask(w, now + 5 * S);
         List<Fetch<String>> again = ahead(w, now + 5 * S + 50 * MS, now + 13 * S);
-        assertTrue(again.stream().anyMatch(f -> before.contains(f.object())), "its copies are gone: " + before + again);
+        assertTrue(
+                again.stream().anyMatch(f -> before.contains(f.object())),
+                "its copies are gone: " + before + again);
     }
 
     @Test
@@ -240,7 +260,8 @@
         for (long[] c : new long[][] {{2, 55}, {10, 75}, {40, 100}}) {
             Warming<String> again = fleet(LAW, now);
             again.resume(saved, c[0] * S, now + S);
-            assertEquals(c[1] / 100.0, again.shares(now + S).getOrDefault(1L, 1.0), 0.01, "age " + c[0]);
+            assertEquals(
+                    c[1] / 100.0, again.shares(now + S).getOrDefault(1L, 1.0), 0.01, "age " + c[0]);
         }
         Warming<String> since = fleet(LAW, now);
         since.list(List.of(cold(1, now + S / 2), warm(2)), now + S);
@@ -251,18 +272,28 @@
 
     /** What reaches one cold cache from many dispatchers, booked as a stand-in books it. */
     @Property(tries = 10, seed = "23")
-    void theSumOfAllThatIsFetchedAheadStaysUnderWhatTheModuleLeaves(@ForAll long seed,
-            @ForAll @IntRange(min = 1, max = 400) int dispatchers) {
+    void theSumOfAllThatIsFetchedAheadStaysUnderWhatTheModuleLeaves(
+            @ForAll long seed, @ForAll @IntRange(min = 1, max = 400) int dispatchers) {
         Random r = new Random(seed);
         double multiple = 1.5 + 2 * r.nextDouble();
         long start = 100 * S;
         List<Warming<String>> all = new ArrayList<>();
-        // Requests a second that each sends each warm cache, uneven; all together what it bears, which is stated or not.
+        // Requests a second that each sends each warm cache, uneven; all together what it bears,
+        // which is stated or not.
         double[] rates = r.doubles(dispatchers).map(u -> 40 * u * u * u).toArray();
         double capacity = Arrays.stream(rates).sum();
-        Law law = new Law(false, 0.2, r.nextBoolean() ? capacity / 1e9 : 0, dispatchers, 0.05 + 0.3 * r.nextDouble(),
-                (4 + r.nextInt(12)) * S, multiple, 1500 * MS);
-        // Something to fetch from the start on, or for all at once when all have long had nothing to do.
+        Law law =
+                new Law(
+                        false,
+                        0.2,
+                        r.nextBoolean() ? capacity / 1e9 : 0,
+                        dispatchers,
+                        0.05 + 0.3 * r.nextDouble(),
+                        (4 + r.nextInt(12)) * S,
+                        multiple,
+                        1500 * MS);
+        // Something to fetch from the start on, or for all at once when all have long had nothing
+        // to do.
         long wanted = r.nextBoolean() ? start : start + (long) (r.nextDouble() * law.coldNs());
         for (int i = 0; i < dispatchers; i++) {
             double rate = rates[i];
@@ -283,7 +314,8 @@
                     w.asked(o * 100 + 1, 0, "", now);
                 }
                 for (int h = 1; h <= 3; h++) {
-                    // Some are lost, some nonsense; the most dangerous ones say that there is all the room in the world.
+                    // Some are lost, some nonsense; the most dangerous ones say that there is all
+                    // the room in the world.
                     int kind = r.nextInt(10);
                     if (kind > 1) {
                         w.heard(h, new Report(kind == 2 ? -3 : 0, 0, 0.9, now - MS, now));
@@ -299,18 +331,38 @@
             }
             double warmth = law.warmth(now - start);
             double left = (multiple - module) * warmth * capacity * law.overloadNs() / 1e9;
-            assertTrue(window.size() <= left + 3, window.size() + " of " + left + " by " + dispatchers + " at "
-                    + (now - start) / MS + " ms");
+            assertTrue(
+                    window.size() <= left + 3,
+                    window.size()
+                            + " of "
+                            + left
+                            + " by "
+                            + dispatchers
+                            + " at "
+                            + (now - start) / MS
+                            + " ms");
         }
     }
 
-    /** What many dispatchers together ask of one neighbour that says, frozen, that it has all the room in the world. */
+    /**
+     * What many dispatchers together ask of one neighbour that says, frozen, that it has all the
+     * room in the world.
+     */
     @Property(tries = 10, seed = "29")
-    void theSumOfAllThatIsAskedOfANeighbourStaysUnderItsStatedShare(@ForAll long seed,
-            @ForAll @IntRange(min = 1, max = 400) int dispatchers) {
+    void theSumOfAllThatIsAskedOfANeighbourStaysUnderItsStatedShare(
+            @ForAll long seed, @ForAll @IntRange(min = 1, max = 400) int dispatchers) {
         Random r = new Random(seed);
         double bears = 20 + 300 * r.nextDouble();
-        Law law = new Law(false, 0.1 + 0.9 * r.nextDouble(), bears / 1e9, dispatchers, 0.2, 10 * S, 2.5, 1500 * MS);
+        Law law =
+                new Law(
+                        false,
+                        0.1 + 0.9 * r.nextDouble(),
+                        bears / 1e9,
+                        dispatchers,
+                        0.2,
+                        10 * S,
+                        2.5,
+                        1500 * MS);
         long start = 100 * S;
         List<Warming<String>> all = new ArrayList<>();
         for (int i = 0; i < dispatchers; i++) {
@@ -340,7 +392,9 @@
             }
             // Within a span: what the span permits, and what was permitted just before it.
             double most = law.neighbourShare() * bears * (law.overloadNs() + law.lapseNs()) / 1e9;
-            assertTrue(window.size() <= 1.3 * most + 3, window.size() + " of " + most + " by " + dispatchers);
+            assertTrue(
+                    window.size() <= 1.3 * most + 3,
+                    window.size() + " of " + most + " by " + dispatchers);
         }
         assertTrue(asked > 0.02 * law.neighbourShare() * bears, "asked " + asked);
     }
