--- a/benchmarks/FixedServer.java
+++ b/benchmarks/FixedServer.java
@@ -1,8 +1,8 @@
 import brooklock.http.Fields;
 import brooklock.http.ResponseHead;
-import brooklock.net.Listener;
-import brooklock.net.Net;
-import brooklock.net.ServerExchange;
+import brooklock.net.HttpExchange;
+import brooklock.net.HttpListener;
+import brooklock.net.IoThreads;
 import brooklock.net.ServerLimits;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -13,9 +13,9 @@
     private static final byte[] MEGABYTE = new byte[1_000_000];
 
     public static void main(String[] args) throws Exception {
-        Net net = Net.open("fixed", 2);
-        Listener l =
-                Listener.open(
+        IoThreads net = IoThreads.start("fixed", 2);
+        HttpListener l =
+                HttpListener.open(
                         net,
                         new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
                         ServerLimits.STANDARD,
@@ -24,10 +24,10 @@
         Thread.currentThread().join();
     }
 
-    private static void answer(ServerExchange x) {
+    private static void answer(HttpExchange x) {
         String t = x.head().target();
         long size = t.startsWith("/1k/") ? 1000 : t.startsWith("/1m/") ? 1_000_000 : 100_000_000;
-        x.start(
+        x.startResponse(
                 new ResponseHead(
                         200,
                         new Fields()
@@ -38,15 +38,15 @@
             long left = size;
 
             void go() {
-                while (left > 0 && !x.over()) {
+                while (left > 0 && !x.isEnded()) {
                     int n = (int) Math.min(left, 65536);
                     left -= n;
-                    if (!x.write(ByteBuffer.wrap(MEGABYTE, 0, n))) {
+                    if (!x.writeBody(ByteBuffer.wrap(MEGABYTE, 0, n))) {
                         x.onWritable(this::go);
                         return;
                     }
                 }
-                x.end();
+                x.endResponse();
             }
         }.go();
     }
--- a/benchmarks/Measure.java
+++ b/benchmarks/Measure.java
@@ -1,4 +1,4 @@
-import brooklock.testserver.Load;
+import brooklock.testserver.LoadGenerator;
 import java.io.BufferedReader;
 import java.io.InputStreamReader;
 import java.net.InetAddress;
@@ -73,7 +73,7 @@
                     for (String name : by.keySet()) {
                         Peer p = by.get(name);
                         double before = p.cpuSeconds();
-                        Load.Result got = load(p.port, size, 0, 64, seconds);
+                        LoadGenerator.Result got = load(p.port, size, 0, 64, seconds);
                         double spent = p.cpuSeconds() - before;
                         System.out.println(
                                 size + " " + name + (r == 0 ? " (warm-up)" : "") + ": " + got);
@@ -170,10 +170,10 @@
                 .orElse("not told");
     }
 
-    private static Load.Result load(
+    private static LoadGenerator.Result load(
             int port, String size, double rate, int connections, int seconds) throws Exception {
-        return Load.run(
-                new Load.Plan(
+        return LoadGenerator.run(
+                new LoadGenerator.Plan(
                         new InetSocketAddress(InetAddress.getLoopbackAddress(), port),
                         "a",
                         rate,
--- a/benchmarks/NewTokens.java
+++ b/benchmarks/NewTokens.java
@@ -1,13 +1,13 @@
 import brooklock.config.SettingsReader;
-import brooklock.credentials.KeyFile;
-import brooklock.credentials.KeyRing;
-import brooklock.credentials.TokenMaker;
-import brooklock.net.Net;
+import brooklock.credentials.KeySet;
+import brooklock.credentials.KeySetFile;
+import brooklock.credentials.TokenSigner;
+import brooklock.net.IoThreads;
 import brooklock.proxy.Dispatcher;
-import brooklock.testserver.HostModel;
-import brooklock.testserver.Ledger;
-import brooklock.testserver.Load;
-import brooklock.testserver.StandInHost;
+import brooklock.testserver.LoadGenerator;
+import brooklock.testserver.ServerModel;
+import brooklock.testserver.TestServer;
+import brooklock.testserver.TrafficRecorder;
 import java.net.InetSocketAddress;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -23,18 +23,18 @@
 public final class NewTokens {
     public static void main(String[] args) throws Exception {
         Path dir = Files.createTempDirectory("tokens");
-        KeyPair pair = KeyFile.generate("ES256");
-        new KeyFile(dir.resolve("keys"))
-                .add(KeyFile.entry("k", "ES256", pair, KeyRing.State.SIGNING));
+        KeyPair pair = KeySetFile.generate("ES256");
+        new KeySetFile(dir.resolve("keys"))
+                .addKey(KeySetFile.toJwk("k", "ES256", pair, KeySet.State.SIGNING));
         Files.writeString(
                 dir.resolve("policy"), "tenant a\nmap claim tenant a a\nallow a * /own/{rest}\n");
-        Net net = Net.open("hosts", 1);
-        StandInHost origin =
-                new StandInHost(
+        IoThreads net = IoThreads.start("hosts", 1);
+        TestServer origin =
+                new TestServer(
                         net,
-                        new HostModel(
+                        new ServerModel(
                                 "o1",
-                                HostModel.Role.ORIGIN,
+                                ServerModel.Role.ORIGIN,
                                 5000,
                                 1e9,
                                 5000,
@@ -45,17 +45,17 @@
                                 1,
                                 1000,
                                 0),
-                        new Ledger(),
+                        new TrafficRecorder(),
                         (p, c) -> 1000,
                         c -> 1e5,
                         null,
                         1);
-        StandInHost cache =
-                new StandInHost(
+        TestServer cache =
+                new TestServer(
                         net,
-                        new HostModel(
+                        new ServerModel(
                                 "c1",
-                                HostModel.Role.CACHE,
+                                ServerModel.Role.CACHE,
                                 5000,
                                 1e9,
                                 5000,
@@ -66,7 +66,7 @@
                                 1,
                                 1000,
                                 0),
-                        new Ledger(),
+                        new TrafficRecorder(),
                         (p, c) -> 1000,
                         c -> 1e5,
                         null,
@@ -89,12 +89,14 @@
         long exp = System.currentTimeMillis() / 1000 + 600;
         for (int i = 0; i < 6_000; i++) {
             tokens.add(
-                    TokenMaker.make(
+                    TokenSigner.sign(
                             pair.getPrivate(),
                             "k",
                             Map.of("tenant", "a", "n", "" + i, "exp", exp)));
         }
-        Load.run(new Load.Plan(to, "a", 1000, 16, 1, 0, 4_000_000_000L, i -> "/open/o" + i % 100));
+        LoadGenerator.run(
+                new LoadGenerator.Plan(
+                        to, "a", 1000, 16, 1, 0, 4_000_000_000L, i -> "/open/o" + i % 100));
         int[] next = new int[1];
         for (int rate : new int[] {0, 100, 300, 600}) {
             Thread beside = new Thread(() -> ask(to, rate, tokens, next));
@@ -102,8 +104,8 @@
             System.out.printf(
                     "%4d new tokens a second: %s%n",
                     rate,
-                    Load.run(
-                            new Load.Plan(
+                    LoadGenerator.run(
+                            new LoadGenerator.Plan(
                                     to,
                                     "a",
                                     1000,
--- a/benchmarks/RevocationTime.java
+++ b/benchmarks/RevocationTime.java
@@ -1,11 +1,11 @@
 import brooklock.config.SettingsReader;
-import brooklock.credentials.LocalAuthority;
-import brooklock.credentials.Tls;
-import brooklock.net.Net;
+import brooklock.credentials.LocalCertificateAuthority;
+import brooklock.credentials.TlsContexts;
+import brooklock.net.IoThreads;
 import brooklock.proxy.Dispatcher;
-import brooklock.testserver.HostModel;
-import brooklock.testserver.Ledger;
-import brooklock.testserver.StandInHost;
+import brooklock.testserver.ServerModel;
+import brooklock.testserver.TestServer;
+import brooklock.testserver.TrafficRecorder;
 import java.io.IOException;
 import java.net.Socket;
 import java.nio.file.Files;
@@ -23,22 +23,22 @@
 public final class RevocationTime {
     public static void main(String[] args) throws Exception {
         Path dir = Files.createTempDirectory("revoked");
-        LocalAuthority pki = new LocalAuthority("authority");
-        LocalAuthority.write(
+        LocalCertificateAuthority pki = new LocalCertificateAuthority("authority");
+        LocalCertificateAuthority.writeCertificate(
                 dir.resolve("server.pem"),
                 dir.resolve("server.key"),
                 pki.issue("edge", "localhost", 3600_000));
-        pki.writeAuthority(dir.resolve("ca.pem"));
-        Files.writeString(dir.resolve("revoked.pem"), pki.revoked(3600_000));
+        pki.writeCaCertificate(dir.resolve("ca.pem"));
+        Files.writeString(dir.resolve("revoked.pem"), pki.createCrl(3600_000));
         Files.writeString(
                 dir.resolve("policy"), "tenant a\nmap san a.example a\nallow a * /own/{rest}\n");
-        Net net = Net.open("hosts", 1);
-        StandInHost origin =
-                new StandInHost(
+        IoThreads net = IoThreads.start("hosts", 1);
+        TestServer origin =
+                new TestServer(
                         net,
-                        new HostModel(
+                        new ServerModel(
                                 "o1",
-                                HostModel.Role.ORIGIN,
+                                ServerModel.Role.ORIGIN,
                                 50,
                                 4e8,
                                 500,
@@ -49,18 +49,18 @@
                                 1,
                                 1000,
                                 0),
-                        new Ledger(),
+                        new TrafficRecorder(),
                         (p, c) -> 40_000_000,
                         c -> 1e7,
                         null,
                         1);
         // A cache that gives 4 MB a second: the transfer would last ten seconds.
-        StandInHost cache =
-                new StandInHost(
+        TestServer cache =
+                new TestServer(
                         net,
-                        new HostModel(
+                        new ServerModel(
                                 "c1",
-                                HostModel.Role.CACHE,
+                                ServerModel.Role.CACHE,
                                 50,
                                 4e6,
                                 500,
@@ -71,7 +71,7 @@
                                 1,
                                 1000,
                                 0),
-                        new Ledger(),
+                        new TrafficRecorder(),
                         (p, c) -> 40_000_000,
                         c -> 1e7,
                         null,
@@ -92,8 +92,10 @@
         List<X509Certificate> gone = new ArrayList<>();
         List<Double> ms = new ArrayList<>();
         for (int i = 0; i < 25; i++) {
-            Tls.Shown mine = pki.issue("x" + i, "a.example", 3600_000);
-            var context = Tls.client(mine, () -> trust(pki, dir), System::currentTimeMillis);
+            TlsContexts.TlsIdentity mine = pki.issue("x" + i, "a.example", 3600_000);
+            var context =
+                    TlsContexts.clientContext(
+                            mine, () -> trust(pki, dir), System::currentTimeMillis);
             Socket plain = new Socket("127.0.0.1", edge.address().getPort());
             SSLSocket s =
                     (SSLSocket)
@@ -108,7 +110,8 @@
             }
             gone.add(mine.chain()[0]);
             Path beside = dir.resolve("next.pem");
-            Files.writeString(beside, pki.revoked(3600_000, gone.toArray(X509Certificate[]::new)));
+            Files.writeString(
+                    beside, pki.createCrl(3600_000, gone.toArray(X509Certificate[]::new)));
             Files.move(
                     beside,
                     dir.resolve("revoked.pem"),
@@ -133,9 +136,10 @@
         System.exit(0);
     }
 
-    private static brooklock.credentials.ClientTrust trust(LocalAuthority pki, Path dir) {
+    private static brooklock.credentials.CertificateTrust trust(
+            LocalCertificateAuthority pki, Path dir) {
         try {
-            return pki.trust(dir);
+            return pki.createTrust(dir);
         } catch (Exception e) {
             throw new IllegalStateException(e);
         }
--- a/benchmarks/RightsCost.java
+++ b/benchmarks/RightsCost.java
@@ -1,26 +1,26 @@
-import brooklock.authorization.PathForm;
+import brooklock.authorization.PathValidator;
 import brooklock.authorization.Policy;
 import brooklock.authorization.PolicyReader;
-import brooklock.credentials.BadCredential;
-import brooklock.credentials.ClientTrust;
+import brooklock.credentials.CertificateTrust;
 import brooklock.credentials.Identity;
-import brooklock.credentials.KeyFile;
-import brooklock.credentials.KeyRing;
-import brooklock.credentials.LocalAuthority;
-import brooklock.credentials.Tls;
-import brooklock.credentials.TokenBook;
-import brooklock.credentials.TokenCheck;
-import brooklock.credentials.TokenMaker;
+import brooklock.credentials.InvalidCredentialException;
+import brooklock.credentials.KeySet;
+import brooklock.credentials.KeySetFile;
+import brooklock.credentials.LocalCertificateAuthority;
+import brooklock.credentials.TlsContexts;
+import brooklock.credentials.TokenCache;
+import brooklock.credentials.TokenSigner;
+import brooklock.credentials.TokenVerifier;
 import brooklock.http.Fields;
 import brooklock.http.Framing;
 import brooklock.http.RequestHead;
 import brooklock.http.ResponseHead;
-import brooklock.net.AnswerTaker;
-import brooklock.net.Client;
+import brooklock.net.CallFailure;
 import brooklock.net.ClientLimits;
-import brooklock.net.Failure;
-import brooklock.net.Listener;
-import brooklock.net.Net;
+import brooklock.net.HttpClient;
+import brooklock.net.HttpListener;
+import brooklock.net.IoThreads;
+import brooklock.net.ResponseHandler;
 import brooklock.net.ServerLimits;
 import com.nimbusds.jose.util.JSONObjectUtils;
 import java.net.InetAddress;
@@ -39,20 +39,20 @@
  */
 public final class RightsCost {
     private static long sink;
-    private static final TokenBook.Taker taker =
-            new TokenBook.Taker() {
+    private static final TokenCache.ResultListener taker =
+            new TokenCache.ResultListener() {
                 @Override
-                public void good(Identity caller) {
-                    sink += caller.untilMs();
+                public void onValid(Identity caller) {
+                    sink += caller.expiresAtMs();
                 }
 
                 @Override
-                public void bad(BadCredential why) {
+                public void onInvalid(InvalidCredentialException why) {
                     throw new IllegalStateException(why);
                 }
 
                 @Override
-                public void full() {
+                public void onOverload() {
                     throw new IllegalStateException();
                 }
             };
@@ -100,27 +100,28 @@
                         400_000,
                         i ->
                                 sink +=
-                                        PathForm.wrong("/scans/g17/object-1234/5?a=b") == null
+                                        PathValidator.validate("/scans/g17/object-1234/5?a=b")
+                                                        == null
                                                 ? 1
                                                 : 0));
         for (String alg : List.of("EdDSA", "ES256", "RS256")) {
-            KeyPair pair = KeyFile.generate(alg);
-            KeyRing ring =
-                    KeyRing.parse(
+            KeyPair pair = KeySetFile.generate(alg);
+            KeySet ring =
+                    KeySet.parse(
                             JSONObjectUtils.toJSONString(
                                     Map.of(
                                             "keys",
                                             List.of(
-                                                    KeyFile.entry(
+                                                    KeySetFile.toJwk(
                                                             "k",
                                                             alg,
                                                             pair,
-                                                            KeyRing.State.SIGNING)))));
+                                                            KeySet.State.SIGNING)))));
             long exp = System.currentTimeMillis() / 1000 + 600;
             String token =
-                    TokenMaker.make(pair.getPrivate(), "k", Map.of("tenant", "t1", "exp", exp));
-            TokenCheck check = new TokenCheck(null, null, 0);
-            TokenBook book = new TokenBook(check, new byte[32]);
+                    TokenSigner.sign(pair.getPrivate(), "k", Map.of("tenant", "t1", "exp", exp));
+            TokenVerifier check = new TokenVerifier(null, null, 0);
+            TokenCache book = new TokenCache(check, new byte[32]);
             long now = System.currentTimeMillis();
             System.out.printf(
                     "token %s: new %.0f us, seen %.2f us%n",
@@ -129,7 +130,10 @@
                             4_000,
                             i -> {
                                 try {
-                                    sink += check.check(token, ring, now, "l").identity().untilMs();
+                                    sink +=
+                                            check.verify(token, ring, now, "l")
+                                                    .identity()
+                                                    .expiresAtMs();
                                 } catch (Exception e) {
                                     throw new IllegalStateException(e);
                                 }
@@ -137,7 +141,7 @@
                     per(
                             200_000,
                             i -> {
-                                book.look(
+                                book.authenticate(
                                         token,
                                         ring,
                                         "a",
@@ -171,14 +175,14 @@
     }
 
     private static void handshakes() throws Exception {
-        LocalAuthority pki = new LocalAuthority("a");
-        Tls.Shown leaf = pki.issue("edge", "localhost", 3600_000);
-        Tls.Shown mine = pki.issue("me", "me.example", 3600_000);
-        ClientTrust trust = pki.trust(Files.createTempDirectory("cost"));
-        Net servers = Net.open("server", 2);
-        Net clients = Net.open("client", 4);
-        Listener l =
-                Listener.openTls(
+        LocalCertificateAuthority pki = new LocalCertificateAuthority("a");
+        TlsContexts.TlsIdentity leaf = pki.issue("edge", "localhost", 3600_000);
+        TlsContexts.TlsIdentity mine = pki.issue("me", "me.example", 3600_000);
+        CertificateTrust trust = pki.createTrust(Files.createTempDirectory("cost"));
+        IoThreads servers = IoThreads.start("server", 2);
+        IoThreads clients = IoThreads.start("client", 4);
+        HttpListener l =
+                HttpListener.openTls(
                         servers,
                         new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
                         ServerLimits.STANDARD,
@@ -187,7 +191,8 @@
                                         200,
                                         new Fields().add("X", x.certificates() == null ? "0" : "1"),
                                         new byte[10]),
-                        Tls.server(() -> List.of(leaf), () -> trust, System::currentTimeMillis));
+                        TlsContexts.serverContext(
+                                () -> List.of(leaf), () -> trust, System::currentTimeMillis));
         AtomicInteger done = new AtomicInteger();
         CountDownLatch end = new CountDownLatch(1);
         long until = System.nanoTime() + 8_000_000_000L;
@@ -204,16 +209,16 @@
                                     return;
                                 }
                                 // A context of its own each time: nothing is resumed.
-                                Client one =
-                                        new Client(
+                                HttpClient one =
+                                        new HttpClient(
                                                 loop,
                                                 ClientLimits.STANDARD,
-                                                Tls.client(
+                                                TlsContexts.clientContext(
                                                         mine,
                                                         () -> trust,
                                                         System::currentTimeMillis));
                                 Runnable again = this;
-                                one.call(
+                                one.send(
                                         l.address(),
                                         new RequestHead(
                                                 "GET",
@@ -222,9 +227,9 @@
                                                 1,
                                                 new Fields().add("Connection", "close")),
                                         new byte[0],
-                                        new AnswerTaker() {
+                                        new ResponseHandler() {
                                             @Override
-                                            public void head(
+                                            public void onHead(
                                                     ResponseHead h, Framing f, boolean whole) {
                                                 if (!"1".equals(h.fields().get("X"))) {
                                                     System.out.println("no certificate seen");
@@ -232,18 +237,18 @@
                                             }
 
                                             @Override
-                                            public boolean data(ByteBuffer b) {
+                                            public boolean onBody(ByteBuffer b) {
                                                 return true;
                                             }
 
                                             @Override
-                                            public void end(Fields t) {
+                                            public void onComplete(Fields t) {
                                                 done.incrementAndGet();
                                                 loop.execute(again);
                                             }
 
                                             @Override
-                                            public void failed(Failure f, String why) {
+                                            public void onFailure(CallFailure f, String why) {
                                                 System.out.println(f + " " + why);
                                                 loop.execute(again);
                                             }
--- a/benchmarks/WarmingReturn.java
+++ b/benchmarks/WarmingReturn.java
@@ -1,7 +1,7 @@
-import brooklock.faulttest.Rehearsal;
-import brooklock.faulttest.Rehearsal.Outcome;
-import brooklock.faulttest.Rehearsal.Wished;
-import brooklock.testserver.Sighting;
+import brooklock.faulttest.FaultTestRunner;
+import brooklock.faulttest.FaultTestRunner.RecordedClientRequest;
+import brooklock.faulttest.FaultTestRunner.Result;
+import brooklock.testserver.RecordedRequest;
 import java.awt.BasicStroke;
 import java.awt.Color;
 import java.io.IOException;
@@ -105,12 +105,12 @@
                                             ? "warming all share 0.5 bears 250/s\n"
                                             : "")
                                     + TROUBLES.get(trouble);
-                    Outcome o =
-                            Rehearsal.compare(
+                    Result o =
+                            FaultTestRunner.compare(
                                     trouble,
                                     text,
                                     Files.createTempDirectory("day"),
-                                    Rehearsal.Router.MODULE,
+                                    FaultTestRunner.RouterKind.MODULE,
                                     line -> {});
                     write(o, dir.resolve(trouble + "-" + way + "-" + seed + ".csv"));
                     System.out.printf(
@@ -119,7 +119,7 @@
                             way,
                             seed,
                             o.verdict(),
-                            o.service(),
+                            o.servedShare(),
                             o.report()
                                     .lines()
                                     .filter(
@@ -136,23 +136,23 @@
 
     // ---- One day
 
-    private static void write(Outcome o, Path file) throws IOException {
-        long begun = o.records().begunNs();
+    private static void write(Result o, Path file) throws IOException {
+        long begun = o.recording().startedNs();
         // Those that were struck are those that were cold at some time (parents take no requests of
         // clients).
         Set<String> struck =
-                o.records().ledger().sightings().stream()
-                        .filter(s -> s.straight() && s.cold)
-                        .map(s -> s.host)
+                o.recording().traffic().requests().stream()
+                        .filter(s -> s.isDirect() && s.cold)
+                        .map(s -> s.server)
                         .collect(Collectors.toSet());
         Set<String> theirs =
-                o.records().ledger().sightings().stream()
+                o.recording().traffic().requests().stream()
                         .filter(
                                 s ->
-                                        struck.contains(s.host)
-                                                && s.straight()
+                                        struck.contains(s.server)
+                                                && s.isDirect()
                                                 && at(s.atNs, begun) < LEARN
-                                                && s.cls.equals("scans"))
+                                                && s.className.equals("scans"))
                         .map(s -> s.target)
                         .collect(Collectors.toSet());
         int bins = (int) (END / BIN);
@@ -161,40 +161,40 @@
             all.put(l, new double[bins]);
         }
         Map<String, double[]> pressed = new TreeMap<>();
-        for (Wished w : o.records().wishes()) {
+        for (RecordedClientRequest w : o.recording().requests()) {
             int bin = bin(w.dueNs(), begun);
             if (theirs.contains(w.target()) && bin >= 0 && bin < bins) {
                 all.get(Line.ASKED)[bin]++;
                 all.get(Line.IN_TIME)[bin] += w.inTime() ? 1 : 0;
             }
         }
-        for (Sighting s : o.records().ledger().sightings()) {
+        for (RecordedRequest s : o.recording().traffic().requests()) {
             int bin = bin(s.atNs, begun);
             if (bin < 0 || bin >= bins) {
                 continue;
             }
-            boolean hub = !s.host.contains("-");
+            boolean hub = !s.server.contains("-");
             if (s.request == null) {
-                all.get(Line.AHEAD)[bin] += s.straight() && s.served != 0 ? 1 : 0;
-            } else if (s.straight() && theirs.contains(s.target) && !hub && s.served != 0) {
+                all.get(Line.AHEAD)[bin] += s.isDirect() && s.copySerial != 0 ? 1 : 0;
+            } else if (s.isDirect() && theirs.contains(s.target) && !hub && s.copySerial != 0) {
                 all.get(Line.CAME)[bin]++;
-                all.get(Line.HELD)[bin] += s.held ? 1 : 0;
-                all.get(Line.NEIGHBOUR)[bin] += s.fromNeighbour() ? 1 : 0;
+                all.get(Line.HELD)[bin] += s.cacheHit ? 1 : 0;
+                all.get(Line.NEIGHBOUR)[bin] += s.isFromPeer() ? 1 : 0;
             }
-            if (s.host.equals("o1")) {
+            if (s.server.equals("o1")) {
                 all.get(Line.ORIGIN)[bin]++;
-                all.get(Line.ORIGIN_KB)[bin] += s.bytes / 1e3;
+                all.get(Line.ORIGIN_KB)[bin] += s.bodyBytes / 1e3;
             }
-            if (hub && s.by.contains("-")) {
-                all.get(Line.HUB_KB)[bin] += s.bytes / 1e3;
+            if (hub && s.sender.contains("-")) {
+                all.get(Line.HUB_KB)[bin] += s.bodyBytes / 1e3;
             }
-            if (!hub && s.by.contains("-") && !office(s.by).equals(office(s.host))) {
-                all.get(Line.OFFICES_KB)[bin] += s.bytes / 1e3;
+            if (!hub && s.sender.contains("-") && !office(s.sender).equals(office(s.server))) {
+                all.get(Line.OFFICES_KB)[bin] += s.bodyBytes / 1e3;
             }
-            if (!hub && s.pressed > 0) {
-                double[] own = pressed.computeIfAbsent(s.host, k -> new double[bins]);
-                own[bin] = Math.max(own[bin], s.pressed);
-                all.get(Line.PRESSED)[bin] = Math.max(all.get(Line.PRESSED)[bin], s.pressed);
+            if (!hub && s.warmUpLoad > 0) {
+                double[] own = pressed.computeIfAbsent(s.server, k -> new double[bins]);
+                own[bin] = Math.max(own[bin], s.warmUpLoad);
+                all.get(Line.PRESSED)[bin] = Math.max(all.get(Line.PRESSED)[bin], s.warmUpLoad);
             }
         }
         // Rule 5 has no case on these days: that it was not seen is no breach.
@@ -208,9 +208,9 @@
                         "verdict "
                                 + verdict
                                 + " "
-                                + o.records().ledger().falls().size()
+                                + o.recording().traffic().overloads().size()
                                 + " "
-                                + o.service()
+                                + o.servedShare()
                                 + "\n");
         all.forEach((line, row) -> row(text, line.name(), row));
         pressed.forEach((host, row) -> row(text, host, row));
--- a/src/main/java/brooklock/Main.java
+++ b/src/main/java/brooklock/Main.java
@@ -1,7 +1,7 @@
 package brooklock;
 
-import brooklock.simulator.WireCodec;
-import brooklock.simulator.WireHost;
+import brooklock.simulator.SimulatorCodec;
+import brooklock.simulator.SimulatorHost;
 import java.io.BufferedInputStream;
 import java.io.BufferedOutputStream;
 import java.io.FileDescriptor;
@@ -24,11 +24,11 @@
             Rest.run(args);
         }
         try {
-            WireHost host = new WireHost();
+            SimulatorHost host = new SimulatorHost();
             host.serve(
                     new BufferedInputStream(new FileInputStream(FileDescriptor.in), 1 << 16),
                     new BufferedOutputStream(new FileOutputStream(FileDescriptor.out), 1 << 16));
-        } catch (WireCodec.WireFault | IOException e) {
+        } catch (SimulatorCodec.MalformedFrameException | IOException e) {
             System.err.println("brooklock: " + e.getMessage());
             System.exit(1);
         }
@@ -40,8 +40,9 @@
             try {
                 System.exit(
                         what.equals("practice")
-                                ? brooklock.platform.NodeMain.practice()
-                                : brooklock.platform.NodeMain.run(System.getenv("NODE_CONFIG")));
+                                ? brooklock.platform.PlatformMain.warmUp()
+                                : brooklock.platform.PlatformMain.run(
+                                        System.getenv("NODE_CONFIG")));
             } catch (InterruptedException e) {
                 System.exit(1);
             }
--- a/src/main/java/brooklock/authorization/PathForm.java
+++ b/src/main/java/brooklock/authorization/PathValidator.java
@@ -12,15 +12,15 @@
  * might take for another path is refused, never repaired: what is checked is what is fetched, byte
  * for byte.
  */
-public final class PathForm {
+public final class PathValidator {
     // RFC 3986, section 3.3: what stands in a segment by itself, but ';', which some readers cut a
     // segment at.
-    private static final String PLAIN = "-._~!$&'()*+,=:@";
+    private static final String UNRESERVED = "-._~!$&'()*+,=:@";
 
-    private PathForm() {}
+    private PathValidator() {}
 
     /** What is wrong with a request target, in plain words, or null if it is in form. */
-    public static String wrong(String target) {
+    public static String validate(String target) {
         int mark = target.indexOf('?');
         String path = mark < 0 ? target : target.substring(0, mark);
         if (!path.startsWith("/")) {
@@ -35,32 +35,35 @@
             if (s.equals(".") || s.equals("..")) {
                 return "a segment of dots";
             }
-            String wrong = segment(s);
+            String wrong = validateSegment(s);
             if (wrong != null) {
                 return wrong;
             }
         }
-        return mark < 0 ? null : query(target.substring(mark + 1));
+        return mark < 0 ? null : validateQuery(target.substring(mark + 1));
     }
 
-    private static String segment(String s) {
+    private static String validateSegment(String s) {
         ByteBuffer coded = ByteBuffer.allocate(s.length());
         for (int i = 0; i < s.length(); i++) {
             char c = s.charAt(i);
             if (c == '%') {
-                int high = i + 2 < s.length() ? upperHex(s.charAt(i + 1)) : -1;
-                int low = i + 2 < s.length() ? upperHex(s.charAt(i + 2)) : -1;
+                int high = i + 2 < s.length() ? upperHexDigit(s.charAt(i + 1)) : -1;
+                int low = i + 2 < s.length() ? upperHexDigit(s.charAt(i + 2)) : -1;
                 if (high < 0 || low < 0) {
                     return "a percent sign without two upper-case hexadecimal digits";
                 }
                 int b = high * 16 + low;
                 if (b < 128
-                        && (b < 32 || b == 127 || plain((char) b) || "%/\\;.".indexOf(b) >= 0)) {
+                        && (b < 32
+                                || b == 127
+                                || isLiteral((char) b)
+                                || "%/\\;.".indexOf(b) >= 0)) {
                     return "a character in percent form that must stand by itself or not at all";
                 }
                 coded.put((byte) b);
                 i += 2;
-            } else if (plain(c)) {
+            } else if (isLiteral(c)) {
                 coded.put((byte) c);
             } else {
                 return "the character '" + c + "' in a segment";
@@ -78,15 +81,15 @@
         }
     }
 
-    private static boolean plain(char c) {
-        return c < 128 && (Character.isLetterOrDigit(c) || PLAIN.indexOf(c) >= 0);
+    private static boolean isLiteral(char c) {
+        return c < 128 && (Character.isLetterOrDigit(c) || UNRESERVED.indexOf(c) >= 0);
     }
 
-    private static int upperHex(char c) {
+    private static int upperHexDigit(char c) {
         return c >= '0' && c <= '9' ? c - '0' : c >= 'A' && c <= 'F' ? c - 'A' + 10 : -1;
     }
 
-    private static String query(String query) {
+    private static String validateQuery(String query) {
         Set<String> keys = new HashSet<>();
         for (String pair : query.split("&", -1)) {
             int eq = pair.indexOf('=');
--- a/src/main/java/brooklock/authorization/Policy.java
+++ b/src/main/java/brooklock/authorization/Policy.java
@@ -9,7 +9,8 @@
  */
 public final class Policy {
     /** A policy that allows nobody anything. */
-    public static final Policy NOBODY = new Policy(List.of(), Map.of(), RuleTree.EMPTY, List.of());
+    public static final Policy DENY_ALL =
+            new Policy(List.of(), Map.of(), RuleTree.EMPTY, List.of());
 
     /**
      * How a credential leads to a tenant.
@@ -52,7 +53,7 @@
     }
 
     /** A tenant by a claim of a token, or null. */
-    public Tenant byClaim(String key, String value) {
+    public Tenant tenantByClaim(String key, String value) {
         for (Mapping m : mappings) {
             if (m.kind().equals("claim") && m.key().equals(key) && (m.value().equals(value))) {
                 return tenants.get(m.tenant());
@@ -62,7 +63,7 @@
     }
 
     /** A tenant by a name of a certificate ("san" or "subject"), or null. */
-    public Tenant byCertificate(String kind, String name) {
+    public Tenant tenantByCertificate(String kind, String name) {
         for (Mapping m : mappings) {
             if (m.kind().equals(kind) && m.key().equals(name)) {
                 return tenants.get(m.tenant());
@@ -78,47 +79,50 @@
      * @param path the path in form, without its query
      * @param nowMs wall time, ms since 1970
      */
-    public Decision decide(String tenant, String method, String path, String cls, long nowMs) {
+    public AccessDecision decide(
+            String tenant, String method, String path, String cls, long nowMs) {
         Tenant t = byName.get(tenant);
         if (t == null) {
-            return new Decision(false, 0, Long.MAX_VALUE);
+            return new AccessDecision(false, 0, Long.MAX_VALUE);
         }
-        Walk w = new Walk(t.index(), method, cls, nowMs);
-        rules.fitting(path, w::see);
-        Rule r = w.denies != null ? w.denies : w.allows;
-        return new Decision(
-                w.denies == null && w.allows != null, r == null ? 0 : r.line(), w.changes);
+        Evaluation w = new Evaluation(t.index(), method, cls, nowMs);
+        rules.forEachMatching(path, w::consider);
+        Rule r = w.denyRule != null ? w.denyRule : w.allowRule;
+        return new AccessDecision(
+                w.denyRule == null && w.allowRule != null,
+                r == null ? 0 : r.line(),
+                w.nextChangeMs);
     }
 
     // One evaluation: the first line in the file of each kind is the one named.
-    private static final class Walk {
+    private static final class Evaluation {
         private final int tenant;
         private final String method;
-        private final String cls;
+        private final String routeClass;
         private final long nowMs;
-        private Rule allows;
-        private Rule denies;
-        private long changes = Long.MAX_VALUE;
+        private Rule allowRule;
+        private Rule denyRule;
+        private long nextChangeMs = Long.MAX_VALUE;
 
-        Walk(int tenant, String method, String cls, long nowMs) {
+        Evaluation(int tenant, String method, String cls, long nowMs) {
             this.tenant = tenant;
             this.method = method;
-            this.cls = cls;
+            this.routeClass = cls;
             this.nowMs = nowMs;
         }
 
-        void see(Rule r) {
-            if (!r.about(tenant, method, cls)) {
+        void consider(Rule r) {
+            if (!r.appliesTo(tenant, method, routeClass)) {
                 return;
             }
-            changes = Math.min(changes, r.changes(nowMs));
-            if (!r.holds(nowMs)) {
+            nextChangeMs = Math.min(nextChangeMs, r.nextChangeMs(nowMs));
+            if (!r.isActive(nowMs)) {
                 return;
             }
             if (r.allows()) {
-                allows = allows == null || r.line() < allows.line() ? r : allows;
+                allowRule = allowRule == null || r.line() < allowRule.line() ? r : allowRule;
             } else {
-                denies = denies == null || r.line() < denies.line() ? r : denies;
+                denyRule = denyRule == null || r.line() < denyRule.line() ? r : denyRule;
             }
         }
     }
--- a/src/main/java/brooklock/authorization/PolicyReader.java
+++ b/src/main/java/brooklock/authorization/PolicyReader.java
@@ -1,9 +1,9 @@
 package brooklock.authorization;
 
-import brooklock.config.Line;
 import brooklock.config.PathPattern;
 import brooklock.config.Problem;
 import brooklock.config.SettingsException;
+import brooklock.config.Statement;
 import brooklock.config.Units;
 import java.time.DateTimeException;
 import java.time.Instant;
@@ -20,10 +20,10 @@
  */
 public final class PolicyReader {
     /** Most tenants of a policy; each rule holds a bit for each. */
-    public static final int MOST_TENANTS = 4096;
+    public static final int MAX_TENANTS = 4096;
 
     /** Most lines that allow or deny. */
-    public static final int MOST_RULES = 100_000;
+    public static final int MAX_RULES = 100_000;
 
     private final String file;
     private final List<Problem> problems = new ArrayList<>();
@@ -32,7 +32,7 @@
     private final Map<String, BitSet> groups = new LinkedHashMap<>();
     private final List<Policy.Mapping> mappings = new ArrayList<>();
     private RuleTree rules = RuleTree.EMPTY;
-    private int count;
+    private int ruleCount;
 
     private PolicyReader(String file) {
         this.file = file;
@@ -45,22 +45,22 @@
      *     emptied file is more likely an accident than a wish to lock everybody out
      */
     public static Policy parse(String file, String text) throws SettingsException {
-        return new PolicyReader(file).all(text);
+        return new PolicyReader(file).parseAll(text);
     }
 
-    private Policy all(String text) throws SettingsException {
+    private Policy parseAll(String text) throws SettingsException {
         String[] rows = text.split("\r?\n", -1);
         for (int i = 0; i < rows.length; i++) {
             try {
-                Line l = Line.of(file, i + 1, rows[i]);
+                Statement l = Statement.parse(file, i + 1, rows[i]);
                 if (l != null) {
-                    statement(l, i + 1);
+                    parseStatement(l, i + 1);
                 }
             } catch (IllegalArgumentException e) {
                 problems.add(new Problem(file, i + 1, e.getMessage()));
             }
         }
-        if (tenants.isEmpty() || count == 0) {
+        if (tenants.isEmpty() || ruleCount == 0) {
             problems.add(
                     new Problem(file, 0, "there is no tenant, or no line that allows or denies"));
         }
@@ -77,13 +77,13 @@
         return new Policy(tenants, byName, rules, mappings);
     }
 
-    private void statement(Line l, int number) {
-        String verb = l.word("a statement");
+    private void parseStatement(Statement l, int number) {
+        String verb = l.nextWord("a statement");
         switch (verb) {
-            case "tenant" -> tenant(l);
-            case "group" -> group(l);
-            case "map" -> map(l, number);
-            case "allow", "deny" -> rule(l, number, verb.equals("allow"));
+            case "tenant" -> parseTenant(l);
+            case "group" -> parseGroup(l);
+            case "map" -> parseMapping(l, number);
+            case "allow", "deny" -> parseRule(l, number, verb.equals("allow"));
             default ->
                     throw new IllegalArgumentException(
                             "'"
@@ -91,29 +91,30 @@
                                     + "' is not a statement of a policy "
                                     + "(tenant, group, map, allow, deny)");
         }
-        l.end();
+        l.expectEnd();
     }
 
-    private void tenant(Line l) {
-        String name = l.word("a name");
+    private void parseTenant(Statement l) {
+        String name = l.nextWord("a name");
         double weight = 1;
         double rate = 0;
         int concurrent = 0;
         double bytes = 0;
-        while (l.more()) {
-            String word = l.word("an option");
+        while (l.hasMore()) {
+            String word = l.nextWord("an option");
             switch (word) {
-                case "weight" -> weight = l.number(word);
+                case "weight" -> weight = l.nextNumber(word);
                 case "rate" -> {
-                    String r = l.word("a rate, as in 50/s");
+                    String r = l.nextWord("a rate, as in 50/s");
                     if (!r.endsWith("/s")) {
                         throw new IllegalArgumentException(
                                 "'" + r + "': a rate needs its unit, as in 50/s");
                     }
-                    rate = Units.number(r.substring(0, r.length() - 2));
+                    rate = Units.parseNumber(r.substring(0, r.length() - 2));
                 }
-                case "concurrent" -> concurrent = l.count(word);
-                case "bytes" -> bytes = Units.pace(l.word("a pace, as in 20MB/s"));
+                case "concurrent" -> concurrent = l.nextPositiveInt(word);
+                case "bytes" ->
+                        bytes = Units.parseBytesPerSecond(l.nextWord("a pace, as in 20MB/s"));
                 default ->
                         throw new IllegalArgumentException(
                                 "'"
@@ -127,27 +128,27 @@
         if (name.equals("all") || groups.containsKey(name) || byName.containsKey(name)) {
             throw new IllegalArgumentException("the name '" + name + "' is taken already");
         }
-        if (tenants.size() == MOST_TENANTS) {
-            throw new IllegalArgumentException("a policy has " + MOST_TENANTS + " tenants at most");
+        if (tenants.size() == MAX_TENANTS) {
+            throw new IllegalArgumentException("a policy has " + MAX_TENANTS + " tenants at most");
         }
         Tenant t = new Tenant(tenants.size(), name, weight, rate, concurrent, bytes);
         tenants.add(t);
         byName.put(name, t);
     }
 
-    private void group(Line l) {
-        String name = l.word("a name");
+    private void parseGroup(Statement l) {
+        String name = l.nextWord("a name");
         if (name.equals("all") || groups.containsKey(name) || byName.containsKey(name)) {
             throw new IllegalArgumentException("the name '" + name + "' is taken already");
         }
         BitSet members = new BitSet();
         do {
-            members.or(who(l.word("a tenant")));
-        } while (l.more());
+            members.or(tenantsNamed(l.nextWord("a tenant")));
+        } while (l.hasMore());
         groups.put(name, members);
     }
 
-    private BitSet who(String name) {
+    private BitSet tenantsNamed(String name) {
         BitSet b = new BitSet();
         if (groups.containsKey(name)) {
             b.or(groups.get(name));
@@ -160,15 +161,15 @@
         return b;
     }
 
-    private void map(Line l, int number) {
-        String kind = l.word("claim, san or subject");
+    private void parseMapping(Statement l, int number) {
+        String kind = l.nextWord("claim, san or subject");
         if (!kind.equals("claim") && !kind.equals("san") && !kind.equals("subject")) {
             throw new IllegalArgumentException(
                     "'" + kind + "' is not a kind of name (claim, san, subject)");
         }
-        String key = l.word("a name");
-        String value = kind.equals("claim") ? l.word("the claim's value") : null;
-        String name = l.word("a tenant");
+        String key = l.nextWord("a name");
+        String value = kind.equals("claim") ? l.nextWord("the claim's value") : null;
+        String name = l.nextWord("a tenant");
         Tenant t = byName.get(name);
         if (t == null) {
             throw new IllegalArgumentException("there is no tenant '" + name + "' above this line");
@@ -183,30 +184,30 @@
         mappings.add(new Policy.Mapping(number, kind, key, value, t.index()));
     }
 
-    private void rule(Line l, int number, boolean allows) {
-        String name = l.word("whom");
+    private void parseRule(Statement l, int number, boolean allows) {
+        String name = l.nextWord("whom");
         BitSet tenants = new BitSet();
         if (name.equals("all")) {
-            tenants.set(0, MOST_TENANTS);
+            tenants.set(0, MAX_TENANTS);
         } else {
-            tenants = who(name);
+            tenants = tenantsNamed(name);
         }
-        String methods = l.word("methods, as in GET,HEAD or *");
-        String path = l.word("a path");
+        String methods = l.nextWord("methods, as in GET,HEAD or *");
+        String path = l.nextWord("a path");
         new PathPattern(path);
-        String form = PathForm.wrong(path.replaceAll("\\{[^}]*\\}", "x"));
+        String form = PathValidator.validate(path.replaceAll("\\{[^}]*\\}", "x"));
         if (form != null) {
             throw new IllegalArgumentException("the path is not in form: " + form);
         }
         String cls = null;
         long from = Long.MIN_VALUE;
         long until = Long.MAX_VALUE;
-        while (l.more()) {
-            String word = l.word("an option");
+        while (l.hasMore()) {
+            String word = l.nextWord("an option");
             switch (word) {
-                case "class" -> cls = l.word("a class");
-                case "from" -> from = moment(l.word("a moment"));
-                case "until" -> until = moment(l.word("a moment"));
+                case "class" -> cls = l.nextWord("a class");
+                case "from" -> from = parseInstantMs(l.nextWord("a moment"));
+                case "until" -> until = parseInstantMs(l.nextWord("a moment"));
                 default ->
                         throw new IllegalArgumentException(
                                 "'" + word + "' is not an option here (class, from, until)");
@@ -215,9 +216,9 @@
         if (until <= from) {
             throw new IllegalArgumentException("this holds at no time: it ends before it begins");
         }
-        if (++count > MOST_RULES) {
+        if (++ruleCount > MAX_RULES) {
             throw new IllegalArgumentException(
-                    "a policy has " + MOST_RULES + " lines that allow or deny at most");
+                    "a policy has " + MAX_RULES + " lines that allow or deny at most");
         }
         rules =
                 rules.plus(
@@ -232,7 +233,7 @@
                                 until));
     }
 
-    private static long moment(String text) {
+    private static long parseInstantMs(String text) {
         try {
             return Instant.parse(text).toEpochMilli();
         } catch (DateTimeException e) {
--- a/src/main/java/brooklock/authorization/Rule.java
+++ b/src/main/java/brooklock/authorization/Rule.java
@@ -17,21 +17,21 @@
         boolean allows,
         BitSet tenants,
         Set<String> methods,
-        String cls,
+        String routeClass,
         long fromMs,
         long untilMs) {
-    boolean about(int tenant, String method, String requestClass) {
+    boolean appliesTo(int tenant, String method, String requestClass) {
         return tenants.get(tenant)
                 && (methods.isEmpty() || methods.contains(method))
-                && (cls == null || cls.equals(requestClass));
+                && (routeClass == null || routeClass.equals(requestClass));
     }
 
-    boolean holds(long nowMs) {
+    boolean isActive(long nowMs) {
         return nowMs >= fromMs && nowMs < untilMs;
     }
 
     /** When that changes next. */
-    long changes(long nowMs) {
+    long nextChangeMs(long nowMs) {
         return nowMs < fromMs ? fromMs : nowMs < untilMs ? untilMs : Long.MAX_VALUE;
     }
 }
--- a/src/main/java/brooklock/authorization/RuleTree.java
+++ b/src/main/java/brooklock/authorization/RuleTree.java
@@ -11,7 +11,10 @@
  * it with the tree before, so that thousands of lines are compiled without copying.
  */
 record RuleTree(
-        PMap<String, RuleTree> literal, RuleTree any, PVector<Rule> here, PVector<Rule> below) {
+        PMap<String, RuleTree> literals,
+        RuleTree wildcard,
+        PVector<Rule> exactRules,
+        PVector<Rule> subtreeRules) {
     static final RuleTree EMPTY =
             new RuleTree(HashTreePMap.empty(), null, TreePVector.empty(), TreePVector.empty());
 
@@ -22,43 +25,46 @@
 
     private RuleTree plus(String[] segments, int at, Rule rule) {
         if (at == segments.length) {
-            return new RuleTree(literal, any, here.plus(rule), below);
+            return new RuleTree(literals, wildcard, exactRules.plus(rule), subtreeRules);
         }
         String s = segments[at];
         if (s.equals("{rest}")) {
-            return new RuleTree(literal, any, here, below.plus(rule));
+            return new RuleTree(literals, wildcard, exactRules, subtreeRules.plus(rule));
         }
         if (s.startsWith("{")) {
             return new RuleTree(
-                    literal, (any == null ? EMPTY : any).plus(segments, at + 1, rule), here, below);
+                    literals,
+                    (wildcard == null ? EMPTY : wildcard).plus(segments, at + 1, rule),
+                    exactRules,
+                    subtreeRules);
         }
-        RuleTree child = literal.get(s);
+        RuleTree child = literals.get(s);
         return new RuleTree(
-                literal.plus(s, (child == null ? EMPTY : child).plus(segments, at + 1, rule)),
-                any,
-                here,
-                below);
+                literals.plus(s, (child == null ? EMPTY : child).plus(segments, at + 1, rule)),
+                wildcard,
+                exactRules,
+                subtreeRules);
     }
 
     /** Gives every rule whose pattern fits a path. */
-    void fitting(String path, Consumer<Rule> to) {
-        fitting(path, 1, to);
+    void forEachMatching(String path, Consumer<Rule> to) {
+        forEachMatching(path, 1, to);
     }
 
-    private void fitting(String path, int from, Consumer<Rule> to) {
+    private void forEachMatching(String path, int from, Consumer<Rule> to) {
         if (from > path.length()) {
-            here.forEach(to);
+            exactRules.forEach(to);
             return;
         }
-        below.forEach(to);
+        subtreeRules.forEach(to);
         int slash = path.indexOf('/', from);
         int end = slash < 0 ? path.length() : slash;
-        RuleTree child = literal.get(path.substring(from, end));
+        RuleTree child = literals.get(path.substring(from, end));
         if (child != null) {
-            child.fitting(path, end + 1, to);
+            child.forEachMatching(path, end + 1, to);
         }
-        if (any != null && end > from) {
-            any.fitting(path, end + 1, to);
+        if (wildcard != null && end > from) {
+            wildcard.forEachMatching(path, end + 1, to);
         }
     }
 }
--- a/src/main/java/brooklock/authorization/Tenant.java
+++ b/src/main/java/brooklock/authorization/Tenant.java
@@ -10,4 +10,9 @@
  * @param bytes bytes a second it may be sent, 0 for any number
  */
 public record Tenant(
-        int index, String name, double weight, double rate, int concurrent, double bytes) {}
+        int index,
+        String name,
+        double weight,
+        double requestsPerSecond,
+        int maxInFlight,
+        double bytesPerSecond) {}
--- a/src/main/java/brooklock/cli/Check.java
+++ b/src/main/java/brooklock/cli/CheckCommand.java
@@ -14,19 +14,19 @@
         description =
                 "Checks a settings file; prints every mistake "
                         + "with its line and exits 1 if there is one.")
-final class Check implements Callable<Integer> {
+final class CheckCommand implements Callable<Integer> {
     @Parameters(paramLabel = "FILE", description = "the settings")
-    private Path file;
+    private Path settingsFile;
 
     @Override
     public Integer call() {
         try {
-            SettingsReader.read(file);
-            System.out.println(file + ": right");
+            SettingsReader.read(settingsFile);
+            System.out.println(settingsFile + ": right");
             return 0;
         } catch (SettingsException e) {
             e.problems.forEach(System.out::println);
-            return Cli.WRONG;
+            return Cli.EXIT_PROBLEM;
         }
     }
 }
--- a/src/main/java/brooklock/cli/Cli.java
+++ b/src/main/java/brooklock/cli/Cli.java
@@ -13,12 +13,12 @@
         description =
                 "A caching edge: routes requests before tiers of caches with one origin behind them.",
         subcommands = {
-            Serve.class,
-            Check.class,
-            StandIn.class,
-            Rehearse.class,
+            ServeCommand.class,
+            CheckCommand.class,
+            TestServersCommand.class,
+            FaultTestCommand.class,
             LoadCommand.class,
-            ReplayTrace.class,
+            ReplayCommand.class,
             KeysCommand.class
         },
         footer = {
@@ -27,7 +27,7 @@
         })
 public final class Cli {
     /** Exit status where what was asked for found something wrong. */
-    static final int WRONG = 1;
+    static final int EXIT_PROBLEM = 1;
 
     private Cli() {}
 
@@ -38,14 +38,14 @@
             line.usage(System.err);
             return CommandLine.ExitCode.USAGE;
         }
-        line.setExecutionExceptionHandler(Cli::told);
+        line.setExecutionExceptionHandler(Cli::handleFailure);
         return line.execute(args);
     }
 
     // Mistakes in settings and what the system refuses are told in plain words; all else is a fault
     // of ours.
-    private static int told(Exception e, CommandLine command, CommandLine.ParseResult parsed)
-            throws Exception {
+    private static int handleFailure(
+            Exception e, CommandLine command, CommandLine.ParseResult parsed) throws Exception {
         if (e instanceof SettingsException s) {
             s.problems.forEach(System.err::println);
         } else if (e instanceof IOException) {
@@ -53,6 +53,6 @@
         } else {
             throw e;
         }
-        return WRONG;
+        return EXIT_PROBLEM;
     }
 }
--- a/src/main/java/brooklock/cli/Rehearse.java
+++ b/src/main/java/brooklock/cli/FaultTestCommand.java
@@ -1,8 +1,8 @@
 package brooklock.cli;
 
 import brooklock.config.SettingsException;
-import brooklock.faulttest.Rehearsal;
-import brooklock.faulttest.Rehearsal.Router;
+import brooklock.faulttest.FaultTestRunner;
+import brooklock.faulttest.FaultTestRunner.RouterKind;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -28,8 +28,8 @@
             "1:a rule was broken or not seen, or the script is wrong",
             "3:it could not be judged: the rig itself was late by more than a rule's slack"
         })
-final class Rehearse implements Callable<Integer> {
-    private static final int NOT_JUDGED = 3;
+final class FaultTestCommand implements Callable<Integer> {
+    private static final int EXIT_NOT_JUDGED = 3;
 
     @Parameters(
             paramLabel = "SCRIPT",
@@ -40,10 +40,10 @@
     @Option(names = "--seed", paramLabel = "N", description = "instead of the script's own")
     private Long seed;
 
-    @ArgGroup private Way way = new Way();
+    @ArgGroup private Mode mode = new Mode();
 
     /** Whom the day is played through. */
-    private static final class Way {
+    private static final class Mode {
         @Option(
                 names = "--random",
                 description =
@@ -53,14 +53,14 @@
         @Option(
                 names = "--informed",
                 description = "routers that see the true state of every stand-in, to compare")
-        private boolean informed;
+        private boolean oracle;
 
         @Option(
                 names = "--scale",
                 description =
                         "all three in turn, the module's service on the scale random = 0, "
                                 + "informed = 1, by class and by trouble")
-        private boolean scale;
+        private boolean compareAll;
     }
 
     @Option(
@@ -72,49 +72,53 @@
     @Override
     public Integer call() throws SettingsException, IOException, InterruptedException {
         String name = file == null ? "built-in" : file.toString();
-        String text =
-                (file == null ? Rehearsal.builtIn() : Files.readString(file))
+        String scenarioText =
+                (file == null ? FaultTestRunner.builtInScenario() : Files.readString(file))
                         + (seed == null ? "" : "\nseed " + seed + "\n");
-        Path at =
+        Path directory =
                 dir == null
                         ? Files.createTempDirectory("brooklock-day")
                         : Files.createDirectories(dir);
-        System.out.println("files of the dispatchers: " + at);
-        if (way.scale) {
-            return scale(name, text, at);
+        System.out.println("files of the dispatchers: " + directory);
+        if (mode.compareAll) {
+            return compareAll(name, scenarioText, directory);
         }
-        Rehearsal.Outcome o =
-                way.random || way.informed
-                        ? Rehearsal.compare(
+        FaultTestRunner.Result result =
+                mode.random || mode.oracle
+                        ? FaultTestRunner.compare(
                                 name,
-                                text,
-                                at,
-                                way.random ? Router.RANDOM : Router.INFORMED,
+                                scenarioText,
+                                directory,
+                                mode.random ? RouterKind.RANDOM : RouterKind.INFORMED,
                                 System.out::println)
-                        : Rehearsal.play(name, text, at, System.out::println);
+                        : FaultTestRunner.play(name, scenarioText, directory, System.out::println);
         System.out.println();
-        System.out.print(o.report());
-        return way.random ? 0 : status(o);
+        System.out.print(result.report());
+        return mode.random ? 0 : exitStatus(result);
     }
 
-    private static int scale(String name, String text, Path at)
+    private static int compareAll(String name, String text, Path directory)
             throws SettingsException, IOException, InterruptedException {
-        Map<Router, Rehearsal.Outcome> all = new EnumMap<>(Router.class);
-        for (Router r : Router.values()) {
-            Path own = Files.createDirectories(at.resolve(r.name().toLowerCase(Locale.ROOT)));
-            all.put(r, Rehearsal.compare(name, text, own, r, line -> {}));
-            System.out.println(r + "\n" + all.get(r).report());
+        Map<RouterKind, FaultTestRunner.Result> results = new EnumMap<>(RouterKind.class);
+        for (RouterKind router : RouterKind.values()) {
+            Path own =
+                    Files.createDirectories(
+                            directory.resolve(router.name().toLowerCase(Locale.ROOT)));
+            results.put(router, FaultTestRunner.compare(name, text, own, router, line -> {}));
+            System.out.println(router + "\n" + results.get(router).report());
         }
         System.out.print(
-                all.get(Router.MODULE).scale(all.get(Router.RANDOM), all.get(Router.INFORMED)));
-        return status(all.get(Router.MODULE));
+                results.get(RouterKind.MODULE)
+                        .compareWith(
+                                results.get(RouterKind.RANDOM), results.get(RouterKind.INFORMED)));
+        return exitStatus(results.get(RouterKind.MODULE));
     }
 
-    private static int status(Rehearsal.Outcome o) {
-        return switch (o.verdict()) {
+    private static int exitStatus(FaultTestRunner.Result result) {
+        return switch (result.verdict()) {
             case KEPT -> 0;
-            case BROKEN -> Cli.WRONG;
-            case NOT_JUDGED -> NOT_JUDGED;
+            case BROKEN -> Cli.EXIT_PROBLEM;
+            case NOT_JUDGED -> EXIT_NOT_JUDGED;
         };
     }
 }
--- a/src/main/java/brooklock/cli/KeysCommand.java
+++ b/src/main/java/brooklock/cli/KeysCommand.java
@@ -1,19 +1,19 @@
 package brooklock.cli;
 
-import brooklock.authorization.Decision;
-import brooklock.authorization.PathForm;
+import brooklock.authorization.AccessDecision;
+import brooklock.authorization.PathValidator;
 import brooklock.authorization.Policy;
 import brooklock.authorization.PolicyReader;
 import brooklock.authorization.Tenant;
 import brooklock.config.SettingsException;
-import brooklock.credentials.BadCredential;
 import brooklock.credentials.Certificates;
 import brooklock.credentials.Identity;
-import brooklock.credentials.KeyFile;
-import brooklock.credentials.KeyRing;
-import brooklock.credentials.LocalAuthority;
-import brooklock.credentials.TokenCheck;
-import brooklock.credentials.TokenMaker;
+import brooklock.credentials.InvalidCredentialException;
+import brooklock.credentials.KeySet;
+import brooklock.credentials.KeySetFile;
+import brooklock.credentials.LocalCertificateAuthority;
+import brooklock.credentials.TokenSigner;
+import brooklock.credentials.TokenVerifier;
 import java.io.IOException;
 import java.io.InputStream;
 import java.nio.file.Files;
@@ -42,19 +42,19 @@
                 "Makes, rotates and retires the keys that tokens are "
                         + "signed with, and shows what a credential maps to and why.")
 final class KeysCommand {
-    private static final long A_MONTH_MS = 30L * 24 * 3600 * 1000;
+    private static final long MONTH_MS = 30L * 24 * 3600 * 1000;
 
     private interface Work {
         void run() throws IOException, SettingsException;
     }
 
-    private static int guarded(Work work) {
+    private static int runGuarded(Work work) {
         try {
             work.run();
             return 0;
         } catch (IOException | SettingsException | IllegalArgumentException e) {
             System.err.println("brooklock: " + e.getMessage());
-            return Cli.WRONG;
+            return Cli.EXIT_PROBLEM;
         }
     }
 
@@ -67,11 +67,12 @@
             @Parameters(paramLabel = "KEYFILE") Path file,
             @Option(names = "--alg", defaultValue = "EdDSA", description = "EdDSA, ES256 or RS256")
                     String alg) {
-        return guarded(
+        return runGuarded(
                 () -> {
-                    KeyPair pair = KeyFile.generate(alg);
-                    KeyFile.writePrivate(file, pair);
-                    new KeyFile(set).add(KeyFile.entry(kid, alg, pair, KeyRing.State.ANNOUNCED));
+                    KeyPair pair = KeySetFile.generate(alg);
+                    KeySetFile.writePrivateKey(file, pair);
+                    new KeySetFile(set)
+                            .addKey(KeySetFile.toJwk(kid, alg, pair, KeySet.State.ANNOUNCED));
                     System.out.println(
                             kid
                                     + " announced; let every dispatcher read the set before anything is signed with it");
@@ -81,7 +82,7 @@
     @Command(description = "KID signs from now on; the one that signed before is accepted still.")
     int rotate(
             @Parameters(paramLabel = "SET") Path set, @Parameters(paramLabel = "KID") String kid) {
-        return guarded(() -> new KeyFile(set).state(kid, KeyRing.State.SIGNING, 0));
+        return runGuarded(() -> new KeySetFile(set).setState(kid, KeySet.State.SIGNING, 0));
     }
 
     @Command(description = "Tokens signed with KID are refused, at once or from a moment on.")
@@ -93,34 +94,35 @@
                             paramLabel = "MOMENT",
                             description = "as in 2027-01-31T08:00:00Z")
                     Instant at) {
-        return guarded(
+        return runGuarded(
                 () ->
-                        new KeyFile(set)
-                                .state(
+                        new KeySetFile(set)
+                                .setState(
                                         kid,
-                                        at == null ? KeyRing.State.RETIRED : KeyRing.State.ACCEPTED,
+                                        at == null ? KeySet.State.RETIRED : KeySet.State.ACCEPTED,
                                         at == null ? 0 : at.toEpochMilli()));
     }
 
     @Command(description = "Takes a retired key out of the set.")
     int drop(@Parameters(paramLabel = "SET") Path set, @Parameters(paramLabel = "KID") String kid) {
-        return guarded(() -> new KeyFile(set).drop(kid));
+        return runGuarded(() -> new KeySetFile(set).removeKey(kid));
     }
 
     @Command(description = "Lists the keys of a set.")
     int list(@Parameters(paramLabel = "SET") Path set) {
-        return guarded(
+        return runGuarded(
                 () -> {
-                    for (KeyRing.Key k : KeyRing.parse(Files.readString(set)).all()) {
+                    for (KeySet.Key k : KeySet.parse(Files.readString(set)).keys()) {
                         System.out.println(
                                 k.kid()
                                         + " "
                                         + k.algorithm()
                                         + " "
                                         + k.state().name().toLowerCase(java.util.Locale.ROOT)
-                                        + (k.untilMs() == Long.MAX_VALUE
+                                        + (k.validUntilMs() == Long.MAX_VALUE
                                                 ? ""
-                                                : " until " + Instant.ofEpochMilli(k.untilMs())));
+                                                : " until "
+                                                        + Instant.ofEpochMilli(k.validUntilMs())));
                     }
                 });
     }
@@ -133,12 +135,12 @@
             @Option(names = "--claim", paramLabel = "NAME=VALUE") Map<String, String> claims,
             @Option(names = "--seconds", defaultValue = "3600", description = "how long it holds")
                     long seconds) {
-        return guarded(
+        return runGuarded(
                 () -> {
                     Map<String, Object> all =
                             new LinkedHashMap<>(claims == null ? Map.of() : claims);
                     all.put("exp", System.currentTimeMillis() / 1000 + seconds);
-                    System.out.println(TokenMaker.make(privateKey(file, alg), kid, all));
+                    System.out.println(TokenSigner.sign(privateKey(file, alg), kid, all));
                 });
     }
 
@@ -165,15 +167,16 @@
                             defaultValue = "localhost",
                             description = "the certificate's name")
                     String name) {
-        return guarded(
+        return runGuarded(
                 () -> {
                     try {
-                        LocalAuthority a = new LocalAuthority("brooklock local authority");
-                        a.writeAuthority(Files.createDirectories(dir).resolve("ca.pem"));
-                        LocalAuthority.write(
+                        LocalCertificateAuthority a =
+                                new LocalCertificateAuthority("brooklock local authority");
+                        a.writeCaCertificate(Files.createDirectories(dir).resolve("ca.pem"));
+                        LocalCertificateAuthority.writeCertificate(
                                 dir.resolve("edge.pem"),
                                 dir.resolve("edge.key"),
-                                a.issue("edge", name, A_MONTH_MS));
+                                a.issue("edge", name, MONTH_MS));
                     } catch (IOException e) {
                         throw e;
                     } catch (Exception e) {
@@ -196,16 +199,16 @@
             @Option(names = "--class", defaultValue = "-") String cls,
             @Parameters(paramLabel = "METHOD") String method,
             @Parameters(paramLabel = "PATH") String path) {
-        return guarded(
+        return runGuarded(
                 () -> {
                     Policy policy =
                             PolicyReader.parse(policyFile.toString(), Files.readString(policyFile));
                     long now = System.currentTimeMillis();
-                    Identity who =
+                    Identity identity =
                             certificate != null
                                     ? certificate(certificate)
                                     : token(token, set, issuer, audience, now);
-                    who.names()
+                    identity.attributes()
                             .forEach(
                                     n ->
                                             System.out.println(
@@ -216,24 +219,28 @@
                                                             + (n.value() == null
                                                                     ? ""
                                                                     : " = " + n.value())));
-                    Tenant t = who.tenant(policy);
+                    Tenant tenant = identity.resolveTenant(policy);
                     System.out.println(
-                            t == null ? "is of no tenant: 403" : "is of tenant " + t.name());
-                    String wrong = PathForm.wrong(path);
-                    if (wrong != null) {
-                        System.out.println("400: the path is not in form: " + wrong);
-                    } else if (t != null) {
-                        Decision d = policy.decide(t.name(), method, path, cls, now);
+                            tenant == null
+                                    ? "is of no tenant: 403"
+                                    : "is of tenant " + tenant.name());
+                    String problem = PathValidator.validate(path);
+                    if (problem != null) {
+                        System.out.println("400: the path is not in form: " + problem);
+                    } else if (tenant != null) {
+                        AccessDecision decision =
+                                policy.decide(tenant.name(), method, path, cls, now);
                         System.out.println(
                                 method
                                         + " "
                                         + path
                                         + ": "
-                                        + d.why()
-                                        + (d.untilMs() == Long.MAX_VALUE
+                                        + decision.explain()
+                                        + (decision.validUntilMs() == Long.MAX_VALUE
                                                 ? ""
                                                 : ", until "
-                                                        + Instant.ofEpochMilli(d.untilMs())
+                                                        + Instant.ofEpochMilli(
+                                                                decision.validUntilMs())
                                                         + " at least"));
                     }
                 });
@@ -245,14 +252,14 @@
             throw new IllegalArgumentException("either --certificate, or --token and --keys");
         }
         try {
-            return new TokenCheck(issuer, audience, 0)
-                    .check(
+            return new TokenVerifier(issuer, audience, 0)
+                    .verify(
                             Files.readString(file).trim(),
-                            KeyRing.parse(Files.readString(set)),
+                            KeySet.parse(Files.readString(set)),
                             now,
                             "token")
                     .identity();
-        } catch (BadCredential e) {
+        } catch (InvalidCredentialException e) {
             throw new IllegalArgumentException("401: " + e.getMessage());
         }
     }
@@ -263,7 +270,7 @@
                     CertificateFactory.getInstance("X.509").generateCertificates(in).stream()
                             .map(X509Certificate.class::cast)
                             .toList();
-            return Certificates.identity(all.toArray(new X509Certificate[0]));
+            return Certificates.identityOf(all.toArray(new X509Certificate[0]));
         } catch (GeneralSecurityException e) {
             throw new IOException(file + ": " + e.getMessage());
         }
--- a/src/main/java/brooklock/cli/LoadCommand.java
+++ b/src/main/java/brooklock/cli/LoadCommand.java
@@ -1,7 +1,7 @@
 package brooklock.cli;
 
 import brooklock.http.Fields;
-import brooklock.testserver.Load;
+import brooklock.testserver.LoadGenerator;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.net.URI;
@@ -74,7 +74,7 @@
                 || objects < 1) {
             System.err.println(
                     "brooklock: the URL must be http://HOST:PORT/PATH, and the numbers 1 or more");
-            return Cli.WRONG;
+            return Cli.EXIT_PROBLEM;
         }
         String path = url.getRawPath() + (url.getRawQuery() == null ? "" : "?" + url.getRawQuery());
         int port = url.getPort() < 0 ? 80 : url.getPort();
@@ -83,8 +83,8 @@
             headers.forEach(fields::add);
         }
         System.out.println(
-                Load.run(
-                        new Load.Plan(
+                LoadGenerator.run(
+                        new LoadGenerator.Plan(
                                 new InetSocketAddress(url.getHost(), port),
                                 url.getRawAuthority(),
                                 rate,
--- a/src/main/java/brooklock/cli/ReplayTrace.java
+++ b/src/main/java/brooklock/cli/ReplayCommand.java
@@ -1,6 +1,6 @@
 package brooklock.cli;
 
-import brooklock.proxy.Replay;
+import brooklock.proxy.TraceReplay;
 import java.io.IOException;
 import java.nio.file.Path;
 import java.util.concurrent.Callable;
@@ -14,7 +14,7 @@
         description =
                 "Feeds a dispatcher's trace to a fresh module "
                         + "and reports the first action that differs; exits 1 if one does.")
-final class ReplayTrace implements Callable<Integer> {
+final class ReplayCommand implements Callable<Integer> {
     @Parameters(
             paramLabel = "FILE",
             description = "the trace, as the statement 'trace' had it written")
@@ -22,11 +22,11 @@
 
     @Override
     public Integer call() throws IOException {
-        Replay.Result r = Replay.run(file);
+        TraceReplay.Result r = TraceReplay.replay(file);
         System.out.println(r.events() + " events, " + r.actions() + " actions alike");
         if (r.difference() != null) {
             System.out.println(r.difference());
-            return Cli.WRONG;
+            return Cli.EXIT_PROBLEM;
         }
         return 0;
     }
--- a/src/main/java/brooklock/cli/Serve.java
+++ b/src/main/java/brooklock/cli/ServeCommand.java
@@ -20,30 +20,30 @@
         description =
                 "Runs a dispatcher. SIGTERM lets it finish what "
                         + "it has taken, each request within its deadline, and ends it with status 0.")
-final class Serve implements Callable<Integer> {
-    private static final Logger LOG = LoggerFactory.getLogger(Serve.class);
+final class ServeCommand implements Callable<Integer> {
+    private static final Logger LOG = LoggerFactory.getLogger(ServeCommand.class);
 
     @Parameters(paramLabel = "FILE", description = "the settings")
-    private Path file;
+    private Path settingsFile;
 
     @Override
     public Integer call() throws SettingsException, InterruptedException {
-        Settings settings = SettingsReader.read(file);
+        Settings settings = SettingsReader.read(settingsFile);
         try {
-            if (settings.files().answers() != null) {
-                Logs.answersTo(settings.files().answers());
+            if (settings.files().accessLogFile() != null) {
+                Logging.logAccessTo(settings.files().accessLogFile());
             }
-            Dispatcher edge = Dispatcher.start(settings);
-            Runtime.getRuntime().addShutdownHook(new Thread(() -> end(edge), "end"));
+            Dispatcher dispatcher = Dispatcher.start(settings);
+            Runtime.getRuntime().addShutdownHook(new Thread(() -> shutDown(dispatcher), "end"));
             // Standard output is for whoever started this one: where it listens, once it does.
             System.out.println(
                     "listening "
-                            + edge.address().getPort()
+                            + dispatcher.address().getPort()
                             + " control "
-                            + edge.controlAddress().getPort());
+                            + dispatcher.controlAddress().getPort());
             LOG.atInfo()
-                    .addKeyValue("listen", edge.address())
-                    .addKeyValue("control", edge.controlAddress())
+                    .addKeyValue("listen", dispatcher.address())
+                    .addKeyValue("control", dispatcher.controlAddress())
                     .log("serving");
         } catch (IOException e) {
             System.err.println(
@@ -53,18 +53,18 @@
                             + settings.control()
                             + ": "
                             + e.getMessage());
-            return Cli.WRONG;
+            return Cli.EXIT_PROBLEM;
         }
         new CountDownLatch(1).await();
         return 0;
     }
 
-    private static void end(Dispatcher edge) {
+    private static void shutDown(Dispatcher dispatcher) {
         try {
-            boolean all = edge.drain();
-            LOG.atInfo().addKeyValue("finished", all).log("ended");
-            edge.close();
-            Logs.end();
+            boolean drained = dispatcher.drain();
+            LOG.atInfo().addKeyValue("finished", drained).log("ended");
+            dispatcher.close();
+            Logging.shutDown();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } finally {
--- a/src/main/java/brooklock/config/HostId.java
+++ b/src/main/java/brooklock/config/EndpointId.java
@@ -4,8 +4,8 @@
 import java.util.zip.CRC32C;
 
 /** A host's number, made of its name, so that every dispatcher hashes objects to the same host. */
-public final class HostId {
-    private HostId() {}
+public final class EndpointId {
+    private EndpointId() {}
 
     /** The number of a name, 1 to 2^32 - 1. */
     public static long of(String name) {
--- a/src/main/java/brooklock/config/PathPattern.java
+++ b/src/main/java/brooklock/config/PathPattern.java
@@ -34,27 +34,27 @@
     }
 
     /** Whether it has a place of this name. */
-    public boolean has(String place) {
-        return segments.contains("{" + place + "}");
+    public boolean hasPlaceholder(String placeholder) {
+        return segments.contains("{" + placeholder + "}");
     }
 
     /** Whether a path (without its query) fits. */
     public boolean matches(String path) {
-        return walk(path, null) != null;
+        return match(path, null) != null;
     }
 
     /** What stands at a place, or null if the path does not fit or there is no such place. */
-    public String at(String path, String place) {
-        return has(place) ? walk(path, "{" + place + "}") : null;
+    public String extract(String path, String placeholder) {
+        return hasPlaceholder(placeholder) ? match(path, "{" + placeholder + "}") : null;
     }
 
     /** The path with a star where a place stands: what its parts have in common. */
-    public String without(String path, String place) {
-        String part = has(place) ? at(path, place) : null;
+    public String withoutPlaceholder(String path, String placeholder) {
+        String part = hasPlaceholder(placeholder) ? extract(path, placeholder) : null;
         if (part == null) {
             return path;
         }
-        int index = segments.indexOf("{" + place + "}");
+        int index = segments.indexOf("{" + placeholder + "}");
         int from = 1;
         for (int i = 0; i < index; i++) {
             from = path.indexOf('/', from) + 1;
@@ -63,7 +63,7 @@
     }
 
     // Null where it does not fit; the place's segment, or the path where none was asked or found.
-    private String walk(String path, String place) {
+    private String match(String path, String placeholder) {
         if (!path.startsWith("/")) {
             return null;
         }
@@ -81,7 +81,7 @@
             if (open ? part.isEmpty() && !s.equals("{rest}") : !part.equals(s)) {
                 return null;
             }
-            if (s.equals(place)) {
+            if (s.equals(placeholder)) {
                 found = part;
             }
             from = end + 1;
--- a/src/main/java/brooklock/config/Problem.java
+++ b/src/main/java/brooklock/config/Problem.java
@@ -7,9 +7,9 @@
  * @param line its line, from 1; 0 where the mistake is of the file as a whole
  * @param text what is wrong, in plain words
  */
-public record Problem(String file, int line, String text) {
+public record Problem(String file, int line, String message) {
     @Override
     public String toString() {
-        return line == 0 ? file + ": " + text : file + ":" + line + ": " + text;
+        return line == 0 ? file + ": " + message : file + ":" + line + ": " + message;
     }
 }
--- a/src/main/java/brooklock/config/Settings.java
+++ b/src/main/java/brooklock/config/Settings.java
@@ -28,20 +28,20 @@
         InetSocketAddress listen,
         InetSocketAddress control,
         List<Zone> zones,
-        int here,
-        int dispatchers,
-        List<HostLine> hosts,
-        List<ClassLine> classes,
-        List<RouteLine> routes,
-        Bounds limits,
-        Guards guards,
-        Fleet fleet,
-        Files files,
-        Access access,
-        Warming warming) {
+        int localZone,
+        int dispatcherCount,
+        List<EndpointSettings> endpoints,
+        List<RequestClassSettings> classes,
+        List<Route> routes,
+        ResourceLimits limits,
+        InvariantSettings invariants,
+        FleetSettings fleet,
+        OutputFiles files,
+        AccessSettings access,
+        WarmingSettings warming) {
 
     /** What a host is for. */
-    public enum Kind {
+    public enum EndpointKind {
         CACHE,
         PARENT,
         ORIGIN
@@ -55,7 +55,7 @@
     }
 
     /** The hosts that drop each other's repeats of a keyed request. */
-    public enum Group {
+    public enum DeduplicationScope {
         ALL,
         ZONE,
         CELL
@@ -64,11 +64,16 @@
     /**
      * A location and the index of the hub that its fills come from (its own, where it is a hub).
      */
-    public record Zone(String name, int hub) {}
+    public record Zone(String name, int hubIndex) {}
 
     /** A host; {@code id} is made of its name and the same at every dispatcher. */
-    public record HostLine(
-            String name, long id, int zone, Kind kind, InetSocketAddress address, double weight) {}
+    public record EndpointSettings(
+            String name,
+            long id,
+            int zoneIndex,
+            EndpointKind kind,
+            InetSocketAddress address,
+            double weight) {}
 
     /**
      * A class of requests.
@@ -81,16 +86,16 @@
      * @param freshNs how long a copy is good; 0: until it is purged
      * @param streamed once the answer has begun it may take as long as it moves
      */
-    public record ClassLine(
+    public record RequestClassSettings(
             String name,
             Effect effect,
-            Group group,
-            long windowNs,
-            long aimNs,
-            double stretch,
+            DeduplicationScope deduplicationScope,
+            long idempotencyWindowNs,
+            long latencyObjectiveNs,
+            double transferStretch,
             long deadlineNs,
-            boolean through,
-            long freshNs,
+            boolean passThrough,
+            long freshnessNs,
             boolean streamed) {}
 
     /**
@@ -102,13 +107,13 @@
      * @param rights the caller's rights are asked for
      * @param certificate only a client certificate tells who the caller is
      */
-    public record RouteLine(
+    public record Route(
             List<String> methods,
-            PathPattern path,
-            int cls,
-            int unkeyed,
-            boolean rights,
-            boolean certificate) {}
+            PathPattern pathPattern,
+            int classIndex,
+            int unkeyedClassIndex,
+            boolean requiresAuthorization,
+            boolean requiresCertificate) {}
 
     /**
      * Bounds of the program; what happens when each is hit stands in docs/operating.md.
@@ -129,32 +134,32 @@
      * @param retryAfterNs longest wait asked of a client
      * @param threads I/O threads
      */
-    public record Bounds(
-            int tries,
-            int open,
-            int clients,
-            long body,
-            long bodies,
-            int hostConnections,
-            int hostWaiting,
-            long connectNs,
-            long headNs,
-            long idleNs,
-            long stallNs,
+    public record ResourceLimits(
+            int maxAttempts,
+            int maxRequests,
+            int maxClientConnections,
+            long maxRequestBodyBytes,
+            long maxTotalBodyBytes,
+            int maxEndpointConnections,
+            int maxWaitingCalls,
+            long connectTimeoutNs,
+            long headTimeoutNs,
+            long idleTimeoutNs,
+            long stallTimeoutNs,
             long tickNs,
-            long retryAfterNs,
-            int threads) {}
+            long maxRetryAfterNs,
+            int ioThreads) {}
 
     /** The figures of the rules; shares of 1, multiples and ns. */
-    public record Guards(
-            double coldFrom,
-            long coldNs,
-            double fallMultiple,
-            long overloadNs,
-            double parentColdFrom,
-            long parentColdNs,
-            double parentFallMultiple,
-            long purgeDoneNs,
+    public record InvariantSettings(
+            double coldStartShare,
+            long warmUpNs,
+            double overloadMultiple,
+            long overloadWindowNs,
+            double parentColdStartShare,
+            long parentWarmUpNs,
+            double parentOverloadMultiple,
+            long purgeCompletionNs,
             long drainGraceNs,
             long purgeGraceNs) {}
 
@@ -167,8 +172,12 @@
      * @param second copies of a safe request may be out at once
      * @param weighted the weights of hosts count
      */
-    public record Fleet(
-            double pace, boolean joins, boolean direct, boolean second, boolean weighted) {}
+    public record FleetSettings(
+            double transferBytesPerS,
+            boolean requestCollapsing,
+            boolean directRequests,
+            boolean hedging,
+            boolean weighted) {}
 
     /**
      * Whether caches may fill from one another.
@@ -181,14 +190,20 @@
      *     stated
      * @param saved where what was learned is written down; null for nowhere
      */
-    public record Warming(
-            boolean allowed, boolean anyZone, double share, double bears, Path saved) {
+    public record WarmingSettings(
+            boolean enabled,
+            boolean acrossZones,
+            double peerLoadShare,
+            double warmCapacityPerS,
+            Path snapshotFile) {
         /** They may not. */
-        public static final Warming NONE = new Warming(false, false, 0.1, 0, null);
+        public static final WarmingSettings DISABLED =
+                new WarmingSettings(false, false, 0.1, 0, null);
     }
 
     /** Where things are written; null where they are not. */
-    public record Files(Path list, Path answers, Path trace, long traceBytes) {}
+    public record OutputFiles(
+            Path endpointListFile, Path accessLogFile, Path traceFile, long maxTraceBytes) {}
 
     /**
      * Who may come in. Paths are null where nothing is said.
@@ -209,26 +224,26 @@
      * @param staleRevocations a list past its next update is still gone by; else its authority's
      *     certificates are refused
      */
-    public record Access(
-            Path policy,
-            Path keys,
+    public record AccessSettings(
+            Path policyFile,
+            Path keySetFile,
             String issuer,
             String audience,
-            long skewMs,
+            long clockSkewMs,
             String cookie,
-            List<Pair> certificates,
-            Path authorities,
-            List<Path> revoked,
-            Path denied,
-            Path hostAuthorities,
-            boolean staleRevocations) {
+            List<CertificatePair> certificates,
+            Path clientAuthorities,
+            List<Path> revocationLists,
+            Path deniedCertificates,
+            Path endpointAuthorities,
+            boolean acceptStaleRevocations) {
         /** Nobody is asked for anything. */
-        public static final Access OPEN =
-                new Access(
+        public static final AccessSettings OPEN =
+                new AccessSettings(
                         null, null, null, null, 30_000, null, List.of(), null, List.of(), null,
                         null, false);
     }
 
     /** A certificate chain and its key. */
-    public record Pair(Path certificate, Path key) {}
+    public record CertificatePair(Path certificate, Path key) {}
 }
--- a/src/main/java/brooklock/config/SettingsReader.java
+++ b/src/main/java/brooklock/config/SettingsReader.java
@@ -1,15 +1,15 @@
 package brooklock.config;
 
-import brooklock.config.Settings.Bounds;
-import brooklock.config.Settings.ClassLine;
+import brooklock.config.Settings.DeduplicationScope;
 import brooklock.config.Settings.Effect;
-import brooklock.config.Settings.Files;
-import brooklock.config.Settings.Fleet;
-import brooklock.config.Settings.Group;
-import brooklock.config.Settings.Guards;
-import brooklock.config.Settings.HostLine;
-import brooklock.config.Settings.Kind;
-import brooklock.config.Settings.RouteLine;
+import brooklock.config.Settings.EndpointKind;
+import brooklock.config.Settings.EndpointSettings;
+import brooklock.config.Settings.FleetSettings;
+import brooklock.config.Settings.InvariantSettings;
+import brooklock.config.Settings.OutputFiles;
+import brooklock.config.Settings.RequestClassSettings;
+import brooklock.config.Settings.ResourceLimits;
+import brooklock.config.Settings.Route;
 import brooklock.config.Settings.Zone;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -30,37 +30,47 @@
  * told at once.
  */
 public final class SettingsReader {
-    private static final long MS = 1_000_000L;
-    private static final long S = 1000 * MS;
+    private static final long MILLISECOND_NS = 1_000_000L;
+    private static final long SECOND_NS = 1000 * MILLISECOND_NS;
 
     private final String file;
     private final Path base;
     private final List<Problem> problems = new ArrayList<>();
-    private final Map<String, Integer> onceAt = new HashMap<>();
-    private final LinkedHashMap<String, Line> zoneLines = new LinkedHashMap<>();
+    private final Map<String, Integer> keywordLines = new HashMap<>();
+    private final LinkedHashMap<String, Statement> zoneStatements = new LinkedHashMap<>();
     private final Map<String, String> hubNames = new HashMap<>();
-    private final List<Runnable> later = new ArrayList<>();
-    private final List<HostLine> hosts = new ArrayList<>();
-    private final LinkedHashMap<String, ClassLine> classes = new LinkedHashMap<>();
+    private final List<Runnable> deferredChecks = new ArrayList<>();
+    private final List<EndpointSettings> endpoints = new ArrayList<>();
+    private final LinkedHashMap<String, RequestClassSettings> classes = new LinkedHashMap<>();
     private final Set<String> classNames = new HashSet<>();
-    private final List<RouteLine> routes = new ArrayList<>();
+    private final List<Route> routes = new ArrayList<>();
     private String name;
     private InetSocketAddress listen;
     private InetSocketAddress control;
-    private String here;
-    private int dispatchers = 1;
-    private final BoundsReader limits = new BoundsReader();
-    private final AccessReader access;
-    private Guards guards =
-            new Guards(0.2, 20 * S, 2, 1500 * MS, 0.05, 20 * S, 2, 6 * S, S, 500 * MS);
-    private Fleet fleet = new Fleet(5e6, true, true, true, false);
-    private Files files = new Files(null, null, null, 0);
-    private Settings.Warming warming = Settings.Warming.NONE;
+    private String localZoneName;
+    private int dispatcherCount = 1;
+    private final ResourceLimitsReader limitsReader = new ResourceLimitsReader();
+    private final AccessSettingsReader accessReader;
+    private InvariantSettings invariants =
+            new InvariantSettings(
+                    0.2,
+                    20 * SECOND_NS,
+                    2,
+                    1500 * MILLISECOND_NS,
+                    0.05,
+                    20 * SECOND_NS,
+                    2,
+                    6 * SECOND_NS,
+                    SECOND_NS,
+                    500 * MILLISECOND_NS);
+    private FleetSettings fleet = new FleetSettings(5e6, true, true, true, false);
+    private OutputFiles files = new OutputFiles(null, null, null, 0);
+    private Settings.WarmingSettings warming = Settings.WarmingSettings.DISABLED;
 
     private SettingsReader(String file, Path base) {
         this.file = file;
         this.base = base;
-        access = new AccessReader(base);
+        accessReader = new AccessSettingsReader(base);
     }
 
     /**
@@ -87,28 +97,28 @@
 
     /** Reads and checks a text; relative paths in it start at {@code base}. */
     public static Settings parse(String file, Path base, String text) throws SettingsException {
-        return new SettingsReader(file, base).all(text);
+        return new SettingsReader(file, base).parseAll(text);
     }
 
-    private Settings all(String text) throws SettingsException {
+    private Settings parseAll(String text) throws SettingsException {
         String[] rows = text.split("\r?\n", -1);
-        for (int i = 0; i < rows.length && i < Line.MOST_LINES; i++) {
+        for (int i = 0; i < rows.length && i < Statement.MAX_LINES; i++) {
             int number = i + 1;
-            guard(
+            collectProblem(
                     number,
                     rows[i],
                     row -> {
-                        Line line = Line.of(file, number, row);
+                        Statement line = Statement.parse(file, number, row);
                         if (line != null) {
                             statement(line);
                         }
                     });
         }
-        if (rows.length > Line.MOST_LINES) {
-            problem(0, "the file has over " + Line.MOST_LINES + " lines");
+        if (rows.length > Statement.MAX_LINES) {
+            addProblem(0, "the file has over " + Statement.MAX_LINES + " lines");
         }
-        later.forEach(Runnable::run);
-        whole();
+        deferredChecks.forEach(Runnable::run);
+        validate();
         if (!problems.isEmpty()) {
             problems.sort(java.util.Comparator.comparingInt(Problem::line));
             throw new SettingsException(problems);
@@ -118,16 +128,16 @@
                 listen,
                 control,
                 zones(),
-                zoneIndex(here),
-                dispatchers,
-                List.copyOf(hosts),
+                zoneIndex(localZoneName),
+                dispatcherCount,
+                List.copyOf(endpoints),
                 List.copyOf(classes.values()),
                 List.copyOf(routes),
-                limits.bounds(),
-                guards,
+                limitsReader.toLimits(),
+                invariants,
                 fleet,
                 files,
-                access.access(),
+                accessReader.toSettings(),
                 warming);
     }
 
@@ -135,75 +145,80 @@
         void on(T input);
     }
 
-    private <T> void guard(int line, T input, Work<T> work) {
+    private <T> void collectProblem(int line, T input, Work<T> work) {
         try {
             work.on(input);
         } catch (IllegalArgumentException e) {
-            problem(line, e.getMessage());
+            addProblem(line, e.getMessage());
         }
     }
 
-    private void problem(int line, String text) {
+    private void addProblem(int line, String text) {
         problems.add(new Problem(file, line, text));
     }
 
     // ---- Statements
 
-    private void statement(Line l) {
-        String verb = l.word("a statement");
+    private void statement(Statement statement) {
+        String verb = statement.nextWord("a statement");
         switch (verb) {
-            case "name" -> name = once(l, verb).word("a name");
-            case "listen" -> listen = address(once(l, verb).word("an address"));
-            case "control" -> control = address(once(l, verb).word("an address"));
-            case "here" -> here = once(l, verb).word("a zone");
-            case "dispatchers" -> dispatchers = once(l, verb).count("the number of dispatchers");
-            case "zone" -> zone(l);
-            case "host" -> host(l);
-            case "class" -> classLine(l);
-            case "route" -> route(l);
-            case "limits" -> limits.read(l);
+            case "name" -> name = requireOnce(statement, verb).nextWord("a name");
+            case "listen" -> listen = address(requireOnce(statement, verb).nextWord("an address"));
+            case "control" ->
+                    control = address(requireOnce(statement, verb).nextWord("an address"));
+            case "here" -> localZoneName = requireOnce(statement, verb).nextWord("a zone");
+            case "dispatchers" ->
+                    dispatcherCount =
+                            requireOnce(statement, verb)
+                                    .nextPositiveInt("the number of dispatchers");
+            case "zone" -> zone(statement);
+            case "host" -> endpoint(statement);
+            case "class" -> requestClass(statement);
+            case "route" -> route(statement);
+            case "limits" -> limitsReader.read(statement);
             case "rights", "tokens", "tls", "clients", "revoked", "denied", "hosts-tls" ->
-                    access.read(verb, l);
-            case "guards" -> guards(l);
-            case "fleet" -> fleet(l);
-            case "warming" -> warming(once(l, verb));
+                    accessReader.read(verb, statement);
+            case "guards" -> guards(statement);
+            case "fleet" -> fleet(statement);
+            case "warming" -> warming(requireOnce(statement, verb));
             case "list" ->
                     files =
-                            new Files(
-                                    path(once(l, verb)),
-                                    files.answers(),
-                                    files.trace(),
-                                    files.traceBytes());
+                            new OutputFiles(
+                                    path(requireOnce(statement, verb)),
+                                    files.accessLogFile(),
+                                    files.traceFile(),
+                                    files.maxTraceBytes());
             case "answers" ->
                     files =
-                            new Files(
-                                    files.list(),
-                                    path(once(l, verb)),
-                                    files.trace(),
-                                    files.traceBytes());
+                            new OutputFiles(
+                                    files.endpointListFile(),
+                                    path(requireOnce(statement, verb)),
+                                    files.traceFile(),
+                                    files.maxTraceBytes());
             case "trace" ->
                     files =
-                            new Files(
-                                    files.list(),
-                                    files.answers(),
-                                    path(once(l, verb)),
-                                    Units.size(l.word("the most bytes, as in 64MB")));
+                            new OutputFiles(
+                                    files.endpointListFile(),
+                                    files.accessLogFile(),
+                                    path(requireOnce(statement, verb)),
+                                    Units.parseBytes(
+                                            statement.nextWord("the most bytes, as in 64MB")));
             default -> throw new IllegalArgumentException("'" + verb + "' is not a statement");
         }
-        l.end();
+        statement.expectEnd();
     }
 
-    private Line once(Line l, String verb) {
-        Integer before = onceAt.putIfAbsent(verb, l.number);
-        if (before != null) {
+    private Statement requireOnce(Statement statement, String verb) {
+        Integer previousLine = keywordLines.putIfAbsent(verb, statement.lineNumber);
+        if (previousLine != null) {
             throw new IllegalArgumentException(
-                    "'" + verb + "' stands in line " + before + " already");
+                    "'" + verb + "' stands in line " + previousLine + " already");
         }
-        return l;
+        return statement;
     }
 
-    private Path path(Line l) {
-        return base.resolve(l.word("a path"));
+    private Path path(Statement statement) {
+        return base.resolve(statement.nextWord("a path"));
     }
 
     private static InetSocketAddress address(String text) {
@@ -221,100 +236,103 @@
         return new InetSocketAddress(host, Integer.parseInt(port));
     }
 
-    private void zone(Line l) {
-        String zone = l.word("a name");
-        Line before = zoneLines.putIfAbsent(zone, l);
-        if (before != null) {
+    private void zone(Statement statement) {
+        String zone = statement.nextWord("a name");
+        Statement previous = zoneStatements.putIfAbsent(zone, statement);
+        if (previous != null) {
             throw new IllegalArgumentException(
-                    "the zone '" + zone + "' stands in line " + before.number + " already");
+                    "the zone '" + zone + "' stands in line " + previous.lineNumber + " already");
         }
-        if (l.more()) {
-            String word = l.word("hub");
+        if (statement.hasMore()) {
+            String word = statement.nextWord("hub");
             if (!word.equals("hub")) {
                 throw new IllegalArgumentException(
                         "'" + word + "' is not an option of a zone (hub)");
             }
-            hubNames.put(zone, l.word("the hub's zone"));
+            hubNames.put(zone, statement.nextWord("the hub's zone"));
         }
     }
 
-    private void host(Line l) {
-        String host = l.word("a name");
-        if (!host.matches("[A-Za-z0-9][A-Za-z0-9._-]{0,62}")) {
+    private void endpoint(Statement statement) {
+        String endpointName = statement.nextWord("a name");
+        if (!endpointName.matches("[A-Za-z0-9][A-Za-z0-9._-]{0,62}")) {
             throw new IllegalArgumentException(
-                    "a host's name is up to 63 letters, digits, dots, dashes: '" + host + "'");
+                    "a host's name is up to 63 letters, digits, dots, dashes: '"
+                            + endpointName
+                            + "'");
         }
-        Kind kind = l.one(Kind.class, "a kind of host");
-        String zone = l.word("its zone");
-        InetSocketAddress at = address(l.word("its address"));
+        EndpointKind kind = statement.nextEnum(EndpointKind.class, "a kind of host");
+        String zone = statement.nextWord("its zone");
+        InetSocketAddress address = address(statement.nextWord("its address"));
         double weight = 1;
-        if (l.more()) {
-            String word = l.word("weight");
+        if (statement.hasMore()) {
+            String word = statement.nextWord("weight");
             if (!word.equals("weight")) {
                 throw new IllegalArgumentException(
                         "'" + word + "' is not an option of a host (weight)");
             }
-            weight = l.number("a weight");
+            weight = statement.nextNumber("a weight");
         }
         if (weight <= 0) {
             throw new IllegalArgumentException("a weight is above 0");
         }
-        long id = HostId.of(host);
-        for (HostLine h : hosts) {
+        long id = EndpointId.of(endpointName);
+        for (EndpointSettings h : endpoints) {
             if (h.id() == id) {
                 throw new IllegalArgumentException(
                         "the host '"
-                                + host
+                                + endpointName
                                 + "' stands here already"
-                                + (h.name().equals(host)
+                                + (h.name().equals(endpointName)
                                         ? ""
                                         : ": '" + h.name() + "' gives the same number"));
             }
         }
-        double weighs = weight;
-        int place = hosts.size();
-        hosts.add(new HostLine(host, id, 0, kind, at, weight));
-        later.add(
+        double finalWeight = weight;
+        int index = endpoints.size();
+        endpoints.add(new EndpointSettings(endpointName, id, 0, kind, address, weight));
+        deferredChecks.add(
                 () ->
-                        guard(
-                                l.number,
+                        collectProblem(
+                                statement.lineNumber,
                                 zone,
                                 z ->
-                                        hosts.set(
-                                                place,
-                                                new HostLine(
-                                                        host,
+                                        endpoints.set(
+                                                index,
+                                                new EndpointSettings(
+                                                        endpointName,
                                                         id,
                                                         zoneIndex(z),
                                                         kind,
-                                                        at,
-                                                        weighs))));
+                                                        address,
+                                                        finalWeight))));
     }
 
-    private void classLine(Line l) {
-        String cls = l.word("a name");
-        classNames.add(cls);
-        Effect effect = l.one(Effect.class, "an effect");
-        Group group =
+    private void requestClass(Statement statement) {
+        String className = statement.nextWord("a name");
+        classNames.add(className);
+        Effect effect = statement.nextEnum(Effect.class, "an effect");
+        DeduplicationScope group =
                 effect == Effect.KEYED
-                        ? l.one(Group.class, "the hosts that drop repeats")
-                        : Group.ALL;
-        long window = 0;
-        long aim = 0;
-        double stretch = 0;
-        long deadline = 0;
-        long fresh = 0;
-        boolean through = false;
+                        ? statement.nextEnum(
+                                DeduplicationScope.class, "the hosts that drop repeats")
+                        : DeduplicationScope.ALL;
+        long idempotencyWindowNs = 0;
+        long latencyObjectiveNs = 0;
+        double transferStretch = 0;
+        long deadlineNs = 0;
+        long freshnessNs = 0;
+        boolean passThrough = false;
         boolean streamed = false;
-        while (l.more()) {
-            String word = l.word("an option");
+        while (statement.hasMore()) {
+            String word = statement.nextWord("an option");
             switch (word) {
-                case "window" -> window = l.time("a time");
-                case "aim" -> aim = l.time("a time");
-                case "stretch" -> stretch = l.number("a number");
-                case "deadline" -> deadline = l.time("a time");
-                case "fresh" -> fresh = l.time("a time");
-                case "through" -> through = true;
+                case "window" -> idempotencyWindowNs = statement.nextDurationNs("a time");
+                case "aim" -> latencyObjectiveNs = statement.nextDurationNs("a time");
+                case "stretch" -> transferStretch = statement.nextNumber("a number");
+                case "deadline" -> deadlineNs = statement.nextDurationNs("a time");
+                case "fresh" -> freshnessNs = statement.nextDurationNs("a time");
+                case "through" -> passThrough = true;
                 case "streamed" -> streamed = true;
                 default ->
                         throw new IllegalArgumentException(
@@ -324,43 +342,52 @@
                                         + "(window, aim, stretch, deadline, fresh, through, streamed)");
             }
         }
-        if (aim <= 0 || deadline <= aim) {
+        if (latencyObjectiveNs <= 0 || deadlineNs <= latencyObjectiveNs) {
             throw new IllegalArgumentException(
-                    "the class '" + cls + "' needs an aim, and a deadline later than it");
+                    "the class '" + className + "' needs an aim, and a deadline later than it");
         }
-        if (effect != Effect.SAFE && !through) {
+        if (effect != Effect.SAFE && !passThrough) {
             throw new IllegalArgumentException(
                     "the class '"
-                            + cls
+                            + className
                             + "' has an effect, so it needs 'through': "
                             + "a copy kept in a cache would stand for a request that did not run");
         }
-        if (effect == Effect.KEYED && window <= 0) {
-            throw new IllegalArgumentException("the keyed class '" + cls + "' needs a window");
+        if (effect == Effect.KEYED && idempotencyWindowNs <= 0) {
+            throw new IllegalArgumentException(
+                    "the keyed class '" + className + "' needs a window");
         }
         if (classes.putIfAbsent(
-                        cls,
-                        new ClassLine(
-                                cls, effect, group, window, aim, stretch, deadline, through, fresh,
+                        className,
+                        new RequestClassSettings(
+                                className,
+                                effect,
+                                group,
+                                idempotencyWindowNs,
+                                latencyObjectiveNs,
+                                transferStretch,
+                                deadlineNs,
+                                passThrough,
+                                freshnessNs,
                                 streamed))
                 != null) {
-            throw new IllegalArgumentException("the class '" + cls + "' stands here already");
+            throw new IllegalArgumentException("the class '" + className + "' stands here already");
         }
     }
 
-    private void route(Line l) {
-        List<String> methods = List.of(l.word("methods, as in GET,HEAD").split(","));
-        PathPattern path = new PathPattern(l.word("a path"));
-        String cls = l.word("a class");
-        String unkeyed = null;
-        boolean rights = false;
-        boolean certificate = false;
-        while (l.more()) {
-            String word = l.word("an option");
+    private void route(Statement statement) {
+        List<String> methods = List.of(statement.nextWord("methods, as in GET,HEAD").split(","));
+        PathPattern path = new PathPattern(statement.nextWord("a path"));
+        String className = statement.nextWord("a class");
+        String unkeyedClassName = null;
+        boolean requiresAuthorization = false;
+        boolean requiresCertificate = false;
+        while (statement.hasMore()) {
+            String word = statement.nextWord("an option");
             switch (word) {
-                case "unkeyed" -> unkeyed = l.word("a class");
-                case "rights" -> rights = true;
-                case "certificate" -> certificate = true;
+                case "unkeyed" -> unkeyedClassName = statement.nextWord("a class");
+                case "rights" -> requiresAuthorization = true;
+                case "certificate" -> requiresCertificate = true;
                 default ->
                         throw new IllegalArgumentException(
                                 "'"
@@ -375,88 +402,88 @@
                         "'" + m + "' is not a method that is routed here");
             }
         }
-        String other = unkeyed;
-        boolean asks = rights || certificate;
-        boolean only = certificate;
-        int place = routes.size();
+        String other = unkeyedClassName;
+        boolean authorizationRequired = requiresAuthorization || requiresCertificate;
+        boolean certificateRequired = requiresCertificate;
+        int index = routes.size();
         routes.add(null);
-        later.add(
+        deferredChecks.add(
                 () ->
-                        guard(
-                                l.number,
-                                cls,
+                        collectProblem(
+                                statement.lineNumber,
+                                className,
                                 c -> {
                                     int at = classIndex(c, methods);
                                     routes.set(
-                                            place,
-                                            new RouteLine(
+                                            index,
+                                            new Route(
                                                     methods,
                                                     path,
                                                     at,
                                                     other == null ? -1 : classIndex(other, methods),
-                                                    asks,
-                                                    only));
+                                                    authorizationRequired,
+                                                    certificateRequired));
                                 }));
     }
 
-    private int classIndex(String cls, List<String> methods) {
-        List<String> all = new ArrayList<>(classes.keySet());
-        int at = all.indexOf(cls);
-        if (at < 0 && classNames.contains(cls)) {
+    private int classIndex(String className, List<String> methods) {
+        List<String> names = new ArrayList<>(classes.keySet());
+        int index = names.indexOf(className);
+        if (index < 0 && classNames.contains(className)) {
             // Its own line has been told of already.
-            return at;
+            return index;
         }
-        if (at < 0) {
-            throw new IllegalArgumentException("there is no class '" + cls + "'");
+        if (index < 0) {
+            throw new IllegalArgumentException("there is no class '" + className + "'");
         }
-        ClassLine c = classes.get(cls);
+        RequestClassSettings c = classes.get(className);
         for (String m : methods) {
             boolean reads = m.equals("GET") || m.equals("HEAD") || m.equals("OPTIONS");
-            if (!reads && !c.through()) {
+            if (!reads && !c.passThrough()) {
                 throw new IllegalArgumentException(
                         m
                                 + " cannot be answered from a copy: the class '"
-                                + cls
+                                + className
                                 + "' needs 'through'");
             }
             if (!reads && c.effect() == Effect.SAFE && !m.equals("PUT") && !m.equals("DELETE")) {
                 throw new IllegalArgumentException(
-                        m + " is not safe to repeat, but the class '" + cls + "' says so");
+                        m + " is not safe to repeat, but the class '" + className + "' says so");
             }
         }
-        return at;
+        return index;
     }
 
-    private void guards(Line l) {
-        Guards g = guards;
-        double coldFrom = g.coldFrom();
-        long coldNs = g.coldNs();
-        double fall = g.fallMultiple();
-        long overload = g.overloadNs();
-        double parentFrom = g.parentColdFrom();
-        long parentNs = g.parentColdNs();
-        double parentFall = g.parentFallMultiple();
-        long purgeDone = g.purgeDoneNs();
+    private void guards(Statement statement) {
+        InvariantSettings g = invariants;
+        double coldFrom = g.coldStartShare();
+        long coldNs = g.warmUpNs();
+        double fall = g.overloadMultiple();
+        long overload = g.overloadWindowNs();
+        double parentFrom = g.parentColdStartShare();
+        long parentNs = g.parentWarmUpNs();
+        double parentFall = g.parentOverloadMultiple();
+        long purgeDone = g.purgeCompletionNs();
         long drain = g.drainGraceNs();
         long purge = g.purgeGraceNs();
-        while (l.more()) {
-            String word = l.word("a guard");
+        while (statement.hasMore()) {
+            String word = statement.nextWord("a guard");
             switch (word) {
-                case "cold-from" -> coldFrom = share(l);
-                case "cold-for" -> coldNs = l.time("a time");
-                case "falls-at" -> fall = l.number("a multiple");
-                case "overload-for" -> overload = l.time("a time");
-                case "parent-cold-from" -> parentFrom = share(l);
-                case "parent-cold-for" -> parentNs = l.time("a time");
-                case "parent-falls-at" -> parentFall = l.number("a multiple");
-                case "purge-done" -> purgeDone = l.time("a time");
-                case "drain-grace" -> drain = l.time("a time");
-                case "purge-grace" -> purge = l.time("a time");
+                case "cold-from" -> coldFrom = share(statement);
+                case "cold-for" -> coldNs = statement.nextDurationNs("a time");
+                case "falls-at" -> fall = statement.nextNumber("a multiple");
+                case "overload-for" -> overload = statement.nextDurationNs("a time");
+                case "parent-cold-from" -> parentFrom = share(statement);
+                case "parent-cold-for" -> parentNs = statement.nextDurationNs("a time");
+                case "parent-falls-at" -> parentFall = statement.nextNumber("a multiple");
+                case "purge-done" -> purgeDone = statement.nextDurationNs("a time");
+                case "drain-grace" -> drain = statement.nextDurationNs("a time");
+                case "purge-grace" -> purge = statement.nextDurationNs("a time");
                 default -> throw new IllegalArgumentException("'" + word + "' is not a guard");
             }
         }
-        guards =
-                new Guards(
+        invariants =
+                new InvariantSettings(
                         coldFrom,
                         coldNs,
                         fall,
@@ -469,42 +496,55 @@
                         purge);
     }
 
-    private static double share(Line l) {
-        double d = l.number("a share");
-        if (d <= 0 || d > 1) {
+    private static double share(Statement statement) {
+        double share = statement.nextNumber("a share");
+        if (share <= 0 || share > 1) {
             throw new IllegalArgumentException("a share lies above 0 and is 1 at most");
         }
-        return d;
+        return share;
     }
 
-    private void fleet(Line l) {
-        Fleet f = fleet;
-        while (l.more()) {
-            String word = l.word("an option");
+    private void fleet(Statement statement) {
+        FleetSettings f = fleet;
+        while (statement.hasMore()) {
+            String word = statement.nextWord("an option");
             f =
                     switch (word) {
                         case "pace" ->
-                                new Fleet(
-                                        Units.pace(l.word("a pace")),
-                                        f.joins(),
-                                        f.direct(),
-                                        f.second(),
+                                new FleetSettings(
+                                        Units.parseBytesPerSecond(statement.nextWord("a pace")),
+                                        f.requestCollapsing(),
+                                        f.directRequests(),
+                                        f.hedging(),
                                         f.weighted());
                         case "joins" ->
-                                new Fleet(
-                                        f.pace(),
-                                        l.yes(word),
-                                        f.direct(),
-                                        f.second(),
+                                new FleetSettings(
+                                        f.transferBytesPerS(),
+                                        statement.nextBoolean(word),
+                                        f.directRequests(),
+                                        f.hedging(),
                                         f.weighted());
                         case "straight" ->
-                                new Fleet(
-                                        f.pace(), f.joins(), l.yes(word), f.second(), f.weighted());
+                                new FleetSettings(
+                                        f.transferBytesPerS(),
+                                        f.requestCollapsing(),
+                                        statement.nextBoolean(word),
+                                        f.hedging(),
+                                        f.weighted());
                         case "second-copies" ->
-                                new Fleet(
-                                        f.pace(), f.joins(), f.direct(), l.yes(word), f.weighted());
+                                new FleetSettings(
+                                        f.transferBytesPerS(),
+                                        f.requestCollapsing(),
+                                        f.directRequests(),
+                                        statement.nextBoolean(word),
+                                        f.weighted());
                         case "weights" ->
-                                new Fleet(f.pace(), f.joins(), f.direct(), f.second(), l.yes(word));
+                                new FleetSettings(
+                                        f.transferBytesPerS(),
+                                        f.requestCollapsing(),
+                                        f.directRequests(),
+                                        f.hedging(),
+                                        statement.nextBoolean(word));
                         default ->
                                 throw new IllegalArgumentException(
                                         "'"
@@ -516,99 +556,106 @@
         fleet = f;
     }
 
-    private void warming(Line l) {
-        String from = l.word("from whom: zone, all or no");
+    private void warming(Statement statement) {
+        String from = statement.nextWord("from whom: zone, all or no");
         if (!List.of("zone", "all", "no").contains(from)) {
             throw new IllegalArgumentException(
                     "'" + from + "': caches fill from neighbours of their zone, of all, or no");
         }
-        double share = warming.share();
+        double share = warming.peerLoadShare();
         double bears = 0;
         Path saved = null;
-        while (l.more()) {
-            String word = l.word("an option");
+        while (statement.hasMore()) {
+            String word = statement.nextWord("an option");
             switch (word) {
-                case "share" -> share = share(l);
+                case "share" -> share = share(statement);
                 case "bears" -> {
                     bears =
-                            Units.perSecond(
-                                    l.word(
+                            Units.parseRatePerSecond(
+                                    statement.nextWord(
                                             "requests a second that a warm cache bears, as in 200/s"));
                     if (bears <= 0) {
                         throw new IllegalArgumentException("a cache that bears 0/s bears nothing");
                     }
                 }
-                case "saved" -> saved = path(l);
+                case "saved" -> saved = path(statement);
                 default ->
                         throw new IllegalArgumentException(
                                 "'" + word + "' is not an option of warming (share, bears, saved)");
             }
         }
-        warming = new Settings.Warming(!from.equals("no"), from.equals("all"), share, bears, saved);
+        warming =
+                new Settings.WarmingSettings(
+                        !from.equals("no"), from.equals("all"), share, bears, saved);
     }
 
     // ---- The whole
 
     private int zoneIndex(String zone) {
-        int at = new ArrayList<>(zoneLines.keySet()).indexOf(zone);
-        if (at < 0) {
+        int index = new ArrayList<>(zoneStatements.keySet()).indexOf(zone);
+        if (index < 0) {
             throw new IllegalArgumentException("there is no zone '" + zone + "'");
         }
-        return at;
+        return index;
     }
 
     private List<Zone> zones() {
-        return zoneLines.keySet().stream()
+        return zoneStatements.keySet().stream()
                 .map(z -> new Zone(z, zoneIndex(hubNames.getOrDefault(z, z))))
                 .toList();
     }
 
-    private void whole() {
-        need(name, "name", "name NAME");
-        need(listen, "listen", "listen ADDRESS:PORT");
-        need(control, "control", "control ADDRESS:PORT");
-        need(here, "here", "here ZONE");
-        hubNames.forEach((zone, hub) -> guard(zoneLines.get(zone).number, hub, this::zoneIndex));
-        if (here != null) {
-            guard(onceAt.get("here"), here, this::zoneIndex);
+    private void validate() {
+        requireStatement(name, "name", "name NAME");
+        requireStatement(listen, "listen", "listen ADDRESS:PORT");
+        requireStatement(control, "control", "control ADDRESS:PORT");
+        requireStatement(localZoneName, "here", "here ZONE");
+        hubNames.forEach(
+                (zone, hub) ->
+                        collectProblem(zoneStatements.get(zone).lineNumber, hub, this::zoneIndex));
+        if (localZoneName != null) {
+            collectProblem(keywordLines.get("here"), localZoneName, this::zoneIndex);
         }
         if (classNames.isEmpty()) {
-            problem(0, "there is no class");
+            addProblem(0, "there is no class");
         }
         if (routes.isEmpty()) {
-            problem(0, "there is no route");
+            addProblem(0, "there is no route");
         }
-        if (hosts.stream().noneMatch(h -> h.kind() == Kind.ORIGIN)) {
-            problem(0, "there is no origin among the hosts");
+        if (endpoints.stream().noneMatch(h -> h.kind() == EndpointKind.ORIGIN)) {
+            addProblem(0, "there is no origin among the hosts");
         }
         if (name != null && !name.matches("[A-Za-z0-9][A-Za-z0-9._-]{0,62}")) {
-            problem(onceAt.get("name"), "a name is up to 63 letters, digits, dots and dashes");
+            addProblem(
+                    keywordLines.get("name"),
+                    "a name is up to 63 letters, digits, dots and dashes");
         }
-        Bounds bounds = limits.bounds();
+        ResourceLimits bounds = limitsReader.toLimits();
         classes.values()
                 .forEach(
                         c -> {
-                            if (c.deadlineNs() <= 2 * bounds.tickNs() + bounds.connectNs()) {
-                                problem(
+                            if (c.deadlineNs() <= 2 * bounds.tickNs() + bounds.connectTimeoutNs()) {
+                                addProblem(
                                         0,
                                         "the deadline of class '"
                                                 + c.name()
                                                 + "' leaves no time for one connection (connect "
-                                                + bounds.connectNs() / MS
+                                                + bounds.connectTimeoutNs() / MILLISECOND_NS
                                                 + "ms)");
                             }
                         });
-        if (routes.stream().anyMatch(r -> r != null && r.rights())) {
-            access.whole().forEach(p -> problem(0, p));
+        if (routes.stream().anyMatch(r -> r != null && r.requiresAuthorization())) {
+            accessReader.missingForAuthorization().forEach(p -> addProblem(0, p));
         }
-        if (bounds.body() > bounds.bodies()) {
-            problem(0, "one request body (body) may be larger than all of them together (bodies)");
+        if (bounds.maxRequestBodyBytes() > bounds.maxTotalBodyBytes()) {
+            addProblem(
+                    0, "one request body (body) may be larger than all of them together (bodies)");
         }
     }
 
-    private void need(Object value, String verb, String form) {
-        if (value == null && !onceAt.containsKey(verb)) {
-            problem(0, "the statement '" + form + "' is missing");
+    private void requireStatement(Object value, String verb, String form) {
+        if (value == null && !keywordLines.containsKey(verb)) {
+            addProblem(0, "the statement '" + form + "' is missing");
         }
     }
 }
--- a/src/main/java/brooklock/config/Line.java
+++ b/src/main/java/brooklock/config/Statement.java
@@ -7,27 +7,27 @@
  * One statement: its words and where it stands. Words are parted by blanks; quotes hold a word with
  * blanks together; {@code #} begins a comment.
  */
-public final class Line {
+public final class Statement {
     // Longest line, characters, and longest file, lines: a settings file, not a data file.
-    static final int MOST_CHARS = 4096;
-    static final int MOST_LINES = 100_000;
+    static final int MAX_LINE_CHARS = 4096;
+    static final int MAX_LINES = 100_000;
 
     final String file;
-    final int number;
+    final int lineNumber;
     private final List<String> words;
-    private int at;
+    private int position;
 
-    private Line(String file, int number, List<String> words) {
+    private Statement(String file, int lineNumber, List<String> words) {
         this.file = file;
-        this.number = number;
+        this.lineNumber = lineNumber;
         this.words = words;
     }
 
     /** The statement of a line, or null where it is empty. */
-    public static Line of(String file, int number, String text) {
-        if (text.length() > MOST_CHARS) {
+    public static Statement parse(String file, int lineNumber, String text) {
+        if (text.length() > MAX_LINE_CHARS) {
             throw new IllegalArgumentException(
-                    "the line is longer than " + MOST_CHARS + " characters");
+                    "the line is longer than " + MAX_LINE_CHARS + " characters");
         }
         List<String> words = new ArrayList<>();
         int i = 0;
@@ -52,25 +52,25 @@
                 words.add(text.substring(from, i));
             }
         }
-        return words.isEmpty() ? null : new Line(file, number, words);
+        return words.isEmpty() ? null : new Statement(file, lineNumber, words);
     }
 
     /** Whether words are left. */
-    public boolean more() {
-        return at < words.size();
+    public boolean hasMore() {
+        return position < words.size();
     }
 
     /** The next word; {@code what} names it in the message where it is missing. */
-    public String word(String what) {
-        if (!more()) {
+    public String nextWord(String what) {
+        if (!hasMore()) {
             throw new IllegalArgumentException("'" + words.get(0) + "' needs " + what);
         }
-        return words.get(at++);
+        return words.get(position++);
     }
 
     /** The next word, one of some. */
-    public <E extends Enum<E>> E one(Class<E> type, String what) {
-        String w = word(what);
+    public <E extends Enum<E>> E nextEnum(Class<E> type, String what) {
+        String w = nextWord(what);
         StringBuilder all = new StringBuilder();
         for (E e : type.getEnumConstants()) {
             String name = e.name().toLowerCase(java.util.Locale.ROOT);
@@ -83,18 +83,18 @@
     }
 
     /** The next word as a time, ns. */
-    public long time(String what) {
-        return Units.time(word(what));
+    public long nextDurationNs(String what) {
+        return Units.parseDurationNs(nextWord(what));
     }
 
     /** The next word as a number, 0 or more. */
-    public double number(String what) {
-        return Units.number(word(what));
+    public double nextNumber(String what) {
+        return Units.parseNumber(nextWord(what));
     }
 
     /** The next word as a whole number from 1. */
-    public int count(String what) {
-        double d = number(what);
+    public int nextPositiveInt(String what) {
+        double d = nextNumber(what);
         if (d != Math.rint(d) || d < 1 || d > Integer.MAX_VALUE) {
             throw new IllegalArgumentException(what + " must be a whole number from 1");
         }
@@ -102,8 +102,8 @@
     }
 
     /** The next word as yes or no. */
-    public boolean yes(String what) {
-        String w = word(what);
+    public boolean nextBoolean(String what) {
+        String w = nextWord(what);
         if (!w.equals("yes") && !w.equals("no")) {
             throw new IllegalArgumentException("'" + w + "': " + what + " is yes or no");
         }
@@ -111,9 +111,10 @@
     }
 
     /** Says that no word may be left. */
-    public void end() {
-        if (more()) {
-            throw new IllegalArgumentException("'" + words.get(at) + "' is one word too many");
+    public void expectEnd() {
+        if (hasMore()) {
+            throw new IllegalArgumentException(
+                    "'" + words.get(position) + "' is one word too many");
         }
     }
 }
--- a/src/main/java/brooklock/config/Units.java
+++ b/src/main/java/brooklock/config/Units.java
@@ -7,53 +7,57 @@
  * or 500 s.
  */
 public final class Units {
-    private static final Map<String, Double> TIMES =
+    private static final Map<String, Double> DURATION_UNITS =
             Map.of("us", 1e3, "ms", 1e6, "s", 1e9, "min", 60e9, "h", 3600e9);
-    private static final Map<String, Double> SIZES =
+    private static final Map<String, Double> SIZE_UNITS =
             Map.of("B", 1.0, "KB", 1e3, "MB", 1e6, "GB", 1e9);
 
     private Units() {}
 
     /** A time in ns. */
-    public static long time(String text) {
-        return (long) with(text, TIMES, "a time needs its unit, as in 500ms, 2s or 5min");
+    public static long parseDurationNs(String text) {
+        return (long)
+                parseWithUnit(
+                        text, DURATION_UNITS, "a time needs its unit, as in 500ms, 2s or 5min");
     }
 
     /** A size in bytes. */
-    public static long size(String text) {
-        return (long) with(text, SIZES, "a size needs its unit, as in 64KB or 1MB");
+    public static long parseBytes(String text) {
+        return (long) parseWithUnit(text, SIZE_UNITS, "a size needs its unit, as in 64KB or 1MB");
     }
 
     /** A pace in bytes a second. */
-    public static double pace(String text) {
+    public static double parseBytesPerSecond(String text) {
         if (!text.endsWith("/s")) {
             throw new IllegalArgumentException(
                     "'" + text + "': a pace needs its unit, as in 5MB/s");
         }
-        return with(
-                text.substring(0, text.length() - 2), SIZES, "a pace needs its unit, as in 5MB/s");
+        return parseWithUnit(
+                text.substring(0, text.length() - 2),
+                SIZE_UNITS,
+                "a pace needs its unit, as in 5MB/s");
     }
 
     /** So many a second. */
-    public static double perSecond(String text) {
+    public static double parseRatePerSecond(String text) {
         if (!text.endsWith("/s")) {
             throw new IllegalArgumentException(
                     "'" + text + "': a rate needs its unit, as in 200/s");
         }
-        return number(text.substring(0, text.length() - 2));
+        return parseNumber(text.substring(0, text.length() - 2));
     }
 
     /** A plain number, 0 or more. */
-    public static double number(String text) {
-        int end = digits(text);
+    public static double parseNumber(String text) {
+        int end = numericPrefixLength(text);
         if (end == 0 || end < text.length()) {
             throw new IllegalArgumentException("'" + text + "' is not a number");
         }
         return Double.parseDouble(text);
     }
 
-    private static double with(String text, Map<String, Double> units, String hint) {
-        int end = digits(text);
+    private static double parseWithUnit(String text, Map<String, Double> units, String hint) {
+        int end = numericPrefixLength(text);
         Double unit = units.get(text.substring(end));
         if (end == 0 || unit == null) {
             throw new IllegalArgumentException("'" + text + "': " + hint);
@@ -61,7 +65,7 @@
         return Double.parseDouble(text.substring(0, end)) * unit;
     }
 
-    private static int digits(String text) {
+    private static int numericPrefixLength(String text) {
         int i = 0;
         int dots = 0;
         while (i < text.length()
--- a/src/main/java/brooklock/credentials/ClientTrust.java
+++ b/src/main/java/brooklock/credentials/CertificateTrust.java
@@ -31,26 +31,26 @@
  * Whose certificates are taken, and which are revoked: authorities, their lists (RFC 5280), and
  * certificates denied by hand. Immutable.
  */
-public final class ClientTrust {
+public final class CertificateTrust {
     // Extended key usages of RFC 5280, section 4.2.1.12: for clients, for anything.
-    private static final String CLIENT_USE = "1.3.6.1.5.5.7.3.2";
-    private static final String ANY_USE = "2.5.29.37.0";
-    private static final String DENIED_FORM = "[0-9a-f]{64}";
+    private static final String CLIENT_AUTH_USAGE = "1.3.6.1.5.5.7.3.2";
+    private static final String ANY_USAGE = "2.5.29.37.0";
+    private static final String FINGERPRINT_PATTERN = "[0-9a-f]{64}";
 
     private final Set<X509Certificate> authorities;
-    private final Map<X500Principal, X509CRL> lists;
-    private final Set<String> denied;
-    private final boolean staleWillDo;
+    private final Map<X500Principal, X509CRL> crlByIssuer;
+    private final Set<String> deniedFingerprints;
+    private final boolean acceptStaleCrls;
 
-    private ClientTrust(
+    private CertificateTrust(
             Set<X509Certificate> authorities,
             Map<X500Principal, X509CRL> lists,
             Set<String> denied,
             boolean staleWillDo) {
         this.authorities = Set.copyOf(authorities);
-        this.lists = Map.copyOf(lists);
-        this.denied = Set.copyOf(denied);
-        this.staleWillDo = staleWillDo;
+        this.crlByIssuer = Map.copyOf(lists);
+        this.deniedFingerprints = Set.copyOf(denied);
+        this.acceptStaleCrls = staleWillDo;
     }
 
     /**
@@ -58,18 +58,22 @@
      *
      * @throws IOException naming the file that cannot be used and why
      */
-    public static ClientTrust read(
-            Path bundle, List<Path> revoked, Path denied, boolean staleWillDo, ClientTrust before)
+    public static CertificateTrust load(
+            Path bundle,
+            List<Path> revoked,
+            Path denied,
+            boolean staleWillDo,
+            CertificateTrust before)
             throws IOException {
-        Set<X509Certificate> authorities = new HashSet<>(certificates(bundle));
+        Set<X509Certificate> authorities = new HashSet<>(readCertificates(bundle));
         if (authorities.isEmpty()) {
             throw new IOException(bundle + ": there is no certificate in it");
         }
         Map<X500Principal, X509CRL> lists = new HashMap<>();
         for (Path p : revoked) {
-            for (CRL c : lists(p)) {
+            for (CRL c : readCrls(p)) {
                 X509CRL list = (X509CRL) c;
-                verify(p, list, authorities);
+                verifyCrl(p, list, authorities);
                 X509CRL other = lists.get(list.getIssuerX500Principal());
                 if (other == null || other.getThisUpdate().before(list.getThisUpdate())) {
                     lists.put(list.getIssuerX500Principal(), list);
@@ -77,7 +81,7 @@
             }
         }
         if (before != null) {
-            for (Map.Entry<X500Principal, X509CRL> e : before.lists.entrySet()) {
+            for (Map.Entry<X500Principal, X509CRL> e : before.crlByIssuer.entrySet()) {
                 X509CRL now = lists.get(e.getKey());
                 if (now == null || now.getThisUpdate().before(e.getValue().getThisUpdate())) {
                     throw new IOException(
@@ -87,11 +91,14 @@
                 }
             }
         }
-        return new ClientTrust(
-                authorities, lists, denied == null ? Set.of() : prints(denied), staleWillDo);
+        return new CertificateTrust(
+                authorities,
+                lists,
+                denied == null ? Set.of() : readFingerprints(denied),
+                staleWillDo);
     }
 
-    private static void verify(Path p, X509CRL list, Set<X509Certificate> authorities)
+    private static void verifyCrl(Path p, X509CRL list, Set<X509Certificate> authorities)
             throws IOException {
         for (X509Certificate a : authorities) {
             if (a.getSubjectX500Principal().equals(list.getIssuerX500Principal())) {
@@ -106,7 +113,7 @@
         throw new IOException(p + ": the list is signed by none of the authorities");
     }
 
-    static List<X509Certificate> certificates(Path p) throws IOException {
+    static List<X509Certificate> readCertificates(Path p) throws IOException {
         List<X509Certificate> all = new ArrayList<>();
         try (InputStream in = Files.newInputStream(p)) {
             for (Object c : CertificateFactory.getInstance("X.509").generateCertificates(in)) {
@@ -118,7 +125,7 @@
         }
     }
 
-    private static List<CRL> lists(Path p) throws IOException {
+    private static List<CRL> readCrls(Path p) throws IOException {
         byte[] bytes = Files.readAllBytes(p);
         try {
             List<CRL> all =
@@ -137,7 +144,7 @@
         }
     }
 
-    private static Set<String> prints(Path p) throws IOException {
+    private static Set<String> readFingerprints(Path p) throws IOException {
         Set<String> all = new HashSet<>();
         int n = 0;
         for (String row : Files.readAllLines(p, StandardCharsets.UTF_8)) {
@@ -145,7 +152,7 @@
             String word =
                     row.replaceAll("#.*", "").replace(":", "").trim().toLowerCase(Locale.ROOT);
             if (!word.isEmpty()) {
-                if (!word.matches(DENIED_FORM)) {
+                if (!word.matches(FINGERPRINT_PATTERN)) {
                     throw new IOException(
                             p
                                     + ":"
@@ -159,7 +166,7 @@
     }
 
     /** SHA-256 over a certificate, in hexadecimal. */
-    public static String print(X509Certificate c) {
+    public static String fingerprint(X509Certificate c) {
         try {
             return HexFormat.of()
                     .formatHex(MessageDigest.getInstance("SHA-256").digest(c.getEncoded()));
@@ -177,8 +184,8 @@
      * Why a chain is not taken at a moment, in plain words, or null if it is. Checks signatures:
      * for handshakes.
      */
-    public String wrong(X509Certificate[] chain, long nowMs) {
-        String way = way(chain, nowMs);
+    public String validateClient(X509Certificate[] chain, long nowMs) {
+        String way = validatePath(chain, nowMs);
         if (way != null) {
             return way;
         }
@@ -188,19 +195,19 @@
         } catch (GeneralSecurityException e) {
             return "its use cannot be read";
         }
-        if (uses != null && !uses.contains(CLIENT_USE) && !uses.contains(ANY_USE)) {
+        if (uses != null && !uses.contains(CLIENT_AUTH_USAGE) && !uses.contains(ANY_USAGE)) {
             return "not a certificate for clients";
         }
-        return revoked(chain, nowMs);
+        return recheck(chain, nowMs);
     }
 
     /** The same for a server's chain. */
-    String wrongServer(X509Certificate[] chain, long nowMs) {
-        String way = way(chain, nowMs);
-        return way != null ? way : revoked(chain, nowMs);
+    String validateServer(X509Certificate[] chain, long nowMs) {
+        String way = validatePath(chain, nowMs);
+        return way != null ? way : recheck(chain, nowMs);
     }
 
-    private String way(X509Certificate[] chain, long nowMs) {
+    private String validatePath(X509Certificate[] chain, long nowMs) {
         try {
             Set<TrustAnchor> anchors = new HashSet<>();
             authorities.forEach(a -> anchors.add(new TrustAnchor(a, null)));
@@ -224,23 +231,23 @@
      * Why a chain that was taken once is not any more, or null if it still is. Cheap: for every
      * request.
      */
-    public String revoked(X509Certificate[] chain, long nowMs) {
+    public String recheck(X509Certificate[] chain, long nowMs) {
         for (X509Certificate c : chain) {
             if (nowMs >= c.getNotAfter().getTime()) {
                 return "a certificate has ended";
             }
-            X509CRL list = lists.get(c.getIssuerX500Principal());
+            X509CRL list = crlByIssuer.get(c.getIssuerX500Principal());
             if (list != null && list.getRevokedCertificate(c.getSerialNumber()) != null) {
                 return "a certificate is on its authority's list of revoked ones";
             }
             if (list != null
-                    && !staleWillDo
+                    && !acceptStaleCrls
                     && list.getNextUpdate() != null
                     && nowMs >= list.getNextUpdate().getTime()) {
                 return "the list of revoked certificates of its authority is past its time";
             }
         }
-        if (!denied.isEmpty() && denied.contains(print(chain[0]))) {
+        if (!deniedFingerprints.isEmpty() && deniedFingerprints.contains(fingerprint(chain[0]))) {
             return "the certificate is denied by hand";
         }
         boolean known = false;
@@ -255,8 +262,8 @@
     }
 
     /** Authorities whose list is past its time, for operators. */
-    public List<String> stale(long nowMs) {
-        return lists.values().stream()
+    public List<String> staleCrlIssuers(long nowMs) {
+        return crlByIssuer.values().stream()
                 .filter(l -> l.getNextUpdate() != null && nowMs >= l.getNextUpdate().getTime())
                 .map(l -> l.getIssuerX500Principal().getName())
                 .toList();
--- a/src/main/java/brooklock/credentials/EdVerifier.java
+++ b/src/main/java/brooklock/credentials/Ed25519Verifier.java
@@ -22,13 +22,13 @@
  * Ed25519 (RFC 8037) by the platform's own implementation; the library's would bring a second one
  * along.
  */
-final class EdVerifier implements JWSVerifier {
-    private static final int BYTES = 32;
+final class Ed25519Verifier implements JWSVerifier {
+    private static final int KEY_BYTES = 32;
 
     private final PublicKey key;
     private final JCAContext context = new JCAContext();
 
-    EdVerifier(OctetKeyPair jwk) {
+    Ed25519Verifier(OctetKeyPair jwk) {
         if (!Curve.Ed25519.equals(jwk.getCurve())) {
             throw new IllegalArgumentException(
                     "the curve " + jwk.getCurve() + " is not taken here (Ed25519)");
@@ -38,12 +38,12 @@
 
     // RFC 8032, section 5.1.2: y little-endian, the highest bit is that of x.
     static PublicKey publicKey(byte[] x) {
-        if (x.length != BYTES) {
+        if (x.length != KEY_BYTES) {
             throw new IllegalArgumentException("an Ed25519 key has 32 bytes");
         }
-        byte[] y = new byte[BYTES];
-        for (int i = 0; i < BYTES; i++) {
-            y[i] = x[BYTES - 1 - i];
+        byte[] y = new byte[KEY_BYTES];
+        for (int i = 0; i < KEY_BYTES; i++) {
+            y[i] = x[KEY_BYTES - 1 - i];
         }
         boolean odd = (y[0] & 0x80) != 0;
         y[0] &= 0x7f;
--- a/src/main/java/brooklock/credentials/Identity.java
+++ b/src/main/java/brooklock/credentials/Identity.java
@@ -11,17 +11,17 @@
  * @param untilMs when the credential ends, ms since 1970
  * @param label names the credential in logs without giving it away
  */
-public record Identity(List<Name> names, long untilMs, String label) {
+public record Identity(List<Attribute> attributes, long expiresAtMs, String label) {
     /** One name: a claim with its value, or a name of a certificate. */
-    public record Name(String kind, String key, String value) {}
+    public record Attribute(String kind, String key, String value) {}
 
     /** The tenant that a policy maps this caller to, or null. */
-    public Tenant tenant(Policy policy) {
-        for (Name n : names) {
+    public Tenant resolveTenant(Policy policy) {
+        for (Attribute n : attributes) {
             Tenant t =
                     n.kind().equals("claim")
-                            ? policy.byClaim(n.key(), n.value())
-                            : policy.byCertificate(n.kind(), n.key());
+                            ? policy.tenantByClaim(n.key(), n.value())
+                            : policy.tenantByCertificate(n.kind(), n.key());
             if (t != null) {
                 return t;
             }
--- a/src/main/java/brooklock/credentials/Keys.java
+++ b/src/main/java/brooklock/credentials/KeyPairs.java
@@ -6,11 +6,11 @@
 import java.security.Signature;
 
 /** Small things about keys. */
-final class Keys {
-    private Keys() {}
+final class KeyPairs {
+    private KeyPairs() {}
 
     /** Whether a private key and a public one are a pair: what one signs the other finds good. */
-    static boolean belong(PrivateKey mine, PublicKey theirs) {
+    static boolean isPair(PrivateKey mine, PublicKey theirs) {
         String how =
                 switch (mine.getAlgorithm()) {
                     case "RSA" -> "SHA256withRSA";
--- a/src/main/java/brooklock/credentials/KeyRing.java
+++ b/src/main/java/brooklock/credentials/KeySet.java
@@ -25,12 +25,12 @@
  * and, if they end at a moment, {@code until} (ms since 1970). Immutable. Each key is bound to the
  * one algorithm that its {@code alg} names.
  */
-public final class KeyRing {
+public final class KeySet {
     /** Most keys of a set. */
-    public static final int MOST = 256;
+    public static final int MAX_KEYS = 256;
 
     // RSA below this is not safe any more (NIST SP 800-131A).
-    private static final int LEAST_RSA_BITS = 2048;
+    private static final int MIN_RSA_BITS = 2048;
 
     /**
      * A key's life. Tokens are taken in all states but the last: a signer may switch before this
@@ -48,18 +48,18 @@
             String kid,
             JWSAlgorithm algorithm,
             State state,
-            long untilMs,
+            long validUntilMs,
             JWSVerifier verifier,
-            String print) {
+            String thumbprint) {
         /** Whether tokens of this key are taken at a moment. */
-        public boolean takes(long nowMs) {
-            return state != State.RETIRED && nowMs < untilMs;
+        public boolean accepts(long nowMs) {
+            return state != State.RETIRED && nowMs < validUntilMs;
         }
     }
 
     private final PMap<String, Key> keys;
 
-    private KeyRing(PMap<String, Key> keys) {
+    private KeySet(PMap<String, Key> keys) {
         this.keys = keys;
     }
 
@@ -69,12 +69,12 @@
     }
 
     /** All keys. */
-    public List<Key> all() {
+    public List<Key> keys() {
         return List.copyOf(keys.values());
     }
 
     /** Reads a set; a wrong one throws with the reason. */
-    public static KeyRing parse(String text) {
+    public static KeySet parse(String text) {
         Map<String, Object> top;
         try {
             top = JSONObjectUtils.parse(text);
@@ -82,8 +82,10 @@
             throw new IllegalArgumentException(
                     "not a JWK Set: the JSON cannot be read (half-written?)");
         }
-        if (!(top.get("keys") instanceof List<?> list) || list.isEmpty() || list.size() > MOST) {
-            throw new IllegalArgumentException("not a JWK Set of 1 to " + MOST + " keys");
+        if (!(top.get("keys") instanceof List<?> list)
+                || list.isEmpty()
+                || list.size() > MAX_KEYS) {
+            throw new IllegalArgumentException("not a JWK Set of 1 to " + MAX_KEYS + " keys");
         }
         PMap<String, Key> all = HashTreePMap.empty();
         for (Object o : list) {
@@ -91,16 +93,16 @@
                 throw new IllegalArgumentException("a key is not an object");
             }
             @SuppressWarnings("unchecked")
-            Key k = key((Map<String, Object>) map);
+            Key k = parseKey((Map<String, Object>) map);
             if (all.containsKey(k.kid())) {
                 throw new IllegalArgumentException("two keys of the id '" + k.kid() + "'");
             }
             all = all.plus(k.kid(), k);
         }
-        return new KeyRing(all);
+        return new KeySet(all);
     }
 
-    private static Key key(Map<String, Object> map) {
+    private static Key parseKey(Map<String, Object> map) {
         String kid = String.valueOf(map.get("kid"));
         try {
             JWK jwk = JWK.parse(map);
@@ -122,7 +124,7 @@
                     alg,
                     state,
                     until,
-                    verifier(jwk, alg, map),
+                    createVerifier(jwk, alg, map),
                     jwk.computeThumbprint().toString());
         } catch (ParseException | JOSEException e) {
             throw new IllegalArgumentException(
@@ -132,11 +134,11 @@
         }
     }
 
-    private static JWSVerifier verifier(JWK jwk, JWSAlgorithm alg, Map<String, Object> map)
+    private static JWSVerifier createVerifier(JWK jwk, JWSAlgorithm alg, Map<String, Object> map)
             throws JOSEException {
         if (jwk instanceof RSAKey rsa && alg.equals(JWSAlgorithm.RS256)) {
-            if (rsa.size() < LEAST_RSA_BITS) {
-                throw new IllegalArgumentException("RSA of under " + LEAST_RSA_BITS + " bits");
+            if (rsa.size() < MIN_RSA_BITS) {
+                throw new IllegalArgumentException("RSA of under " + MIN_RSA_BITS + " bits");
             }
             return new RSASSAVerifier(rsa);
         }
@@ -144,7 +146,7 @@
             return new ECDSAVerifier(ec);
         }
         if (jwk instanceof OctetKeyPair okp && alg.equals(JWSAlgorithm.EdDSA)) {
-            return new EdVerifier(okp);
+            return new Ed25519Verifier(okp);
         }
         if (jwk instanceof OctetSequenceKey oct && alg.equals(JWSAlgorithm.HS256)) {
             if (!Boolean.TRUE.equals(map.get("shared"))) {
@@ -166,13 +168,13 @@
      *
      * @throws IllegalArgumentException naming a key that has gone by accident
      */
-    public KeyRing replacedBy(KeyRing next, long nowMs) {
+    public KeySet validateReplacement(KeySet next, long nowMs) {
         List<String> lost = new ArrayList<>();
         for (Key k : keys.values()) {
             Key n = next.get(k.kid());
-            if (n == null && k.takes(nowMs)) {
+            if (n == null && k.accepts(nowMs)) {
                 lost.add("the key '" + k.kid() + "' has gone without having been retired");
-            } else if (n != null && !n.print().equals(k.print())) {
+            } else if (n != null && !n.thumbprint().equals(k.thumbprint())) {
                 lost.add("the id '" + k.kid() + "' now names another key");
             }
         }
--- a/src/main/java/brooklock/credentials/KeyFile.java
+++ b/src/main/java/brooklock/credentials/KeySetFile.java
@@ -31,13 +31,13 @@
  * A key set's file, changed step by step; each change is checked as a dispatcher would and put in
  * place whole.
  */
-public final class KeyFile {
+public final class KeySetFile {
     private static final int RSA_BITS = 3072;
 
     private final Path path;
 
     /** At a path. */
-    public KeyFile(Path path) {
+    public KeySetFile(Path path) {
         this.path = path;
     }
 
@@ -68,8 +68,8 @@
     }
 
     /** A public key as an entry of a set. */
-    public static Map<String, Object> entry(
-            String kid, String algorithm, KeyPair pair, KeyRing.State state) {
+    public static Map<String, Object> toJwk(
+            String kid, String algorithm, KeyPair pair, KeySet.State state) {
         Map<String, Object> jwk =
                 new LinkedHashMap<>(
                         switch (algorithm) {
@@ -100,7 +100,7 @@
      * Writes a private key, PKCS #8 in PEM, for its owner's eyes only; an existing file is not
      * touched.
      */
-    public static void writePrivate(Path file, KeyPair pair) throws IOException {
+    public static void writePrivateKey(Path file, KeyPair pair) throws IOException {
         Files.createFile(
                 file,
                 PosixFilePermissions.asFileAttribute(PosixFilePermissions.fromString("rw-------")));
@@ -112,7 +112,7 @@
                         + "\n-----END PRIVATE KEY-----\n");
     }
 
-    private List<Map<String, Object>> entries() throws IOException {
+    private List<Map<String, Object>> readKeys() throws IOException {
         List<Map<String, Object>> all = new ArrayList<>();
         if (Files.exists(path)) {
             try {
@@ -130,13 +130,14 @@
         return all;
     }
 
-    private void write(List<Map<String, Object>> keys) throws IOException {
+    private void writeKeys(List<Map<String, Object>> keys) throws IOException {
         Map<String, Object> top = new LinkedHashMap<>();
         top.put("keys", keys);
         String text = JSONObjectUtils.toJSONString(top) + "\n";
-        KeyRing next = KeyRing.parse(text);
+        KeySet next = KeySet.parse(text);
         if (Files.exists(path)) {
-            KeyRing.parse(Files.readString(path)).replacedBy(next, System.currentTimeMillis());
+            KeySet.parse(Files.readString(path))
+                    .validateReplacement(next, System.currentTimeMillis());
         }
         Path beside = path.resolveSibling(path.getFileName() + ".new");
         Files.writeString(beside, text);
@@ -145,10 +146,10 @@
     }
 
     /** Adds a key. */
-    public void add(Map<String, Object> entry) throws IOException {
-        List<Map<String, Object>> keys = entries();
+    public void addKey(Map<String, Object> entry) throws IOException {
+        List<Map<String, Object>> keys = readKeys();
         keys.add(entry);
-        write(keys);
+        writeKeys(keys);
     }
 
     /**
@@ -156,8 +157,8 @@
      *
      * @param untilMs when it ends, ms since 1970; 0 leaves that as it is
      */
-    public void state(String kid, KeyRing.State state, long untilMs) throws IOException {
-        List<Map<String, Object>> keys = entries();
+    public void setState(String kid, KeySet.State state, long untilMs) throws IOException {
+        List<Map<String, Object>> keys = readKeys();
         Map<String, Object> key =
                 keys.stream()
                         .filter(k -> kid.equals(k.get("kid")))
@@ -166,7 +167,7 @@
                                 () ->
                                         new IllegalArgumentException(
                                                 "there is no key '" + kid + "'"));
-        if (state == KeyRing.State.SIGNING) {
+        if (state == KeySet.State.SIGNING) {
             keys.stream()
                     .filter(k -> "signing".equals(k.get("state")))
                     .forEach(k -> k.put("state", "accepted"));
@@ -175,15 +176,15 @@
         if (untilMs > 0) {
             key.put("until", untilMs);
         }
-        write(keys);
+        writeKeys(keys);
     }
 
     /** Takes a retired key out. */
-    public void drop(String kid) throws IOException {
-        List<Map<String, Object>> keys = entries();
+    public void removeKey(String kid) throws IOException {
+        List<Map<String, Object>> keys = readKeys();
         if (!keys.removeIf(k -> kid.equals(k.get("kid")))) {
             throw new IllegalArgumentException("there is no key '" + kid + "'");
         }
-        write(keys);
+        writeKeys(keys);
     }
 }
--- a/src/main/java/brooklock/credentials/LocalAuthority.java
+++ b/src/main/java/brooklock/credentials/LocalCertificateAuthority.java
@@ -24,23 +24,23 @@
  * An authority of one's own and what it issues, to try TLS on one machine; its key is never
  * written.
  */
-public final class LocalAuthority {
-    private static long serials = 1;
+public final class LocalCertificateAuthority {
+    private static long nextSerial = 1;
     private final X500Name name;
-    private final KeyPair keys = KeyFile.generate("ES256");
+    private final KeyPair keys = KeySetFile.generate("ES256");
     private final X509Certificate certificate;
 
     /** A new authority. */
-    public LocalAuthority(String cn) throws Exception {
+    public LocalCertificateAuthority(String cn) throws Exception {
         name = new X500Name("CN=" + cn);
-        certificate = build(name, name, keys, keys, null, true, 3600_000);
+        certificate = signCertificate(name, name, keys, keys, null, true, 3600_000);
     }
 
-    private static synchronized BigInteger serial() {
-        return BigInteger.valueOf(serials++);
+    private static synchronized BigInteger allocateSerial() {
+        return BigInteger.valueOf(nextSerial++);
     }
 
-    private static X509Certificate build(
+    private static X509Certificate signCertificate(
             X500Name issuer,
             X500Name subject,
             KeyPair signer,
@@ -53,7 +53,7 @@
         JcaX509v3CertificateBuilder b =
                 new JcaX509v3CertificateBuilder(
                         issuer,
-                        serial(),
+                        allocateSerial(),
                         new Date(now - 3600_000),
                         new Date(now + livesMs),
                         subject,
@@ -73,30 +73,30 @@
     }
 
     /** A leaf of this authority. */
-    public Tls.Shown issue(String cn, String dns, long livesMs) throws Exception {
-        KeyPair mine = KeyFile.generate("ES256");
-        return new Tls.Shown(
+    public TlsContexts.TlsIdentity issue(String cn, String dns, long livesMs) throws Exception {
+        KeyPair mine = KeySetFile.generate("ES256");
+        return new TlsContexts.TlsIdentity(
                 new X509Certificate[] {
-                    build(name, new X500Name("CN=" + cn), keys, mine, dns, false, livesMs)
+                    signCertificate(name, new X500Name("CN=" + cn), keys, mine, dns, false, livesMs)
                 },
                 mine.getPrivate());
     }
 
     /** A list of revoked ones, in PEM. */
-    public String revoked(long nextMs, X509Certificate... revoked) throws Exception {
+    public String createCrl(long nextMs, X509Certificate... revoked) throws Exception {
         Date now = new Date(System.currentTimeMillis() - 1000);
         X509v2CRLBuilder b = new X509v2CRLBuilder(name, now);
         b.setNextUpdate(new Date(System.currentTimeMillis() + nextMs));
         for (X509Certificate c : revoked) {
             b.addCRLEntry(c.getSerialNumber(), now, CRLReason.keyCompromise);
         }
-        return pem(
+        return toPem(
                 "X509 CRL",
                 b.build(new JcaContentSignerBuilder("SHA256withECDSA").build(keys.getPrivate()))
                         .getEncoded());
     }
 
-    private static String pem(String what, byte[] der) {
+    private static String toPem(String what, byte[] der) {
         return "-----BEGIN "
                 + what
                 + "-----\n"
@@ -108,22 +108,24 @@
     }
 
     /** Writes a chain's leaf and, unless null, its key. */
-    public static void write(Path certificate, Path key, Tls.Shown shown) throws Exception {
-        Files.writeString(certificate, pem("CERTIFICATE", shown.chain()[0].getEncoded()));
+    public static void writeCertificate(Path certificate, Path key, TlsContexts.TlsIdentity shown)
+            throws Exception {
+        Files.writeString(certificate, toPem("CERTIFICATE", shown.chain()[0].getEncoded()));
         if (key != null) {
-            Files.writeString(key, pem("PRIVATE KEY", shown.key().getEncoded()));
+            Files.writeString(key, toPem("PRIVATE KEY", shown.key().getEncoded()));
         }
     }
 
     /** Writes this authority's own certificate. */
-    public void writeAuthority(Path p) throws IOException, java.security.GeneralSecurityException {
-        Files.writeString(p, pem("CERTIFICATE", certificate.getEncoded()));
+    public void writeCaCertificate(Path p)
+            throws IOException, java.security.GeneralSecurityException {
+        Files.writeString(p, toPem("CERTIFICATE", certificate.getEncoded()));
     }
 
     /** What a client trusts that knows this authority. */
-    public ClientTrust trust(Path dir) throws Exception {
-        Path p = dir.resolve("trust" + serial() + ".pem");
-        writeAuthority(p);
-        return ClientTrust.read(p, java.util.List.of(), null, true, null);
+    public CertificateTrust createTrust(Path dir) throws Exception {
+        Path p = dir.resolve("trust" + allocateSerial() + ".pem");
+        writeCaCertificate(p);
+        return CertificateTrust.load(p, java.util.List.of(), null, true, null);
     }
 }
--- a/src/main/java/brooklock/credentials/WallClock.java
+++ b/src/main/java/brooklock/credentials/MonotonicWallClock.java
@@ -5,39 +5,39 @@
  * valid again that have ended. It goes on by the monotonic clock then, and follows the system's
  * clock where that is ahead. Not for several threads.
  */
-public final class WallClock {
+public final class MonotonicWallClock {
     /** Where wall time comes from. */
-    public interface Source {
+    public interface MillisClock {
         /** ms since 1970. */
-        long ms();
+        long nowMs();
     }
 
-    private final Source wall;
-    private final Source monotonic;
-    private long anchorMs;
-    private long anchorAt;
+    private final MillisClock wall;
+    private final MillisClock monotonic;
+    private long anchorWallMs;
+    private long anchorMonotonicMs;
 
     /** The system's clocks. */
-    public WallClock() {
+    public MonotonicWallClock() {
         this(System::currentTimeMillis, () -> System.nanoTime() / 1_000_000);
     }
 
     /** Clocks of one's own. */
-    public WallClock(Source wall, Source monotonic) {
+    public MonotonicWallClock(MillisClock wall, MillisClock monotonic) {
         this.wall = wall;
         this.monotonic = monotonic;
-        anchorMs = wall.ms();
-        anchorAt = monotonic.ms();
+        anchorWallMs = wall.nowMs();
+        anchorMonotonicMs = monotonic.nowMs();
     }
 
     /** Now, ms since 1970. */
-    public long ms() {
-        long at = monotonic.ms();
-        long steady = anchorMs + at - anchorAt;
-        long now = wall.ms();
+    public long nowMs() {
+        long at = monotonic.nowMs();
+        long steady = anchorWallMs + at - anchorMonotonicMs;
+        long now = wall.nowMs();
         if (now > steady) {
-            anchorMs = now;
-            anchorAt = at;
+            anchorWallMs = now;
+            anchorMonotonicMs = at;
             return now;
         }
         return steady;
--- a/src/main/java/brooklock/credentials/TokenMaker.java
+++ b/src/main/java/brooklock/credentials/TokenSigner.java
@@ -10,19 +10,19 @@
 import java.util.Map;
 
 /** Makes signed tokens, for trying a policy and for tests; in service that is the issuer's work. */
-public final class TokenMaker {
-    private TokenMaker() {}
+public final class TokenSigner {
+    private TokenSigner() {}
 
     /** A token with these claims. */
-    public static String make(PrivateKey key, String kid, Map<String, Object> claims) {
+    public static String sign(PrivateKey key, String kid, Map<String, Object> claims) {
         Map<String, Object> header = new LinkedHashMap<>();
-        header.put("alg", algorithm(key));
+        header.put("alg", algorithmOf(key));
         header.put("kid", kid);
-        return make(key, header, claims);
+        return sign(key, header, claims);
     }
 
     /** A token with any header, right or wrong. */
-    public static String make(
+    public static String sign(
             PrivateKey key, Map<String, Object> header, Map<String, Object> claims) {
         String signed =
                 Base64URL.encode(JSONObjectUtils.toJSONString(header))
@@ -44,7 +44,7 @@
         }
     }
 
-    private static String algorithm(PrivateKey key) {
+    private static String algorithmOf(PrivateKey key) {
         return switch (key.getAlgorithm()) {
             case "RSA" -> "RS256";
             case "EC" -> "ES256";
--- a/src/main/java/brooklock/credentials/CheckPool.java
+++ b/src/main/java/brooklock/credentials/VerificationExecutor.java
@@ -10,36 +10,36 @@
  * thread. Bounded: with the queue full a check is refused at once, and whoever asked is told to
  * come again.
  */
-public final class CheckPool {
+public final class VerificationExecutor {
     /**
      * Checks that wait at most: at some two milliseconds each, no client waits for over a second or
      * so.
      */
-    public static final int MOST_WAITING = 512;
+    public static final int MAX_QUEUED = 512;
 
-    private final ThreadPoolExecutor threads;
+    private final ThreadPoolExecutor executor;
 
     /** With so many threads; they are begun when they are needed and end when they are not. */
-    public CheckPool(String name, int size) {
-        threads =
+    public VerificationExecutor(String name, int size) {
+        executor =
                 new ThreadPoolExecutor(
                         size,
                         size,
                         10,
                         TimeUnit.SECONDS,
-                        new ArrayBlockingQueue<>(MOST_WAITING),
+                        new ArrayBlockingQueue<>(MAX_QUEUED),
                         r -> {
                             Thread t = new Thread(r, name + "-checks");
                             t.setDaemon(true);
                             return t;
                         });
-        threads.allowCoreThreadTimeOut(true);
+        executor.allowCoreThreadTimeOut(true);
     }
 
     /** Takes work; false where too much waits. */
-    public boolean take(Runnable work) {
+    public boolean trySubmit(Runnable work) {
         try {
-            threads.execute(work);
+            executor.execute(work);
             return true;
         } catch (RejectedExecutionException full) {
             return false;
@@ -47,12 +47,12 @@
     }
 
     /** Checks that wait now. */
-    public int waiting() {
-        return threads.getQueue().size();
+    public int queued() {
+        return executor.getQueue().size();
     }
 
     /** Ends; what waits is dropped. */
-    public void end() {
-        threads.shutdownNow();
+    public void shutdown() {
+        executor.shutdownNow();
     }
 }
--- a/src/main/java/brooklock/credentials/Watched.java
+++ b/src/main/java/brooklock/credentials/WatchedFile.java
@@ -12,24 +12,24 @@
  * has stood still between two looks and has been read and checked; else the one before stays in
  * force and the reason is told, once.
  */
-public final class Watched<T> {
+public final class WatchedFile<T> {
     /** Reads the files' contents into a value. */
-    public interface Reading<T> {
+    public interface Loader<T> {
         /**
          * Makes the value, given the one in force (null at first); throws with the reason where it
          * may not be used.
          */
-        T read(T before) throws Exception;
+        T load(T previous) throws Exception;
     }
 
     private final String name;
     private final List<Path> files;
-    private final Reading<T> reading;
-    private final Consumer<String> news;
-    private String taken;
-    private String seen;
+    private final Loader<T> loader;
+    private final Consumer<String> changeListener;
+    private String loadedFingerprint;
+    private String seenFingerprint;
     private volatile T value;
-    private volatile String problem;
+    private volatile String lastError;
 
     /**
      * Reads for the first time.
@@ -37,16 +37,16 @@
      * @param news told of each change taken, and of each refused
      * @throws IOException where the files cannot be used at the start, with the reason
      */
-    public Watched(String name, List<Path> files, Reading<T> reading, Consumer<String> news)
+    public WatchedFile(String name, List<Path> files, Loader<T> reading, Consumer<String> news)
             throws IOException {
         this.name = name;
         this.files = files;
-        this.reading = reading;
-        this.news = news;
-        seen = stamp();
-        taken = seen;
+        this.loader = reading;
+        this.changeListener = news;
+        seenFingerprint = fingerprint();
+        loadedFingerprint = seenFingerprint;
         try {
-            value = reading.read(null);
+            value = reading.load(null);
         } catch (Exception e) {
             throw new IOException(name + ": " + e.getMessage(), e);
         }
@@ -58,32 +58,32 @@
     }
 
     /** Why the files as they are now are not in force, or null if they are. */
-    public String problem() {
-        return problem;
+    public String lastError() {
+        return lastError;
     }
 
     /** Looks at the files; true if something new is in force. Called by one thread now and then. */
-    public boolean look() {
-        String now = stamp();
-        boolean still = now.equals(seen);
-        seen = now;
-        if (!still || now.equals(taken)) {
+    public boolean poll() {
+        String now = fingerprint();
+        boolean still = now.equals(seenFingerprint);
+        seenFingerprint = now;
+        if (!still || now.equals(loadedFingerprint)) {
             return false;
         }
-        taken = now;
+        loadedFingerprint = now;
         try {
-            value = reading.read(value);
-            problem = null;
-            news.accept(name + ": taken anew");
+            value = loader.load(value);
+            lastError = null;
+            changeListener.accept(name + ": taken anew");
             return true;
         } catch (Exception e) {
-            problem = String.valueOf(e.getMessage());
-            news.accept(name + ": refused, the one before stays in force: " + problem);
+            lastError = String.valueOf(e.getMessage());
+            changeListener.accept(name + ": refused, the one before stays in force: " + lastError);
             return false;
         }
     }
 
-    private String stamp() {
+    private String fingerprint() {
         StringBuilder s = new StringBuilder();
         for (Path p : files) {
             try {
--- a/src/main/java/brooklock/faulttest/Visit.java
+++ b/src/main/java/brooklock/faulttest/ClientAttempt.java
@@ -4,7 +4,7 @@
  * One try of a client at a dispatcher, written down by the client. Times are {@link
  * System#nanoTime}.
  */
-final class Visit {
+final class ClientAttempt {
     /** How it ended, as the client saw it. */
     enum End {
         OPEN,
@@ -18,13 +18,13 @@
     }
 
     final String name;
-    final String cls;
+    final String className;
     final int dispatcher;
-    final int epoch;
-    final long patienceNs;
+    final int incarnation;
+    final long deadlineAfterNs;
 
     /** Whether its caller has the right. */
-    final boolean allowed;
+    final boolean authorized;
 
     /** When its first byte was written; 0 while it waits for a connection. */
     volatile long sentNs;
@@ -34,13 +34,19 @@
     volatile int status;
     volatile boolean wrongBytes;
 
-    Visit(String name, String cls, int dispatcher, int epoch, long patienceNs, boolean allowed) {
+    ClientAttempt(
+            String name,
+            String className,
+            int dispatcher,
+            int incarnation,
+            long deadlineAfterNs,
+            boolean authorized) {
         this.name = name;
-        this.cls = cls;
+        this.className = className;
         this.dispatcher = dispatcher;
-        this.epoch = epoch;
-        this.patienceNs = patienceNs;
-        this.allowed = allowed;
+        this.incarnation = incarnation;
+        this.deadlineAfterNs = deadlineAfterNs;
+        this.authorized = authorized;
     }
 
     void sent(long now) {
@@ -48,7 +54,7 @@
     }
 
     long deadlineNs() {
-        return sentNs + patienceNs;
+        return sentNs + deadlineAfterNs;
     }
 
     void end(End how, long now) {
@@ -59,12 +65,12 @@
     }
 
     /** Whether the dispatcher gave a final answer, of whatever kind. */
-    boolean answered() {
+    boolean isAnswered() {
         return end == End.WHOLE || end == End.BROKEN || end == End.REFUSED || end == End.FAILED;
     }
 
     /** Whether the try never came to a living dispatcher, or to its end there. */
-    boolean lost() {
+    boolean isLost() {
         return end == End.UNREACHED || end == End.LOST_WITH_DISPATCHER || end == End.OPEN;
     }
 
@@ -73,7 +79,7 @@
         return "request "
                 + name
                 + " ("
-                + cls
+                + className
                 + ") at dispatcher "
                 + dispatcher
                 + ": "
--- a/src/main/java/brooklock/faulttest/Runner.java
+++ b/src/main/java/brooklock/faulttest/DispatcherRunner.java
@@ -2,8 +2,9 @@
 
 import brooklock.config.SettingsException;
 import brooklock.config.SettingsReader;
-import brooklock.proxy.Decider;
 import brooklock.proxy.Dispatcher;
+import brooklock.proxy.RoutingStrategy;
+import brooklock.routing.RouterSettings;
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.io.InputStreamReader;
@@ -20,21 +21,21 @@
  * One dispatcher of the day: a process of its own, or within this one where a test wants its own
  * decider.
  */
-abstract class Runner {
+abstract class DispatcherRunner {
     final String name;
     final Path file;
     final String settings;
-    volatile InetSocketAddress clients;
-    volatile InetSocketAddress control;
+    volatile InetSocketAddress clientAddress;
+    volatile InetSocketAddress controlAddress;
     volatile boolean alive;
 
     /** Counts its starts. */
-    volatile int epoch;
+    volatile int incarnation;
 
     /** When it was killed last, ns; 0 for never. */
     volatile long killedNs;
 
-    Runner(String name, Path file, String settings) {
+    DispatcherRunner(String name, Path file, String settings) {
         this.name = name;
         this.file = file;
         this.settings = settings;
@@ -42,20 +43,20 @@
 
     /** Starts it, from the second time on at the same addresses. */
     final void start() throws IOException {
-        int client = clients == null ? 0 : clients.getPort();
-        int controls = control == null ? 0 : control.getPort();
+        int clientPort = clientAddress == null ? 0 : clientAddress.getPort();
+        int controlPort = controlAddress == null ? 0 : controlAddress.getPort();
         Files.writeString(
                 file,
                 "name "
                         + name
                         + "\nlisten 127.0.0.1:"
-                        + client
+                        + clientPort
                         + "\ncontrol 127.0.0.1:"
-                        + controls
+                        + controlPort
                         + "\n"
                         + settings);
-        run();
-        epoch++;
+        launch();
+        incarnation++;
         alive = true;
     }
 
@@ -63,61 +64,62 @@
     final void kill() {
         alive = false;
         killedNs = System.nanoTime();
-        end();
+        terminate();
     }
 
-    abstract void run() throws IOException;
+    abstract void launch() throws IOException;
 
-    abstract void end();
+    abstract void terminate();
 
-    final void at(int clientPort, int controlPort) {
-        clients = new InetSocketAddress(InetAddress.getLoopbackAddress(), clientPort);
-        control = new InetSocketAddress(InetAddress.getLoopbackAddress(), controlPort);
+    final void setPorts(int clientPort, int controlPort) {
+        clientAddress = new InetSocketAddress(InetAddress.getLoopbackAddress(), clientPort);
+        controlAddress = new InetSocketAddress(InetAddress.getLoopbackAddress(), controlPort);
     }
 
     /** In this process, deciding as it is told to. */
-    static Runner inside(
+    static DispatcherRunner inProcess(
             String name,
             Path file,
             String settings,
-            Function<brooklock.routing.RouterApi.Settings, Decider> decider) {
-        return new Runner(name, file, settings) {
+            Function<RouterSettings, RoutingStrategy> strategyFactory) {
+        return new DispatcherRunner(name, file, settings) {
             private Dispatcher edge;
 
             @Override
-            void run() throws IOException {
+            void launch() throws IOException {
                 try {
-                    edge = Dispatcher.start(SettingsReader.read(file), decider);
-                    at(edge.address().getPort(), edge.controlAddress().getPort());
+                    edge = Dispatcher.start(SettingsReader.read(file), strategyFactory);
+                    setPorts(edge.address().getPort(), edge.controlAddress().getPort());
                 } catch (SettingsException e) {
                     throw new IOException(e.getMessage());
                 }
             }
 
             @Override
-            void end() {
+            void terminate() {
                 edge.close();
             }
         };
     }
 
     // Dispatchers do not outlive the rig, however it ends.
-    private static final Set<Process> LIVE = ConcurrentHashMap.newKeySet();
+    private static final Set<Process> RUNNING = ConcurrentHashMap.newKeySet();
 
     static {
         Runtime.getRuntime()
                 .addShutdownHook(
                         new Thread(
-                                () -> LIVE.forEach(Process::destroyForcibly), "end-dispatchers"));
+                                () -> RUNNING.forEach(Process::destroyForcibly),
+                                "end-dispatchers"));
     }
 
     /** A process of its own, killed as by the system. */
-    static Runner process(String name, Path file, String settings) {
-        return new Runner(name, file, settings) {
+    static DispatcherRunner ownProcess(String name, Path file, String settings) {
+        return new DispatcherRunner(name, file, settings) {
             private Process process;
 
             @Override
-            void run() throws IOException {
+            void launch() throws IOException {
                 process =
                         new ProcessBuilder(
                                         Path.of(System.getProperty("java.home"), "bin", "java")
@@ -132,7 +134,7 @@
                                         file.toString())
                                 .redirectError(file.resolveSibling(name + ".log").toFile())
                                 .start();
-                LIVE.add(process);
+                RUNNING.add(process);
                 BufferedReader out =
                         new BufferedReader(
                                 new InputStreamReader(
@@ -143,13 +145,13 @@
                     throw new IOException("the dispatcher " + name + " did not start: " + line);
                 }
                 String[] w = line.split(" ");
-                at(Integer.parseInt(w[1]), Integer.parseInt(w[3]));
+                setPorts(Integer.parseInt(w[1]), Integer.parseInt(w[3]));
             }
 
             @Override
-            void end() {
+            void terminate() {
                 process.destroyForcibly();
-                LIVE.remove(process);
+                RUNNING.remove(process);
                 try {
                     process.waitFor();
                 } catch (InterruptedException e) {
--- a/src/main/java/brooklock/faulttest/Trouble.java
+++ b/src/main/java/brooklock/faulttest/Fault.java
@@ -10,17 +10,17 @@
  * @param spanNs how long a host stays away, a drain lasts, or a restart is spread
  * @param reset a lost answer shows as a reset
  */
-record Trouble(
+record Fault(
         long fromNs,
         long toNs,
-        Verb verb,
+        Kind kind,
         double amount,
         Target target,
         long spanNs,
         boolean reset,
         String line) {
     /** What can go wrong. */
-    enum Verb {
+    enum Kind {
         KILL,
         RESTART,
         SILENCE,
--- a/src/main/java/brooklock/faulttest/RandomRouter.java
+++ b/src/main/java/brooklock/faulttest/RandomRouter.java
@@ -1,23 +1,23 @@
 package brooklock.faulttest;
 
-import brooklock.proxy.Decider;
-import brooklock.routing.RouterApi.Action;
-import brooklock.routing.RouterApi.Done;
-import brooklock.routing.RouterApi.Effect;
-import brooklock.routing.RouterApi.Event;
-import brooklock.routing.RouterApi.Fail;
-import brooklock.routing.RouterApi.Get;
-import brooklock.routing.RouterApi.HostEntry;
-import brooklock.routing.RouterApi.HostList;
-import brooklock.routing.RouterApi.HostState;
-import brooklock.routing.RouterApi.Lapsed;
-import brooklock.routing.RouterApi.Outcome;
-import brooklock.routing.RouterApi.Refuse;
-import brooklock.routing.RouterApi.Request;
-import brooklock.routing.RouterApi.SetTimer;
-import brooklock.routing.RouterApi.Settings;
-import brooklock.routing.RouterApi.Streaming;
-import brooklock.routing.RouterApi.TimerFired;
+import brooklock.proxy.RoutingStrategy;
+import brooklock.routing.AttemptOutcome;
+import brooklock.routing.Endpoint;
+import brooklock.routing.EndpointState;
+import brooklock.routing.Idempotency;
+import brooklock.routing.RouterAction;
+import brooklock.routing.RouterAction.FailRequest;
+import brooklock.routing.RouterAction.RejectRequest;
+import brooklock.routing.RouterAction.SetTimer;
+import brooklock.routing.RouterAction.StartAttempt;
+import brooklock.routing.RouterEvent;
+import brooklock.routing.RouterEvent.AttemptCompleted;
+import brooklock.routing.RouterEvent.ClientDisconnected;
+import brooklock.routing.RouterEvent.EndpointListReceived;
+import brooklock.routing.RouterEvent.RequestReceived;
+import brooklock.routing.RouterEvent.ResponseStarted;
+import brooklock.routing.RouterEvent.TimerFired;
+import brooklock.routing.RouterSettings;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
@@ -29,86 +29,87 @@
  * A baseline to compare with: any ready cache, any ready parent, every copy kept, one try. Heeds
  * lists only.
  */
-final class RandomRouter implements Decider {
-    private final Settings set;
+final class RandomRouter implements RoutingStrategy {
+    private final RouterSettings settings;
     private final UniformRandomProvider random = RandomSource.XO_RO_SHI_RO_128_PP.create(1);
-    private final Map<Long, HostEntry> hosts = new TreeMap<>();
-    private final Map<Long, Request> open = new HashMap<>();
+    private final Map<Long, Endpoint> endpoints = new TreeMap<>();
+    private final Map<Long, RequestReceived> openRequests = new HashMap<>();
 
-    RandomRouter(Settings set) {
-        this.set = set;
+    RandomRouter(RouterSettings settings) {
+        this.settings = settings;
     }
 
     @Override
-    public void start(long now, List<Action> out) {
+    public void start(long now, List<RouterAction> out) {
         // Nothing to begin with.
     }
 
     @Override
-    public void on(long now, Event event, List<Action> out) {
-        if (event instanceof HostList l) {
-            l.entries().forEach(e -> hosts.put(e.host(), e));
-        } else if (event instanceof Request r) {
-            open.put(r.id(), r);
-            out.add(new SetTimer(r.id(), r.deadlineNs() - 2 * set.tickNs()));
-            send(now, r, out);
-        } else if (event instanceof Streaming s) {
-            open.remove(s.id());
-        } else if (event instanceof Lapsed l) {
-            open.remove(l.id());
-        } else if (event instanceof TimerFired t) {
-            giveUp(t.token(), out);
-        } else if (event instanceof Done d) {
-            if (d.outcome() == Outcome.OK) {
-                open.remove(d.id());
+    public void onEvent(long now, RouterEvent event, List<RouterAction> out) {
+        if (event instanceof EndpointListReceived l) {
+            l.endpoints().forEach(e -> endpoints.put(e.id(), e));
+        } else if (event instanceof RequestReceived request) {
+            openRequests.put(request.id(), request);
+            out.add(new SetTimer(request.id(), request.deadlineNs() - 2 * settings.timerTickNs()));
+            send(now, request, out);
+        } else if (event instanceof ResponseStarted streaming) {
+            openRequests.remove(streaming.id());
+        } else if (event instanceof ClientDisconnected l) {
+            openRequests.remove(l.id());
+        } else if (event instanceof TimerFired timer) {
+            giveUp(timer.token(), out);
+        } else if (event instanceof AttemptCompleted done) {
+            if (done.outcome() == AttemptOutcome.OK) {
+                openRequests.remove(done.id());
             } else {
-                giveUp(d.id(), out);
+                giveUp(done.id(), out);
             }
         }
     }
 
-    private void send(long now, Request r, List<Action> out) {
-        boolean through = set.classes().get(r.cls()).goesThrough();
-        HostEntry origin = any(set.originKind(), -1);
-        HostEntry host = through ? origin : any(0, set.zone());
-        HostEntry parent = any(set.parentKind(), -1);
-        if (host == null || origin == null) {
-            giveUp(r.id(), out);
+    private void send(long now, RequestReceived request, List<RouterAction> out) {
+        boolean passThrough = settings.classes().get(request.classIndex()).passThrough();
+        Endpoint origin = randomReady(settings.originKind(), -1);
+        Endpoint endpoint = passThrough ? origin : randomReady(0, settings.zone());
+        Endpoint parent = randomReady(settings.parentKind(), -1);
+        if (endpoint == null || origin == null) {
+            giveUp(request.id(), out);
             return;
         }
-        long source = through ? origin.host() : (parent == null ? origin : parent).host();
+        long source = passThrough ? origin.id() : (parent == null ? origin : parent).id();
         out.add(
-                new Get(
-                        r.id(),
-                        host.host(),
-                        r.deadlineNs() - now,
+                new StartAttempt(
+                        request.id(),
+                        endpoint.id(),
+                        request.deadlineNs() - now,
                         source,
-                        through ? 0 : 2,
+                        passThrough ? 0 : 2,
                         0,
                         true,
                         false,
-                        r.deadlineNs() - now));
+                        request.deadlineNs() - now));
     }
 
-    private HostEntry any(int kind, int zone) {
-        List<HostEntry> all =
-                hosts.values().stream()
+    private Endpoint randomReady(int kind, int zone) {
+        List<Endpoint> all =
+                endpoints.values().stream()
                         .filter(
                                 h ->
                                         h.kind() == kind
-                                                && h.state() == HostState.READY
+                                                && h.state() == EndpointState.READY
                                                 && (zone < 0 || h.zone() == zone))
                         .toList();
         return all.isEmpty() ? null : all.get(random.nextInt(all.size()));
     }
 
-    private void giveUp(long id, List<Action> out) {
-        Request r = open.remove(id);
-        if (r != null) {
+    private void giveUp(long id, List<RouterAction> out) {
+        RequestReceived request = openRequests.remove(id);
+        if (request != null) {
             out.add(
-                    set.classes().get(r.cls()).effect() == Effect.SAFE
-                            ? new Refuse(id, 0)
-                            : new Fail(id));
+                    settings.classes().get(request.classIndex()).idempotency()
+                                    == Idempotency.IDEMPOTENT
+                            ? new RejectRequest(id, 0)
+                            : new FailRequest(id));
         }
     }
 }
