--- a/src/main/java/brooklock/http/BodyDecoder.java
+++ b/src/main/java/brooklock/http/BodyDecoder.java
@@ -8,9 +8,9 @@
  */
 public final class BodyDecoder {
     // Fifteen hexadecimal digits fit a long with room for the sums made of them.
-    private static final int SIZE_DIGITS = 15;
+    private static final int MAX_CHUNK_SIZE_DIGITS = 15;
 
-    private enum At {
+    private enum State {
         DATA,
         SIZE,
         DATA_END,
@@ -20,70 +20,76 @@
 
     private final HttpLimits limits;
     private final Framing framing;
-    private final int bad;
-    private final LineReader lines = new LineReader();
-    private final FieldReader trailerReader;
-    private At at;
-    private long left;
-    private long total;
+    private final int badMessageStatus;
+    private final LineReader lineReader = new LineReader();
+    private final FieldSectionParser trailerParser;
+    private State state;
+    private long remainingBytes;
+    private long bodyBytes;
     private Fields trailers = new Fields();
 
-    private BodyDecoder(Framing framing, HttpLimits limits, int bad, int tooLarge)
-            throws HttpProblem {
+    private BodyDecoder(
+            Framing framing, HttpLimits limits, int badMessageStatus, int tooLargeStatus)
+            throws HttpProtocolException {
         this.framing = framing;
         this.limits = limits;
-        this.bad = bad;
-        trailerReader = new FieldReader(limits, lines, bad, tooLarge);
-        left = framing.length();
-        at =
+        this.badMessageStatus = badMessageStatus;
+        trailerParser =
+                new FieldSectionParser(limits, lineReader, badMessageStatus, tooLargeStatus);
+        remainingBytes = framing.length();
+        state =
                 switch (framing.kind()) {
-                    case NONE -> At.END;
-                    case CHUNKED -> At.SIZE;
-                    default -> At.DATA;
+                    case NONE -> State.END;
+                    case CHUNKED -> State.SIZE;
+                    default -> State.DATA;
                 };
-        count(left);
-        total = 0;
+        addBytes(remainingBytes);
+        bodyBytes = 0;
     }
 
     /** For the body of a request; problems carry 4xx. */
-    public static BodyDecoder ofRequest(Framing framing, HttpLimits limits) throws HttpProblem {
+    public static BodyDecoder ofRequest(Framing framing, HttpLimits limits)
+            throws HttpProtocolException {
         return new BodyDecoder(framing, limits, 400, 431);
     }
 
     /** For the body of an answer; problems carry 502. */
-    public static BodyDecoder ofResponse(Framing framing, HttpLimits limits) throws HttpProblem {
+    public static BodyDecoder ofResponse(Framing framing, HttpLimits limits)
+            throws HttpProtocolException {
         return new BodyDecoder(framing, limits, 502, 502);
     }
 
     /** The next piece of the body, or null when the buffer ran out or the body has ended. */
-    public ByteBuffer next(ByteBuffer in) throws HttpProblem {
+    public ByteBuffer next(ByteBuffer in) throws HttpProtocolException {
         while (true) {
-            switch (at) {
+            switch (state) {
                 case DATA -> {
-                    return data(in);
+                    return nextData(in);
                 }
                 case SIZE -> {
-                    String line = lines.next(in, limits.field(), bad, bad);
+                    String line =
+                            lineReader.next(
+                                    in, limits.maxFieldBytes(), badMessageStatus, badMessageStatus);
                     if (line == null) {
                         return null;
                     }
-                    left = size(line);
-                    at = left == 0 ? At.TRAILERS : At.DATA;
+                    remainingBytes = parseChunkSize(line);
+                    state = remainingBytes == 0 ? State.TRAILERS : State.DATA;
                 }
                 case DATA_END -> {
-                    String line = lines.next(in, 0, bad, bad);
+                    String line = lineReader.next(in, 0, badMessageStatus, badMessageStatus);
                     if (line == null) {
                         return null;
                     }
-                    at = At.SIZE;
+                    state = State.SIZE;
                 }
                 case TRAILERS -> {
-                    Fields all = trailerReader.next(in);
-                    if (all == null) {
+                    Fields parsedTrailers = trailerParser.next(in);
+                    if (parsedTrailers == null) {
                         return null;
                     }
-                    trailers = all;
-                    at = At.END;
+                    trailers = parsedTrailers;
+                    state = State.END;
                 }
                 default -> {
                     return null;
@@ -92,71 +98,73 @@
         }
     }
 
-    private ByteBuffer data(ByteBuffer in) throws HttpProblem {
+    private ByteBuffer nextData(ByteBuffer in) throws HttpProtocolException {
         if (!in.hasRemaining()) {
             return null;
         }
-        boolean open = framing.kind() == Framing.Kind.UNTIL_CLOSE;
-        int n = open ? in.remaining() : (int) Math.min(left, in.remaining());
-        ByteBuffer piece = in.duplicate().limit(in.position() + n);
-        in.position(in.position() + n);
-        count(n);
-        if (!open) {
-            left -= n;
-            if (left == 0) {
-                at = framing.kind() == Framing.Kind.CHUNKED ? At.DATA_END : At.END;
+        boolean untilClose = framing.kind() == Framing.Kind.UNTIL_CLOSE;
+        int count = untilClose ? in.remaining() : (int) Math.min(remainingBytes, in.remaining());
+        ByteBuffer piece = in.duplicate().limit(in.position() + count);
+        in.position(in.position() + count);
+        addBytes(count);
+        if (!untilClose) {
+            remainingBytes -= count;
+            if (remainingBytes == 0) {
+                state = framing.kind() == Framing.Kind.CHUNKED ? State.DATA_END : State.END;
             }
         }
         return piece;
     }
 
-    private void count(long n) throws HttpProblem {
-        total += n;
-        if (total > limits.body()) {
-            throw new HttpProblem(
-                    bad == 400 ? 413 : bad, "body of over " + limits.body() + " bytes");
+    private void addBytes(long count) throws HttpProtocolException {
+        bodyBytes += count;
+        if (bodyBytes > limits.maxBodyBytes()) {
+            throw new HttpProtocolException(
+                    badMessageStatus == 400 ? 413 : badMessageStatus,
+                    "body of over " + limits.maxBodyBytes() + " bytes");
         }
     }
 
-    private long size(String line) throws HttpProblem {
+    private long parseChunkSize(String line) throws HttpProtocolException {
         int digits = 0;
-        long n = 0;
+        long value = 0;
         while (digits < line.length()
                 && Character.digit(line.charAt(digits), 16) >= 0
                 && line.charAt(digits) < 128) {
-            if (digits == SIZE_DIGITS) {
-                throw new HttpProblem(bad, "chunk size overflows");
+            if (digits == MAX_CHUNK_SIZE_DIGITS) {
+                throw new HttpProtocolException(badMessageStatus, "chunk size overflows");
             }
-            n = n * 16 + Character.digit(line.charAt(digits++), 16);
+            value = value * 16 + Character.digit(line.charAt(digits++), 16);
         }
         // An extension begins with a semicolon; white space before it is refused as it fools other
         // readers.
         boolean extension = digits < line.length() && line.charAt(digits) == ';';
         if (digits == 0
                 || digits < line.length() && !extension
-                || !Chars.isFieldValue(line.trim())) {
-            throw new HttpProblem(bad, "not a chunk size");
+                || !HttpCharacters.isFieldValue(line.trim())) {
+            throw new HttpProtocolException(badMessageStatus, "not a chunk size");
         }
-        return n;
+        return value;
     }
 
     /** The input has ended: right only for a body that lasts until then, or one that is over. */
-    public void ended() throws HttpProblem {
-        if (at == At.DATA && framing.kind() == Framing.Kind.UNTIL_CLOSE) {
-            at = At.END;
-        } else if (at != At.END) {
-            throw new HttpProblem(bad, "body broken off after " + total + " bytes");
+    public void onEndOfInput() throws HttpProtocolException {
+        if (state == State.DATA && framing.kind() == Framing.Kind.UNTIL_CLOSE) {
+            state = State.END;
+        } else if (state != State.END) {
+            throw new HttpProtocolException(
+                    badMessageStatus, "body broken off after " + bodyBytes + " bytes");
         }
     }
 
     /** Whether the body has ended as its framing says. */
-    public boolean done() {
-        return at == At.END;
+    public boolean isComplete() {
+        return state == State.END;
     }
 
     /** Bytes of the body so far, framing left out. */
-    public long total() {
-        return total;
+    public long bodyBytes() {
+        return bodyBytes;
     }
 
     /** Fields after a chunked body; empty until it has ended. */
--- a/src/main/java/brooklock/http/Fields.java
+++ b/src/main/java/brooklock/http/Fields.java
@@ -11,7 +11,7 @@
 
     /** Adds a field line. A name or value that could end the line early is refused. */
     public Fields add(String name, String value) {
-        if (!Chars.isToken(name) || !Chars.isFieldValue(value)) {
+        if (!HttpCharacters.isToken(name) || !HttpCharacters.isFieldValue(value)) {
             throw new IllegalArgumentException("not a field line: " + name);
         }
         return addParsed(name, value);
@@ -40,32 +40,32 @@
     }
 
     /** All lines of a name joined by a comma, or null where there is none. */
-    public String joined(String name) {
-        String one = null;
+    public String combinedValue(String name) {
+        String combined = null;
         for (int i = 0; i < names.size(); i++) {
             if (names.get(i).equalsIgnoreCase(name)) {
-                one = one == null ? values.get(i) : one + ", " + values.get(i);
+                combined = combined == null ? values.get(i) : combined + ", " + values.get(i);
             }
         }
-        return one;
+        return combined;
     }
 
     /** How many lines have this name. */
     public int count(String name) {
-        int n = 0;
+        int matches = 0;
         for (String s : names) {
-            n += s.equalsIgnoreCase(name) ? 1 : 0;
+            matches += s.equalsIgnoreCase(name) ? 1 : 0;
         }
-        return n;
+        return matches;
     }
 
     /** Whether a comma-separated list of a name holds a token, without regard to case. */
     public boolean hasToken(String name, String token) {
-        String all = joined(name);
-        if (all == null) {
+        String combined = combinedValue(name);
+        if (combined == null) {
             return false;
         }
-        for (String s : all.split(",")) {
+        for (String s : combined.split(",")) {
             if (s.trim().equalsIgnoreCase(token)) {
                 return true;
             }
@@ -79,9 +79,9 @@
     }
 
     /** Removes all lines whose name is named so. */
-    public Fields removeIf(Predicate<String> named) {
+    public Fields removeIf(Predicate<String> nameFilter) {
         for (int i = names.size() - 1; i >= 0; i--) {
-            if (named.test(names.get(i))) {
+            if (nameFilter.test(names.get(i))) {
                 names.remove(i);
                 values.remove(i);
             }
@@ -91,10 +91,10 @@
 
     /** A copy that changes alone. */
     public Fields copy() {
-        Fields f = new Fields();
-        f.names.addAll(names);
-        f.values.addAll(values);
-        return f;
+        Fields copy = new Fields();
+        copy.names.addAll(names);
+        copy.values.addAll(values);
+        return copy;
     }
 
     /** Number of lines. */
@@ -124,10 +124,10 @@
 
     @Override
     public String toString() {
-        StringBuilder s = new StringBuilder();
+        StringBuilder text = new StringBuilder();
         for (int i = 0; i < names.size(); i++) {
-            s.append(names.get(i)).append(": ").append(values.get(i)).append('\n');
+            text.append(names.get(i)).append(": ").append(values.get(i)).append('\n');
         }
-        return s.toString();
+        return text.toString();
     }
 }
--- a/src/main/java/brooklock/http/Forwarding.java
+++ b/src/main/java/brooklock/http/Forwarding.java
@@ -22,29 +22,31 @@
 
     /** A copy without the fields of this hop, those that Connection names among them. */
     public static Fields endToEnd(Fields fields) {
-        Set<String> named = new HashSet<>(HOP_BY_HOP);
-        String connection = fields.joined("Connection");
+        Set<String> dropped = new HashSet<>(HOP_BY_HOP);
+        String connection = fields.combinedValue("Connection");
         if (connection != null) {
             for (String s : connection.split(",")) {
-                named.add(s.trim().toLowerCase(Locale.ROOT));
+                dropped.add(s.trim().toLowerCase(Locale.ROOT));
             }
         }
         // Framing and Host are never a hop's to drop: a client that names them would change the
         // message.
-        named.remove("content-length");
-        named.remove("host");
-        return fields.copy().removeIf(n -> named.contains(n.toLowerCase(Locale.ROOT)));
+        dropped.remove("content-length");
+        dropped.remove("host");
+        return fields.copy().removeIf(n -> dropped.contains(n.toLowerCase(Locale.ROOT)));
     }
 
     /** Adds this hop to Via. */
-    public static void via(Fields fields, int minor, String pseudonym) {
-        String before = fields.joined("Via");
-        fields.set("Via", (before == null ? "" : before + ", ") + "1." + minor + " " + pseudonym);
+    public static void appendVia(Fields fields, int minorVersion, String pseudonym) {
+        String previous = fields.combinedValue("Via");
+        fields.set(
+                "Via",
+                (previous == null ? "" : previous + ", ") + "1." + minorVersion + " " + pseudonym);
     }
 
     /** Whether a message has been here before. */
-    public static boolean loops(Fields fields, String pseudonym) {
-        String via = fields.joined("Via");
+    public static boolean hasPassedThrough(Fields fields, String pseudonym) {
+        String via = fields.combinedValue("Via");
         if (via == null) {
             return false;
         }
--- a/src/main/java/brooklock/http/Framing.java
+++ b/src/main/java/brooklock/http/Framing.java
@@ -33,51 +33,57 @@
      * How a request's body ends; ambiguous ones are refused, since two readers would cut them
      * differently.
      */
-    public static Framing of(RequestHead head) throws HttpProblem {
-        Framing f = stated(head.fields(), head.minor(), 400, 501);
-        return f == null ? NONE : f;
+    public static Framing of(RequestHead head) throws HttpProtocolException {
+        Framing framing = declared(head.fields(), head.minorVersion(), 400, 501);
+        return framing == null ? NONE : framing;
     }
 
     /** How an answer's body ends, by the method that was asked. */
-    public static Framing of(ResponseHead head, String method) throws HttpProblem {
-        Framing f = stated(head.fields(), head.minor(), 502, 502);
+    public static Framing of(ResponseHead head, String method) throws HttpProtocolException {
+        Framing framing = declared(head.fields(), head.minorVersion(), 502, 502);
         if (method.equals("HEAD")
                 || head.status() < 200
                 || head.status() == 204
                 || head.status() == 304) {
             return NONE;
         }
-        return f == null ? UNTIL_CLOSE : f;
+        return framing == null ? UNTIL_CLOSE : framing;
     }
 
-    private static Framing stated(Fields fields, int minor, int bad, int unknown)
-            throws HttpProblem {
-        String coding = fields.joined("Transfer-Encoding");
-        int lengths = fields.count("Content-Length");
+    private static Framing declared(
+            Fields fields, int minorVersion, int badMessageStatus, int unknownCodingStatus)
+            throws HttpProtocolException {
+        String coding = fields.combinedValue("Transfer-Encoding");
+        int lengthCount = fields.count("Content-Length");
         if (coding != null) {
-            if (lengths > 0) {
-                throw new HttpProblem(bad, "both Content-Length and Transfer-Encoding");
+            if (lengthCount > 0) {
+                throw new HttpProtocolException(
+                        badMessageStatus, "both Content-Length and Transfer-Encoding");
             }
-            if (minor < 1) {
-                throw new HttpProblem(bad, "Transfer-Encoding in HTTP/1.0");
+            if (minorVersion < 1) {
+                throw new HttpProtocolException(badMessageStatus, "Transfer-Encoding in HTTP/1.0");
             }
             if (!coding.equalsIgnoreCase("chunked")) {
-                throw new HttpProblem(unknown, "transfer coding other than chunked");
+                throw new HttpProtocolException(
+                        unknownCodingStatus, "transfer coding other than chunked");
             }
             return CHUNKED;
         }
-        if (lengths > 1) {
-            throw new HttpProblem(bad, "more than one Content-Length");
+        if (lengthCount > 1) {
+            throw new HttpProtocolException(badMessageStatus, "more than one Content-Length");
         }
-        return lengths == 0 ? null : fixed(length(fields.get("Content-Length"), bad));
+        return lengthCount == 0
+                ? null
+                : fixed(length(fields.get("Content-Length"), badMessageStatus));
     }
 
-    private static long length(String text, int bad) throws HttpProblem {
+    private static long length(String text, int badMessageStatus) throws HttpProtocolException {
         // Eighteen digits are the most that surely fit a long.
         if (text.isEmpty()
                 || text.length() > 18
                 || !text.chars().allMatch(c -> c >= '0' && c <= '9')) {
-            throw new HttpProblem(bad, "Content-Length is not a number of bytes");
+            throw new HttpProtocolException(
+                    badMessageStatus, "Content-Length is not a number of bytes");
         }
         return Long.parseLong(text);
     }
--- a/src/main/java/brooklock/http/Chars.java
+++ b/src/main/java/brooklock/http/HttpCharacters.java
@@ -1,7 +1,7 @@
 package brooklock.http;
 
 /** Which characters stand where (RFC 9110, section 5.6.2 and 5.5; RFC 9112, section 3.2). */
-final class Chars {
+final class HttpCharacters {
     private static final boolean[] TOKEN = new boolean[128];
 
     static {
@@ -13,7 +13,7 @@
         }
     }
 
-    private Chars() {}
+    private HttpCharacters() {}
 
     static boolean isToken(String s) {
         for (int i = 0; i < s.length(); i++) {
@@ -71,16 +71,16 @@
         if (port.length() > 5 || host.isEmpty()) {
             return false;
         }
-        boolean six = host.startsWith("[");
-        if (six && (!host.endsWith("]") || host.length() < 4)) {
+        boolean ipv6 = host.startsWith("[");
+        if (ipv6 && (!host.endsWith("]") || host.length() < 4)) {
             return false;
         }
-        String inner = six ? host.substring(1, host.length() - 1) : host;
+        String inner = ipv6 ? host.substring(1, host.length() - 1) : host;
         for (int i = 0; i < inner.length(); i++) {
             char c = inner.charAt(i);
-            boolean plain =
+            boolean hostCharacter =
                     c < 128 && Character.isLetterOrDigit(c) || "-._~%!$&'()*+,;=".indexOf(c) >= 0;
-            if (!(six ? Character.digit(c, 16) >= 0 || c == ':' || c == '.' : plain)) {
+            if (!(ipv6 ? Character.digit(c, 16) >= 0 || c == ':' || c == '.' : hostCharacter)) {
                 return false;
             }
         }
--- a/src/main/java/brooklock/http/HttpLimits.java
+++ b/src/main/java/brooklock/http/HttpLimits.java
@@ -10,12 +10,17 @@
  * @param fields field lines in a head, or in a trailer section; above it 431
  * @param body bytes of a body once unchunked; above it 413
  */
-public record HttpLimits(int startLine, int field, int head, int fields, long body) {
+public record HttpLimits(
+        int maxStartLineBytes,
+        int maxFieldBytes,
+        int maxHeadBytes,
+        int maxFieldCount,
+        long maxBodyBytes) {
     /** Room for signed URLs and cookies, too small to be worth an attack. */
     public static final HttpLimits STANDARD = new HttpLimits(8192, 8192, 32768, 100, 1L << 40);
 
     /** The same with another bound on bodies, bytes. */
-    public HttpLimits withBody(long bytes) {
-        return new HttpLimits(startLine, field, head, fields, bytes);
+    public HttpLimits withMaxBodyBytes(long bytes) {
+        return new HttpLimits(maxStartLineBytes, maxFieldBytes, maxHeadBytes, maxFieldCount, bytes);
     }
 }
--- a/src/main/java/brooklock/http/HttpProblem.java
+++ b/src/main/java/brooklock/http/HttpProtocolException.java
@@ -3,7 +3,7 @@
 /**
  * A message that cannot be taken, with the status that tells its sender why (RFC 9110, section 15).
  */
-public final class HttpProblem extends Exception {
+public final class HttpProtocolException extends Exception {
     private static final long serialVersionUID = 1L;
 
     /**
@@ -13,7 +13,7 @@
     public final int status;
 
     /** A problem with its status and the reason in plain words. */
-    public HttpProblem(int status, String reason) {
+    public HttpProtocolException(int status, String reason) {
         super(reason, null, false, false);
         this.status = status;
     }
--- a/src/main/java/brooklock/http/LineReader.java
+++ b/src/main/java/brooklock/http/LineReader.java
@@ -11,29 +11,31 @@
 final class LineReader {
     private byte[] line = new byte[256];
     private int length;
-    private boolean sawCr;
+    private boolean afterCr;
 
     /** The next whole line without its end, or null when the buffer ran out first. */
-    String next(ByteBuffer in, int most, int tooLong, int bad) throws HttpProblem {
+    String next(ByteBuffer in, int maxBytes, int tooLongStatus, int badMessageStatus)
+            throws HttpProtocolException {
         while (in.hasRemaining()) {
             byte b = in.get();
-            if (sawCr) {
+            if (afterCr) {
                 if (b != '\n') {
-                    throw new HttpProblem(bad, "CR without LF");
+                    throw new HttpProtocolException(badMessageStatus, "CR without LF");
                 }
-                sawCr = false;
-                String s = new String(line, 0, length, StandardCharsets.ISO_8859_1);
+                afterCr = false;
+                String complete = new String(line, 0, length, StandardCharsets.ISO_8859_1);
                 length = 0;
-                return s;
+                return complete;
             } else if (b == '\r') {
-                sawCr = true;
+                afterCr = true;
             } else if (b == '\n') {
-                throw new HttpProblem(bad, "LF without CR");
-            } else if (length == most) {
-                throw new HttpProblem(tooLong, "line of over " + most + " bytes");
+                throw new HttpProtocolException(badMessageStatus, "LF without CR");
+            } else if (length == maxBytes) {
+                throw new HttpProtocolException(
+                        tooLongStatus, "line of over " + maxBytes + " bytes");
             } else {
                 if (length == line.length) {
-                    line = Arrays.copyOf(line, Math.min(most, 2 * length));
+                    line = Arrays.copyOf(line, Math.min(maxBytes, 2 * length));
                 }
                 line[length++] = b;
             }
@@ -42,7 +44,7 @@
     }
 
     /** Whether nothing of a line has come yet. */
-    boolean atStart() {
-        return length == 0 && !sawCr;
+    boolean isEmpty() {
+        return length == 0 && !afterCr;
     }
 }
--- a/src/main/java/brooklock/http/Reasons.java
+++ b/src/main/java/brooklock/http/ReasonPhrases.java
@@ -3,8 +3,8 @@
 import java.util.Map;
 
 /** Reason phrases (RFC 9110, section 15). */
-public final class Reasons {
-    private static final Map<Integer, String> WORDS =
+public final class ReasonPhrases {
+    private static final Map<Integer, String> PHRASES =
             Map.ofEntries(
                     Map.entry(100, "Continue"),
                     Map.entry(200, "OK"),
@@ -30,10 +30,10 @@
                     Map.entry(505, "HTTP Version Not Supported"),
                     Map.entry(508, "Loop Detected"));
 
-    private Reasons() {}
+    private ReasonPhrases() {}
 
     /** The phrase of a status, or an empty one. */
     public static String of(int status) {
-        return WORDS.getOrDefault(status, "");
+        return PHRASES.getOrDefault(status, "");
     }
 }
--- a/src/main/java/brooklock/http/RequestHead.java
+++ b/src/main/java/brooklock/http/RequestHead.java
@@ -9,16 +9,17 @@
  * @param minor 0 for HTTP/1.0, else 1
  * @param fields its field lines
  */
-public record RequestHead(String method, String target, String host, int minor, Fields fields) {
+public record RequestHead(
+        String method, String target, String authority, int minorVersion, Fields fields) {
     /** Whether the connection may be used again after this request (RFC 9112, section 9.3). */
-    public boolean keepsAlive() {
-        return minor >= 1
+    public boolean isPersistent() {
+        return minorVersion >= 1
                 ? !fields.hasToken("Connection", "close")
                 : fields.hasToken("Connection", "keep-alive");
     }
 
     /** Whether the client waits for 100 before it sends the body. */
     public boolean expectsContinue() {
-        return minor >= 1 && "100-continue".equalsIgnoreCase(fields.get("Expect"));
+        return minorVersion >= 1 && "100-continue".equalsIgnoreCase(fields.get("Expect"));
     }
 }
--- a/src/main/java/brooklock/http/ResponseHead.java
+++ b/src/main/java/brooklock/http/ResponseHead.java
@@ -8,15 +8,15 @@
  * @param minor 0 for HTTP/1.0, else 1
  * @param fields its field lines
  */
-public record ResponseHead(int status, String reason, int minor, Fields fields) {
+public record ResponseHead(int status, String reasonPhrase, int minorVersion, Fields fields) {
     /** An answer of our own. */
     public ResponseHead(int status, Fields fields) {
-        this(status, Reasons.of(status), 1, fields);
+        this(status, ReasonPhrases.of(status), 1, fields);
     }
 
     /** Whether the connection may be used again after this answer. */
-    public boolean keepsAlive() {
-        return minor >= 1
+    public boolean isPersistent() {
+        return minorVersion >= 1
                 ? !fields.hasToken("Connection", "close")
                 : fields.hasToken("Connection", "keep-alive");
     }
--- a/src/main/java/brooklock/membership/ListText.java
+++ b/src/main/java/brooklock/membership/EndpointListCodec.java
@@ -1,8 +1,8 @@
 package brooklock.membership;
 
-import brooklock.config.HostId;
-import brooklock.config.Settings.Kind;
-import brooklock.routing.RouterApi.HostState;
+import brooklock.config.EndpointId;
+import brooklock.config.Settings.EndpointKind;
+import brooklock.routing.EndpointState;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -16,14 +16,14 @@
  * host, and a last line "end N" with their number, so that a list cut short is seen to be. A list
  * is taken whole or not at all.
  */
-public final class ListText {
+public final class EndpointListCodec {
     /** Most hosts in one list. */
-    public static final int MOST = 4096;
+    public static final int MAX_ENDPOINTS = 4096;
 
-    private ListText() {}
+    private EndpointListCodec() {}
 
     /** Reads a list; a wrong one throws with line and reason. */
-    public static Notice parse(String text) {
+    public static WatchEvent decode(String text) {
         String[] rows = text.split("\n");
         String[] first = rows[0].trim().split("[ \t]+");
         if (first.length < 2
@@ -41,14 +41,14 @@
                             + (rows.length - 2)
                             + "': it was cut short or its hosts were miscounted");
         }
-        if (rows.length - 2 > MOST) {
-            throw new IllegalArgumentException("a list holds " + MOST + " hosts at most");
+        if (rows.length - 2 > MAX_ENDPOINTS) {
+            throw new IllegalArgumentException("a list holds " + MAX_ENDPOINTS + " hosts at most");
         }
-        List<Member> all = new ArrayList<>();
+        List<ListedEndpoint> all = new ArrayList<>();
         Set<Long> seen = new HashSet<>();
         for (int i = 1; i < rows.length - 1; i++) {
             try {
-                Member m = member(rows[i]);
+                ListedEndpoint m = decodeEndpoint(rows[i]);
                 if (!seen.add(m.id())) {
                     throw new IllegalArgumentException(
                             "the host '" + m.name() + "' stands here twice");
@@ -59,14 +59,14 @@
             }
         }
         try {
-            return new Notice(stamp(first, 2), first[1].equals("full"), all);
+            return new WatchEvent(decodeVersion(first, 2), first[1].equals("full"), all);
         } catch (IllegalArgumentException e) {
             throw new IllegalArgumentException("line 1: " + e.getMessage());
         }
     }
 
     // From a word on: source NAME epoch E number N [follows M], or nothing.
-    private static Stamp stamp(String[] w, int from) {
+    private static EventVersion decodeVersion(String[] w, int from) {
         if (w.length == from) {
             return null;
         }
@@ -85,7 +85,7 @@
                         "'" + values[k] + "' is not a whole number of up to 15 digits");
             }
         }
-        return new Stamp(
+        return new EventVersion(
                 values[0],
                 Long.parseLong(values[1]),
                 Long.parseLong(values[2]),
@@ -93,7 +93,7 @@
     }
 
     /** Reads one host's line; a wrong one throws with the reason. */
-    static Member member(String row) {
+    static ListedEndpoint decodeEndpoint(String row) {
         String[] w = row.trim().split("[ \t]+");
         if (w.length != 7) {
             throw new IllegalArgumentException(
@@ -111,19 +111,19 @@
             throw new IllegalArgumentException(
                     "a weight is above 0, a start is ms since 1970 or 0");
         }
-        return new Member(
+        return new ListedEndpoint(
                 w[0],
-                HostId.of(w[0]),
-                word(Kind.class, w[1]),
+                EndpointId.of(w[0]),
+                parseConstant(EndpointKind.class, w[1]),
                 w[2],
                 new InetSocketAddress(
                         w[3].substring(0, colon), Integer.parseInt(w[3].substring(colon + 1))),
-                word(HostState.class, w[4]),
+                parseConstant(EndpointState.class, w[4]),
                 weight,
                 Long.parseLong(w[6]));
     }
 
-    static <E extends Enum<E>> E word(Class<E> type, String text) {
+    static <E extends Enum<E>> E parseConstant(Class<E> type, String text) {
         for (E e : type.getEnumConstants()) {
             if (e.name().toLowerCase(Locale.ROOT).equals(text)) {
                 return e;
@@ -137,20 +137,20 @@
     }
 
     /** A list as text. */
-    public static String write(Notice n) {
+    public static String encode(WatchEvent n) {
         StringBuilder s =
                 new StringBuilder(n.full() ? "list full" : "list delta")
-                        .append(n.stamp() == null ? "" : " " + n.stamp())
+                        .append(n.version() == null ? "" : " " + n.version())
                         .append('\n');
-        n.members().forEach(m -> s.append(write(m)).append('\n'));
-        return s.append("end ").append(n.members().size()).append('\n').toString();
+        n.endpoints().forEach(m -> s.append(encode(m)).append('\n'));
+        return s.append("end ").append(n.endpoints().size()).append('\n').toString();
     }
 
     /** One host's line. */
-    static String write(Member m) {
+    static String encode(ListedEndpoint m) {
         return m.name()
                 + ' '
-                + lower(m.kind())
+                + lowerCaseName(m.kind())
                 + ' '
                 + m.zone()
                 + ' '
@@ -158,19 +158,19 @@
                 + ':'
                 + m.address().getPort()
                 + ' '
-                + lower(m.state())
+                + lowerCaseName(m.state())
                 + ' '
-                + plain(m.weight())
+                + plainDecimal(m.weight())
                 + ' '
                 + m.startedMs();
     }
 
     // As it is read: no exponent.
-    private static String plain(double weight) {
+    private static String plainDecimal(double weight) {
         return new java.math.BigDecimal(Double.toString(weight)).toPlainString();
     }
 
-    private static String lower(Enum<?> e) {
+    private static String lowerCaseName(Enum<?> e) {
         return e.name().toLowerCase(Locale.ROOT);
     }
 }
--- a/src/main/java/brooklock/membership/ListFile.java
+++ b/src/main/java/brooklock/membership/EndpointListFile.java
@@ -10,11 +10,11 @@
 import java.nio.file.StandardOpenOption;
 
 /** The last list, on disk: all that a dispatcher that was killed has when it is back. */
-public final class ListFile {
+public final class EndpointListFile {
     private final Path path;
 
     /** At a path. */
-    public ListFile(Path path) {
+    public EndpointListFile(Path path) {
         this.path = path;
     }
 
@@ -28,7 +28,7 @@
             return null;
         }
         try {
-            return BookText.read(Files.readString(path, StandardCharsets.UTF_8));
+            return EndpointRegistryCodec.decode(Files.readString(path, StandardCharsets.UTF_8));
         } catch (IllegalArgumentException e) {
             throw new IOException(path + ": " + e.getMessage());
         }
@@ -36,14 +36,14 @@
 
     /** Saves it whole, forced out to disk. */
     public void save(Membership.State state) throws IOException {
-        put(path, BookText.write(state), true);
+        replaceAtomically(path, EndpointRegistryCodec.encode(state), true);
     }
 
     /**
      * Puts a text in place of a file, whole: written beside, forced out if that is asked for, then
      * moved there.
      */
-    public static void put(Path path, String text, boolean force) throws IOException {
+    public static void replaceAtomically(Path path, String text, boolean force) throws IOException {
         Path beside = path.resolveSibling(path.getFileName() + ".new");
         try (FileChannel out =
                 FileChannel.open(
--- a/src/main/java/brooklock/membership/Stamp.java
+++ b/src/main/java/brooklock/membership/EventVersion.java
@@ -10,24 +10,24 @@
  * @param follows for a delta, the number it was made from, which must be in force; 0 for a full
  *     list
  */
-public record Stamp(String source, long epoch, long number, long follows) {
+public record EventVersion(String source, long epoch, long sequence, long baseSequence) {
     /** Longest name of a source. */
-    public static final int LONGEST_NAME = 63;
+    public static final int MAX_SOURCE_NAME_LENGTH = 63;
 
     /** Checks it; what is wrong is told in plain words. */
-    public Stamp {
-        if (!source.matches("[A-Za-z0-9][A-Za-z0-9._-]{0," + (LONGEST_NAME - 1) + "}")) {
+    public EventVersion {
+        if (!source.matches("[A-Za-z0-9][A-Za-z0-9._-]{0," + (MAX_SOURCE_NAME_LENGTH - 1) + "}")) {
             throw new IllegalArgumentException(
                     "a source's name is up to "
-                            + LONGEST_NAME
+                            + MAX_SOURCE_NAME_LENGTH
                             + " letters, digits, dots, dashes: '"
                             + source
                             + "'");
         }
-        if (epoch < 1 || number < 1) {
+        if (epoch < 1 || sequence < 1) {
             throw new IllegalArgumentException("an epoch and a number are 1 or more");
         }
-        if (follows < 0 || follows >= number) {
+        if (baseSequence < 0 || baseSequence >= sequence) {
             throw new IllegalArgumentException("a delta follows a number before its own");
         }
     }
@@ -39,7 +39,7 @@
                 + " epoch "
                 + epoch
                 + " number "
-                + number
-                + (follows == 0 ? "" : " follows " + follows);
+                + sequence
+                + (baseSequence == 0 ? "" : " follows " + baseSequence);
     }
 }
--- a/src/main/java/brooklock/membership/Member.java
+++ b/src/main/java/brooklock/membership/ListedEndpoint.java
@@ -1,7 +1,7 @@
 package brooklock.membership;
 
-import brooklock.config.Settings.Kind;
-import brooklock.routing.RouterApi.HostState;
+import brooklock.config.Settings.EndpointKind;
+import brooklock.routing.EndpointState;
 import java.net.InetSocketAddress;
 
 /**
@@ -10,17 +10,17 @@
  * @param id its number, made of its name
  * @param startedMs wall time of its last start, ms since 1970; 0 for long ago
  */
-public record Member(
+public record ListedEndpoint(
         String name,
         long id,
-        Kind kind,
+        EndpointKind kind,
         String zone,
         InetSocketAddress address,
-        HostState state,
+        EndpointState state,
         double weight,
         long startedMs) {
     /** The same host in another state. */
-    public Member in(HostState other) {
-        return new Member(name, id, kind, zone, address, other, weight, startedMs);
+    public ListedEndpoint withState(EndpointState other) {
+        return new ListedEndpoint(name, id, kind, zone, address, other, weight, startedMs);
     }
 }
--- a/src/main/java/brooklock/membership/Membership.java
+++ b/src/main/java/brooklock/membership/Membership.java
@@ -1,7 +1,7 @@
 package brooklock.membership;
 
-import brooklock.membership.Answer.Result;
-import brooklock.routing.RouterApi.HostState;
+import brooklock.membership.UpdateResult.Status;
+import brooklock.routing.EndpointState;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
@@ -24,13 +24,13 @@
  */
 public final class Membership {
     /** Sources with an order that are remembered; a further one is refused. */
-    public static final int MOST_SOURCES = 16;
+    public static final int MAX_SOURCES = 16;
 
     /** All of it at one moment. */
     public record State(
-            PMap<String, Source> sources,
-            PMap<Long, HostState> byHand,
-            PSortedMap<Long, Member> inForce) {
+            PMap<String, EventSource> sources,
+            PMap<Long, EndpointState> overrides,
+            PSortedMap<Long, ListedEndpoint> endpoints) {
         /** Nobody has said anything. */
         public static final State EMPTY =
                 new State(HashTreePMap.empty(), HashTreePMap.empty(), TreePMap.empty());
@@ -52,130 +52,135 @@
     // ---- Notices
 
     /** Takes a notice whole or not at all. */
-    public Answer take(long wallMs, Notice n) {
-        for (Member m : n.members()) {
+    public UpdateResult apply(long wallMs, WatchEvent n) {
+        for (ListedEndpoint m : n.endpoints()) {
             if (!zones.contains(m.zone())) {
-                return Answer.nothing(
-                        Result.REFUSED,
+                return UpdateResult.unchanged(
+                        Status.REFUSED,
                         "host '" + m.name() + "': there is no zone '" + m.zone() + "'");
             }
         }
-        String name = n.stamp() == null ? Source.UNNUMBERED : n.stamp().source();
-        Source before = state.sources.getOrDefault(name, Source.silent(name));
-        Answer no = n.stamp() == null ? null : outOfOrder(before, n);
+        String name = n.version() == null ? EventSource.UNVERSIONED : n.version().source();
+        EventSource before = state.sources.getOrDefault(name, EventSource.initial(name));
+        UpdateResult no = n.version() == null ? null : checkOrder(before, n);
         if (no != null) {
-            if (no.result() == Result.REPEATED) {
+            if (no.status() == Status.REPEATED) {
                 state =
                         new State(
-                                state.sources.plus(name, before.heard(wallMs)),
-                                state.byHand,
-                                state.inForce);
+                                state.sources.plus(name, before.withLastHeard(wallMs)),
+                                state.overrides,
+                                state.endpoints);
             }
             return no;
         }
-        long ordered = state.sources.values().stream().filter(Source::ordered).count();
-        if (!state.sources.containsKey(name) && n.stamp() != null && ordered >= MOST_SOURCES) {
-            return Answer.nothing(
-                    Result.REFUSED,
-                    "there are " + MOST_SOURCES + " sources already; forget one first");
+        long ordered = state.sources.values().stream().filter(EventSource::isOrdered).count();
+        if (!state.sources.containsKey(name) && n.version() != null && ordered >= MAX_SOURCES) {
+            return UpdateResult.unchanged(
+                    Status.REFUSED,
+                    "there are " + MAX_SOURCES + " sources already; forget one first");
         }
-        PMap<String, Source> sources = state.sources.plus(name, before.after(n, wallMs));
+        PMap<String, EventSource> sources = state.sources.plus(name, before.withEvent(n, wallMs));
         if (n.full()) {
-            sources = sources.minus(Source.SETTINGS);
+            sources = sources.minus(EventSource.SETTINGS);
         }
-        return settle(
+        return commit(
                 sources,
-                state.byHand,
-                n.full() ? null : n.members().stream().map(Member::id).toList(),
+                state.overrides,
+                n.full() ? null : n.endpoints().stream().map(ListedEndpoint::id).toList(),
                 sources.get(name).toString());
     }
 
     // Null where it is next in its source's order.
-    private static Answer outOfOrder(Source before, Notice n) {
-        Stamp s = n.stamp();
+    private static UpdateResult checkOrder(EventSource before, WatchEvent n) {
+        EventVersion s = n.version();
         String inForce =
                 before.epoch() == 0
                         ? "source " + s.source() + " has said nothing yet"
                         : before.toString();
         if (s.epoch() < before.epoch()) {
-            return Answer.nothing(Result.OLD_EPOCH, inForce);
+            return UpdateResult.unchanged(Status.OLD_EPOCH, inForce);
         }
         if (s.epoch() > before.epoch()) {
-            return n.full() ? null : Answer.nothing(Result.GAP, inForce);
+            return n.full() ? null : UpdateResult.unchanged(Status.GAP, inForce);
         }
-        if (s.number() < before.number()) {
-            return Answer.nothing(Result.OLDER, inForce);
+        if (s.sequence() < before.sequence()) {
+            return UpdateResult.unchanged(Status.OLDER, inForce);
         }
-        if (s.number() == before.number()) {
-            return Answer.nothing(
-                    n.full() && !before.says(n) ? Result.CONFLICT : Result.REPEATED, inForce);
+        if (s.sequence() == before.sequence()) {
+            return UpdateResult.unchanged(
+                    n.full() && !before.hasSameEndpoints(n) ? Status.CONFLICT : Status.REPEATED,
+                    inForce);
         }
         // One from before what is in force won't do either: a host that changed and changed back is
         // not in it.
-        return n.full() || s.follows() == before.number()
+        return n.full() || s.baseSequence() == before.sequence()
                 ? null
-                : Answer.nothing(Result.GAP, inForce);
+                : UpdateResult.unchanged(Status.GAP, inForce);
     }
 
     /** The hosts of the settings: in force until a source gives a full list. */
-    public Answer settings(long wallMs, List<Member> hosts) {
-        Source s = Source.silent(Source.SETTINGS).after(Notice.unnumbered(true, hosts), wallMs);
-        return settle(state.sources.plus(Source.SETTINGS, s), state.byHand, null, s.toString());
+    public UpdateResult applySettings(long wallMs, List<ListedEndpoint> hosts) {
+        EventSource s =
+                EventSource.initial(EventSource.SETTINGS)
+                        .withEvent(WatchEvent.unversioned(true, hosts), wallMs);
+        return commit(
+                state.sources.plus(EventSource.SETTINGS, s), state.overrides, null, s.toString());
     }
 
     /** Goes on from what was saved; hosts in zones that are not known any more are left out. */
-    public Answer restore(State saved) {
-        PMap<String, Source> sources = saved.sources;
-        for (Source s : saved.sources.values()) {
-            PSortedMap<Long, Member> words = s.words();
-            for (Member m : s.words().values()) {
+    public UpdateResult restore(State saved) {
+        PMap<String, EventSource> sources = saved.sources;
+        for (EventSource s : saved.sources.values()) {
+            PSortedMap<Long, ListedEndpoint> words = s.endpoints();
+            for (ListedEndpoint m : s.endpoints().values()) {
                 words = zones.contains(m.zone()) ? words : words.minus(m.id());
             }
             sources =
                     sources.plus(
                             s.name(),
-                            new Source(s.name(), s.epoch(), s.number(), s.heardMs(), words));
+                            new EventSource(
+                                    s.name(), s.epoch(), s.sequence(), s.lastHeardMs(), words));
         }
-        return settle(sources, saved.byHand, null, "as saved");
+        return commit(sources, saved.overrides, null, "as saved");
     }
 
     // ---- By hand
 
     /** An operator's word on one host; ready takes back what was said by hand before. */
-    public Answer byHand(String host, HostState word) {
-        Member m = named(host);
+    public UpdateResult setOverride(String host, EndpointState word) {
+        ListedEndpoint m = findByName(host);
         if (m == null) {
-            return Answer.nothing(
-                    Result.UNKNOWN, "no host of the name '" + host + "' is on the list");
+            return UpdateResult.unchanged(
+                    Status.UNKNOWN, "no host of the name '" + host + "' is on the list");
         }
-        PMap<Long, HostState> words =
-                word == HostState.READY
-                        ? state.byHand.minus(m.id())
-                        : state.byHand.plus(m.id(), word);
-        Answer a = settle(state.sources, words, List.of(m.id()), "");
-        if (!a.taken()) {
+        PMap<Long, EndpointState> words =
+                word == EndpointState.READY
+                        ? state.overrides.minus(m.id())
+                        : state.overrides.plus(m.id(), word);
+        UpdateResult a = commit(state.sources, words, List.of(m.id()), "");
+        if (!a.applied()) {
             return a;
         }
-        HostState now = state.inForce.get(m.id()).state();
+        EndpointState now = state.endpoints.get(m.id()).state();
         String says = host + " is " + now.name().toLowerCase(java.util.Locale.ROOT);
-        return new Answer(
-                word == HostState.READY && now != word ? Result.HELD : Result.TAKEN,
-                now == word ? says : says + ", as " + holder(m.id(), now) + " says",
-                a.told(),
+        return new UpdateResult(
+                word == EndpointState.READY && now != word ? Status.HELD : Status.TAKEN,
+                now == word ? says : says + ", as " + nameHolderOf(m.id(), now) + " says",
+                a.affected(),
                 false);
     }
 
-    private Member named(String host) {
-        return state.inForce.values().stream()
+    private ListedEndpoint findByName(String host) {
+        return state.endpoints.values().stream()
                 .filter(m -> m.name().equals(host))
                 .findFirst()
                 .orElse(null);
     }
 
-    private String holder(long id, HostState word) {
+    private String nameHolderOf(long id, EndpointState word) {
         return state.sources.values().stream()
-                .filter(s -> s.words().containsKey(id) && s.words().get(id).state() == word)
-                .map(Source::toString)
+                .filter(s -> s.endpoints().containsKey(id) && s.endpoints().get(id).state() == word)
+                .map(EventSource::toString)
                 .findFirst()
                 .orElse("nobody else");
     }
@@ -184,60 +189,62 @@
      * A source's order begins anew: its next full list is taken whatever its epoch; what it said
      * stays in force.
      */
-    public Answer reset(String source) {
-        Source s = source == null ? null : state.sources.get(source);
-        if (s == null || !s.ordered()) {
-            return Answer.nothing(
-                    Result.UNKNOWN, "no source of the name '" + source + "' has been heard");
+    public UpdateResult resetSource(String source) {
+        EventSource s = source == null ? null : state.sources.get(source);
+        if (s == null || !s.isOrdered()) {
+            return UpdateResult.unchanged(
+                    Status.UNKNOWN, "no source of the name '" + source + "' has been heard");
         }
         state =
                 new State(
                         state.sources.plus(
-                                source, new Source(source, 0, 0, s.heardMs(), s.words())),
-                        state.byHand,
-                        state.inForce);
-        return new Answer(
-                Result.TAKEN, "its next full list is taken whatever its epoch", List.of(), false);
+                                source,
+                                new EventSource(source, 0, 0, s.lastHeardMs(), s.endpoints())),
+                        state.overrides,
+                        state.endpoints);
+        return new UpdateResult(
+                Status.TAKEN, "its next full list is taken whatever its epoch", List.of(), false);
     }
 
     /** A source and all it said are forgotten: hosts that it alone named are gone. */
-    public Answer forget(String source) {
+    public UpdateResult forgetSource(String source) {
         if (source == null || !state.sources.containsKey(source)) {
-            return Answer.nothing(
-                    Result.UNKNOWN, "no source of the name '" + source + "' has been heard");
+            return UpdateResult.unchanged(
+                    Status.UNKNOWN, "no source of the name '" + source + "' has been heard");
         }
-        return settle(state.sources.minus(source), state.byHand, null, source + " is forgotten");
+        return commit(state.sources.minus(source), state.overrides, null, source + " is forgotten");
     }
 
     // ---- What is in force
 
     // Puts the words together and takes them if the whole fits; told are the given hosts, or all
     // where null.
-    private Answer settle(
-            PMap<String, Source> sources,
-            PMap<Long, HostState> byHand,
+    private UpdateResult commit(
+            PMap<String, EventSource> sources,
+            PMap<Long, EndpointState> byHand,
             List<Long> about,
             String why) {
-        PSortedMap<Long, Member> next = state.inForce;
-        for (Long id : about == null ? everyone(sources) : about) {
-            Member m = inForce(sources, byHand, id);
+        PSortedMap<Long, ListedEndpoint> next = state.endpoints;
+        for (Long id : about == null ? allEndpointIds(sources) : about) {
+            ListedEndpoint m = merge(sources, byHand, id);
             next = m == null ? next : next.plus(id, m);
         }
-        if (next.size() > ListText.MOST) {
-            for (Member m : next.values()) {
-                next = m.state() == HostState.GONE ? next.minus(m.id()) : next;
+        if (next.size() > EndpointListCodec.MAX_ENDPOINTS) {
+            for (ListedEndpoint m : next.values()) {
+                next = m.state() == EndpointState.GONE ? next.minus(m.id()) : next;
             }
         }
-        if (next.size() > ListText.MOST) {
-            return Answer.nothing(
-                    Result.REFUSED, "the list would hold over " + ListText.MOST + " hosts");
+        if (next.size() > EndpointListCodec.MAX_ENDPOINTS) {
+            return UpdateResult.unchanged(
+                    Status.REFUSED,
+                    "the list would hold over " + EndpointListCodec.MAX_ENDPOINTS + " hosts");
         }
-        PMap<Long, HostState> words = byHand;
+        PMap<Long, EndpointState> words = byHand;
         for (Long id : byHand.keySet()) {
             words = next.containsKey(id) ? words : words.minus(id);
         }
         state = new State(sources, words, next);
-        List<Member> told = new ArrayList<>();
+        List<ListedEndpoint> told = new ArrayList<>();
         if (about == null) {
             told.addAll(next.values());
         } else {
@@ -247,61 +254,64 @@
                 }
             }
         }
-        return new Answer(Result.TAKEN, why, List.copyOf(told), about == null);
+        return new UpdateResult(Status.TAKEN, why, List.copyOf(told), about == null);
     }
 
-    private Set<Long> everyone(PMap<String, Source> sources) {
-        Set<Long> all = new HashSet<>(state.inForce.keySet());
-        sources.values().forEach(s -> all.addAll(s.words().keySet()));
+    private Set<Long> allEndpointIds(PMap<String, EventSource> sources) {
+        Set<Long> all = new HashSet<>(state.endpoints.keySet());
+        sources.values().forEach(s -> all.addAll(s.endpoints().keySet()));
         return all;
     }
 
     // Address, weight and place by the source that comes first by name (settings last); the latest
     // start of any.
-    private Member inForce(PMap<String, Source> sources, PMap<Long, HostState> byHand, Long id) {
-        Member first = null;
+    private ListedEndpoint merge(
+            PMap<String, EventSource> sources, PMap<Long, EndpointState> byHand, Long id) {
+        ListedEndpoint first = null;
         String firstBy = null;
-        HostState tightest = HostState.READY;
+        EndpointState tightest = EndpointState.READY;
         long started = 0;
-        for (Map.Entry<String, Source> e : sources.entrySet()) {
-            Member m = e.getValue().words().get(id);
+        for (Map.Entry<String, EventSource> e : sources.entrySet()) {
+            ListedEndpoint m = e.getValue().endpoints().get(id);
             if (m == null) {
                 continue;
             }
-            if (first == null || before(e.getKey(), firstBy)) {
+            if (first == null || takesPrecedence(e.getKey(), firstBy)) {
                 first = m;
                 firstBy = e.getKey();
             }
-            tightest = tighter(tightest, m.state());
+            tightest = mostRestrictive(tightest, m.state());
             started = Math.max(started, m.startedMs());
         }
         if (first == null) {
-            Member known = state.inForce.get(id);
-            return known == null ? null : known.in(HostState.GONE);
+            ListedEndpoint known = state.endpoints.get(id);
+            return known == null ? null : known.withState(EndpointState.GONE);
         }
-        return new Member(
+        return new ListedEndpoint(
                 first.name(),
                 first.id(),
                 first.kind(),
                 first.zone(),
                 first.address(),
-                tighter(tightest, byHand.getOrDefault(id, HostState.READY)),
+                mostRestrictive(tightest, byHand.getOrDefault(id, EndpointState.READY)),
                 first.weight(),
                 started);
     }
 
-    private static boolean before(String a, String b) {
+    private static boolean takesPrecedence(String a, String b) {
         boolean plain = !a.startsWith("*");
         boolean otherPlain = !b.startsWith("*");
-        return plain != otherPlain ? plain : plain ? a.compareTo(b) < 0 : b.equals(Source.SETTINGS);
+        return plain != otherPlain
+                ? plain
+                : plain ? a.compareTo(b) < 0 : b.equals(EventSource.SETTINGS);
     }
 
     /** The tighter of two words: gone before draining before ready. */
-    static HostState tighter(HostState a, HostState b) {
-        return a == HostState.GONE || b == HostState.GONE
-                ? HostState.GONE
-                : a == HostState.DRAINING || b == HostState.DRAINING
-                        ? HostState.DRAINING
-                        : HostState.READY;
+    static EndpointState mostRestrictive(EndpointState a, EndpointState b) {
+        return a == EndpointState.GONE || b == EndpointState.GONE
+                ? EndpointState.GONE
+                : a == EndpointState.DRAINING || b == EndpointState.DRAINING
+                        ? EndpointState.DRAINING
+                        : EndpointState.READY;
     }
 }
--- a/src/main/java/brooklock/membership/PurgeMoments.java
+++ b/src/main/java/brooklock/membership/PurgeTimes.java
@@ -8,20 +8,20 @@
  * same moment whatever the wall clock has done between, so that a repeat neither takes back nor
  * widens what the first one did. Pure.
  */
-public final class PurgeMoments {
+public final class PurgeTimes {
     /**
      * Purges remembered; the one told longest ago is forgotten first, and taken as new if it comes
      * again.
      */
-    public static final int MOST = 4096;
+    public static final int MAX_PURGES = 4096;
 
-    private final Map<String, Long> moments =
+    private final Map<String, Long> purgedAtNs =
             new LinkedHashMap<>() {
                 private static final long serialVersionUID = 1L;
 
                 @Override
                 protected boolean removeEldestEntry(Map.Entry<String, Long> eldest) {
-                    return size() > MOST;
+                    return size() > MAX_PURGES;
                 }
             };
 
@@ -32,7 +32,7 @@
      * @param now the module's time, ns
      * @param agoNs how long ago it was by the wall clock as it is now
      */
-    public long ago(String what, long now, long agoNs) {
-        return now - moments.computeIfAbsent(what, k -> now - agoNs);
+    public long ageNs(String what, long now, long agoNs) {
+        return now - purgedAtNs.computeIfAbsent(what, k -> now - agoNs);
     }
 }
--- a/src/main/java/brooklock/membership/Answer.java
+++ b/src/main/java/brooklock/membership/UpdateResult.java
@@ -9,9 +9,10 @@
  * @param told the hosts that it was about, as they are in force now; empty where nothing was taken
  * @param full every host in force is among them
  */
-public record Answer(Result result, String why, List<Member> told, boolean full) {
+public record UpdateResult(
+        Status status, String detail, List<ListedEndpoint> affected, boolean complete) {
     /** What a notice came to. */
-    public enum Result {
+    public enum Status {
         /** In force now. */
         TAKEN(200),
         /** In force already; nothing has changed. */
@@ -35,40 +36,40 @@
         UNKNOWN(404);
 
         /** Its status on the control listener. */
-        public final int status;
+        public final int httpStatus;
 
-        Result(int status) {
-            this.status = status;
+        Status(int status) {
+            this.httpStatus = status;
         }
     }
 
-    static Answer nothing(Result r, String why) {
-        return new Answer(r, why, List.of(), false);
+    static UpdateResult unchanged(Status r, String why) {
+        return new UpdateResult(r, why, List.of(), false);
     }
 
     /**
      * The same where it could not be written to disk: it is in force, but a killed dispatcher would
      * not know of it.
      */
-    public Answer unsaved(String problem) {
-        return new Answer(result, why + "\nnot saved: " + problem, told, full);
+    public UpdateResult withSaveError(String problem) {
+        return new UpdateResult(status, detail + "\nnot saved: " + problem, affected, complete);
     }
 
     /** One that could not be looked at for a fault of ours; nothing has changed. */
-    public static Answer fault(RuntimeException fault) {
-        return nothing(Result.REFUSED, "a fault, see the log: " + fault);
+    public static UpdateResult internalError(RuntimeException fault) {
+        return unchanged(Status.REFUSED, "a fault, see the log: " + fault);
     }
 
     /** Whether the list in force may have changed. */
-    public boolean taken() {
-        return result == Result.TAKEN || result == Result.HELD;
+    public boolean applied() {
+        return status == Status.TAKEN || status == Status.HELD;
     }
 
     /** The answer as it is sent: its word, then what is in force. */
-    public String text() {
-        return result.name().toLowerCase(java.util.Locale.ROOT).replace('_', '-')
+    public String responseBody() {
+        return status.name().toLowerCase(java.util.Locale.ROOT).replace('_', '-')
                 + "\n"
-                + why
+                + detail
                 + "\n";
     }
 }
--- a/src/main/java/brooklock/membership/Notice.java
+++ b/src/main/java/brooklock/membership/WatchEvent.java
@@ -9,20 +9,20 @@
  *     of arrival
  * @param full what it leaves out is gone; else it holds changes only
  */
-public record Notice(Stamp stamp, boolean full, List<Member> members) {
+public record WatchEvent(EventVersion version, boolean full, List<ListedEndpoint> endpoints) {
     /** Checks that the stamp fits. */
-    public Notice {
-        if (stamp != null && full != (stamp.follows() == 0)) {
+    public WatchEvent {
+        if (version != null && full != (version.baseSequence() == 0)) {
             throw new IllegalArgumentException(
                     full
                             ? "a full list follows nothing"
                             : "a numbered delta names the number that it follows");
         }
-        members = List.copyOf(members);
+        endpoints = List.copyOf(endpoints);
     }
 
     /** One without a place in an order. */
-    public static Notice unnumbered(boolean full, List<Member> members) {
-        return new Notice(null, full, members);
+    public static WatchEvent unversioned(boolean full, List<ListedEndpoint> members) {
+        return new WatchEvent(null, full, members);
     }
 }
--- a/src/main/java/brooklock/net/BufferPool.java
+++ b/src/main/java/brooklock/net/BufferPool.java
@@ -9,21 +9,21 @@
  */
 final class BufferPool {
     /** Bytes of a buffer: a head with room to spare, and few calls for a large body. */
-    static final int SIZE = 16 * 1024;
+    static final int BUFFER_BYTES = 16 * 1024;
 
     /** Buffers kept for use again; what is over is left to the collector. */
-    private static final int MOST_KEPT = 256;
+    private static final int MAX_POOLED_BUFFERS = 256;
 
-    private final ArrayDeque<ByteBuffer> free = new ArrayDeque<>();
+    private final ArrayDeque<ByteBuffer> pooled = new ArrayDeque<>();
 
-    ByteBuffer take() {
-        ByteBuffer b = free.pollFirst();
-        return b == null ? ByteBuffer.allocateDirect(SIZE) : b;
+    ByteBuffer acquire() {
+        ByteBuffer buffer = pooled.pollFirst();
+        return buffer == null ? ByteBuffer.allocateDirect(BUFFER_BYTES) : buffer;
     }
 
-    void give(ByteBuffer b) {
-        if (free.size() < MOST_KEPT) {
-            free.addFirst(b.clear());
+    void release(ByteBuffer buffer) {
+        if (pooled.size() < MAX_POOLED_BUFFERS) {
+            pooled.addFirst(buffer.clear());
         }
     }
 }
--- a/src/main/java/brooklock/net/ClientCall.java
+++ b/src/main/java/brooklock/net/ClientCall.java
@@ -7,53 +7,53 @@
 public final class ClientCall {
     final RequestHead head;
     final byte[] body;
-    final AnswerTaker taker;
-    private final HostPool pool;
-    private XnioExecutor.Key place;
-    private ClientConnection connection;
-    private boolean over;
+    final ResponseHandler handler;
+    private final HttpConnectionPool pool;
+    private XnioExecutor.Key waitTimeout;
+    private HttpClientConnection connection;
+    private boolean ended;
     private boolean cancelled;
 
-    ClientCall(HostPool pool, RequestHead head, byte[] body, AnswerTaker taker) {
+    ClientCall(HttpConnectionPool pool, RequestHead head, byte[] body, ResponseHandler handler) {
         this.pool = pool;
         this.head = head;
         this.body = body;
-        this.taker = taker;
+        this.handler = handler;
     }
 
-    void waitsUntil(XnioExecutor.Key key) {
-        place = key;
+    void onQueued(XnioExecutor.Key key) {
+        waitTimeout = key;
     }
 
-    void leftLine() {
-        if (place != null) {
-            place.remove();
-            place = null;
+    void onDequeued() {
+        if (waitTimeout != null) {
+            waitTimeout.remove();
+            waitTimeout = null;
         }
     }
 
-    void runsOn(ClientConnection c) {
-        connection = c;
+    void attach(HttpClientConnection assigned) {
+        connection = assigned;
     }
 
-    void done() {
-        over = true;
+    void markEnded() {
+        ended = true;
         connection = null;
     }
 
-    void failed(Failure failure, String why) {
-        if (!over) {
-            leftLine();
-            done();
+    void fail(CallFailure failure, String reason) {
+        if (!ended) {
+            onDequeued();
+            markEnded();
             if (!cancelled) {
-                taker.failed(failure, why);
+                handler.onFailure(failure, reason);
             }
         }
     }
 
     /** Goes on reading after a piece that was not taken at once. */
     public void resume() {
-        if (!over && connection != null) {
+        if (!ended && connection != null) {
             connection.resume();
         }
     }
@@ -63,16 +63,16 @@
      * more.
      */
     public void cancel() {
-        if (over || cancelled) {
+        if (ended || cancelled) {
             return;
         }
         cancelled = true;
-        pool.leaveLine(this);
-        leftLine();
-        ClientConnection c = connection;
-        if (c != null) {
-            done();
-            c.kill();
+        pool.removeWaiting(this);
+        onDequeued();
+        HttpClientConnection active = connection;
+        if (active != null) {
+            markEnded();
+            active.closeNow();
         }
     }
 }
--- a/src/main/java/brooklock/net/ClientLimits.java
+++ b/src/main/java/brooklock/net/ClientLimits.java
@@ -17,31 +17,63 @@
  */
 public record ClientLimits(
         HttpLimits http,
-        int connections,
-        int openings,
-        int waiting,
-        int idle,
-        long connectNs,
-        long idleNs,
-        long stallNs) {
-    private static final long S = 1_000_000_000L;
+        int maxConnections,
+        int maxConnecting,
+        int maxWaitingCalls,
+        int maxIdleConnections,
+        long connectTimeoutNs,
+        long idleTimeoutNs,
+        long stallTimeoutNs) {
+    private static final long SECOND_NS = 1_000_000_000L;
 
     /** Bounds for a client that has none of its own. */
     public static final ClientLimits STANDARD =
-            new ClientLimits(HttpLimits.STANDARD, 256, 32, 1024, 64, S / 2, 15 * S, 30 * S);
+            new ClientLimits(
+                    HttpLimits.STANDARD,
+                    256,
+                    32,
+                    1024,
+                    64,
+                    SECOND_NS / 2,
+                    15 * SECOND_NS,
+                    30 * SECOND_NS);
 
     /** The same with another time for a connection, ns. */
-    public ClientLimits withConnectNs(long ns) {
-        return new ClientLimits(http, connections, openings, waiting, idle, ns, idleNs, stallNs);
+    public ClientLimits withConnectTimeoutNs(long timeoutNs) {
+        return new ClientLimits(
+                http,
+                maxConnections,
+                maxConnecting,
+                maxWaitingCalls,
+                maxIdleConnections,
+                timeoutNs,
+                idleTimeoutNs,
+                stallTimeoutNs);
     }
 
     /** The same with other bounds on connections, calls in line and idle connections. */
-    public ClientLimits withConnections(int most, int line, int kept) {
-        return new ClientLimits(http, most, openings, line, kept, connectNs, idleNs, stallNs);
+    public ClientLimits withConnections(int max, int maxWaiting, int maxIdle) {
+        return new ClientLimits(
+                http,
+                max,
+                maxConnecting,
+                maxWaiting,
+                maxIdle,
+                connectTimeoutNs,
+                idleTimeoutNs,
+                stallTimeoutNs);
     }
 
     /** The same with another bound on connections on their way. */
-    public ClientLimits withOpenings(int most) {
-        return new ClientLimits(http, connections, most, waiting, idle, connectNs, idleNs, stallNs);
+    public ClientLimits withMaxConnecting(int max) {
+        return new ClientLimits(
+                http,
+                maxConnections,
+                max,
+                maxWaitingCalls,
+                maxIdleConnections,
+                connectTimeoutNs,
+                idleTimeoutNs,
+                stallTimeoutNs);
     }
 }
--- a/src/main/java/brooklock/net/Dial.java
+++ b/src/main/java/brooklock/net/ConnectAttempt.java
@@ -14,18 +14,19 @@
  * One connection on its way to a peer that speaks a protocol other than HTTP. Ends once: opened,
  * failed or given up.
  */
-public final class Dial {
+public final class ConnectAttempt {
     private final IoLoop loop;
-    private final Consumer<Stream> opened;
-    private final Consumer<String> failed;
+    private final Consumer<RawConnection> onOpened;
+    private final Consumer<String> onFailed;
     private IoFuture<StreamConnection> future;
     private XnioExecutor.Key timer;
     private boolean settled;
 
-    private Dial(IoLoop loop, Consumer<Stream> opened, Consumer<String> failed) {
+    private ConnectAttempt(
+            IoLoop loop, Consumer<RawConnection> onOpened, Consumer<String> onFailed) {
         this.loop = loop;
-        this.opened = opened;
-        this.failed = failed;
+        this.onOpened = onOpened;
+        this.onFailed = onFailed;
     }
 
     /**
@@ -33,51 +34,51 @@
      *
      * @param limitNs time for the connection to come up, ns
      */
-    public static Dial to(
+    public static ConnectAttempt connect(
             IoLoop loop,
             InetSocketAddress address,
-            long limitNs,
-            Consumer<Stream> opened,
-            Consumer<String> failed) {
-        Dial d = new Dial(loop, opened, failed);
-        d.begin(address, limitNs);
-        return d;
+            long timeoutNs,
+            Consumer<RawConnection> onOpened,
+            Consumer<String> onFailed) {
+        ConnectAttempt attempt = new ConnectAttempt(loop, onOpened, onFailed);
+        attempt.start(address, timeoutNs);
+        return attempt;
     }
 
-    private void begin(InetSocketAddress address, long limitNs) {
+    private void start(InetSocketAddress address, long timeoutNs) {
         future =
                 loop.thread.openStreamConnection(
                         address,
-                        c -> loop.execute(() -> there(c)),
+                        c -> loop.execute(() -> onConnected(c)),
                         OptionMap.create(Options.TCP_NODELAY, true));
         timer =
-                loop.after(
-                        limitNs,
+                loop.schedule(
+                        timeoutNs,
                         () -> {
                             future.cancel();
-                            fails("no connection in time");
+                            onFailure("no connection in time");
                         });
         future.addNotifier(
                 new IoFuture.HandlingNotifier<StreamConnection, Void>() {
                     @Override
                     public void handleFailed(IOException e, Void nothing) {
-                        loop.execute(() -> fails(String.valueOf(e.getMessage())));
+                        loop.execute(() -> onFailure(String.valueOf(e.getMessage())));
                     }
                 },
                 null);
     }
 
-    private void there(StreamConnection c) {
+    private void onConnected(StreamConnection established) {
         if (settle()) {
-            opened.accept(new Stream(loop, c));
+            onOpened.accept(new RawConnection(loop, established));
         } else {
-            IoUtils.safeClose(c);
+            IoUtils.safeClose(established);
         }
     }
 
-    private void fails(String why) {
+    private void onFailure(String reason) {
         if (settle()) {
-            failed.accept(why);
+            onFailed.accept(reason);
         }
     }
 
@@ -91,7 +92,7 @@
     }
 
     /** Gives it up; nothing is called any more. */
-    public void giveUp() {
+    public void cancel() {
         if (settle()) {
             future.cancel();
         }
--- a/src/main/java/brooklock/net/Wire.java
+++ b/src/main/java/brooklock/net/Connection.java
@@ -13,12 +13,12 @@
  * still to be written, one moving deadline, and an end that happens once. Belongs to one I/O
  * thread.
  */
-abstract class Wire {
+abstract class Connection {
     final IoLoop loop;
-    final StreamConnection connection;
+    final StreamConnection channel;
     final ConduitStreamSourceChannel source;
-    final Output output;
-    final Watchdog watchdog;
+    final WriteQueue writeQueue;
+    final DeadlineTimer deadline;
 
     /**
      * A record of TLS may have been read from the socket and not been opened yet, so readiness
@@ -30,79 +30,79 @@
      * Bytes not taken yet, ready to be added to; null while there are none, so that an idle
      * connection holds none.
      */
-    ByteBuffer in;
+    ByteBuffer input;
 
     boolean closed;
 
-    Wire(IoLoop loop, StreamConnection connection) {
+    Connection(IoLoop loop, StreamConnection channel) {
         this.loop = loop;
-        this.connection = connection;
-        tls = connection instanceof SslConnection;
-        source = connection.getSourceChannel();
-        output = new Output(connection.getSinkChannel());
-        watchdog = new Watchdog(loop, this::late);
+        this.channel = channel;
+        tls = channel instanceof SslConnection;
+        source = channel.getSourceChannel();
+        writeQueue = new WriteQueue(channel.getSinkChannel());
+        deadline = new DeadlineTimer(loop, this::onTimeout);
     }
 
     /** The deadline has passed. */
-    abstract void late();
+    abstract void onTimeout();
 
     /**
      * Reads into the buffer, which is taken from the pool where there is none: bytes, or -1 at the
      * end.
      */
-    final int fill() throws IOException {
-        if (in == null) {
-            in = loop.buffers.take();
+    final int readInput() throws IOException {
+        if (input == null) {
+            input = loop.buffers.acquire();
         }
-        return source.read(in);
+        return source.read(input);
     }
 
     /**
      * Writes what waits, and asks to be called again while something does; true once nothing does
      * after such a call.
      */
-    final boolean flushed() throws IOException {
-        ConduitStreamSinkChannel sink = connection.getSinkChannel();
-        if (!output.flush()) {
+    final boolean flushOutput() throws IOException {
+        ConduitStreamSinkChannel sink = channel.getSinkChannel();
+        if (!writeQueue.flush()) {
             sink.resumeWrites();
             return false;
         }
-        boolean waited = sink.isWriteResumed();
-        if (waited) {
+        boolean wasWaiting = sink.isWriteResumed();
+        if (wasWaiting) {
             sink.suspendWrites();
         }
-        return waited;
+        return wasWaiting;
     }
 
     /**
      * Keeps what was not taken of a buffer that was flipped for reading; gives it back where
      * nothing was left.
      */
-    final void keepRest() {
-        if (in != null) {
-            in.compact();
-            if (in.position() == 0) {
-                giveBuffer();
+    final void keepUnconsumed() {
+        if (input != null) {
+            input.compact();
+            if (input.position() == 0) {
+                releaseInput();
             }
         }
     }
 
-    final void giveBuffer() {
-        if (in != null) {
-            loop.buffers.give(in);
-            in = null;
+    final void releaseInput() {
+        if (input != null) {
+            loop.buffers.release(input);
+            input = null;
         }
     }
 
     /** Ends the connection; false where it has ended already. */
-    final boolean end() {
+    final boolean closeOnce() {
         if (closed) {
             return false;
         }
         closed = true;
-        watchdog.end();
-        giveBuffer();
-        IoUtils.safeClose(connection);
+        deadline.cancel();
+        releaseInput();
+        IoUtils.safeClose(channel);
         return true;
     }
 }
--- a/src/main/java/brooklock/net/Client.java
+++ b/src/main/java/brooklock/net/HttpClient.java
@@ -9,14 +9,14 @@
 import org.xnio.ssl.JsseXnioSsl;
 
 /** Calls to hosts from one I/O thread, with a pool of connections for each address. */
-public final class Client {
+public final class HttpClient {
     private final IoLoop loop;
     private final ClientLimits limits;
     private final JsseXnioSsl tls;
-    private final Map<InetSocketAddress, HostPool> pools = new HashMap<>();
+    private final Map<InetSocketAddress, HttpConnectionPool> pools = new HashMap<>();
 
     /** A client on an I/O thread, with plain connections. */
-    public Client(IoLoop loop, ClientLimits limits) {
+    public HttpClient(IoLoop loop, ClientLimits limits) {
         this(loop, limits, null);
     }
 
@@ -24,34 +24,35 @@
      * The same with TLS by a context, plain where it is null. The context's trust checks the hosts'
      * certificates.
      */
-    public Client(IoLoop loop, ClientLimits limits, SSLContext context) {
+    public HttpClient(IoLoop loop, ClientLimits limits, SSLContext tlsContext) {
         this.loop = loop;
         this.limits = limits;
         tls =
-                context == null
+                tlsContext == null
                         ? null
                         : new JsseXnioSsl(
-                                loop.thread.getWorker().getXnio(), OptionMap.EMPTY, context);
+                                loop.thread.getWorker().getXnio(), OptionMap.EMPTY, tlsContext);
     }
 
     /** Sends a request; its answer goes to {@code taker}. */
-    public ClientCall call(
-            InetSocketAddress host, RequestHead head, byte[] body, AnswerTaker taker) {
-        loop.mustBeHere();
-        HostPool pool = pools.computeIfAbsent(host, a -> new HostPool(loop, a, limits, tls));
-        ClientCall call = new ClientCall(pool, head, body, taker);
-        pool.begin(call);
+    public ClientCall send(
+            InetSocketAddress endpoint, RequestHead head, byte[] body, ResponseHandler handler) {
+        loop.checkThread();
+        HttpConnectionPool pool =
+                pools.computeIfAbsent(endpoint, a -> new HttpConnectionPool(loop, a, limits, tls));
+        ClientCall call = new ClientCall(pool, head, body, handler);
+        pool.submit(call);
         return call;
     }
 
     /** Closes idle connections to a host, one that has left for instance. */
-    public void closeIdle(InetSocketAddress host) {
-        loop.mustBeHere();
-        HostPool pool = pools.get(host);
+    public void closeIdle(InetSocketAddress endpoint) {
+        loop.checkThread();
+        HttpConnectionPool pool = pools.get(endpoint);
         if (pool != null) {
             pool.closeIdle();
-            if (pool.unused()) {
-                pools.remove(host);
+            if (pool.isUnused()) {
+                pools.remove(endpoint);
             }
         }
     }
--- a/src/main/java/brooklock/net/HostPool.java
+++ b/src/main/java/brooklock/net/HttpConnectionPool.java
@@ -18,57 +18,60 @@
  * shared with the pools of the other threads. A call that finds no idle connection waits in line
  * for the first that is opened or becomes free, no longer than a connection may take.
  */
-final class HostPool {
+final class HttpConnectionPool {
     private final IoLoop loop;
     private final InetSocketAddress address;
     private final ClientLimits limits;
     private final JsseXnioSsl tls;
-    private final ArrayDeque<ClientConnection> idle = new ArrayDeque<>();
-    private final ArrayDeque<ClientCall> line = new ArrayDeque<>();
+    private final ArrayDeque<HttpClientConnection> idleConnections = new ArrayDeque<>();
+    private final ArrayDeque<ClientCall> waitingCalls = new ArrayDeque<>();
     // Of all connections, those on their way as well.
-    private int open;
-    private int opening;
+    private int openCount;
+    private int connectingCount;
 
-    HostPool(IoLoop loop, InetSocketAddress address, ClientLimits limits, JsseXnioSsl tls) {
+    HttpConnectionPool(
+            IoLoop loop, InetSocketAddress address, ClientLimits limits, JsseXnioSsl tls) {
         this.tls = tls;
         this.loop = loop;
         this.address = address;
         this.limits = limits;
     }
 
-    void begin(ClientCall call) {
-        loop.mustBeHere();
-        if (reuse(call)) {
+    void submit(ClientCall call) {
+        loop.checkThread();
+        if (startOnIdle(call)) {
             return;
         }
-        if (line.size() - opening >= limits.waiting()) {
-            call.failed(Failure.NOT_CONNECTED, "too many wait for a connection");
+        if (waitingCalls.size() - connectingCount >= limits.maxWaitingCalls()) {
+            call.fail(CallFailure.NOT_CONNECTED, "too many wait for a connection");
             return;
         }
-        line.add(call);
-        call.waitsUntil(
-                loop.after(
-                        limits.connectNs(),
+        waitingCalls.add(call);
+        call.onQueued(
+                loop.schedule(
+                        limits.connectTimeoutNs(),
                         () -> {
-                            if (line.remove(call)) {
-                                call.failed(Failure.NOT_CONNECTED, "no connection in time");
+                            if (waitingCalls.remove(call)) {
+                                call.fail(CallFailure.NOT_CONNECTED, "no connection in time");
                             }
                         }));
-        openMore();
+        connectMore();
     }
 
-    void leaveLine(ClientCall call) {
-        line.remove(call);
+    void removeWaiting(ClientCall call) {
+        waitingCalls.remove(call);
     }
 
     // The one used last is the least likely to have been closed by its host meanwhile.
-    private boolean reuse(ClientCall call) {
-        for (ClientConnection c = idle.pollFirst(); c != null; c = idle.pollFirst()) {
-            if (c.alive()) {
-                c.run(call);
+    private boolean startOnIdle(ClientCall call) {
+        for (HttpClientConnection c = idleConnections.pollFirst();
+                c != null;
+                c = idleConnections.pollFirst()) {
+            if (c.isAlive()) {
+                c.start(call);
                 return true;
             }
-            c.kill();
+            c.closeNow();
         }
         return false;
     }
@@ -76,46 +79,46 @@
     // One for each call in line, but few at a time: each opening keeps the host busy, with TLS for
     // milliseconds, and a
     // connection that becomes free may serve a call before its opening is done.
-    private void openMore() {
-        while (opening < line.size()
-                && opening < limits.openings()
-                && open < limits.connections()) {
-            open++;
-            opening++;
-            new Opening().begin();
+    private void connectMore() {
+        while (connectingCount < waitingCalls.size()
+                && connectingCount < limits.maxConnecting()
+                && openCount < limits.maxConnections()) {
+            openCount++;
+            connectingCount++;
+            new PooledConnectAttempt().start();
         }
     }
 
     // One connection on its way, with its handshake. It serves whichever call is first in line when
     // it is there; where it
     // fails, so does the call that is first in line then.
-    private final class Opening implements ChannelListener<StreamConnection> {
+    private final class PooledConnectAttempt implements ChannelListener<StreamConnection> {
         private static final long serialVersionUID = 1L;
-        private transient XnioExecutor.Key timer;
-        private transient StreamConnection reached;
+        private transient XnioExecutor.Key connectTimer;
+        private transient StreamConnection established;
         private boolean settled;
-        private boolean shaken;
+        private boolean handshakeDone;
 
-        void begin() {
+        void start() {
             OptionMap options = OptionMap.create(Options.TCP_NODELAY, true);
             IoFuture<? extends StreamConnection> future =
                     tls == null
                             ? loop.thread.openStreamConnection(address, this, options)
                             : tls.openSslConnection(loop.thread, address, this, options);
             if (!settled) {
-                timer =
-                        loop.after(
-                                limits.connectNs(),
+                connectTimer =
+                        loop.schedule(
+                                limits.connectTimeoutNs(),
                                 () -> {
                                     future.cancel();
-                                    failed("no connection in time");
+                                    fail("no connection in time");
                                 });
             }
             future.addNotifier(
                     new IoFuture.HandlingNotifier<Object, Void>() {
                         @Override
                         public void handleFailed(IOException e, Void nothing) {
-                            loop.run(() -> failed(String.valueOf(e.getMessage())));
+                            loop.run(() -> fail(String.valueOf(e.getMessage())));
                         }
                     },
                     null);
@@ -126,69 +129,69 @@
                 return false;
             }
             settled = true;
-            opening--;
-            if (timer != null) {
-                timer.remove();
+            connectingCount--;
+            if (connectTimer != null) {
+                connectTimer.remove();
             }
             return true;
         }
 
-        private void failed(String why) {
+        private void fail(String reason) {
             if (!settle()) {
                 return;
             }
-            org.xnio.IoUtils.safeClose(reached);
-            open--;
-            ClientCall first = line.pollFirst();
-            if (first != null) {
-                first.failed(Failure.NOT_CONNECTED, why);
+            org.xnio.IoUtils.safeClose(established);
+            openCount--;
+            ClientCall longestWaiting = waitingCalls.pollFirst();
+            if (longestWaiting != null) {
+                longestWaiting.fail(CallFailure.NOT_CONNECTED, reason);
             }
-            openMore();
+            connectMore();
         }
 
         @Override
         public void handleEvent(StreamConnection c) {
             loop.run(
                     () -> {
-                        reached = c;
+                        established = c;
                         if (settled) {
                             org.xnio.IoUtils.safeClose(c);
                         } else if (c instanceof SslConnection s) {
-                            shake(s);
+                            beginHandshake(s);
                         } else {
-                            there();
+                            onConnected();
                         }
                     });
         }
 
         // The handshake is part of the opening: a call that is written into it would count as sent.
-        private void shake(SslConnection c) {
+        private void beginHandshake(SslConnection c) {
             c.getHandshakeSetter()
                     .set(
                             s -> {
                                 // Told from within a read or a flush: what is sent now would come
                                 // in between.
-                                shaken = true;
-                                loop.execute(this::there);
+                                handshakeDone = true;
+                                loop.execute(this::onConnected);
                             });
-            c.setCloseListener(s -> loop.run(() -> failed("closed in the handshake")));
-            c.getSourceChannel().setReadListener(s -> further(c));
-            c.getSinkChannel().setWriteListener(s -> further(c));
+            c.setCloseListener(s -> loop.run(() -> fail("closed in the handshake")));
+            c.getSourceChannel().setReadListener(s -> advanceHandshake(c));
+            c.getSinkChannel().setWriteListener(s -> advanceHandshake(c));
             try {
                 c.startHandshake();
-                further(c);
+                advanceHandshake(c);
                 c.getSourceChannel().resumeReads();
             } catch (IOException e) {
-                failed(String.valueOf(e.getMessage()));
+                fail(String.valueOf(e.getMessage()));
             }
         }
 
         // Reading and flushing drive the handshake; nothing else may come before a request is sent.
-        private void further(SslConnection c) {
-            if (settled || shaken) {
+        private void advanceHandshake(SslConnection c) {
+            if (settled || handshakeDone) {
                 return;
             }
-            ByteBuffer none = loop.buffers.take();
+            ByteBuffer none = loop.buffers.acquire();
             try {
                 int n = c.getSourceChannel().read(none);
                 if (c.getSinkChannel().flush()) {
@@ -197,51 +200,55 @@
                     c.getSinkChannel().resumeWrites();
                 }
                 if (n != 0) {
-                    failed(n < 0 ? "closed in the handshake" : "an answer before a request");
+                    fail(n < 0 ? "closed in the handshake" : "an answer before a request");
                 }
             } catch (IOException e) {
-                failed(String.valueOf(e.getMessage()));
+                fail(String.valueOf(e.getMessage()));
             } finally {
-                loop.buffers.give(none);
+                loop.buffers.release(none);
             }
         }
 
-        private void there() {
+        private void onConnected() {
             if (settle()) {
-                free(new ClientConnection(HostPool.this, loop, reached, limits));
-                openMore();
+                release(
+                        new HttpClientConnection(
+                                HttpConnectionPool.this, loop, established, limits));
+                connectMore();
             }
         }
     }
 
     /** A connection is free again. */
-    void free(ClientConnection c) {
-        ClientCall next = line.pollFirst();
-        if (next != null) {
-            next.leftLine();
-            c.run(next);
-        } else if (idle.size() < limits.idle()) {
-            idle.addFirst(c);
-            c.idle();
+    void release(HttpClientConnection connection) {
+        ClientCall waiting = waitingCalls.pollFirst();
+        if (waiting != null) {
+            waiting.onDequeued();
+            connection.start(waiting);
+        } else if (idleConnections.size() < limits.maxIdleConnections()) {
+            idleConnections.addFirst(connection);
+            connection.becomeIdle();
         } else {
-            c.kill();
+            connection.closeNow();
         }
     }
 
     /** A connection is gone. */
-    void gone(ClientConnection c) {
-        open--;
-        idle.remove(c);
-        openMore();
+    void onClosed(HttpClientConnection connection) {
+        openCount--;
+        idleConnections.remove(connection);
+        connectMore();
     }
 
     void closeIdle() {
-        for (ClientConnection c = idle.pollFirst(); c != null; c = idle.pollFirst()) {
-            c.kill();
+        for (HttpClientConnection c = idleConnections.pollFirst();
+                c != null;
+                c = idleConnections.pollFirst()) {
+            c.closeNow();
         }
     }
 
-    boolean unused() {
-        return open == 0 && line.isEmpty();
+    boolean isUnused() {
+        return openCount == 0 && waitingCalls.isEmpty();
     }
 }
--- a/src/main/java/brooklock/net/Listener.java
+++ b/src/main/java/brooklock/net/HttpListener.java
@@ -22,30 +22,34 @@
 import org.xnio.ssl.SslConnection;
 
 /** A listening socket and the connections that came in by it. */
-public final class Listener implements Closeable {
+public final class HttpListener implements Closeable {
     final ServerLimits limits;
-    final Handler handler;
-    private final Net net;
+    final RequestHandler requestHandler;
+    private final IoThreads net;
     private final AcceptingChannel<? extends StreamConnection> channel;
-    private final AtomicInteger open = new AtomicInteger();
-    private final LongAdder turnedAway = new LongAdder();
-    private final Set<ServerConnection> connections = ConcurrentHashMap.newKeySet();
+    private final AtomicInteger openCount = new AtomicInteger();
+    private final LongAdder rejectedCount = new LongAdder();
+    private final Set<HttpServerConnection> connections = ConcurrentHashMap.newKeySet();
     private volatile boolean draining;
 
-    private Listener(
-            Net net, InetSocketAddress at, ServerLimits limits, Handler handler, SSLContext tls)
+    private HttpListener(
+            IoThreads net,
+            InetSocketAddress address,
+            ServerLimits limits,
+            RequestHandler requestHandler,
+            SSLContext tlsContext)
             throws IOException {
         this.net = net;
         this.limits = limits;
-        this.handler = handler;
+        this.requestHandler = requestHandler;
         OptionMap.Builder options =
                 OptionMap.builder()
                         .set(Options.TCP_NODELAY, true)
                         .set(Options.REUSE_ADDRESSES, true)
                         .set(Options.BACKLOG, limits.backlog());
-        if (tls == null) {
+        if (tlsContext == null) {
             ChannelListener<AcceptingChannel<StreamConnection>> accept = this::accept;
-            channel = net.worker.createStreamConnectionServer(at, accept, options.getMap());
+            channel = net.worker.createStreamConnectionServer(address, accept, options.getMap());
         } else {
             // Asked of every client, needed of none here: whether a request needs one is said by
             // its route.
@@ -53,8 +57,9 @@
                     .set(Options.SSL_ENABLED_PROTOCOLS, Sequence.of("TLSv1.3", "TLSv1.2"));
             ChannelListener<AcceptingChannel<SslConnection>> accept = this::accept;
             channel =
-                    new JsseXnioSsl(net.worker.getXnio(), OptionMap.EMPTY, tls)
-                            .createSslConnectionServer(net.worker, at, accept, options.getMap());
+                    new JsseXnioSsl(net.worker.getXnio(), OptionMap.EMPTY, tlsContext)
+                            .createSslConnectionServer(
+                                    net.worker, address, accept, options.getMap());
         }
         channel.resumeAccepts();
     }
@@ -65,19 +70,27 @@
      * @param at where; port 0 lets the system choose
      * @throws IOException where the address is taken or not this machine's
      */
-    public static Listener open(Net net, InetSocketAddress at, ServerLimits limits, Handler handler)
+    public static HttpListener open(
+            IoThreads net,
+            InetSocketAddress address,
+            ServerLimits limits,
+            RequestHandler requestHandler)
             throws IOException {
-        return new Listener(net, at, limits, handler, null);
+        return new HttpListener(net, address, limits, requestHandler, null);
     }
 
     /**
      * Listens with TLS 1.3 and 1.2; a client's certificate is asked for and checked by the
      * context's trust.
      */
-    public static Listener openTls(
-            Net net, InetSocketAddress at, ServerLimits limits, Handler handler, SSLContext tls)
+    public static HttpListener openTls(
+            IoThreads net,
+            InetSocketAddress address,
+            ServerLimits limits,
+            RequestHandler requestHandler,
+            SSLContext tlsContext)
             throws IOException {
-        return new Listener(net, at, limits, handler, tls);
+        return new HttpListener(net, address, limits, requestHandler, tlsContext);
     }
 
     /**
@@ -85,8 +98,8 @@
      *
      * @param revoked tells so of a chain
      */
-    public void breakOff(Predicate<X509Certificate[]> revoked) {
-        connections.forEach(c -> c.loop.execute(() -> c.breakOffIf(revoked)));
+    public void closeRevoked(Predicate<X509Certificate[]> isRevoked) {
+        connections.forEach(c -> c.loop.execute(() -> c.closeIfRevoked(isRevoked)));
     }
 
     /** The address that is listened on. */
@@ -95,19 +108,19 @@
     }
 
     /** Connections open now. */
-    public int connections() {
-        return open.get();
+    public int openConnections() {
+        return openCount.get();
     }
 
     /** Connections that were over the bound since the start. */
-    public long turnedAway() {
-        return turnedAway.sum();
+    public long rejectedConnections() {
+        return rejectedCount.sum();
     }
 
-    private void accept(AcceptingChannel<? extends StreamConnection> from) {
+    private void accept(AcceptingChannel<? extends StreamConnection> channelReady) {
         try {
-            for (StreamConnection c = from.accept(); c != null; c = from.accept()) {
-                begin(c);
+            for (StreamConnection c = channelReady.accept(); c != null; c = channelReady.accept()) {
+                register(c);
             }
         } catch (IOException e) {
             // The one connection is lost, or descriptors have run out; the next readiness tries
@@ -115,24 +128,25 @@
         }
     }
 
-    private void begin(StreamConnection c) {
-        IoLoop loop = net.loop(c.getIoThread().getNumber());
-        boolean room = open.incrementAndGet() <= limits.connections();
-        if (!room) {
-            turnedAway.increment();
+    private void register(StreamConnection accepted) {
+        IoLoop loop = net.loop(accepted.getIoThread().getNumber());
+        boolean withinLimit = openCount.incrementAndGet() <= limits.maxConnections();
+        if (!withinLimit) {
+            rejectedCount.increment();
         }
-        ServerConnection connection = new ServerConnection(this, loop, c, !room);
+        HttpServerConnection connection =
+                new HttpServerConnection(this, loop, accepted, !withinLimit);
         connections.add(connection);
         loop.run(connection::start);
     }
 
-    void closed(ServerConnection c) {
-        if (connections.remove(c)) {
-            open.decrementAndGet();
+    void onClosed(HttpServerConnection connection) {
+        if (connections.remove(connection)) {
+            openCount.decrementAndGet();
         }
     }
 
-    boolean draining() {
+    boolean isDraining() {
         return draining;
     }
 
@@ -147,6 +161,6 @@
     @Override
     public void close() {
         drain();
-        connections.forEach(c -> c.loop.execute(c::kill));
+        connections.forEach(c -> c.loop.execute(c::closeNow));
     }
 }
--- a/src/main/java/brooklock/net/IoLoop.java
+++ b/src/main/java/brooklock/net/IoLoop.java
@@ -9,7 +9,7 @@
  * One I/O thread with what its connections share: buffers, timers, the way in for other threads.
  */
 public final class IoLoop {
-    private static final XnioExecutor.Key NO_KEY = () -> false;
+    private static final XnioExecutor.Key NO_TIMER = () -> false;
 
     final XnioIoThread thread;
     final BufferPool buffers = new BufferPool();
@@ -26,20 +26,20 @@
     }
 
     /** Runs work on this thread soon; dropped if the net is closed. */
-    public void execute(Runnable work) {
+    public void execute(Runnable task) {
         try {
-            thread.execute(work);
+            thread.execute(task);
         } catch (RejectedExecutionException closed) {
             // The thread has ended, and with it every connection the work could be about.
         }
     }
 
     /** Runs work at once where the caller is this thread, else soon. */
-    public void run(Runnable work) {
+    public void run(Runnable task) {
         if (Thread.currentThread() == thread) {
-            work.run();
+            task.run();
         } else {
-            execute(work);
+            execute(task);
         }
     }
 
@@ -48,16 +48,16 @@
      * off. The selector counts in milliseconds: what is left over is rounded up, since it takes
      * less than one for none and would run the work at once, before any socket is looked at again.
      */
-    public XnioExecutor.Key after(long ns, Runnable work) {
+    public XnioExecutor.Key schedule(long delayNs, Runnable task) {
         try {
             return thread.executeAfter(
-                    work, Math.max(1, (ns + 999_999) / 1_000_000), TimeUnit.MILLISECONDS);
+                    task, Math.max(1, (delayNs + 999_999) / 1_000_000), TimeUnit.MILLISECONDS);
         } catch (RejectedExecutionException closed) {
-            return NO_KEY;
+            return NO_TIMER;
         }
     }
 
-    void mustBeHere() {
+    void checkThread() {
         if (Thread.currentThread() != thread) {
             throw new IllegalStateException(
                     "connection touched from " + Thread.currentThread().getName());
--- a/src/main/java/brooklock/net/Net.java
+++ b/src/main/java/brooklock/net/IoThreads.java
@@ -9,17 +9,17 @@
 import org.xnio.XnioWorker;
 
 /** The I/O threads of a program. */
-public final class Net implements Closeable {
+public final class IoThreads implements Closeable {
     // Time for the I/O threads to end when the net is closed, seconds.
-    private static final long END_S = 5;
+    private static final long SHUTDOWN_TIMEOUT_S = 5;
 
     final XnioWorker worker;
     private final IoLoop[] loops;
 
-    private Net(XnioWorker worker, int threads) {
+    private IoThreads(XnioWorker worker, int threadCount) {
         this.worker = worker;
-        loops = new IoLoop[threads];
-        for (int i = 0; i < threads; i++) {
+        loops = new IoLoop[threadCount];
+        for (int i = 0; i < threadCount; i++) {
             loops[i] = new IoLoop(worker.getIoThread(i));
         }
     }
@@ -31,17 +31,18 @@
      * @param threads how many
      * @throws IOException where the platform gives no selectors
      */
-    public static Net open(String name, int threads) throws IOException {
+    public static IoThreads start(String name, int threadCount) throws IOException {
         OptionMap options =
                 OptionMap.builder()
                         .set(Options.WORKER_NAME, name)
-                        .set(Options.WORKER_IO_THREADS, threads)
+                        .set(Options.WORKER_IO_THREADS, threadCount)
                         .set(Options.WORKER_TASK_CORE_THREADS, 1)
                         .set(Options.WORKER_TASK_MAX_THREADS, 1)
                         .set(Options.THREAD_DAEMON, true)
                         .getMap();
-        return new Net(
-                Xnio.getInstance("nio", Net.class.getClassLoader()).createWorker(options), threads);
+        return new IoThreads(
+                Xnio.getInstance("nio", IoThreads.class.getClassLoader()).createWorker(options),
+                threadCount);
     }
 
     /** Number of I/O threads. */
@@ -50,8 +51,8 @@
     }
 
     /** I/O thread {@code i}. */
-    public IoLoop loop(int i) {
-        return loops[i];
+    public IoLoop loop(int index) {
+        return loops[index];
     }
 
     /** Ends the I/O threads and closes every connection. */
@@ -59,7 +60,7 @@
     public void close() {
         worker.shutdownNow();
         try {
-            worker.awaitTermination(END_S, TimeUnit.SECONDS);
+            worker.awaitTermination(SHUTDOWN_TIMEOUT_S, TimeUnit.SECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
--- a/src/main/java/brooklock/net/StreamListener.java
+++ b/src/main/java/brooklock/net/RawListener.java
@@ -12,25 +12,29 @@
 import org.xnio.channels.AcceptingChannel;
 
 /** A listening socket whose connections carry a protocol other than HTTP. */
-public final class StreamListener implements Closeable {
+public final class RawListener implements Closeable {
     // Connections taken before other sockets have their turn.
-    private static final int AT_ONCE = 64;
+    private static final int MAX_ACCEPTS_PER_TURN = 64;
     // Rest after an accept that failed, ns: with no descriptor left the socket stays ready, and
     // trying at once would spin.
-    private static final long REST_NS = 50_000_000L;
+    private static final long ACCEPT_BACKOFF_NS = 50_000_000L;
 
-    private final Net net;
-    private final Consumer<Stream> taker;
+    private final IoThreads net;
+    private final Consumer<RawConnection> onConnection;
     private final AcceptingChannel<? extends StreamConnection> channel;
 
-    private StreamListener(Net net, InetSocketAddress at, int backlog, Consumer<Stream> taker)
+    private RawListener(
+            IoThreads net,
+            InetSocketAddress address,
+            int backlog,
+            Consumer<RawConnection> onConnection)
             throws IOException {
         this.net = net;
-        this.taker = taker;
+        this.onConnection = onConnection;
         ChannelListener<AcceptingChannel<StreamConnection>> accept = this::accept;
         channel =
                 net.worker.createStreamConnectionServer(
-                        at,
+                        address,
                         accept,
                         OptionMap.builder()
                                 .set(Options.TCP_NODELAY, true)
@@ -48,9 +52,13 @@
      * @param taker is given each connection on its I/O thread
      * @throws IOException where the address is taken or not this machine's
      */
-    public static StreamListener open(
-            Net net, InetSocketAddress at, int backlog, Consumer<Stream> taker) throws IOException {
-        return new StreamListener(net, at, backlog, taker);
+    public static RawListener open(
+            IoThreads net,
+            InetSocketAddress address,
+            int backlog,
+            Consumer<RawConnection> onConnection)
+            throws IOException {
+        return new RawListener(net, address, backlog, onConnection);
     }
 
     /** The address that is listened on. */
@@ -58,25 +66,26 @@
         return channel.getLocalAddress(InetSocketAddress.class);
     }
 
-    private void accept(AcceptingChannel<? extends StreamConnection> from) {
+    private void accept(AcceptingChannel<? extends StreamConnection> channelReady) {
         try {
-            StreamConnection c = from.accept();
-            for (int n = 1; c != null; n++) {
-                Stream s = new Stream(net.loop(c.getIoThread().getNumber()), c);
-                s.loop.run(() -> taker.accept(s));
-                c = n < AT_ONCE ? from.accept() : null;
+            StreamConnection accepted = channelReady.accept();
+            for (int count = 1; accepted != null; count++) {
+                RawConnection connection =
+                        new RawConnection(net.loop(accepted.getIoThread().getNumber()), accepted);
+                connection.loop.run(() -> onConnection.accept(connection));
+                accepted = count < MAX_ACCEPTS_PER_TURN ? channelReady.accept() : null;
             }
         } catch (IOException e) {
             // The one connection is lost, or descriptors have run out.
-            from.suspendAccepts();
-            net.loop(0).after(REST_NS, from::resumeAccepts);
+            channelReady.suspendAccepts();
+            net.loop(0).schedule(ACCEPT_BACKOFF_NS, channelReady::resumeAccepts);
         }
     }
 
     /**
      * Takes what the system has accepted already, then stops listening; called on an I/O thread.
      */
-    public void finish() {
+    public void acceptRemainingAndClose() {
         accept(channel);
         close();
     }
--- a/src/main/java/brooklock/net/Handler.java
+++ b/src/main/java/brooklock/net/RequestHandler.java
@@ -3,10 +3,10 @@
 /**
  * What a listener does with requests; called on the I/O thread of the connection, once a request.
  */
-public interface Handler {
+public interface RequestHandler {
     /**
-     * Takes a request. It must come to {@link ServerExchange#end}, {@code send} or {@code abort}
+     * Takes a request. It must come to {@link HttpExchange#end}, {@code send} or {@code abort}
      * sooner or later.
      */
-    void request(ServerExchange exchange);
+    void onRequest(HttpExchange exchange);
 }
--- a/src/main/java/brooklock/net/AnswerTaker.java
+++ b/src/main/java/brooklock/net/ResponseHandler.java
@@ -9,12 +9,12 @@
  * Takes what a host answers; called on the I/O thread of the call. After {@code end} or {@code
  * failed} nothing comes. One that asks only for the end lets head and body pass.
  */
-public interface AnswerTaker {
+public interface ResponseHandler {
     /**
      * Asked right before the first byte is written; false calls it off, so that the host sees
      * nothing.
      */
-    default boolean mayGo() {
+    default boolean shouldSend() {
         return true;
     }
 
@@ -24,19 +24,19 @@
      * @param framing how the body ends
      * @param whole the whole body has come along with the head
      */
-    default void head(ResponseHead head, Framing framing, boolean whole) {}
+    default void onHead(ResponseHead head, Framing framing, boolean complete) {}
 
     /**
      * A piece of the body. False stops reading until {@link ClientCall#resume}; the piece stays
      * valid until then.
      */
-    default boolean data(ByteBuffer piece) {
+    default boolean onBody(ByteBuffer piece) {
         return true;
     }
 
     /** The body has ended as its framing says. */
-    void end(Fields trailers);
+    void onComplete(Fields trailers);
 
     /** No answer, or none that is whole. */
-    void failed(Failure failure, String why);
+    void onFailure(CallFailure failure, String reason);
 }
--- a/src/main/java/brooklock/net/ServerLimits.java
+++ b/src/main/java/brooklock/net/ServerLimits.java
@@ -19,38 +19,54 @@
  */
 public record ServerLimits(
         HttpLimits http,
-        int connections,
+        int maxConnections,
         int backlog,
-        long headNs,
-        long bodyNs,
-        long idleNs,
-        long stallNs,
-        int requests,
-        boolean halfCloseLeaves) {
-    private static final long S = 1_000_000_000L;
+        long headTimeoutNs,
+        long bodyTimeoutNs,
+        long idleTimeoutNs,
+        long stallTimeoutNs,
+        int maxRequestsPerConnection,
+        boolean halfCloseEndsExchange) {
+    private static final long SECOND_NS = 1_000_000_000L;
 
     /** Bounds for a listener that has none of its own. */
     public static final ServerLimits STANDARD =
             new ServerLimits(
-                    HttpLimits.STANDARD.withBody(1 << 20),
+                    HttpLimits.STANDARD.withMaxBodyBytes(1 << 20),
                     16384,
                     1024,
-                    10 * S,
-                    30 * S,
-                    60 * S,
-                    30 * S,
+                    10 * SECOND_NS,
+                    30 * SECOND_NS,
+                    60 * SECOND_NS,
+                    30 * SECOND_NS,
                     100_000,
                     true);
 
     /** The same with another bound on connections. */
-    public ServerLimits withConnections(int n) {
+    public ServerLimits withMaxConnections(int max) {
         return new ServerLimits(
-                http, n, backlog, headNs, bodyNs, idleNs, stallNs, requests, halfCloseLeaves);
+                http,
+                max,
+                backlog,
+                headTimeoutNs,
+                bodyTimeoutNs,
+                idleTimeoutNs,
+                stallTimeoutNs,
+                maxRequestsPerConnection,
+                halfCloseEndsExchange);
     }
 
     /** The same with other times for heads, bodies and stalls, ns. */
-    public ServerLimits withTimes(long head, long body, long idle, long stall) {
+    public ServerLimits withTimeouts(long headNs, long bodyNs, long idleNs, long stallNs) {
         return new ServerLimits(
-                http, connections, backlog, head, body, idle, stall, requests, halfCloseLeaves);
+                http,
+                maxConnections,
+                backlog,
+                headNs,
+                bodyNs,
+                idleNs,
+                stallNs,
+                maxRequestsPerConnection,
+                halfCloseEndsExchange);
     }
 }
--- a/src/main/java/brooklock/platform/ClientRequest.java
+++ b/src/main/java/brooklock/platform/ClientRequest.java
@@ -22,94 +22,100 @@
  */
 record ClientRequest(
         long id,
-        int cls,
-        String name,
-        String object,
+        int classIndex,
+        String className,
+        String objectHex,
         int part,
         int group,
         double sizeKb,
-        int waitMs,
-        boolean repeat,
-        String key,
-        String tag,
+        int timeoutMs,
+        boolean clientRetry,
+        String idempotencyKey,
+        String etag,
         byte[] body) {
     private static final Pattern HEX16 = Pattern.compile("[0-9a-f]{16}");
     private static final Pattern HEX32 = Pattern.compile("[0-9a-f]{32}");
-    private static final Pattern WHOLE = Pattern.compile("0|[1-9][0-9]{0,8}");
+    private static final Pattern INTEGER = Pattern.compile("0|[1-9][0-9]{0,8}");
     private static final Pattern DECIMAL = Pattern.compile("[0-9]{1,9}(\\.[0-9]{1,18})?");
-    private static final int MOST_PART = 65_535;
-    private static final int MOST_GROUP = 255;
+    private static final int MAX_PART = 65_535;
+    private static final int MAX_GROUP = 255;
 
     /** What is known of a class here. */
-    record Form(int number, boolean keyed, boolean writes, long deadlineMs) {}
+    record RequestClass(
+            int index, boolean requiresIdempotencyKey, boolean acceptsBody, long maxTimeoutMs) {}
 
     /** The object as a number. */
     long objectId() {
-        return Long.parseUnsignedLong(object, 16);
+        return Long.parseUnsignedLong(objectHex, 16);
     }
 
     /** Reads a call; the exception says what is out of order. */
-    static ClientRequest of(RpcMessage.Call call, Map<String, Form> classes) throws Malformed {
-        Form form = classes.get(call.method());
-        if (form == null) {
-            throw new Malformed("no such class");
+    static ClientRequest parse(RpcMessage.Call call, Map<String, RequestClass> classes)
+            throws MalformedMessageException {
+        RequestClass requestClass = classes.get(call.method());
+        if (requestClass == null) {
+            throw new MalformedMessageException("no such class");
         }
-        Map<String, String> f = call.fields();
-        long id = Long.parseUnsignedLong(must(f, "i", HEX16), 16);
-        int wait = whole(f, "d", -1, 1, form.deadlineMs());
-        String object = must(f, "o", HEX16);
-        String repeat = f.get("r");
-        if (repeat != null && !repeat.equals("1") && !repeat.equals("0")) {
-            throw new Malformed("field r is no mark");
+        Map<String, String> fields = call.fields();
+        long id = Long.parseUnsignedLong(required(fields, "i", HEX16), 16);
+        int timeoutMs = integer(fields, "d", -1, 1, requestClass.maxTimeoutMs());
+        String objectHex = required(fields, "o", HEX16);
+        String retryMark = fields.get("r");
+        if (retryMark != null && !retryMark.equals("1") && !retryMark.equals("0")) {
+            throw new MalformedMessageException("field r is no mark");
         }
-        String key = form.keyed() ? must(f, "k", HEX32) : null;
-        String tag = f.containsKey("etag") ? must(f, "etag", HEX16) : null;
-        if (call.body().length > 0 && !form.writes()) {
-            throw new Malformed("a body where nothing is written");
+        String idempotencyKey =
+                requestClass.requiresIdempotencyKey() ? required(fields, "k", HEX32) : null;
+        String etag = fields.containsKey("etag") ? required(fields, "etag", HEX16) : null;
+        if (call.body().length > 0 && !requestClass.acceptsBody()) {
+            throw new MalformedMessageException("a body where nothing is written");
         }
         return new ClientRequest(
                 id,
-                form.number(),
+                requestClass.index(),
                 call.method(),
-                object,
-                whole(f, "seg", 0, 0, MOST_PART),
-                whole(f, "bucket", 0, 0, MOST_GROUP),
-                size(f.get("m")),
-                wait,
-                "1".equals(repeat),
-                key,
-                tag,
+                objectHex,
+                integer(fields, "seg", 0, 0, MAX_PART),
+                integer(fields, "bucket", 0, 0, MAX_GROUP),
+                parseSizeKb(fields.get("m")),
+                timeoutMs,
+                "1".equals(retryMark),
+                idempotencyKey,
+                etag,
                 call.body());
     }
 
-    private static String must(Map<String, String> f, String name, Pattern form) throws Malformed {
-        String v = f.get(name);
-        if (v == null || !form.matcher(v).matches()) {
-            throw new Malformed("field " + name + (v == null ? " is missing" : " can't be read"));
+    private static String required(Map<String, String> fields, String name, Pattern pattern)
+            throws MalformedMessageException {
+        String value = fields.get(name);
+        if (value == null || !pattern.matcher(value).matches()) {
+            throw new MalformedMessageException(
+                    "field " + name + (value == null ? " is missing" : " can't be read"));
         }
-        return v;
+        return value;
     }
 
-    private static int whole(Map<String, String> f, String name, int absent, long least, long most)
-            throws Malformed {
-        String v = f.get(name);
-        if (v == null && absent >= 0) {
-            return absent;
+    private static int integer(
+            Map<String, String> fields, String name, int defaultValue, long min, long max)
+            throws MalformedMessageException {
+        String value = fields.get(name);
+        if (value == null && defaultValue >= 0) {
+            return defaultValue;
         }
-        int n = Integer.parseInt(must(f, name, WHOLE));
-        if (n < least || n > most) {
-            throw new Malformed("field " + name + " is out of range");
+        int number = Integer.parseInt(required(fields, name, INTEGER));
+        if (number < min || number > max) {
+            throw new MalformedMessageException("field " + name + " is out of range");
         }
-        return n;
+        return number;
     }
 
-    private static double size(String v) throws Malformed {
-        if (v == null) {
+    private static double parseSizeKb(String value) throws MalformedMessageException {
+        if (value == null) {
             return 0;
         }
-        if (!DECIMAL.matcher(v).matches()) {
-            throw new Malformed("field m is no number");
+        if (!DECIMAL.matcher(value).matches()) {
+            throw new MalformedMessageException("field m is no number");
         }
-        return Double.parseDouble(v);
+        return Double.parseDouble(value);
     }
 }
--- a/src/main/java/brooklock/platform/Command.java
+++ b/src/main/java/brooklock/platform/DiscoveryEvent.java
@@ -3,9 +3,9 @@
 import java.util.List;
 
 /** What the command channel tells. */
-public sealed interface Command {
+public sealed interface DiscoveryEvent {
     /** Its number. */
-    long cursor();
+    long sequence();
 
     /** A host of the list; {@code sinceMs} is wall time of a late start, or 0. */
     record Endpoint(
@@ -15,17 +15,19 @@
             String type,
             String status,
             double weight,
-            long sinceMs) {}
+            long startedAtMs) {}
 
     /** The list of hosts, whole ({@code snapshot}) or what has changed. */
-    record Nodes(long cursor, boolean snapshot, List<Endpoint> endpoints) implements Command {}
+    record EndpointListUpdate(long sequence, boolean snapshot, List<Endpoint> endpoints)
+            implements DiscoveryEvent {}
 
     /** A purge of an object, or of a group where {@code object} is 0, at a moment of wall time. */
-    record Drop(long cursor, long object, int group, long whenMs) implements Command {}
+    record Purge(long sequence, long objectId, int group, long purgedAtMs)
+            implements DiscoveryEvent {}
 
     /** The number of the last event, told each second. */
-    record Beat(long cursor) implements Command {}
+    record Heartbeat(long sequence) implements DiscoveryEvent {}
 
     /** An event of a kind that is not known here. */
-    record Other(long cursor) implements Command {}
+    record UnknownEvent(long sequence) implements DiscoveryEvent {}
 }
--- a/src/main/java/brooklock/platform/CommandReader.java
+++ b/src/main/java/brooklock/platform/DiscoveryEventDecoder.java
@@ -14,23 +14,24 @@
  * Lines of the command channel read from any cut of bytes. An event that has not come whole is
  * none. Pure.
  */
-public final class CommandReader {
+public final class DiscoveryEventDecoder {
     /** Bytes of a line: a list of some thousand hosts. */
-    static final int MOST_LINE = 1 << 20;
+    static final int MAX_LINE_BYTES = 1 << 20;
 
     private ByteArrayOutputStream line = new ByteArrayOutputStream();
 
     /** Reads up to the end of one line; null where more bytes are needed. */
-    public Command next(ByteBuffer in) throws Malformed {
+    public DiscoveryEvent next(ByteBuffer in) throws MalformedMessageException {
         while (in.hasRemaining()) {
             byte b = in.get();
             if (b == '\n') {
                 String text = line.toString(StandardCharsets.UTF_8);
                 line = new ByteArrayOutputStream();
-                return of(text);
+                return parse(text);
             }
-            if (line.size() == MOST_LINE) {
-                throw new Malformed("a line of more than " + MOST_LINE + " bytes");
+            if (line.size() == MAX_LINE_BYTES) {
+                throw new MalformedMessageException(
+                        "a line of more than " + MAX_LINE_BYTES + " bytes");
             }
             line.write(b);
         }
@@ -38,34 +39,37 @@
     }
 
     /** A line as what it tells. */
-    static Command of(String text) throws Malformed {
+    static DiscoveryEvent parse(String text) throws MalformedMessageException {
         try {
             JsonElement e = JsonParser.parseString(text);
-            return e.isJsonPrimitive() ? new Command.Beat(e.getAsLong()) : of(e.getAsJsonObject());
+            return e.isJsonPrimitive()
+                    ? new DiscoveryEvent.Heartbeat(e.getAsLong())
+                    : parse(e.getAsJsonObject());
         } catch (JsonParseException
                 | IllegalStateException
                 | NumberFormatException
                 | UnsupportedOperationException e) {
-            throw new Malformed(
+            throw new MalformedMessageException(
                     "a line that can't be read: " + text.substring(0, Math.min(80, text.length())));
         }
     }
 
     /** An event as it stands in a line or in the configuration. */
-    static Command of(JsonObject o) throws Malformed {
+    static DiscoveryEvent parse(JsonObject o) throws MalformedMessageException {
         try {
             long cursor = o.get("cursor").getAsLong();
             if (o.has("nodes")) {
                 JsonObject nodes = o.getAsJsonObject("nodes");
-                List<Command.Endpoint> hosts = new ArrayList<>();
+                List<DiscoveryEvent.Endpoint> endpoints = new ArrayList<>();
                 for (JsonElement e : nodes.getAsJsonArray("endpoints")) {
-                    hosts.add(endpoint(e.getAsJsonObject()));
+                    endpoints.add(parseEndpoint(e.getAsJsonObject()));
                 }
-                return new Command.Nodes(cursor, nodes.get("snapshot").getAsBoolean(), hosts);
+                return new DiscoveryEvent.EndpointListUpdate(
+                        cursor, nodes.get("snapshot").getAsBoolean(), endpoints);
             }
             if (o.has("drop")) {
                 JsonObject drop = o.getAsJsonObject("drop");
-                return new Command.Drop(
+                return new DiscoveryEvent.Purge(
                         cursor,
                         drop.has("id")
                                 ? Long.parseUnsignedLong(drop.get("id").getAsString(), 16)
@@ -73,18 +77,18 @@
                         drop.has("family") ? drop.get("family").getAsInt() : 0,
                         drop.get("when").getAsLong());
             }
-            return new Command.Other(cursor);
+            return new DiscoveryEvent.UnknownEvent(cursor);
         } catch (NullPointerException
                 | ClassCastException
                 | IllegalStateException
                 | NumberFormatException
                 | UnsupportedOperationException e) {
-            throw new Malformed("an event that can't be read");
+            throw new MalformedMessageException("an event that can't be read");
         }
     }
 
-    private static Command.Endpoint endpoint(JsonObject o) {
-        return new Command.Endpoint(
+    private static DiscoveryEvent.Endpoint parseEndpoint(JsonObject o) {
+        return new DiscoveryEvent.Endpoint(
                 o.get("name").getAsString(),
                 text(o, "address"),
                 text(o, "zone"),
--- a/src/main/java/brooklock/platform/Frame.java
+++ b/src/main/java/brooklock/platform/Frame.java
@@ -12,22 +12,22 @@
  */
 public record Frame(int code, long id, Map<String, String> fields, byte[] body) {
     /** Marks what comes from a dispatcher. */
-    static final int FROM_DISPATCHER = 165;
+    static final int DISPATCHER_MARK = 165;
 
     /** Marks what comes from a cache host. */
-    static final int FROM_HOST = 90;
+    static final int ENDPOINT_MARK = 90;
 
     /** A request. */
-    static final int ASK = 16;
+    static final int REQUEST = 16;
 
     /** Gives a request up. */
-    static final int QUIT = 17;
+    static final int CANCEL = 17;
 
     /** The bytes. */
     static final int OK = 64;
 
     /** The client's copy is the one. */
-    static final int SAME = 65;
+    static final int NOT_MODIFIED = 65;
 
     /** Not held, not filled. */
     static final int MISS = 66;
@@ -39,17 +39,17 @@
     static final int ERROR = 68;
 
     /** Was over already. */
-    static final int MOOT = 69;
+    static final int EXPIRED = 69;
 
     /** The connection works. */
-    static final int GREEN = 70;
+    static final int HEALTHY = 70;
 
     /** Bytes of a head. */
-    static final int HEAD = 16;
+    static final int HEADER_BYTES = 16;
 
     /** Bytes of a body; the protocol's bound of an object. */
-    public static final int MOST_BODY = 240_000;
+    public static final int MAX_BODY_BYTES = 240_000;
 
     /** Bytes of an answer's fields, some times what the protocol names. */
-    public static final int MOST_FIELDS = 4096;
+    public static final int MAX_FIELDS_BYTES = 4096;
 }
--- a/src/main/java/brooklock/platform/FrameDecoder.java
+++ b/src/main/java/brooklock/platform/FrameDecoder.java
@@ -9,57 +9,57 @@
 
 /** Frames read from any cut of bytes. Strict, with every length bounded. Pure. */
 public final class FrameDecoder {
-    private static final int CHECK = 4;
+    private static final int CHECKSUM_BYTES = 4;
 
-    private final int markOf;
-    private final int least;
-    private final int most;
+    private final int expectedMark;
+    private final int minCode;
+    private final int maxCode;
     private int code;
     private long id;
-    private Gathered fields;
-    private Gathered body;
-    private boolean within;
-    private boolean fieldsDone;
-    private boolean bodyDone;
+    private BodyAccumulator fields;
+    private BodyAccumulator body;
+    private boolean inFrame;
+    private boolean fieldsComplete;
+    private boolean bodyComplete;
 
     /** Reads what cache hosts send. */
     public FrameDecoder() {
-        this(Frame.FROM_HOST, Frame.OK, Frame.GREEN);
+        this(Frame.ENDPOINT_MARK, Frame.OK, Frame.HEALTHY);
     }
 
     /** Reads frames of one mark, with codes in a range. */
-    FrameDecoder(int mark, int leastCode, int mostCode) {
-        markOf = mark;
-        least = leastCode;
-        most = mostCode;
+    FrameDecoder(int expectedMark, int minCode, int maxCode) {
+        this.expectedMark = expectedMark;
+        this.minCode = minCode;
+        this.maxCode = maxCode;
     }
 
     /** Reads up to the end of one frame; null where more bytes are needed. */
-    public Frame next(ByteBuffer in) throws Malformed {
+    public Frame next(ByteBuffer in) throws MalformedMessageException {
         in.order(ByteOrder.BIG_ENDIAN);
-        if (!within && !head(in)) {
+        if (!inFrame && !readHeader(in)) {
             return null;
         }
-        fieldsDone = fieldsDone || fields.take(in);
-        bodyDone = fieldsDone && (bodyDone || body.take(in));
-        if (!bodyDone || in.remaining() < CHECK) {
+        fieldsComplete = fieldsComplete || fields.append(in);
+        bodyComplete = fieldsComplete && (bodyComplete || body.append(in));
+        if (!bodyComplete || in.remaining() < CHECKSUM_BYTES) {
             return null;
         }
-        CRC32 check = new CRC32();
-        check.update(fields.bytes());
-        check.update(body.bytes());
-        if (in.getInt() != (int) check.getValue()) {
-            throw new Malformed("the check does not fit");
+        CRC32 checksum = new CRC32();
+        checksum.update(fields.bytes());
+        checksum.update(body.bytes());
+        if (in.getInt() != (int) checksum.getValue()) {
+            throw new MalformedMessageException("the check does not fit");
         }
-        Frame f = new Frame(code, id, fieldsOf(fields.bytes()), body.bytes());
-        within = false;
+        Frame frame = new Frame(code, id, parseFields(fields.bytes()), body.bytes());
+        inFrame = false;
         fields = null;
         body = null;
-        return f;
+        return frame;
     }
 
-    private boolean head(ByteBuffer in) throws Malformed {
-        if (in.remaining() < Frame.HEAD) {
+    private boolean readHeader(ByteBuffer in) throws MalformedMessageException {
+        if (in.remaining() < Frame.HEADER_BYTES) {
             return false;
         }
         int mark = in.get() & 0xff;
@@ -67,23 +67,24 @@
         int fieldBytes = in.getShort() & 0xffff;
         long bodyBytes = in.getInt() & 0xffffffffL;
         id = in.getLong();
-        if (mark != markOf || code < least || code > most) {
-            throw new Malformed("no head: mark " + mark + ", code " + code);
+        if (mark != expectedMark || code < minCode || code > maxCode) {
+            throw new MalformedMessageException("no head: mark " + mark + ", code " + code);
         }
-        within = true;
-        if (fieldBytes > Frame.MOST_FIELDS || bodyBytes > Frame.MOST_BODY) {
-            throw new Malformed("a frame of " + fieldBytes + " and " + bodyBytes + " bytes");
+        inFrame = true;
+        if (fieldBytes > Frame.MAX_FIELDS_BYTES || bodyBytes > Frame.MAX_BODY_BYTES) {
+            throw new MalformedMessageException(
+                    "a frame of " + fieldBytes + " and " + bodyBytes + " bytes");
         }
-        fields = new Gathered(fieldBytes);
-        body = new Gathered((int) bodyBytes);
-        fieldsDone = false;
-        bodyDone = false;
+        fields = new BodyAccumulator(fieldBytes);
+        body = new BodyAccumulator((int) bodyBytes);
+        fieldsComplete = false;
+        bodyComplete = false;
         return true;
     }
 
     /** Whether a frame has begun and not ended. */
-    public boolean within() {
-        return within;
+    public boolean inFrame() {
+        return inFrame;
     }
 
     /** Id of the frame that has begun. */
@@ -92,15 +93,17 @@
     }
 
     /** Reads {@code name=value,name=value}. */
-    static Map<String, String> fieldsOf(byte[] text) throws Malformed {
+    static Map<String, String> parseFields(byte[] text) throws MalformedMessageException {
         Map<String, String> out = new HashMap<>();
         if (text.length == 0) {
             return out;
         }
         for (String pair : new String(text, StandardCharsets.ISO_8859_1).split(",", -1)) {
-            int eq = pair.indexOf('=');
-            if (eq <= 0 || out.put(pair.substring(0, eq), pair.substring(eq + 1)) != null) {
-                throw new Malformed("fields that can't be read");
+            int separator = pair.indexOf('=');
+            if (separator <= 0
+                    || out.put(pair.substring(0, separator), pair.substring(separator + 1))
+                            != null) {
+                throw new MalformedMessageException("fields that can't be read");
             }
         }
         return out;
--- a/src/main/java/brooklock/platform/NodeConfig.java
+++ b/src/main/java/brooklock/platform/PlatformConfig.java
@@ -1,7 +1,8 @@
 package brooklock.platform;
 
-import brooklock.routing.RouterApi;
-import brooklock.simulator.WireCodec;
+import brooklock.routing.Idempotency;
+import brooklock.routing.RouterSettings;
+import brooklock.simulator.SimulatorCodec;
 import com.google.gson.JsonArray;
 import com.google.gson.JsonElement;
 import com.google.gson.JsonObject;
@@ -35,66 +36,66 @@
  * @param connIdleNs time after which hosts close idle connections
  * @param streams requests that one connection to a host may carry
  */
-record NodeConfig(
+record PlatformConfig(
         String name,
-        InetSocketAddress listen,
-        InetSocketAddress channel,
+        InetSocketAddress listenAddress,
+        InetSocketAddress discoveryAddress,
         long seed,
-        int sockets,
-        long cursor,
-        List<Command> known,
-        RouterApi.Settings settings,
-        Map<String, ClientRequest.Form> classes,
+        int maxDescriptors,
+        long lastSequence,
+        List<DiscoveryEvent> initialEvents,
+        RouterSettings routerSettings,
+        Map<String, ClientRequest.RequestClass> requestClasses,
         List<String> zones,
         List<String> kinds,
-        long connIdleNs,
-        int streams) {
+        long idleTimeoutNs,
+        int maxInFlightPerConnection) {
     // Where the configuration does not say, the least that the platform gives.
-    private static final int LEAST_SOCKETS = 256;
-    private static final String BYTE = "(25[0-5]|2[0-4][0-9]|1?[0-9]?[0-9])";
-    private static final Pattern ADDRESS =
-            Pattern.compile(BYTE + "(\\." + BYTE + "){3}:[0-9]{1,5}");
+    private static final int DEFAULT_MAX_DESCRIPTORS = 256;
+    private static final String OCTET = "(25[0-5]|2[0-4][0-9]|1?[0-9]?[0-9])";
+    private static final Pattern ADDRESS_PATTERN =
+            Pattern.compile(OCTET + "(\\." + OCTET + "){3}:[0-9]{1,5}");
 
     /**
      * Reads a configuration.
      *
      * @throws IOException where the file can't be read, or isn't one; the message says why
      */
-    static NodeConfig read(Path file) throws IOException {
-        return of(Files.readString(file, StandardCharsets.UTF_8));
+    static PlatformConfig read(Path file) throws IOException {
+        return parse(Files.readString(file, StandardCharsets.UTF_8));
     }
 
     /** Reads a configuration from its text. */
-    static NodeConfig of(String text) throws IOException {
+    static PlatformConfig parse(String text) throws IOException {
         try {
             JsonObject top = JsonParser.parseString(text).getAsJsonObject();
-            JsonObject settings = must(top, "settings").getAsJsonObject();
-            JsonObject limits = must(settings, "limits").getAsJsonObject();
-            JsonObject known = must(top, "known").getAsJsonObject();
-            List<Command> commands = new ArrayList<>();
-            for (JsonElement e : must(known, "cmds").getAsJsonArray()) {
-                commands.add(CommandReader.of(e.getAsJsonObject()));
+            JsonObject settings = required(top, "settings").getAsJsonObject();
+            JsonObject limits = required(settings, "limits").getAsJsonObject();
+            JsonObject known = required(top, "known").getAsJsonObject();
+            List<DiscoveryEvent> events = new ArrayList<>();
+            for (JsonElement e : required(known, "cmds").getAsJsonArray()) {
+                events.add(DiscoveryEventDecoder.parse(e.getAsJsonObject()));
             }
-            RouterApi.Settings module = WireCodec.settings(settings);
-            JsonObject bounds = top.getAsJsonObject("limits");
-            return new NodeConfig(
+            RouterSettings routerSettings = SimulatorCodec.settings(settings);
+            JsonObject platformLimits = top.getAsJsonObject("limits");
+            return new PlatformConfig(
                     text(top, "name"),
-                    address(text(top, "listen")),
-                    address(text(top, "channel")),
+                    parseAddress(text(top, "listen")),
+                    parseAddress(text(top, "channel")),
                     top.has("seed") ? text(top, "seed").hashCode() : 0,
-                    bounds != null && bounds.has("sockets")
-                            ? bounds.get("sockets").getAsInt()
-                            : LEAST_SOCKETS,
-                    must(known, "cursor").getAsLong(),
-                    List.copyOf(commands),
-                    module,
-                    classes(must(settings, "lanes").getAsJsonArray(), module),
+                    platformLimits != null && platformLimits.has("sockets")
+                            ? platformLimits.get("sockets").getAsInt()
+                            : DEFAULT_MAX_DESCRIPTORS,
+                    required(known, "cursor").getAsLong(),
+                    List.copyOf(events),
+                    routerSettings,
+                    requestClasses(required(settings, "lanes").getAsJsonArray(), routerSettings),
                     names(settings, "dcs"),
                     names(settings, "machineTypes"),
-                    must(limits, "connIdleNs").getAsLong(),
-                    must(limits, "streamsPerConn").getAsInt());
+                    required(limits, "connIdleNs").getAsLong(),
+                    required(limits, "streamsPerConn").getAsInt());
         } catch (JsonParseException
-                | Malformed
+                | MalformedMessageException
                 | NullPointerException
                 | ClassCastException
                 | IllegalStateException
@@ -104,7 +105,7 @@
         }
     }
 
-    private static JsonElement must(JsonObject o, String key) {
+    private static JsonElement required(JsonObject o, String key) {
         if (!o.has(key)) {
             throw new IllegalArgumentException(key + " is missing");
         }
@@ -112,21 +113,21 @@
     }
 
     private static String text(JsonObject o, String key) {
-        return must(o, key).getAsString();
+        return required(o, key).getAsString();
     }
 
-    private static Map<String, ClientRequest.Form> classes(
-            JsonArray lanes, RouterApi.Settings module) {
-        Map<String, ClientRequest.Form> out = new HashMap<>();
+    private static Map<String, ClientRequest.RequestClass> requestClasses(
+            JsonArray lanes, RouterSettings routerSettings) {
+        Map<String, ClientRequest.RequestClass> out = new HashMap<>();
         for (int i = 0; i < lanes.size(); i++) {
             JsonObject lane = lanes.get(i).getAsJsonObject();
-            RouterApi.ClassSettings c = module.classes().get(i);
+            RouterSettings.RequestClass classSettings = routerSettings.classes().get(i);
             out.put(
                     lane.get("name").getAsString(),
-                    new ClientRequest.Form(
+                    new ClientRequest.RequestClass(
                             i,
-                            c.effect() == RouterApi.Effect.KEYED,
-                            c.goesThrough(),
+                            classSettings.idempotency() == Idempotency.IDEMPOTENCY_KEY,
+                            classSettings.passThrough(),
                             (long) Math.ceil(lane.get("giveUpNs").getAsDouble() / 1e6)));
         }
         return Map.copyOf(out);
@@ -134,15 +135,15 @@
 
     private static List<String> names(JsonObject o, String key) {
         List<String> out = new ArrayList<>();
-        must(o, key).getAsJsonArray().forEach(e -> out.add(e.getAsString()));
+        required(o, key).getAsJsonArray().forEach(e -> out.add(e.getAsString()));
         return List.copyOf(out);
     }
 
     /**
      * An address as the platform writes it: IPv4, the platform has no other; no name is looked up.
      */
-    static InetSocketAddress address(String text) {
-        if (!ADDRESS.matcher(text).matches()) {
+    static InetSocketAddress parseAddress(String text) {
+        if (!ADDRESS_PATTERN.matcher(text).matches()) {
             throw new IllegalArgumentException(
                     "no address: " + text.substring(0, Math.min(40, text.length())));
         }
--- a/src/main/java/brooklock/platform/NodeLogs.java
+++ b/src/main/java/brooklock/platform/PlatformLogging.java
@@ -16,42 +16,42 @@
  * more. Elsewhere it leaves the turn to the file.
  */
 @ConfiguratorRank(ConfiguratorRank.CUSTOM_HIGH_PRIORITY)
-public final class NodeLogs extends ContextAwareBase implements Configurator {
-    private static volatile boolean wanted;
+public final class PlatformLogging extends ContextAwareBase implements Configurator {
+    private static volatile boolean enabled;
 
     /** Made by the logging library. */
-    public NodeLogs() {
+    public PlatformLogging() {
         // Named in META-INF/services.
     }
 
     /** Takes the turn, if called before the first logger is made. */
-    static void use() {
-        wanted = true;
+    static void enable() {
+        enabled = true;
     }
 
     @Override
     public ExecutionStatus configure(LoggerContext context) {
-        if (!wanted) {
+        if (!enabled) {
             return ExecutionStatus.INVOKE_NEXT_IF_ANY;
         }
-        JsonEncoder lines = new JsonEncoder();
-        lines.setContext(context);
-        lines.setWithSequenceNumber(false);
-        lines.setWithNanoseconds(false);
-        lines.setWithContext(false);
-        lines.setWithMDC(false);
-        lines.setWithArguments(false);
-        lines.setWithMessage(false);
-        lines.setWithFormattedMessage(true);
-        lines.start();
-        ConsoleAppender<ILoggingEvent> err = new ConsoleAppender<>();
-        err.setContext(context);
-        err.setTarget("System.err");
-        err.setEncoder(lines);
-        err.start();
+        JsonEncoder encoder = new JsonEncoder();
+        encoder.setContext(context);
+        encoder.setWithSequenceNumber(false);
+        encoder.setWithNanoseconds(false);
+        encoder.setWithContext(false);
+        encoder.setWithMDC(false);
+        encoder.setWithArguments(false);
+        encoder.setWithMessage(false);
+        encoder.setWithFormattedMessage(true);
+        encoder.start();
+        ConsoleAppender<ILoggingEvent> appender = new ConsoleAppender<>();
+        appender.setContext(context);
+        appender.setTarget("System.err");
+        appender.setEncoder(encoder);
+        appender.start();
         ch.qos.logback.classic.Logger root = context.getLogger(Logger.ROOT_LOGGER_NAME);
         root.setLevel(Level.toLevel(System.getProperty("brooklock.log"), Level.INFO));
-        root.addAppender(err);
+        root.addAppender(appender);
         context.getLogger("org.xnio").setLevel(Level.WARN);
         context.getLogger("org.jboss").setLevel(Level.WARN);
         return ExecutionStatus.DO_NOT_INVOKE_NEXT_IF_ANY;
--- a/src/main/java/brooklock/platform/NodeMain.java
+++ b/src/main/java/brooklock/platform/PlatformMain.java
@@ -16,32 +16,32 @@
  * The program as the platform starts it: the configuration's path in {@code NODE_CONFIG}, SIGHUP to
  * read it again, SIGTERM to answer what is taken and end.
  */
-public final class NodeMain {
-    private NodeMain() {}
+public final class PlatformMain {
+    private PlatformMain() {}
 
     /** Runs a dispatcher until SIGTERM; gives the exit status where it can't start. */
-    public static int run(String config) throws InterruptedException {
-        if (config == null) {
+    public static int run(String configPath) throws InterruptedException {
+        if (configPath == null) {
             System.err.println("brooklock: NODE_CONFIG names no file");
             return 2;
         }
-        NodeLogs.use();
-        CompletableFuture<Node> started = new CompletableFuture<>();
-        AtomicBoolean ending = new AtomicBoolean();
+        PlatformLogging.enable();
+        CompletableFuture<PlatformDispatcher> started = new CompletableFuture<>();
+        AtomicBoolean terminating = new AtomicBoolean();
         // Before anything else: the system's way with one that is not handled is to end the
         // program. One that comes before
         // the start is done waits for that; a second notice to end changes nothing.
-        Signal.handle(new Signal("HUP"), s -> started.thenAccept(Node::reload));
+        Signal.handle(new Signal("HUP"), s -> started.thenAccept(PlatformDispatcher::reload));
         Signal.handle(
                 new Signal("TERM"),
                 s -> {
-                    if (!ending.getAndSet(true)) {
-                        started.thenAccept(NodeMain::end);
+                    if (!terminating.getAndSet(true)) {
+                        started.thenAccept(PlatformMain::drainAndHalt);
                     }
                 });
         System.err.println("starting");
         try {
-            Node node = Node.start(Path.of(config));
+            PlatformDispatcher node = PlatformDispatcher.start(Path.of(configPath));
             System.err.println("serving " + node.address());
             started.complete(node);
         } catch (IOException | RuntimeException e) {
@@ -56,12 +56,12 @@
      * Starts a dispatcher without a platform and asks it whether it is well, so that a build can
      * keep what a start loads.
      */
-    public static int practice() {
-        NodeLogs.use();
-        try (InputStream config = NodeMain.class.getResourceAsStream("practice.json")) {
+    public static int warmUp() {
+        PlatformLogging.enable();
+        try (InputStream config = PlatformMain.class.getResourceAsStream("practice.json")) {
             Path file = Files.createTempFile("practice", ".json");
             Files.copy(config, file, StandardCopyOption.REPLACE_EXISTING);
-            try (Node node = Node.start(file);
+            try (PlatformDispatcher node = PlatformDispatcher.start(file);
                     Socket s =
                             new Socket(
                                     InetAddress.getLoopbackAddress(), node.address().getPort())) {
@@ -96,7 +96,7 @@
         }
     }
 
-    private static void end(Node node) {
+    private static void drainAndHalt(PlatformDispatcher node) {
         try {
             node.drain();
         } catch (InterruptedException e) {
--- a/src/main/java/brooklock/platform/RpcDecoder.java
+++ b/src/main/java/brooklock/platform/RpcDecoder.java
@@ -1,6 +1,6 @@
 package brooklock.platform;
 
-import brooklock.platform.PackReader.Kind;
+import brooklock.platform.MessagePackReader.TokenType;
 import java.nio.ByteBuffer;
 import java.util.HashMap;
 import java.util.Map;
@@ -11,44 +11,44 @@
  */
 public final class RpcDecoder {
     /** Bytes of a body; the protocol has 48,000 for a write. */
-    public static final int MOST_BODY = 48_000;
+    public static final int MAX_BODY_BYTES = 48_000;
 
     /** Fields of a call, some times what the protocol names. */
-    static final int MOST_FIELDS = 64;
+    static final int MAX_FIELDS = 64;
 
     // Bytes of a name, a field's name or value.
-    private static final int MOST_TEXT = 256;
-    private static final long MOST_NUMBER = 0xffffffffL;
+    private static final int MAX_TEXT_BYTES = 256;
+    private static final long MAX_MESSAGE_ID = 0xffffffffL;
 
-    private enum At {
+    private enum State {
         MESSAGE,
         TYPE,
-        NUMBER,
+        MESSAGE_ID,
         METHOD,
         PARAMS,
         FIELDS,
-        NAME,
-        VALUE,
+        FIELD_NAME,
+        FIELD_VALUE,
         BODY,
-        FORGOTTEN
+        CANCELLED_ID
     }
 
-    private final PackReader pack = new PackReader(MOST_BODY);
-    private At at = At.MESSAGE;
-    private boolean notice;
-    private long number;
+    private final MessagePackReader reader = new MessagePackReader(MAX_BODY_BYTES);
+    private State state = State.MESSAGE;
+    private boolean notification;
+    private long messageId;
     private String method;
     private boolean hasBody;
     private long fieldsLeft;
-    private String name;
+    private String fieldName;
     private Map<String, String> fields;
 
     /** Reads up to the end of one message; null where more bytes are needed. */
-    public RpcMessage next(ByteBuffer in) throws Malformed {
-        while (pack.next(in)) {
-            RpcMessage m = token();
+    public RpcMessage next(ByteBuffer in) throws MalformedMessageException {
+        while (reader.next(in)) {
+            RpcMessage m = onToken();
             if (m != null) {
-                at = At.MESSAGE;
+                state = State.MESSAGE;
                 fields = null;
                 return m;
             }
@@ -57,116 +57,118 @@
     }
 
     /** Whether a message has begun and not ended. */
-    public boolean within() {
-        return at != At.MESSAGE;
+    public boolean inMessage() {
+        return state != State.MESSAGE;
     }
 
-    private RpcMessage token() throws Malformed {
-        switch (at) {
+    private RpcMessage onToken() throws MalformedMessageException {
+        switch (state) {
             case MESSAGE -> {
-                long n = of(Kind.ARRAY);
+                long n = expect(TokenType.ARRAY);
                 if (n != 3 && n != 4) {
-                    throw new Malformed("a message of " + n + " parts");
+                    throw new MalformedMessageException("a message of " + n + " parts");
                 }
-                notice = n == 3;
-                at = At.TYPE;
+                notification = n == 3;
+                state = State.TYPE;
             }
             case TYPE -> {
-                if (of(Kind.INT) != (notice ? 2 : 0)) {
-                    throw new Malformed("a message that is neither a call nor a notice");
+                if (expect(TokenType.INT) != (notification ? 2 : 0)) {
+                    throw new MalformedMessageException(
+                            "a message that is neither a call nor a notice");
                 }
-                at = notice ? At.METHOD : At.NUMBER;
+                state = notification ? State.METHOD : State.MESSAGE_ID;
             }
-            case NUMBER -> {
-                number = number();
-                at = At.METHOD;
+            case MESSAGE_ID -> {
+                messageId = readMessageId();
+                state = State.METHOD;
             }
             case METHOD -> {
-                method = shortText();
-                if (notice && !method.equals("forget")) {
-                    throw new Malformed("an unknown notice");
+                method = readShortText();
+                if (notification && !method.equals("forget")) {
+                    throw new MalformedMessageException("an unknown notice");
                 }
-                at = At.PARAMS;
+                state = State.PARAMS;
             }
             case PARAMS -> {
-                return params();
+                return onParameterCount();
             }
             case FIELDS -> {
-                return fields();
+                return onFieldCount();
             }
-            case NAME -> {
-                name = shortText();
-                at = At.VALUE;
+            case FIELD_NAME -> {
+                fieldName = readShortText();
+                state = State.FIELD_VALUE;
             }
-            case VALUE -> {
-                if (fields.put(name, shortText()) != null) {
-                    throw new Malformed("a field twice");
+            case FIELD_VALUE -> {
+                if (fields.put(fieldName, readShortText()) != null) {
+                    throw new MalformedMessageException("a field twice");
                 }
-                return fieldRead();
+                return onFieldComplete();
             }
             case BODY -> {
-                of(Kind.BYTES);
-                return new RpcMessage.Call(number, method, fields, pack.bytes());
+                expect(TokenType.BYTES);
+                return new RpcMessage.Call(messageId, method, fields, reader.bytes());
             }
             default -> {
-                return new RpcMessage.Forget(number());
+                return new RpcMessage.Cancel(readMessageId());
             }
         }
         return null;
     }
 
-    private RpcMessage params() throws Malformed {
-        long n = of(Kind.ARRAY);
-        if (notice ? n != 1 : n > 2) {
-            throw new Malformed(n + " parameters");
+    private RpcMessage onParameterCount() throws MalformedMessageException {
+        long n = expect(TokenType.ARRAY);
+        if (notification ? n != 1 : n > 2) {
+            throw new MalformedMessageException(n + " parameters");
         }
         hasBody = n == 2;
-        at = notice ? At.FORGOTTEN : At.FIELDS;
-        return n == 0 ? new RpcMessage.Call(number, method, Map.of(), new byte[0]) : null;
+        state = notification ? State.CANCELLED_ID : State.FIELDS;
+        return n == 0 ? new RpcMessage.Call(messageId, method, Map.of(), new byte[0]) : null;
     }
 
-    private RpcMessage fields() throws Malformed {
-        fieldsLeft = of(Kind.MAP);
-        if (fieldsLeft > MOST_FIELDS) {
-            throw new Malformed(fieldsLeft + " fields, more than " + MOST_FIELDS);
+    private RpcMessage onFieldCount() throws MalformedMessageException {
+        fieldsLeft = expect(TokenType.MAP);
+        if (fieldsLeft > MAX_FIELDS) {
+            throw new MalformedMessageException(fieldsLeft + " fields, more than " + MAX_FIELDS);
         }
         fields = new HashMap<>();
         fieldsLeft++;
-        return fieldRead();
+        return onFieldComplete();
     }
 
-    private RpcMessage fieldRead() {
+    private RpcMessage onFieldComplete() {
         if (--fieldsLeft > 0) {
-            at = At.NAME;
+            state = State.FIELD_NAME;
         } else if (hasBody) {
-            at = At.BODY;
+            state = State.BODY;
         } else {
-            return new RpcMessage.Call(number, method, fields, new byte[0]);
+            return new RpcMessage.Call(messageId, method, fields, new byte[0]);
         }
         return null;
     }
 
-    private long of(Kind kind) throws Malformed {
-        if (pack.kind() != kind) {
-            throw new Malformed("a " + pack.kind() + " where a " + kind + " belongs");
+    private long expect(TokenType expected) throws MalformedMessageException {
+        if (reader.tokenType() != expected) {
+            throw new MalformedMessageException(
+                    "a " + reader.tokenType() + " where a " + expected + " belongs");
         }
-        return pack.number();
+        return reader.value();
     }
 
-    private long number() throws Malformed {
-        long n = of(Kind.INT);
-        if (n < 0 || n > MOST_NUMBER) {
-            throw new Malformed("a message number that is none: " + n);
+    private long readMessageId() throws MalformedMessageException {
+        long n = expect(TokenType.INT);
+        if (n < 0 || n > MAX_MESSAGE_ID) {
+            throw new MalformedMessageException("a message number that is none: " + n);
         }
         return n;
     }
 
-    private String shortText() throws Malformed {
-        of(Kind.TEXT);
-        if (pack.bytes().length > MOST_TEXT) {
-            throw new Malformed(
-                    "a text of " + pack.bytes().length + " bytes, more than " + MOST_TEXT);
+    private String readShortText() throws MalformedMessageException {
+        expect(TokenType.TEXT);
+        if (reader.bytes().length > MAX_TEXT_BYTES) {
+            throw new MalformedMessageException(
+                    "a text of " + reader.bytes().length + " bytes, more than " + MAX_TEXT_BYTES);
         }
-        return pack.text();
+        return reader.text();
     }
 }
--- a/src/main/java/brooklock/platform/RpcMessage.java
+++ b/src/main/java/brooklock/platform/RpcMessage.java
@@ -12,9 +12,9 @@
      * @param fields its fields
      * @param body its body; empty where there is none
      */
-    record Call(long number, String method, Map<String, String> fields, byte[] body)
+    record Call(long messageId, String method, Map<String, String> fields, byte[] body)
             implements RpcMessage {}
 
     /** A call is given up: no answer is owed. */
-    record Forget(long number) implements RpcMessage {}
+    record Cancel(long messageId) implements RpcMessage {}
 }
