--- a/src/main/java/brooklock/proxy/Dispatcher.java
+++ b/src/main/java/brooklock/proxy/Dispatcher.java
@@ -1,34 +1,35 @@
 package brooklock.proxy;
 
-import brooklock.authorization.Limiter;
 import brooklock.authorization.Policy;
+import brooklock.authorization.TenantLimiter;
 import brooklock.config.Settings;
 import brooklock.http.Fields;
 import brooklock.http.Forwarding;
 import brooklock.http.HttpLimits;
 import brooklock.http.RequestHead;
-import brooklock.membership.Answer;
-import brooklock.membership.HostBook;
-import brooklock.membership.ListFile;
-import brooklock.membership.Member;
+import brooklock.membership.EndpointListFile;
+import brooklock.membership.EndpointRegistry;
+import brooklock.membership.ListedEndpoint;
 import brooklock.membership.Membership;
-import brooklock.membership.Notice;
-import brooklock.net.Client;
+import brooklock.membership.UpdateResult;
+import brooklock.membership.WatchEvent;
 import brooklock.net.ClientLimits;
+import brooklock.net.HttpClient;
+import brooklock.net.HttpExchange;
+import brooklock.net.HttpListener;
 import brooklock.net.IoLoop;
-import brooklock.net.Listener;
-import brooklock.net.Net;
-import brooklock.net.ServerExchange;
+import brooklock.net.IoThreads;
 import brooklock.net.ServerLimits;
-import brooklock.routing.RouterApi.Action;
-import brooklock.routing.RouterApi.Cancel;
-import brooklock.routing.RouterApi.Fail;
-import brooklock.routing.RouterApi.Get;
-import brooklock.routing.RouterApi.HostList;
-import brooklock.routing.RouterApi.HostState;
-import brooklock.routing.RouterApi.ListKind;
-import brooklock.routing.RouterApi.Refuse;
-import brooklock.routing.RouterApi.Watch;
+import brooklock.routing.EndpointListKind;
+import brooklock.routing.EndpointState;
+import brooklock.routing.RouterAction;
+import brooklock.routing.RouterAction.CancelAttempt;
+import brooklock.routing.RouterAction.FailRequest;
+import brooklock.routing.RouterAction.RejectRequest;
+import brooklock.routing.RouterAction.StartAttempt;
+import brooklock.routing.RouterAction.WatchEndpoints;
+import brooklock.routing.RouterEvent.EndpointListReceived;
+import brooklock.routing.RouterSettings;
 import java.io.Closeable;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -53,101 +54,109 @@
     private static final Logger LOG = LoggerFactory.getLogger(Dispatcher.class);
     // Entries of the decision queue for each request that may be open: its coming, its end, and
     // attempts between.
-    private static final int EVENTS_A_REQUEST = 4;
+    private static final int QUEUE_ENTRIES_PER_REQUEST = 4;
 
     final Settings settings;
-    final Clock clock = new Clock();
-    final HostBook book;
-    final Decisions decisions;
-    final Counts counts = new Counts();
-    private final Net net;
-    private final Client[] clients;
-    private final Routes routes;
+    final MonotonicClock clock = new MonotonicClock();
+    final EndpointRegistry endpointRegistry;
+    final RoutingThread routingThread;
+    final DispatcherCounters counters = new DispatcherCounters();
+    private final IoThreads net;
+    private final HttpClient[] clientsByLoop;
+    private final RouteTable routeTable;
     // The decision thread's own: what it acts on, from before a request is decided until after its
     // end is.
-    private final Map<Long, Exchange> exchanges = new HashMap<>();
-    private final List<Runnable>[] batches;
-    private final AtomicLong lastId = new AtomicLong();
-    private final AtomicInteger open = new AtomicInteger();
-    private final AtomicLong bodyBytes = new AtomicLong();
-    private final ListKeeper keeper;
-    private final Gate gate;
+    private final Map<Long, ProxyExchange> exchanges = new HashMap<>();
+    private final List<Runnable>[] batchesByLoop;
+    private final AtomicLong lastRequestId = new AtomicLong();
+    private final AtomicInteger openRequests = new AtomicInteger();
+    private final AtomicLong reservedBodyBytes = new AtomicLong();
+    private final EndpointListStore endpointListStore;
+    private final RequestAuthorizer authorizer;
     // The decision thread's own, as what it counts.
-    private final Limiter limiter = new Limiter();
-    private Policy limited;
+    private final TenantLimiter tenantLimiter = new TenantLimiter();
+    private Policy limiterPolicy;
     // Null where caches may not fill from one another.
-    private final Warmer warmer;
-    private final Listener listener;
-    private final Listener control;
+    private final WarmingCoordinator warmingCoordinator;
+    private final HttpListener clientListener;
+    private final HttpListener controlListener;
     private volatile boolean draining;
-    private volatile boolean ended;
+    private volatile boolean closed;
 
     @SuppressWarnings({"unchecked", "rawtypes"})
-    private Dispatcher(
-            Settings settings, Function<brooklock.routing.RouterApi.Settings, Decider> decider)
+    private Dispatcher(Settings settings, Function<RouterSettings, RoutingStrategy> strategyFactory)
             throws IOException {
         this.settings = settings;
-        Settings.Bounds b = settings.limits();
-        brooklock.routing.RouterApi.Settings module = ModuleSettings.of(settings);
-        book =
-                new HostBook(
-                        settings.zones().stream().map(Settings.Zone::name).toList(), clock::ofWall);
-        routes = new Routes(settings);
-        keeper = new ListKeeper(settings.files().list());
-        decisions =
-                new Decisions(
+        Settings.ResourceLimits bounds = settings.limits();
+        RouterSettings routerSettings = RouterSettingsMapper.toRouterSettings(settings);
+        endpointRegistry =
+                new EndpointRegistry(
+                        settings.zones().stream().map(Settings.Zone::name).toList(),
+                        clock::fromWallMs);
+        routeTable = new RouteTable(settings);
+        endpointListStore = new EndpointListStore(settings.files().endpointListFile());
+        routingThread =
+                new RoutingThread(
                         settings.name(),
-                        decider.apply(module),
+                        strategyFactory.apply(routerSettings),
                         clock,
-                        new Hands(),
-                        Trace.open(settings.files().trace(), settings.files().traceBytes(), module),
-                        b.open() * EVENTS_A_REQUEST);
-        net = Net.open(settings.name(), b.threads());
-        batches = new List[net.size()];
-        clients = new Client[net.size()];
-        ClientLimits limits =
+                        new ActionExecutor(),
+                        TraceWriter.open(
+                                settings.files().traceFile(),
+                                settings.files().maxTraceBytes(),
+                                routerSettings),
+                        bounds.maxRequests() * QUEUE_ENTRIES_PER_REQUEST);
+        net = IoThreads.start(settings.name(), bounds.ioThreads());
+        batchesByLoop = new List[net.size()];
+        clientsByLoop = new HttpClient[net.size()];
+        ClientLimits clientLimits =
                 ClientLimits.STANDARD
-                        .withConnectNs(b.connectNs())
+                        .withConnectTimeoutNs(bounds.connectTimeoutNs())
                         .withConnections(
-                                b.hostConnections(),
-                                b.hostWaiting(),
-                                Math.max(1, b.hostConnections() / 4));
+                                bounds.maxEndpointConnections(),
+                                bounds.maxWaitingCalls(),
+                                Math.max(1, bounds.maxEndpointConnections() / 4));
         try {
-            gate = new Gate(settings.access(), net.size());
-            SSLContext toHosts = gate.toHosts();
+            authorizer = new RequestAuthorizer(settings.access(), net.size());
+            SSLContext upstreamTls = authorizer.upstreamTlsContext();
             for (int i = 0; i < net.size(); i++) {
-                clients[i] = new Client(net.loop(i), limits, toHosts);
-                batches[i] = new ArrayList<>();
+                clientsByLoop[i] = new HttpClient(net.loop(i), clientLimits, upstreamTls);
+                batchesByLoop[i] = new ArrayList<>();
             }
-            warmer = settings.warming().allowed() ? new Warmer(this) : null;
-            decisions.start();
-            firstList();
-            if (warmer != null) {
-                warmer.begin();
+            warmingCoordinator = settings.warming().enabled() ? new WarmingCoordinator(this) : null;
+            routingThread.start();
+            applyInitialEndpointList();
+            if (warmingCoordinator != null) {
+                warmingCoordinator.start();
             }
-            control =
-                    Listener.open(
+            controlListener =
+                    HttpListener.open(
                             net,
                             settings.control(),
-                            ServerLimits.STANDARD.withConnections(64),
-                            new Control(this)::request);
-            ServerLimits bounds =
+                            ServerLimits.STANDARD.withMaxConnections(64),
+                            new ControlHandler(this)::handle);
+            ServerLimits serverLimits =
                     new ServerLimits(
-                            HttpLimits.STANDARD.withBody(b.body()),
-                            b.clients(),
+                            HttpLimits.STANDARD.withMaxBodyBytes(bounds.maxRequestBodyBytes()),
+                            bounds.maxClientConnections(),
                             1024,
-                            b.headNs(),
-                            b.headNs() + b.idleNs(),
-                            b.idleNs(),
-                            b.stallNs(),
+                            bounds.headTimeoutNs(),
+                            bounds.headTimeoutNs() + bounds.idleTimeoutNs(),
+                            bounds.idleTimeoutNs(),
+                            bounds.stallTimeoutNs(),
                             1_000_000,
                             true);
-            listener =
-                    gate.tls() == null
-                            ? Listener.open(net, settings.listen(), bounds, this::request)
-                            : Listener.openTls(
-                                    net, settings.listen(), bounds, this::request, gate.tls());
-            gate.begin(listener, settings.name());
+            clientListener =
+                    authorizer.serverTlsContext() == null
+                            ? HttpListener.open(
+                                    net, settings.listen(), serverLimits, this::onRequest)
+                            : HttpListener.openTls(
+                                    net,
+                                    settings.listen(),
+                                    serverLimits,
+                                    this::onRequest,
+                                    authorizer.serverTlsContext());
+            authorizer.startFilePolling(clientListener, settings.name());
         } catch (IOException e) {
             close();
             throw e;
@@ -160,56 +169,56 @@
      * @throws IOException where an address cannot be listened on or a file not be used
      */
     public static Dispatcher start(Settings settings) throws IOException {
-        return start(settings, Decider::rules);
+        return start(settings, RoutingStrategy::newRouter);
     }
 
     /**
      * Starts a dispatcher with another decider, to compare it or to see that its faults are found.
      */
     public static Dispatcher start(
-            Settings settings, Function<brooklock.routing.RouterApi.Settings, Decider> decider)
+            Settings settings, Function<RouterSettings, RoutingStrategy> strategyFactory)
             throws IOException {
-        return new Dispatcher(settings, decider);
+        return new Dispatcher(settings, strategyFactory);
     }
 
     // The list as it was saved last, else that of the settings.
-    private void firstList() throws IOException {
+    private void applyInitialEndpointList() throws IOException {
         Membership.State saved = null;
-        if (settings.files().list() != null) {
+        if (settings.files().endpointListFile() != null) {
             try {
-                saved = new ListFile(settings.files().list()).load();
+                saved = new EndpointListFile(settings.files().endpointListFile()).load();
             } catch (IOException e) {
                 LOG.error(
                         "the saved list cannot be used, the settings' hosts are taken instead", e);
             }
         }
-        List<Member> hosts =
-                settings.hosts().stream()
+        List<ListedEndpoint> configured =
+                settings.endpoints().stream()
                         .map(
                                 h ->
-                                        new Member(
+                                        new ListedEndpoint(
                                                 h.name(),
                                                 h.id(),
                                                 h.kind(),
-                                                settings.zones().get(h.zone()).name(),
+                                                settings.zones().get(h.zoneIndex()).name(),
                                                 h.address(),
-                                                HostState.READY,
+                                                EndpointState.READY,
                                                 h.weight(),
                                                 0))
                         .toList();
-        Membership.State first = saved;
+        Membership.State savedState = saved;
         // Nobody is let in before it is in force: who came earlier would find no hosts.
-        CountDownLatch inForce = new CountDownLatch(1);
-        members(
+        CountDownLatch applied = new CountDownLatch(1);
+        updateEndpoints(
                 "first list",
                 m ->
-                        first == null
-                                ? m.settings(System.currentTimeMillis(), hosts)
-                                : m.restore(first),
-                ListKind.CACHED,
-                a -> inForce.countDown());
+                        savedState == null
+                                ? m.applySettings(System.currentTimeMillis(), configured)
+                                : m.restore(savedState),
+                EndpointListKind.CACHED,
+                a -> applied.countDown());
         try {
-            if (!inForce.await(10, TimeUnit.SECONDS)) {
+            if (!applied.await(10, TimeUnit.SECONDS)) {
                 throw new IOException("the first list is not in force after ten seconds");
             }
         } catch (InterruptedException e) {
@@ -221,12 +230,12 @@
      * Takes a list, on the decision thread; {@code then} is told what came of it once it has been
      * saved.
      */
-    void notice(Notice n, Consumer<Answer> then) {
-        members(
-                n.stamp() == null ? "unnumbered list" : n.stamp().toString(),
-                m -> m.take(System.currentTimeMillis(), n),
-                n.full() ? ListKind.FULL : ListKind.DELTA,
-                then);
+    void applyWatchEvent(WatchEvent event, Consumer<UpdateResult> onResult) {
+        updateEndpoints(
+                event.version() == null ? "unnumbered list" : event.version().toString(),
+                m -> m.apply(System.currentTimeMillis(), event),
+                event.full() ? EndpointListKind.FULL : EndpointListKind.DELTA,
+                onResult);
     }
 
     /**
@@ -234,311 +243,345 @@
      * there and then; what is told to whoever sent it holds through a kill, since it is told after
      * it was saved.
      */
-    void members(String what, HostBook.Change change, ListKind kind, Consumer<Answer> then) {
-        Answer[] came = new Answer[1];
-        decisions.make(
+    void updateEndpoints(
+            String description,
+            EndpointRegistry.Change change,
+            EndpointListKind kind,
+            Consumer<UpdateResult> onResult) {
+        UpdateResult[] result = new UpdateResult[1];
+        routingThread.submitSupplied(
                 () -> {
                     try {
-                        came[0] = book.change(change);
-                    } catch (RuntimeException fault) {
+                        result[0] = endpointRegistry.apply(change);
+                    } catch (RuntimeException failure) {
                         // A fault in one notice must not stop all others, nor any decision.
-                        LOG.error("notice failed: {}", what, fault);
-                        came[0] = Answer.fault(fault);
+                        LOG.error("notice failed: {}", description, failure);
+                        result[0] = UpdateResult.internalError(failure);
                     }
                     LOG.atInfo()
-                            .addKeyValue("notice", what)
-                            .addKeyValue("result", came[0].result())
+                            .addKeyValue("notice", description)
+                            .addKeyValue("result", result[0].status())
                             .addKeyValue(
                                     "news",
-                                    came[0].full()
-                                            ? came[0].told().size() + " hosts"
-                                            : came[0].told().stream()
+                                    result[0].complete()
+                                            ? result[0].affected().size() + " hosts"
+                                            : result[0].affected().stream()
                                                     .map(m -> m.name() + " " + m.state())
                                                     .toList())
                             .log("list");
-                    dropIdle(came[0].told());
-                    return told(book.news(came[0], kind));
+                    closeIdleConnections(result[0].affected());
+                    return withWarmingWeights(endpointRegistry.toEndpointList(result[0], kind));
                 },
                 () ->
-                        keeper.save(
-                                book.state(),
+                        endpointListStore.save(
+                                endpointRegistry.state(),
                                 problem -> {
-                                    if (then != null) {
-                                        then.accept(
-                                                problem == null || !came[0].taken()
-                                                        ? came[0]
-                                                        : came[0].unsaved(problem));
+                                    if (onResult != null) {
+                                        onResult.accept(
+                                                problem == null || !result[0].applied()
+                                                        ? result[0]
+                                                        : result[0].withSaveError(problem));
                                     }
                                 }));
     }
 
     // What the module hears of a list.
-    private HostList told(HostList news) {
-        return warmer == null ? news : warmer.heard(news);
+    private EndpointListReceived withWarmingWeights(EndpointListReceived endpoints) {
+        return warmingCoordinator == null
+                ? endpoints
+                : warmingCoordinator.onEndpointList(endpoints);
     }
 
-    private void dropIdle(Collection<Member> changes) {
-        for (Member m : changes) {
-            if (m.state() != HostState.READY) {
-                for (int i = 0; i < clients.length; i++) {
-                    Client c = clients[i];
-                    net.loop(i).execute(() -> c.closeIdle(m.address()));
+    private void closeIdleConnections(Collection<ListedEndpoint> changed) {
+        for (ListedEndpoint member : changed) {
+            if (member.state() != EndpointState.READY) {
+                for (int i = 0; i < clientsByLoop.length; i++) {
+                    HttpClient client = clientsByLoop[i];
+                    net.loop(i).execute(() -> client.closeIdle(member.address()));
                 }
             }
         }
     }
 
-    IoLoop loop(int i) {
-        return net.loop(i);
+    IoLoop loop(int number) {
+        return net.loop(number);
     }
 
-    int loops() {
+    int loopCount() {
         return net.size();
     }
 
-    boolean ended() {
-        return ended;
+    boolean isClosed() {
+        return closed;
     }
 
     /** Work with files, beside the traffic. */
-    void background(Runnable work) {
-        keeper.beside(work);
+    void runInBackground(Runnable task) {
+        endpointListStore.runInBackground(task);
     }
 
-    Warmer warmer() {
-        return warmer;
+    WarmingCoordinator warmingCoordinator() {
+        return warmingCoordinator;
     }
 
-    Client client(IoLoop loop) {
-        return clients[loop.number()];
+    HttpClient clientFor(IoLoop loop) {
+        return clientsByLoop[loop.number()];
     }
 
     // ---- A request comes
 
-    private void request(ServerExchange client) {
-        long now = clock.now();
+    private void onRequest(HttpExchange client) {
+        long nowNs = clock.nowNs();
         RequestHead head = client.head();
         if (draining) {
-            turnAway(client, 503, "this dispatcher is ending", null);
-        } else if (Forwarding.loops(head.fields(), settings.name())) {
-            turnAway(client, 508, "the request has been here before", null);
+            reject(client, 503, "this dispatcher is ending", null);
+        } else if (Forwarding.hasPassedThrough(head.fields(), settings.name())) {
+            reject(client, 508, "the request has been here before", null);
         } else if (head.fields().get("Expect") != null && !head.expectsContinue()) {
-            turnAway(client, 417, "only 100-continue can be expected", null);
+            reject(client, 417, "only 100-continue can be expected", null);
         } else {
             try {
-                Routes.Match match =
-                        routes.match(
+                RouteTable.Match match =
+                        routeTable.match(
                                 head.method(),
-                                head.host(),
+                                head.authority(),
                                 head.target(),
                                 head.fields().get("Idempotency-Key") != null);
-                if (match.rights()) {
-                    gate.check(client, match, pass -> passed(client, now, match, pass));
+                if (match.needsAuthorization()) {
+                    authorizer.authorize(
+                            client,
+                            match,
+                            result -> onAuthorizationResult(client, nowNs, match, result));
                 } else {
-                    take(client, now, match, null);
+                    accept(client, nowNs, match, null);
                 }
-            } catch (Routes.NoRoute e) {
-                turnAway(client, e.status, e.getMessage(), e.allow);
+            } catch (RouteTable.NoRouteException e) {
+                reject(client, e.status, e.getMessage(), e.allow);
             }
         }
     }
 
-    private void passed(ServerExchange client, long now, Routes.Match match, Gate.Pass pass) {
-        if (client.over()) {
+    private void onAuthorizationResult(
+            HttpExchange client,
+            long nowNs,
+            RouteTable.Match match,
+            RequestAuthorizer.AuthorizationResult result) {
+        if (client.isEnded()) {
             // It left while its token was looked at.
             return;
         }
-        if (pass.allowed()) {
-            take(client, now, match, pass);
-        } else if (pass.status() == 503) {
-            counts.full.increment();
-            turnAway(client, 503, pass.why(), null);
+        if (result.isAllowed()) {
+            accept(client, nowNs, match, result);
+        } else if (result.status() == 503) {
+            counters.overloaded.increment();
+            reject(client, 503, result.reason(), null);
         } else {
-            deny(client, pass);
+            rejectUnauthorized(client, result);
         }
     }
 
     // Why is for the audit log: a caller without rights learns no more than that.
-    private void deny(ServerExchange client, Gate.Pass pass) {
-        counts.turnedAway.increment();
-        Fields f =
+    private void rejectUnauthorized(
+            HttpExchange client, RequestAuthorizer.AuthorizationResult result) {
+        counters.rejected.increment();
+        Fields fields =
                 new Fields()
                         .add("Content-Type", "text/plain; charset=utf-8")
                         .add("Cache-Control", "no-store");
-        if (pass.status() == 401) {
-            f.add("WWW-Authenticate", "Bearer");
+        if (result.status() == 401) {
+            fields.add("WWW-Authenticate", "Bearer");
         }
         client.send(
-                pass.status(),
-                f,
-                (pass.status() == 400 ? pass.why() + "\n" : "not for you\n")
+                result.status(),
+                fields,
+                (result.status() == 400 ? result.reason() + "\n" : "not for you\n")
                         .getBytes(StandardCharsets.UTF_8));
     }
 
-    private void take(ServerExchange client, long now, Routes.Match match, Gate.Pass pass) {
-        if (open.incrementAndGet() > settings.limits().open()) {
-            open.decrementAndGet();
-            counts.full.increment();
-            turnAway(client, 503, "too many requests at work", null);
+    private void accept(
+            HttpExchange client,
+            long nowNs,
+            RouteTable.Match match,
+            RequestAuthorizer.AuthorizationResult authorization) {
+        if (openRequests.incrementAndGet() > settings.limits().maxRequests()) {
+            openRequests.decrementAndGet();
+            counters.overloaded.increment();
+            reject(client, 503, "too many requests at work", null);
             return;
         }
-        long deadline = now + patience(client.head().fields(), match.line().deadlineNs());
+        long deadlineNs =
+                nowNs + timeoutNs(client.head().fields(), match.requestClass().deadlineNs());
         if (!client.hasBody()) {
-            offer(client, now, deadline, match, pass, new byte[0]);
+            enqueue(client, nowNs, deadlineNs, match, authorization, new byte[0]);
             return;
         }
-        long room = settings.limits().body();
-        if (bodyBytes.addAndGet(room) > settings.limits().bodies()) {
-            bodyBytes.addAndGet(-room);
-            open.decrementAndGet();
-            counts.full.increment();
-            turnAway(client, 503, "too many request bodies at work", null);
+        long maxBodyBytes = settings.limits().maxRequestBodyBytes();
+        if (reservedBodyBytes.addAndGet(maxBodyBytes) > settings.limits().maxTotalBodyBytes()) {
+            reservedBodyBytes.addAndGet(-maxBodyBytes);
+            openRequests.decrementAndGet();
+            counters.overloaded.increment();
+            reject(client, 503, "too many request bodies at work", null);
             return;
         }
-        boolean[] taken = new boolean[1];
-        client.onGone(
+        boolean[] bodyComplete = new boolean[1];
+        client.onClientGone(
                 () -> {
-                    if (!taken[0]) {
-                        bodyBytes.addAndGet(-room);
-                        open.decrementAndGet();
+                    if (!bodyComplete[0]) {
+                        reservedBodyBytes.addAndGet(-maxBodyBytes);
+                        openRequests.decrementAndGet();
                     }
                 });
-        client.body(
+        client.readBody(
                 body -> {
-                    taken[0] = true;
-                    bodyBytes.addAndGet(body.length - room);
-                    offer(client, now, deadline, match, pass, body);
+                    bodyComplete[0] = true;
+                    reservedBodyBytes.addAndGet(body.length - maxBodyBytes);
+                    enqueue(client, nowNs, deadlineNs, match, authorization, body);
                 });
     }
 
     // A client may state that it waits for less than its class says, in ms; never for more.
-    private static long patience(Fields f, long most) {
-        String ms = f.get("Brooklock-Patience");
-        return ms != null && ms.matches("\\d{1,9}")
-                ? Math.min(most, Math.max(1, Long.parseLong(ms)) * 1_000_000L)
-                : most;
+    private static long timeoutNs(Fields fields, long maxNs) {
+        String patienceMs = fields.get("Brooklock-Patience");
+        return patienceMs != null && patienceMs.matches("\\d{1,9}")
+                ? Math.min(maxNs, Math.max(1, Long.parseLong(patienceMs)) * 1_000_000L)
+                : maxNs;
     }
 
-    private void offer(
-            ServerExchange client,
-            long now,
-            long deadline,
-            Routes.Match match,
-            Gate.Pass pass,
+    private void enqueue(
+            HttpExchange client,
+            long nowNs,
+            long deadlineNs,
+            RouteTable.Match match,
+            RequestAuthorizer.AuthorizationResult authorization,
             byte[] body) {
-        Exchange x =
-                new Exchange(
-                        this, lastId.incrementAndGet(), client, match, pass, body, now, deadline);
-        client.onGone(x::gone);
-        if (!decisions.offer(x.event(), () -> admit(x))) {
-            bodyBytes.addAndGet(-body.length);
-            open.decrementAndGet();
-            client.onGone(null);
-            turnAway(client, 503, "decisions are full", null);
+        ProxyExchange exchange =
+                new ProxyExchange(
+                        this,
+                        lastRequestId.incrementAndGet(),
+                        client,
+                        match,
+                        authorization,
+                        body,
+                        nowNs,
+                        deadlineNs);
+        client.onClientGone(exchange::onClientGone);
+        if (!routingThread.offerRequest(exchange.toRequestEvent(), () -> admit(exchange))) {
+            reservedBodyBytes.addAndGet(-body.length);
+            openRequests.decrementAndGet();
+            client.onClientGone(null);
+            reject(client, 503, "decisions are full", null);
         } else {
-            counts.taken.increment();
+            counters.accepted.increment();
         }
     }
 
     // On the decision thread: within its tenant's limits a request becomes an event, else it is
     // told so.
-    private boolean admit(Exchange x) {
-        if (x.pass != null) {
-            Policy now = gate.policy();
-            if (now != limited) {
-                limited = now;
-                limiter.tenants(now.tenants());
+    private boolean admit(ProxyExchange exchange) {
+        if (exchange.authorization != null) {
+            Policy policy = authorizer.policy();
+            if (policy != limiterPolicy) {
+                limiterPolicy = policy;
+                tenantLimiter.setTenants(policy.tenants());
             }
-            String tenant = x.pass.tenant().name();
-            Limiter.Verdict v =
-                    limiter.knows(tenant)
-                            ? limiter.ask(tenant, clock.now())
-                            : new Limiter.Verdict(Limiter.Reason.RATE, 0);
-            if (!v.admitted()) {
-                x.client.loop().execute(() -> x.heldBack(v));
+            String tenant = exchange.authorization.tenant().name();
+            TenantLimiter.Admission verdict =
+                    tenantLimiter.isKnown(tenant)
+                            ? tenantLimiter.tryAcquire(tenant, clock.nowNs())
+                            : new TenantLimiter.Admission(TenantLimiter.Reason.RATE, 0);
+            if (!verdict.admitted()) {
+                exchange.client.loop().execute(() -> exchange.rejectByTenantLimit(verdict));
                 return false;
             }
-            x.admitted = true;
+            exchange.admitted = true;
         }
-        exchanges.put(x.id, x);
-        if (warmer != null) {
-            warmer.asked(x);
+        exchanges.put(exchange.id, exchange);
+        if (warmingCoordinator != null) {
+            warmingCoordinator.onRequest(exchange);
         }
         return true;
     }
 
-    private void turnAway(ServerExchange client, int status, String why, String allow) {
-        counts.turnedAway.increment();
-        Fields f =
+    private void reject(HttpExchange client, int status, String reason, String allow) {
+        counters.rejected.increment();
+        Fields fields =
                 new Fields()
                         .add("Content-Type", "text/plain; charset=utf-8")
                         .add("Cache-Control", "no-store");
         if (status == 503) {
-            f.add("Retry-After", "1")
+            fields.add("Retry-After", "1")
                     .add("Proxy-Status", settings.name() + "; error=connection_limit_reached");
         }
         if (allow != null) {
-            f.add("Allow", allow);
+            fields.add("Allow", allow);
         }
-        client.send(status, f, (why + "\n").getBytes(StandardCharsets.UTF_8));
+        client.send(status, fields, (reason + "\n").getBytes(StandardCharsets.UTF_8));
     }
 
     /** A request has its final answer and none of its attempts is out. */
-    void over(Exchange x) {
-        counts.count(x.how());
-        AnswerLog.write(x, clock.now());
-        bodyBytes.addAndGet(-x.body.length);
-        open.decrementAndGet();
+    void onExchangeEnded(ProxyExchange exchange) {
+        counters.countCompletion(exchange.completion());
+        AccessLog.writeEntry(exchange, clock.nowNs());
+        reservedBodyBytes.addAndGet(-exchange.body.length);
+        openRequests.decrementAndGet();
         // The module may have asked for more before it hears of the end; it is forgotten after
         // that.
-        decisions.tell(
+        routingThread.submit(
                 null,
                 () -> {
-                    exchanges.remove(x.id);
-                    if (x.admitted) {
-                        limiter.done(x.pass.tenant().name(), x.bytes, x.how().equals("refused"));
+                    exchanges.remove(exchange.id);
+                    if (exchange.admitted) {
+                        tenantLimiter.release(
+                                exchange.authorization.tenant().name(),
+                                exchange.responseBytes,
+                                exchange.completion().equals("refused"));
                     }
                 });
     }
 
     // ---- What the module says
 
-    private final class Hands implements Decisions.Actor {
+    private final class ActionExecutor implements RoutingThread.ActionHandler {
         @Override
-        public void act(Action a) {
-            if (a instanceof Get g) {
-                Exchange asked = warmer == null ? null : exchanges.get(g.id());
-                long first = asked == null ? 0 : warmer.neighbour(g, asked);
-                on(g.id(), x -> x.get(g, first));
-            } else if (a instanceof Refuse r) {
-                on(r.id(), x -> x.refuse(r));
-            } else if (a instanceof Fail f) {
-                on(f.id(), Exchange::fail);
-            } else if (a instanceof Cancel c) {
-                on(c.id(), x -> x.cancel(c.attempt()));
-            } else if (a instanceof Watch) {
-                decisions.make(() -> told(book.everything(ListKind.FULL)), () -> {});
+        public void onAction(RouterAction a) {
+            if (a instanceof StartAttempt g) {
+                ProxyExchange asked = warmingCoordinator == null ? null : exchanges.get(g.id());
+                long first = asked == null ? 0 : warmingCoordinator.peerFor(g, asked);
+                runOnExchange(g.id(), x -> x.startAttempt(g, first));
+            } else if (a instanceof RejectRequest r) {
+                runOnExchange(r.id(), x -> x.reject(r));
+            } else if (a instanceof FailRequest f) {
+                runOnExchange(f.id(), ProxyExchange::fail);
+            } else if (a instanceof CancelAttempt c) {
+                runOnExchange(c.id(), x -> x.cancelAttempt(c.attempt()));
+            } else if (a instanceof WatchEndpoints) {
+                routingThread.submitSupplied(
+                        () ->
+                                withWarmingWeights(
+                                        endpointRegistry.fullEndpointList(EndpointListKind.FULL)),
+                        () -> {});
             }
         }
 
         @Override
-        public void faulted(long request) {
-            on(request, Exchange::fail);
+        public void onRoutingFailure(long request) {
+            runOnExchange(request, ProxyExchange::fail);
         }
 
-        private void on(long id, java.util.function.Consumer<Exchange> work) {
-            Exchange x = exchanges.get(id);
-            if (x != null) {
-                batches[x.client.loop().number()].add(() -> work.accept(x));
+        private void runOnExchange(
+                long requestId, java.util.function.Consumer<ProxyExchange> task) {
+            ProxyExchange exchange = exchanges.get(requestId);
+            if (exchange != null) {
+                batchesByLoop[exchange.client.loop().number()].add(() -> task.accept(exchange));
             }
         }
 
         @Override
-        public void flush() {
-            for (int i = 0; i < batches.length; i++) {
-                List<Runnable> batch = batches[i];
+        public void onBatchEnd() {
+            for (int i = 0; i < batchesByLoop.length; i++) {
+                List<Runnable> batch = batchesByLoop[i];
                 if (!batch.isEmpty()) {
-                    batches[i] = new ArrayList<>();
+                    batchesByLoop[i] = new ArrayList<>();
                     net.loop(i).execute(() -> batch.forEach(Runnable::run));
                 }
             }
@@ -549,88 +592,91 @@
 
     /** Where clients come in. */
     public InetSocketAddress address() {
-        return listener.address();
+        return clientListener.address();
     }
 
     /** Where control comes in. */
     public InetSocketAddress controlAddress() {
-        return control.address();
+        return controlListener.address();
     }
 
     /** What it has counted and how full it is, as lines of words and numbers. */
-    public String state() {
-        StringBuilder s = new StringBuilder();
-        s.append("name ")
+    public String statePage() {
+        StringBuilder page = new StringBuilder();
+        page.append("name ")
                 .append(settings.name())
                 .append('\n')
                 .append("open ")
-                .append(open.get())
+                .append(openRequests.get())
                 .append('\n')
                 .append("clients ")
-                .append(listener.connections())
+                .append(clientListener.openConnections())
                 .append('\n')
                 .append("clients-turned-away ")
-                .append(listener.turnedAway())
+                .append(clientListener.rejectedConnections())
                 .append('\n')
                 .append("body-bytes ")
-                .append(bodyBytes.get())
+                .append(reservedBodyBytes.get())
                 .append('\n')
                 .append("decided ")
-                .append(decisions.decided())
+                .append(routingThread.processedEntries())
                 .append('\n')
                 .append("decision-busy-us ")
-                .append(decisions.busyNs() / 1000)
+                .append(routingThread.busyNs() / 1000)
                 .append('\n')
                 .append("decision-waiting ")
-                .append(decisions.waiting())
+                .append(routingThread.queueLength())
                 .append('\n')
                 .append("decision-longest ")
-                .append(decisions.longest())
+                .append(routingThread.maxQueueLength())
                 .append('\n')
                 .append("decision-overflows ")
-                .append(decisions.overflows())
+                .append(routingThread.rejectedRequests())
                 .append('\n');
-        counts.write(s);
-        gate.state(s);
-        if (warmer != null) {
-            warmer.state(s);
+        counters.appendState(page);
+        authorizer.appendState(page);
+        if (warmingCoordinator != null) {
+            warmingCoordinator.appendState(page);
         }
-        book.state()
+        endpointRegistry
+                .state()
                 .sources()
                 .values()
                 .forEach(
                         v ->
-                                s.append(v)
+                                page.append(v)
                                         .append(" heard-ms-ago ")
                                         .append(
                                                 Math.max(
                                                         0,
-                                                        System.currentTimeMillis() - v.heardMs()))
+                                                        System.currentTimeMillis()
+                                                                - v.lastHeardMs()))
                                         .append('\n'));
-        book.state()
-                .byHand()
+        endpointRegistry
+                .state()
+                .overrides()
                 .forEach(
                         (id, word) ->
-                                s.append("by-hand ")
-                                        .append(book.get(id).name())
+                                page.append("by-hand ")
+                                        .append(endpointRegistry.find(id).name())
                                         .append(' ')
                                         .append(word)
                                         .append('\n'));
-        for (Member m : book.snapshot().values()) {
-            s.append("host ")
-                    .append(m.name())
+        for (ListedEndpoint member : endpointRegistry.endpoints().values()) {
+            page.append("host ")
+                    .append(member.name())
                     .append(' ')
-                    .append(m.state())
+                    .append(member.state())
                     .append(' ')
-                    .append(m.startedMs())
+                    .append(member.startedMs())
                     .append('\n');
         }
-        return s.toString();
+        return page.toString();
     }
 
     /** Requests that have no final answer yet or attempts out. */
-    public int open() {
-        return open.get();
+    public int openRequests() {
+        return openRequests.get();
     }
 
     /**
@@ -640,34 +686,34 @@
      */
     public boolean drain() throws InterruptedException {
         draining = true;
-        listener.drain();
+        clientListener.drain();
         long longest =
                 settings.classes().stream()
-                        .mapToLong(Settings.ClassLine::deadlineNs)
+                        .mapToLong(Settings.RequestClassSettings::deadlineNs)
                         .max()
                         .orElse(0);
         long end = System.nanoTime() + longest + TimeUnit.SECONDS.toNanos(1);
-        while (open.get() > 0 && System.nanoTime() - end < 0) {
+        while (openRequests.get() > 0 && System.nanoTime() - end < 0) {
             Thread.sleep(10);
         }
-        return open.get() == 0;
+        return openRequests.get() == 0;
     }
 
     /** Ends at once; what is open is broken off. */
     @Override
     public void close() {
-        ended = true;
-        if (listener != null) {
-            listener.close();
+        closed = true;
+        if (clientListener != null) {
+            clientListener.close();
         }
-        if (control != null) {
-            control.close();
+        if (controlListener != null) {
+            controlListener.close();
         }
-        if (gate != null) {
-            gate.end();
+        if (authorizer != null) {
+            authorizer.close();
         }
-        decisions.end();
+        routingThread.stop();
         net.close();
-        keeper.close();
+        endpointListStore.close();
     }
 }
--- a/src/main/java/brooklock/proxy/ListKeeper.java
+++ b/src/main/java/brooklock/proxy/EndpointListStore.java
@@ -1,6 +1,6 @@
 package brooklock.proxy;
 
-import brooklock.membership.ListFile;
+import brooklock.membership.EndpointListFile;
 import brooklock.membership.Membership;
 import java.io.IOException;
 import java.nio.file.Path;
@@ -18,22 +18,22 @@
  * Saves the list beside the traffic: only the newest waits to be written. Whoever waits for a state
  * to be saved is told once it, or a newer one, is on disk.
  */
-final class ListKeeper {
-    private static final Logger LOG = LoggerFactory.getLogger(ListKeeper.class);
+final class EndpointListStore {
+    private static final Logger LOG = LoggerFactory.getLogger(EndpointListStore.class);
 
     /**
      * Told whether it was saved; called on the writer's thread, or at once where nothing is saved.
      */
-    interface Saved {
-        void done(String problem);
+    interface SaveListener {
+        void onSaved(String problem);
     }
 
-    private record Work(Membership.State state, List<Saved> waiting) {}
+    private record PendingSave(Membership.State state, List<SaveListener> listeners) {}
 
-    private final ListFile file;
-    private final AtomicReference<Work> newest = new AtomicReference<>();
+    private final EndpointListFile file;
+    private final AtomicReference<PendingSave> pendingSave = new AtomicReference<>();
     // What is on disk, as far as this has put it there.
-    private volatile Membership.State saved;
+    private volatile Membership.State lastSaved;
     private final ExecutorService writer =
             Executors.newSingleThreadExecutor(
                     r -> {
@@ -42,50 +42,51 @@
                         return t;
                     });
 
-    ListKeeper(Path path) {
-        file = path == null ? null : new ListFile(path);
+    EndpointListStore(Path path) {
+        file = path == null ? null : new EndpointListFile(path);
     }
 
     /**
      * Saves a state; on the decision thread alone, so that the newest is the one handed in last.
      */
-    void save(Membership.State state, Saved then) {
-        if (file == null || newest.get() == null && saved == state) {
-            then.done(null);
+    void save(Membership.State state, SaveListener listener) {
+        if (file == null || pendingSave.get() == null && lastSaved == state) {
+            listener.onSaved(null);
             return;
         }
-        Work before =
-                newest.getAndUpdate(
-                        w -> {
-                            List<Saved> waiting =
-                                    new ArrayList<>(w == null ? List.of() : w.waiting());
-                            waiting.add(then);
-                            return new Work(state, waiting);
+        PendingSave previous =
+                pendingSave.getAndUpdate(
+                        pending -> {
+                            List<SaveListener> listeners =
+                                    new ArrayList<>(
+                                            pending == null ? List.of() : pending.listeners());
+                            listeners.add(listener);
+                            return new PendingSave(state, listeners);
                         });
-        if (before == null) {
-            writer.execute(this::write);
+        if (previous == null) {
+            writer.execute(this::writePending);
         }
     }
 
-    private void write() {
-        Work work = newest.getAndSet(null);
+    private void writePending() {
+        PendingSave pending = pendingSave.getAndSet(null);
         String problem = null;
         try {
-            file.save(work.state());
-            saved = work.state();
+            file.save(pending.state());
+            lastSaved = pending.state();
         } catch (IOException e) {
             problem = String.valueOf(e.getMessage());
             LOG.error("the list cannot be saved; after a restart the one before is taken", e);
         }
-        for (Saved s : work.waiting()) {
-            s.done(problem);
+        for (SaveListener listener : pending.listeners()) {
+            listener.onSaved(problem);
         }
     }
 
     /** Other work with files, on the same thread; dropped once this is closed. */
-    void beside(Runnable work) {
+    void runInBackground(Runnable task) {
         try {
-            writer.execute(work);
+            writer.execute(task);
         } catch (RejectedExecutionException closed) {
             // The program ends.
         }
--- /dev/null
+++ b/src/main/java/brooklock/proxy/RouterSettingsMapper.java
@@ -0,0 +1,69 @@
+package brooklock.proxy;
+
+import brooklock.config.Settings;
+import brooklock.config.Settings.EndpointKind;
+import brooklock.routing.Idempotency;
+import brooklock.routing.IdempotencyScope;
+import brooklock.routing.RouterSettings;
+import java.util.List;
+
+/** The settings as the module is born with them. */
+public final class RouterSettingsMapper {
+    private RouterSettingsMapper() {}
+
+    /** Translates; nothing is added. */
+    public static RouterSettings toRouterSettings(Settings settings) {
+        List<RouterSettings.RequestClass> classes =
+                settings.classes().stream()
+                        .map(
+                                requestClass ->
+                                        new RouterSettings.RequestClass(
+                                                requestClass.latencyObjectiveNs(),
+                                                requestClass.transferStretch(),
+                                                idempotency(requestClass.effect()),
+                                                IdempotencyScope.valueOf(
+                                                        requestClass.deduplicationScope().name()),
+                                                requestClass.idempotencyWindowNs(),
+                                                requestClass.passThrough(),
+                                                requestClass.freshnessNs()))
+                        .toList();
+        Settings.InvariantSettings guards = settings.invariants();
+        return new RouterSettings(
+                classes,
+                new RouterSettings.Limits(
+                        true,
+                        settings.fleet().hedging(),
+                        true,
+                        settings.limits().maxAttempts(),
+                        settings.limits().maxRetryAfterNs(),
+                        settings.limits().connectTimeoutNs()),
+                new RouterSettings.SafetyLimits(
+                        guards.coldStartShare(),
+                        guards.warmUpNs(),
+                        guards.overloadMultiple(),
+                        guards.overloadWindowNs(),
+                        guards.parentColdStartShare(),
+                        guards.parentWarmUpNs(),
+                        guards.parentOverloadMultiple(),
+                        guards.purgeCompletionNs()),
+                settings.dispatcherCount(),
+                settings.localZone(),
+                settings.zones().stream().map(Settings.Zone::hubIndex).toList(),
+                EndpointKind.PARENT.ordinal(),
+                EndpointKind.ORIGIN.ordinal(),
+                settings.fleet().weighted() || settings.warming().enabled(),
+                false,
+                settings.fleet().requestCollapsing(),
+                settings.fleet().directRequests(),
+                settings.fleet().transferBytesPerS() / 1000,
+                settings.limits().tickNs());
+    }
+
+    private static Idempotency idempotency(Settings.Effect effect) {
+        return switch (effect) {
+            case SAFE -> Idempotency.IDEMPOTENT;
+            case KEYED -> Idempotency.IDEMPOTENCY_KEY;
+            case UNSAFE -> Idempotency.NOT_IDEMPOTENT;
+        };
+    }
+}
--- a/src/main/java/brooklock/proxy/TraceCodec.java
+++ b/src/main/java/brooklock/proxy/TraceCodec.java
@@ -1,6 +1,5 @@
 package brooklock.proxy;
 
-import brooklock.routing.RouterApi;
 import java.lang.reflect.Constructor;
 import java.lang.reflect.InvocationTargetException;
 import java.lang.reflect.ParameterizedType;
@@ -10,7 +9,7 @@
 import java.util.List;
 
 /**
- * The records of {@link RouterApi} as text and back: {@code Name(a,b,[c,d],Inner(e))}. Made from
+ * The records of {@link RouterEvent} as text and back: {@code Name(a,b,[c,d],Inner(e))}. Made from
  * the records themselves, so that a field added there is carried here.
  */
 final class TraceCodec {
@@ -29,7 +28,7 @@
 
     private static void write(Object value, StringBuilder s) {
         if (value instanceof Record r) {
-            s.append(r.getClass().getSimpleName()).append('(');
+            s.append(TraceVocabulary.wordOf(r.getClass())).append('(');
             RecordComponent[] parts = r.getClass().getRecordComponents();
             for (int i = 0; i < parts.length; i++) {
                 s.append(i == 0 ? "" : ",");
@@ -48,35 +47,26 @@
             }
             s.append(']');
         } else if (value instanceof Enum<?> e) {
-            s.append(e.name());
+            s.append(TraceVocabulary.wordOf(e));
         } else {
             s.append(value);
         }
     }
 
-    /** Reads a record of {@link RouterApi}. */
+    /** Reads a record of {@link RouterEvent}. */
     static Object read(String text) {
         TraceCodec c = new TraceCodec(text);
         int open = text.indexOf('(');
         if (open < 0) {
             throw new IllegalArgumentException("not a record: " + text);
         }
-        Object value = c.value(type(text.substring(0, open)));
+        Object value = c.value(TraceVocabulary.typeOf(text.substring(0, open)));
         if (c.at != text.length()) {
             throw new IllegalArgumentException("more than a record: " + text);
         }
         return value;
     }
 
-    private static Class<?> type(String name) {
-        for (Class<?> c : RouterApi.class.getDeclaredClasses()) {
-            if (c.getSimpleName().equals(name) && c.isRecord()) {
-                return c;
-            }
-        }
-        throw new IllegalArgumentException("no such record: " + name);
-    }
-
     private Object value(Type type) {
         if (type instanceof ParameterizedType list) {
             List<Object> all = new ArrayList<>();
@@ -96,12 +86,7 @@
         }
         String word = word();
         if (c.isEnum()) {
-            for (Object e : c.getEnumConstants()) {
-                if (((Enum<?>) e).name().equals(word)) {
-                    return e;
-                }
-            }
-            throw new IllegalArgumentException("no such word: " + word);
+            return TraceVocabulary.constantOf(c, word);
         }
         return c == long.class
                 ? (Object) Long.parseLong(word)
@@ -113,9 +98,9 @@
     }
 
     private Object record(Class<?> c) {
-        if (!word().equals(c.getSimpleName())) {
+        if (!word().equals(TraceVocabulary.wordOf(c))) {
             throw new IllegalArgumentException(
-                    "no " + c.getSimpleName() + " at " + at + " of " + text);
+                    "no " + TraceVocabulary.wordOf(c) + " at " + at + " of " + text);
         }
         expect('(');
         RecordComponent[] parts = c.getRecordComponents();
--- /dev/null
+++ b/src/main/java/brooklock/routing/CacheStatus.java
@@ -0,0 +1,27 @@
+package brooklock.routing;
+
+/** What a response says of the cached copy, or of the fill that failed. */
+public enum CacheStatus {
+    /** Nothing is said. */
+    NONE,
+    /** The endpoint served its own copy. */
+    HIT,
+    /** The endpoint filled its copy from a parent that had one. */
+    FILLED_BY_PARENT,
+    /** The copy came from the origin, directly or through a parent. */
+    FILLED_BY_ORIGIN,
+    /** The request was collapsed into a fill already in flight. */
+    COLLAPSED,
+    /** The endpoint served a stale copy. */
+    STALE,
+    /** The fill source rejected the fill because it is overloaded. */
+    FILL_SOURCE_REJECTED,
+    /** The connection to the fill source failed. */
+    FILL_SOURCE_CONNECTION_LOST,
+    /** The fill source has no copy and was not allowed to fetch one. */
+    FILL_SOURCE_MISS,
+    /** The endpoint has no capacity for a fill. */
+    NO_CAPACITY,
+    /** The origin failed behind the fill source. */
+    ORIGIN_FAILED
+}
--- /dev/null
+++ b/src/main/java/brooklock/routing/EndpointListKind.java
@@ -0,0 +1,13 @@
+package brooklock.routing;
+
+/** How an endpoint list is to be applied. */
+public enum EndpointListKind {
+    /** Only the endpoints that changed. */
+    DELTA,
+    /** All endpoints; one that is missing is gone. */
+    FULL,
+    /** All endpoints as they were last known, possibly stale. */
+    CACHED,
+    /** The subscription failed; no endpoints come with it. */
+    FAILED
+}
--- a/src/main/java/brooklock/routing/Rules.java
+++ b/src/main/java/brooklock/routing/Router.java
@@ -1,15 +1,28 @@
 package brooklock.routing;
 
-import brooklock.routing.RouterApi.*;
+import brooklock.routing.RouterAction.CancelAttempt;
+import brooklock.routing.RouterAction.FailRequest;
+import brooklock.routing.RouterAction.RejectRequest;
+import brooklock.routing.RouterAction.SetTimer;
+import brooklock.routing.RouterAction.StartAttempt;
+import brooklock.routing.RouterAction.WatchEndpoints;
+import brooklock.routing.RouterEvent.AttemptCompleted;
+import brooklock.routing.RouterEvent.ClientDisconnected;
+import brooklock.routing.RouterEvent.EndpointListReceived;
+import brooklock.routing.RouterEvent.PurgeReceived;
+import brooklock.routing.RouterEvent.RequestReceived;
+import brooklock.routing.RouterEvent.ResponseStarted;
+import brooklock.routing.RouterEvent.TimerFired;
+import brooklock.routing.RouterSettings.RequestClass;
 import java.util.*;
 
 /**
  * Every decision of one router, in the order a request lives: counted and looked up on the hot
  * list, given an edge cache and a source, sent, watched, tried again or given up. The interface is
- * RouterApi.java. Times are nanoseconds of the event's clock; a request's "work" is the time its
- * bytes need at the pace of one transfer.
+ * java. Times are nanoseconds of the event's clock; a request's "work" is the time its bytes need
+ * at the pace of one transfer.
  */
-public final class Rules {
+public final class Router {
     // Interval of the hot list: about as long as edge caches keep what nobody asks for again.
     private static final long INTERVAL_NS = 10_000_000_000L;
     // Objects counted in one interval, the oldest goes first: bounds memory, far above what 10 s
@@ -93,7 +106,7 @@
     private static final int SCANS = 8;
     private static final Comparator<Host> NEAREST = Comparator.comparingDouble(h -> -h.score);
 
-    private final Settings set;
+    private final RouterSettings set;
     private final TreeMap<Long, Host> hosts = new TreeMap<>();
     // What the list names as ready, by what this router uses it for; made anew when the list
     // changes.
@@ -125,7 +138,7 @@
     private final Rate fills = new Rate();
     private final Rate served = new Rate();
     private long now;
-    private List<Action> out;
+    private List<RouterAction> out;
 
     // One object's count in an interval, and the least time in which a copy of it was sent.
     private static final class Asked {
@@ -197,8 +210,8 @@
 
     // What this router knows of a host.
     private static final class Host {
-        HostEntry entry;
-        HostState state;
+        Endpoint entry;
+        EndpointState state;
         final Gate gate = new Gate(CACHE_LATE, GATE_LEAST);
         int attempts;
         double failShare;
@@ -227,8 +240,8 @@
 
     // A request this router has taken.
     private static final class Req {
-        Request ask;
-        ClassSettings cls;
+        RequestReceived ask;
+        RequestClass cls;
         Asked asked;
         boolean hot;
         double work;
@@ -260,48 +273,48 @@
     private record Alarm(long request, Purpose purpose) {}
 
     /** An instance with its settings; nothing here is left to chance. */
-    public Rules(Settings settings) {
+    public Router(RouterSettings settings) {
         this.set = settings;
-        originGate = new Gate(ORIGIN_LATE, ORIGIN_LEAST / Math.max(1, settings.routers()));
+        originGate = new Gate(ORIGIN_LATE, ORIGIN_LEAST / Math.max(1, settings.dispatcherCount()));
         classWork = new double[settings.classes().size()];
         for (int i = 0; i < classWork.length; i++) {
-            classWork[i] = settings.classes().get(i).aimNs();
+            classWork[i] = settings.classes().get(i).latencyObjectiveNs();
             longestAim = Math.max(longestAim, classWork[i]);
         }
     }
 
     /** Begins: the hot list is empty. */
-    public void start(long clock, List<Action> actions) {
+    public void start(long clock, List<RouterAction> actions) {
         begin(clock, actions);
         intervalEnd = now + INTERVAL_NS;
         firstListAt = intervalEnd;
-        if (set.listIsAsked()) {
-            out.add(new Watch());
+        if (set.watchesEndpointList()) {
+            out.add(new WatchEndpoints());
         }
     }
 
     /** Decides what to do about one event. */
-    public void on(long clock, Event event, List<Action> actions) {
+    public void onEvent(long clock, RouterEvent event, List<RouterAction> actions) {
         begin(clock, actions);
         turnInterval();
-        if (event instanceof Request e) {
+        if (event instanceof RequestReceived e) {
             take(e);
-        } else if (event instanceof Done e) {
+        } else if (event instanceof AttemptCompleted e) {
             ended(e);
         } else if (event instanceof TimerFired e) {
             alarm(alarms.remove(e.token()));
-        } else if (event instanceof Lapsed e) {
+        } else if (event instanceof ClientDisconnected e) {
             close(requests.get(e.id()));
-        } else if (event instanceof Streaming e) {
+        } else if (event instanceof ResponseStarted e) {
             stream(e);
-        } else if (event instanceof HostList e) {
+        } else if (event instanceof EndpointListReceived e) {
             hear(e);
-        } else if (event instanceof Purged e) {
+        } else if (event instanceof PurgeReceived e) {
             purge(e);
         }
     }
 
-    private void begin(long clock, List<Action> actions) {
+    private void begin(long clock, List<RouterAction> actions) {
         now = clock;
         out = actions;
     }
@@ -321,7 +334,7 @@
 
     // Counts an object. Its parts, asked in their order, are one asking; a part asked again is
     // another.
-    private Asked count(Request r) {
+    private Asked count(RequestReceived r) {
         Asked a = counted.get(r.object());
         if (a == null) {
             a = new Asked();
@@ -332,7 +345,7 @@
                 counted.remove(counted.keySet().iterator().next());
             }
         }
-        if (!r.repeat() && r.part() <= a.lastPart || a.lastPart < 0) {
+        if (!r.clientRetry() && r.part() <= a.lastPart || a.lastPart < 0) {
             a.times++;
         }
         a.lastPart = r.part();
@@ -357,34 +370,39 @@
 
     // ---- A request comes
 
-    private void take(Request r) {
+    private void take(RequestReceived r) {
         Req q = new Req();
         q.ask = r;
-        q.cls = set.classes().get(r.cls());
+        q.cls = set.classes().get(r.classIndex());
         q.asked = count(r);
         q.hot = listed.containsKey(r.object()) || q.asked.times > 1;
         q.takenAt = now;
         q.sized = r.sizeKb() > 0 || q.asked.work > 0;
         q.work = workOf(r, q.asked);
-        q.aimAt = now + q.cls.aimNs() + (long) (q.cls.aimStretch() * q.work);
+        q.aimAt =
+                now
+                        + q.cls.latencyObjectiveNs()
+                        + (long) (q.cls.latencyObjectiveWorkFactor() * q.work);
         requests.put(r.id(), q);
-        if (!q.cls.goesThrough()) {
+        if (!q.cls.passThrough()) {
             meanWork += (meanWork == 0 ? 1 : MEAN_WEIGHT) * (q.work - meanWork);
         }
         retries = Math.min(SAVED_MAX, retries + RETRY_SHARE);
-        setAlarm(r.deadlineNs() - LAST_TICKS * set.tickNs(), r.id(), Purpose.LAST);
+        setAlarm(r.deadlineNs() - LAST_TICKS * set.timerTickNs(), r.id(), Purpose.LAST);
         launch(q);
-        if (!q.closed && q.cls.effect() == Effect.SAFE && set.limits().mayDuplicate()) {
+        if (!q.closed
+                && q.cls.idempotency() == Idempotency.IDEMPOTENT
+                && set.limits().hedgingAllowed()) {
             setAlarm(now + (long) ((q.aimAt - now) * HEDGE_AT), r.id(), Purpose.HEDGE);
         }
     }
 
     // Told sizes count; else the least time seen for the object, else the class's mean.
-    private double workOf(Request r, Asked a) {
-        if (r.sizeKb() > 0 && set.flowKbPerS() > 0) {
-            return r.sizeKb() / set.flowKbPerS() * 1e9;
+    private double workOf(RequestReceived r, Asked a) {
+        if (r.sizeKb() > 0 && set.transferKbPerSecond() > 0) {
+            return r.sizeKb() / set.transferKbPerSecond() * 1e9;
         }
-        return a.work > 0 ? a.work : classWork[r.cls()];
+        return a.work > 0 ? a.work : classWork[r.classIndex()];
     }
 
     private void setAlarm(long at, long request, Purpose purpose) {
@@ -395,20 +413,20 @@
 
     // Sends a request where the design says, or gives it up. Returns whether it was sent.
     private boolean launch(Req q) {
-        if (q.attempts.size() >= Math.max(1, set.limits().tries())) {
+        if (q.attempts.size() >= Math.max(1, set.limits().maxAttempts())) {
             return false;
         }
         Host target = origin;
         Host source = origin;
-        if (!q.cls.goesThrough() || !set.direct()) {
+        if (!q.cls.passThrough() || !set.directOriginAllowed()) {
             target = pickEdge(q);
-            source = q.cls.goesThrough() ? origin : pickSource(q);
-            if (target == null && set.direct()) {
+            source = q.cls.passThrough() ? origin : pickSource(q);
+            if (target == null && set.directOriginAllowed()) {
                 target = source;
                 source = origin;
             }
         }
-        Reach reach = target == null || q.cls.goesThrough() ? Reach.ORIGIN : reach(q, target);
+        Reach reach = target == null || q.cls.passThrough() ? Reach.ORIGIN : reach(q, target);
         if (target != null && reach != Reach.NONE) {
             send(q, target, source == null || reach == Reach.CACHE ? target : source, reach);
             return true;
@@ -452,7 +470,7 @@
         double weight = 0;
         for (Host h : edges) {
             // Of equal weights, the same order without the logarithm.
-            h.score = set.weighted() ? score(copy, h) : uniform(copy, h.entry.host());
+            h.score = set.weighted() ? score(copy, h) : uniform(copy, h.entry.id());
             load += h.gate.load;
             weight += weight(h);
         }
@@ -553,7 +571,7 @@
     }
 
     private double score(long copy, Host h) {
-        return score(copy, h.entry.host(), weight(h));
+        return score(copy, h.entry.id(), weight(h));
     }
 
     /** How near a host is to a copy; the nearest holds it. */
@@ -619,14 +637,17 @@
 
     // Share of its capacity that a host surely has by now.
     private double warmth(Host h) {
-        double from = isParent(h) ? set.guards().parentColdFrom() : set.guards().coldFrom();
+        double from =
+                isParent(h)
+                        ? set.safetyLimits().parentInitialCapacity()
+                        : set.safetyLimits().initialCapacity();
         long span = coldSpan(h);
         long age = now - h.startedAt;
         return h.startedAt == 0 || age >= span ? 1 : from + (1 - from) * Math.max(0, age) / span;
     }
 
     private long coldSpan(Host h) {
-        return isParent(h) ? set.guards().parentColdNs() : set.guards().coldNs();
+        return isParent(h) ? set.safetyLimits().parentWarmUpNs() : set.safetyLimits().warmUpNs();
     }
 
     // Guards against pushing over a cold host. Its budget grows with its warmth times what this
@@ -640,19 +661,21 @@
             return true;
         }
         double multiple =
-                isParent(h) ? set.guards().parentFallMultiple() : set.guards().fallMultiple();
+                isParent(h)
+                        ? set.safetyLimits().parentOverloadMultiple()
+                        : set.safetyLimits().overloadMultiple();
         // While none is warm the rate stands as it was measured last.
         Rate measured = isParent(h) ? fills : served;
         double unit = measured.perNs(warmWeight(h) > 0 ? now : measured.at) * weight(h);
         double rate = unit * warmth * Math.min(COLD_MOST, multiple * COLD_MARGIN);
-        double most = Math.max(rate * set.guards().overloadForNs() / 2, cost(q));
+        double most = Math.max(rate * set.safetyLimits().overloadWindowNs() / 2, cost(q));
         h.budget = Math.min(most, h.budget + rate * (now - Math.max(h.budgetAt, h.startedAt)));
         h.budgetAt = now;
         return h.budget >= cost(q);
     }
 
     private double cost(Req q) {
-        return classWork[q.ask.cls()];
+        return classWork[q.ask.classIndex()];
     }
 
     // Books what a warm host took to the rate of one of unit size. It is divided by the warm hosts
@@ -661,7 +684,7 @@
     // grown.
     private void book(Host h, double work) {
         double size = warmWeight(h);
-        if (size > 0 && h.state == HostState.READY && warmth(h) >= 1) {
+        if (size > 0 && h.state == EndpointState.READY && warmth(h) >= 1) {
             (isParent(h) ? fills : served).add(work / size, now);
         }
     }
@@ -706,9 +729,9 @@
         }
         target.gate.load += a.work;
         a.reach = reach;
-        boolean cached = isCache(target) && !q.cls.goesThrough();
+        boolean cached = isCache(target) && !q.cls.passThrough();
         a.fillWork =
-                reach == Reach.CACHE || q.cls.goesThrough()
+                reach == Reach.CACHE || q.cls.passThrough()
                         ? 0
                         : q.missed || !cached ? a.work : a.work * missShare;
         a.originWork =
@@ -721,16 +744,16 @@
         }
         long left = Math.max(1, q.ask.deadlineNs() - now);
         out.add(
-                new Get(
+                new StartAttempt(
                         q.ask.id(),
-                        target.entry.host(),
+                        target.entry.id(),
                         left,
-                        source.entry.host(),
+                        source.entry.id(),
                         rankOf(q, cached),
                         oldest(q),
-                        set.joins() && !q.cls.goesThrough(),
+                        set.collapsesRequests() && !q.cls.passThrough(),
                         reach == Reach.PARENT && isParent(source),
-                        q.mayHaveRun && q.cls.effect() == Effect.KEYED
+                        q.mayHaveRun && q.cls.idempotency() == Idempotency.IDEMPOTENCY_KEY
                                 ? Math.min(left, windowLeft(q))
                                 : left));
     }
@@ -744,8 +767,8 @@
 
     // ---- Purges
 
-    private void purge(Purged p) {
-        long moment = now - p.agoNs();
+    private void purge(PurgeReceived p) {
+        long moment = now - p.ageNs();
         purgedObjects.values().removeIf(this::forgotten);
         purgedGroups.values().removeIf(this::forgotten);
         if (p.object() != 0) {
@@ -756,7 +779,7 @@
     }
 
     private boolean forgotten(long moment) {
-        return now > moment + set.guards().purgeDoneNs() + PURGE_MARGIN_NS;
+        return now > moment + set.safetyLimits().purgeWindowNs() + PURGE_MARGIN_NS;
     }
 
     // The oldest copy that will do: younger than the last purge; a copy's age only grows on the
@@ -772,12 +795,12 @@
             return 0;
         }
         long age = Math.max(1, now - moment - PURGE_MARGIN_NS);
-        return q.cls.freshNs() > 0 ? Math.min(q.cls.freshNs(), age) : age;
+        return q.cls.freshnessLifetimeNs() > 0 ? Math.min(q.cls.freshnessLifetimeNs(), age) : age;
     }
 
     // ---- An attempt ends
 
-    private void ended(Done d) {
+    private void ended(AttemptCompleted d) {
         Req q = requests.get(d.id());
         if (q == null || d.attempt() >= q.attempts.size() || q.attempts.get(d.attempt()).over) {
             return;
@@ -788,16 +811,19 @@
         q.open--;
         a.host.attempts--;
         leaveGates(a);
-        lost(a.host, d.outcome() == Outcome.RESET || d.outcome() == Outcome.CONNECT_FAILED);
-        if (filled(d) || sourceFailed(d.note())) {
+        lost(
+                a.host,
+                d.outcome() == AttemptOutcome.RESET
+                        || d.outcome() == AttemptOutcome.CONNECT_FAILED);
+        if (filled(d) || sourceFailed(d.cacheStatus())) {
             lost(a.source, unreached(d));
         }
         learn(q, a, d);
         gates(q, a, d, lostAnswer);
-        if (d.closed()) {
+        if (d.requestFinished()) {
             close(q);
         } else if (!q.closed) {
-            q.mayHaveRun |= !d.outcome().provesNotRun;
+            q.mayHaveRun |= !d.outcome().provesNotExecuted;
             again(q, d.outcome());
         }
         forget(q);
@@ -808,14 +834,15 @@
     // so here and now is learned from those, and from second copies that came before the first: a
     // large or
     // late answer looks the same until then.
-    private boolean lostAnswer(Req q, Attempt a, Done d) {
-        boolean overdue = overtaken(a) && now >= q.ask.deadlineNs() - LAST_TICKS * set.tickNs();
+    private boolean lostAnswer(Req q, Attempt a, AttemptCompleted d) {
+        boolean overdue =
+                overtaken(a) && now >= q.ask.deadlineNs() - LAST_TICKS * set.timerTickNs();
         boolean lost =
-                overdue && d.outcome() != Outcome.OK
-                        || d.outcome() == Outcome.OK
+                overdue && d.outcome() != AttemptOutcome.OK
+                        || d.outcome() == AttemptOutcome.OK
                                 && q.attempts.get(0) != a
                                 && overtaken(q.attempts.get(0));
-        if (overdue || d.outcome() == Outcome.OK) {
+        if (overdue || d.outcome() == AttemptOutcome.OK) {
             lostShare += MEAN_WEIGHT * ((lost ? 1 : 0) - lostShare);
         }
         return overdue && lostShare > LOST_SHARE;
@@ -832,9 +859,9 @@
 
     // Who is to blame: the host that answered badly or not at all, or the source that its note
     // names.
-    private void learn(Req q, Attempt a, Done d) {
+    private void learn(Req q, Attempt a, AttemptCompleted d) {
         boolean filled = filled(d);
-        if (d.outcome() == Outcome.OK) {
+        if (d.outcome() == AttemptOutcome.OK) {
             heard(a.host, true);
             blame(q);
             if (isCache(a.host)) {
@@ -842,24 +869,25 @@
             }
             learnWork(q, d);
             if (filled) {
-                heard(a.source, d.note() == Note.FILLED_BY_ORIGIN || onTime(q, d));
+                heard(a.source, d.cacheStatus() == CacheStatus.FILLED_BY_ORIGIN || onTime(q, d));
             }
-        } else if (sourceFailed(d.note())) {
+        } else if (sourceFailed(d.cacheStatus())) {
             heard(a.host, true);
-            heard(a.source, d.note() == Note.ORIGIN_FAILED);
-        } else if (d.outcome() == Outcome.TIMEOUT && a.host.unansweredSince <= a.sentAt
-                || d.outcome() == Outcome.RESET
-                || d.outcome() == Outcome.CONNECT_FAILED) {
+            heard(a.source, d.cacheStatus() == CacheStatus.ORIGIN_FAILED);
+        } else if (d.outcome() == AttemptOutcome.TIMEOUT && a.host.unansweredSince <= a.sentAt
+                || d.outcome() == AttemptOutcome.RESET
+                || d.outcome() == AttemptOutcome.CONNECT_FAILED) {
             heard(a.host, false);
-        } else if (d.outcome() == Outcome.ERROR) {
+        } else if (d.outcome() == AttemptOutcome.ERROR) {
             a.host.unansweredSince = now;
             q.erred.add(a.host);
-        } else if (d.outcome() == Outcome.FULL || d.outcome() == Outcome.MISS) {
+        } else if (d.outcome() == AttemptOutcome.OVERLOADED
+                || d.outcome() == AttemptOutcome.CACHE_MISS) {
             a.host.unansweredSince = now;
         }
         if (isParent(a.source) && filled) {
             book(a.source, cost(q));
-        } else if (isParent(a.source) && a.source != a.host && d.outcome() == Outcome.OK) {
+        } else if (isParent(a.source) && a.source != a.host && d.outcome() == AttemptOutcome.OK) {
             a.source.budget += cost(q);
         }
     }
@@ -876,73 +904,77 @@
     // A hit tells of the cache's own link, a parent's copy of the way in, the rest of the origin
     // behind.
     // What never began, or was called off before its aim (its client left), tells nothing.
-    private void gates(Req q, Attempt a, Done d, boolean lostAnswer) {
-        boolean ok = d.outcome() == Outcome.OK;
+    private void gates(Req q, Attempt a, AttemptCompleted d, boolean lostAnswer) {
+        boolean ok = d.outcome() == AttemptOutcome.OK;
         boolean onTime = ok && onTime(q, d);
-        if (d.outcome().neverBegan() || d.outcome() == Outcome.CANCELLED && now < q.aimAt) {
+        if (d.outcome().neverStarted()
+                || d.outcome() == AttemptOutcome.CANCELLED && now < q.aimAt) {
             return;
         }
-        if (q.cls.goesThrough()) {
+        if (q.cls.passThrough()) {
             originGate.answered(onTime, meanWork, meanWork);
         } else if (!q.sized) {
-            (isCache(a.host) && d.note() == Note.HIT ? a.host.gate : fillGate)
+            (isCache(a.host) && d.cacheStatus() == CacheStatus.HIT ? a.host.gate : fillGate)
                     .hint(onTime, HINT_WEIGHT);
-        } else if (ok && isCache(a.host) && d.note() == Note.HIT) {
+        } else if (ok && isCache(a.host) && d.cacheStatus() == CacheStatus.HIT) {
             a.host.gate.answered(onTime, q.work, meanWork);
-        } else if (ok && (!isCache(a.host) || d.note() == Note.FILLED)) {
+        } else if (ok && (!isCache(a.host) || d.cacheStatus() == CacheStatus.FILLED_BY_PARENT)) {
             fillGate.answered(onTime, q.work, meanWork);
-        } else if (ok && d.note() == Note.FILLED_BY_ORIGIN
-                || sourceFailed(d.note()) && !unreached(d)) {
+        } else if (ok && d.cacheStatus() == CacheStatus.FILLED_BY_ORIGIN
+                || sourceFailed(d.cacheStatus()) && !unreached(d)) {
             originGate.answered(onTime, q.work, meanWork);
         } else if (!ok && now >= q.aimAt && !lostAnswer) {
             (a.reach == Reach.CACHE ? a.host.gate : fillGate).answered(false, q.work, meanWork);
         }
         boolean open = ok && a.reach == Reach.ORIGIN && isCache(a.host);
         if (open && !q.missed) {
-            missShare += MEAN_WEIGHT * ((d.note() == Note.HIT ? 0 : 1) - missShare);
+            missShare += MEAN_WEIGHT * ((d.cacheStatus() == CacheStatus.HIT ? 0 : 1) - missShare);
         }
-        if (open && !q.parentLacks && d.note() != Note.HIT) {
+        if (open && !q.parentLacks && d.cacheStatus() != CacheStatus.HIT) {
             parentMissShare +=
-                    MEAN_WEIGHT * ((d.note() == Note.FILLED_BY_ORIGIN ? 1 : 0) - parentMissShare);
+                    MEAN_WEIGHT
+                            * ((d.cacheStatus() == CacheStatus.FILLED_BY_ORIGIN ? 1 : 0)
+                                    - parentMissShare);
         }
     }
 
-    private static boolean onTime(Req q, Done d) {
-        return d.tookNs() < q.aimAt - q.takenAt;
+    private static boolean onTime(Req q, AttemptCompleted d) {
+        return d.durationNs() < q.aimAt - q.takenAt;
     }
 
-    private static boolean filled(Done d) {
-        return d.note() == Note.FILLED || d.note() == Note.FILLED_BY_ORIGIN;
+    private static boolean filled(AttemptCompleted d) {
+        return d.cacheStatus() == CacheStatus.FILLED_BY_PARENT
+                || d.cacheStatus() == CacheStatus.FILLED_BY_ORIGIN;
     }
 
     // A source that broke off within the time of a connection was not there; a slow one breaks off
     // later.
-    private boolean unreached(Done d) {
-        return d.note() == Note.SOURCE_BROKE
-                && d.sourceWaitNs() < UNREACHED * set.limits().connectTimeoutNs();
+    private boolean unreached(AttemptCompleted d) {
+        return d.cacheStatus() == CacheStatus.FILL_SOURCE_CONNECTION_LOST
+                && d.fillDurationNs() < UNREACHED * set.limits().connectTimeoutNs();
     }
 
-    private static boolean sourceFailed(Note note) {
-        return note == Note.SOURCE_REFUSED
-                || note == Note.SOURCE_BROKE
-                || note == Note.ORIGIN_FAILED;
+    private static boolean sourceFailed(CacheStatus note) {
+        return note == CacheStatus.FILL_SOURCE_REJECTED
+                || note == CacheStatus.FILL_SOURCE_CONNECTION_LOST
+                || note == CacheStatus.ORIGIN_FAILED;
     }
 
-    private void learnWork(Req q, Done d) {
-        double work = q.ask.sizeKb() > 0 ? q.work : d.tookNs();
-        if (q.ask.sizeKb() > 0 || d.note() == Note.HIT) {
-            classWork[q.ask.cls()] += MEAN_WEIGHT * (work - classWork[q.ask.cls()]);
+    private void learnWork(Req q, AttemptCompleted d) {
+        double work = q.ask.sizeKb() > 0 ? q.work : d.durationNs();
+        if (q.ask.sizeKb() > 0 || d.cacheStatus() == CacheStatus.HIT) {
+            classWork[q.ask.classIndex()] += MEAN_WEIGHT * (work - classWork[q.ask.classIndex()]);
             q.asked.work = q.asked.work == 0 ? work : Math.min(q.asked.work, work);
         }
     }
 
     // One more try where the class, the count, the clock and the budget allow it; else the end.
-    private void again(Req q, Outcome outcome) {
+    private void again(Req q, AttemptOutcome outcome) {
         if (q.open > 0) {
             return;
         }
         Attempt last = q.attempts.get(q.attempts.size() - 1);
-        if (last.reach != Reach.ORIGIN && outcome == Outcome.MISS) {
+        if (last.reach != Reach.ORIGIN && outcome == AttemptOutcome.CACHE_MISS) {
             q.missed = true;
             q.parentLacks |= last.reach == Reach.PARENT;
             if (launch(q) || q.closed) {
@@ -960,15 +992,18 @@
 
     // Rule 2: a keyed request only inside its group and window; an unsafe one only if it never ran.
     private boolean mayResend(Req q) {
-        return switch (q.cls.effect()) {
-            case SAFE -> true;
-            case KEYED -> !q.mayHaveRun || q.cls.keyGroup() == Group.ALL && windowLeft(q) > 0;
-            case UNSAFE -> !q.mayHaveRun;
+        return switch (q.cls.idempotency()) {
+            case IDEMPOTENT -> true;
+            case IDEMPOTENCY_KEY ->
+                    !q.mayHaveRun
+                            || q.cls.idempotencyScope() == IdempotencyScope.ALL
+                                    && windowLeft(q) > 0;
+            case NOT_IDEMPOTENT -> !q.mayHaveRun;
         };
     }
 
     private long windowLeft(Req q) {
-        return q.firstSentAt + q.cls.keyWindowNs() - now;
+        return q.firstSentAt + q.cls.idempotencyWindowNs() - now;
     }
 
     private void alarm(Alarm alarm) {
@@ -1012,21 +1047,22 @@
             blame(q);
         }
         boolean harmless =
-                q.cls.effect() == Effect.SAFE
+                q.cls.idempotency() == Idempotency.IDEMPOTENT
                         || !q.mayHaveRun && q.open == 0
-                        || q.cls.effect() == Effect.KEYED && q.cls.keyGroup() == Group.ALL;
+                        || q.cls.idempotency() == Idempotency.IDEMPOTENCY_KEY
+                                && q.cls.idempotencyScope() == IdempotencyScope.ALL;
         out.add(
                 harmless
-                        ? new Refuse(
+                        ? new RejectRequest(
                                 q.ask.id(),
-                                set.limits().retryAfter() ? set.limits().maxRetryAfterNs() : 0)
-                        : new Fail(q.ask.id()));
+                                set.limits().retryAfterSent() ? set.limits().maxRetryAfterNs() : 0)
+                        : new FailRequest(q.ask.id()));
         q.asked.times = Math.max(0, q.asked.times - 1);
         close(q);
     }
 
     // A started stream is the client's: it is the answer, and its attempt is not called off.
-    private void stream(Streaming e) {
+    private void stream(ResponseStarted e) {
         Req q = requests.get(e.id());
         if (q != null && e.attempt() < q.attempts.size()) {
             q.attempts.get(e.attempt()).streams = true;
@@ -1039,10 +1075,10 @@
             return;
         }
         q.closed = true;
-        if (set.limits().cancel()) {
+        if (set.limits().cancelAllowed()) {
             for (int i = 0; i < q.attempts.size(); i++) {
                 if (!q.attempts.get(i).over && !q.attempts.get(i).streams) {
-                    out.add(new Cancel(q.ask.id(), i));
+                    out.add(new CancelAttempt(q.ask.id(), i));
                 }
             }
         }
@@ -1057,16 +1093,16 @@
 
     // ---- The list of hosts
 
-    private void hear(HostList l) {
-        if (l.kind() == ListKind.FAILED) {
-            out.add(new Watch());
+    private void hear(EndpointListReceived l) {
+        if (l.kind() == EndpointListKind.FAILED) {
+            out.add(new WatchEndpoints());
             return;
         }
-        if (l.kind() != ListKind.DELTA) {
-            hosts.values().forEach(h -> h.state = HostState.GONE);
+        if (l.kind() != EndpointListKind.DELTA) {
+            hosts.values().forEach(h -> h.state = EndpointState.GONE);
         }
-        for (HostEntry e : l.entries()) {
-            Host h = hosts.computeIfAbsent(e.host(), k -> new Host());
+        for (Endpoint e : l.endpoints()) {
+            Host h = hosts.computeIfAbsent(e.id(), k -> new Host());
             if (h.entry == null || h.entry.startedAtNs() != e.startedAtNs()) {
                 h.failShare = 0;
                 h.budget = 0;
@@ -1077,7 +1113,7 @@
             h.entry = e;
             h.state = e.state();
         }
-        hosts.values().removeIf(h -> h.state == HostState.GONE && h.attempts == 0);
+        hosts.values().removeIf(h -> h.state == EndpointState.GONE && h.attempts == 0);
         sortOut();
     }
 
@@ -1087,9 +1123,12 @@
         nearParents.clear();
         farParents.clear();
         origin = null;
-        int hub = set.zone() < set.hubByZone().size() ? set.hubByZone().get(set.zone()) : -1;
+        int hub =
+                set.zone() < set.parentZoneByZone().size()
+                        ? set.parentZoneByZone().get(set.zone())
+                        : -1;
         for (Host h : hosts.values()) {
-            if (h.state != HostState.READY) {
+            if (h.state != EndpointState.READY) {
                 continue;
             }
             if (isParent(h)) {
--- a/src/main/java/brooklock/simulator/WireHost.java
+++ b/src/main/java/brooklock/simulator/SimulatorHost.java
@@ -1,7 +1,8 @@
 package brooklock.simulator;
 
-import brooklock.routing.RouterApi;
-import brooklock.routing.Rules;
+import brooklock.routing.Router;
+import brooklock.routing.RouterAction;
+import brooklock.routing.RouterEvent;
 import java.io.IOException;
 import java.io.InputStream;
 import java.io.OutputStream;
@@ -13,13 +14,13 @@
 import java.util.Map;
 
 /**
- * Hosts instances of {@link Rules} on the wire: one reply a batch, one {@code Rules} an instance,
+ * Hosts instances of {@link Router} on the wire: one reply a batch, one {@code Rules} an instance,
  * nothing shared.
  */
-public final class WireHost {
+public final class SimulatorHost {
     private static final int HEADER_BYTES = 12;
 
-    private final Map<Integer, Rules> instances = new HashMap<>();
+    private final Map<Integer, Router> instances = new HashMap<>();
 
     /** Reads batches until the input ends between two frames. */
     public void serve(InputStream in, OutputStream out) throws IOException {
@@ -30,7 +31,7 @@
                 return;
             }
             if (got < HEADER_BYTES) {
-                throw new WireCodec.WireFault(
+                throw new SimulatorCodec.MalformedFrameException(
                         "truncated frame: header has " + got + " of " + HEADER_BYTES + " bytes");
             }
             ByteBuffer h = ByteBuffer.wrap(header).order(ByteOrder.LITTLE_ENDIAN);
@@ -38,64 +39,66 @@
             long now = h.getLong(4);
             // The stated length is everything after the length field and the clock.
             if (length < 0) {
-                throw new WireCodec.WireFault(
+                throw new SimulatorCodec.MalformedFrameException(
                         "frame length " + Integer.toUnsignedString(length) + " is too long");
             }
             byte[] body = in.readNBytes(length);
             if (body.length < length) {
-                throw new WireCodec.WireFault(
+                throw new SimulatorCodec.MalformedFrameException(
                         "truncated frame: body has " + body.length + " of " + length + " bytes");
             }
-            out.write(answer(now, body));
+            out.write(decideBatch(now, body));
             out.flush();
         }
     }
 
     /** Decides one batch. */
-    byte[] answer(long now, byte[] body) {
-        WireCodec.Reader reader = new WireCodec.Reader(body);
-        WireCodec.Writer writer = new WireCodec.Writer();
+    byte[] decideBatch(long now, byte[] body) {
+        SimulatorCodec.EventDecoder reader = new SimulatorCodec.EventDecoder(body);
+        SimulatorCodec.ActionEncoder writer = new SimulatorCodec.ActionEncoder();
         while (reader.nextRecord()) {
-            step(now, reader, writer);
+            processRecord(now, reader, writer);
         }
         return writer.frame();
     }
 
-    private void step(long now, WireCodec.Reader reader, WireCodec.Writer writer) {
-        int who = reader.instance();
+    private void processRecord(
+            long now, SimulatorCodec.EventDecoder reader, SimulatorCodec.ActionEncoder writer) {
+        int instance = reader.instance();
         if (reader.isStart()) {
-            WireCodec.Start start = reader.start();
-            run(
-                    who,
+            SimulatorCodec.Start start = reader.start();
+            decide(
+                    instance,
                     writer,
                     out -> {
-                        Rules rules = new Rules(start.settings());
-                        instances.put(who, rules);
+                        Router rules = new Router(start.settings());
+                        instances.put(instance, rules);
                         rules.start(now, out);
                     });
         } else if (reader.isStop()) {
-            instances.remove(who);
+            instances.remove(instance);
         } else {
-            Rules rules = instances.get(who);
-            RouterApi.Event event = reader.event(now);
+            Router rules = instances.get(instance);
+            RouterEvent event = reader.event(now);
             if (rules != null && event != null) {
-                run(who, writer, out -> rules.on(now, event, out));
+                decide(instance, writer, out -> rules.onEvent(now, event, out));
             }
         }
     }
 
-    private interface Work {
-        void into(List<RouterApi.Action> out);
+    private interface Decision {
+        void decide(List<RouterAction> out);
     }
 
-    private void run(int who, WireCodec.Writer writer, Work work) {
-        List<RouterApi.Action> out = new ArrayList<>();
+    private void decide(int instance, SimulatorCodec.ActionEncoder writer, Decision work) {
+        List<RouterAction> actions = new ArrayList<>();
         try {
-            work.into(out);
-            out.forEach(action -> writer.action(who, action));
+            work.decide(actions);
+            actions.forEach(action -> writer.action(instance, action));
         } catch (RuntimeException e) {
-            writer.fault(
-                    who, e + (e.getStackTrace().length > 0 ? " at " + e.getStackTrace()[0] : ""));
+            writer.instanceFailed(
+                    instance,
+                    e + (e.getStackTrace().length > 0 ? " at " + e.getStackTrace()[0] : ""));
         }
     }
 }
--- a/src/main/java/brooklock/testserver/Copy.java
+++ b/src/main/java/brooklock/testserver/CachedCopy.java
@@ -7,7 +7,7 @@
  * @param bornNs when the origin gave it out, as its holder may believe: never later than it was
  * @param group its purge group
  */
-record Copy(Key key, long serial, long bornNs, int group, byte[] content) {
+record CachedCopy(Key key, long serial, long bornNs, int group, byte[] content) {
     /** Which part of which object. */
     record Key(long object, int part) {}
 }
--- /dev/null
+++ b/src/main/java/brooklock/testserver/PacedTransfer.java
@@ -0,0 +1,83 @@
+package brooklock.testserver;
+
+import brooklock.http.ResponseHead;
+import brooklock.net.HttpExchange;
+import java.nio.ByteBuffer;
+import java.util.function.DoubleSupplier;
+
+/** One answer on its way at the pace that its host's link gives it just then. */
+final class PacedTransfer {
+    // A piece lasts about this long, so that a pace that changes is felt soon.
+    private static final double PIECE_DURATION_S = 0.01;
+    private static final int MIN_PIECE_BYTES = 512;
+
+    private final HttpExchange exchange;
+    private final byte[] content;
+    private final int cutAt;
+    private final DoubleSupplier bytesPerSecond;
+    private final Runnable onEnded;
+    private int position;
+    private boolean ended;
+
+    /** {@code cutAt} bytes into the body the connection is broken; -1 for never. */
+    PacedTransfer(
+            HttpExchange exchange,
+            byte[] content,
+            int cutAt,
+            DoubleSupplier bytesPerSecond,
+            Runnable onEnded) {
+        this.exchange = exchange;
+        this.content = content;
+        this.cutAt = cutAt;
+        this.bytesPerSecond = bytesPerSecond;
+        this.onEnded = onEnded;
+    }
+
+    void start(ResponseHead head) {
+        exchange.onClientGone(this::end);
+        exchange.onWritable(this::next);
+        if (exchange.startResponse(head, content.length)) {
+            next();
+        }
+    }
+
+    private void next() {
+        if (exchange.isEnded() || ended) {
+            end();
+            return;
+        }
+        if (cutAt >= 0 && position >= cutAt) {
+            exchange.abort();
+            end();
+            return;
+        }
+        if (position == content.length) {
+            exchange.endResponse();
+            end();
+            return;
+        }
+        double currentRate = bytesPerSecond.getAsDouble();
+        int count =
+                Math.min(
+                        content.length - position,
+                        Math.max(MIN_PIECE_BYTES, (int) (currentRate * PIECE_DURATION_S)));
+        ByteBuffer piece = ByteBuffer.wrap(content, position, count);
+        position += count;
+        boolean taken = exchange.writeBody(piece);
+        exchange.loop()
+                .schedule(
+                        (long) (count / currentRate * 1e9),
+                        () -> {
+                            if (taken) {
+                                next();
+                            }
+                        });
+    }
+
+    private void end() {
+        if (!ended) {
+            ended = true;
+            onEnded.run();
+        }
+    }
+}
--- a/src/main/java/brooklock/testserver/HostModel.java
+++ b/src/main/java/brooklock/testserver/ServerModel.java
@@ -16,19 +16,19 @@
  * @param baseNs time before the first byte
  * @param rate calls a second above which it refuses (origins), 0 for none
  */
-public record HostModel(
+public record ServerModel(
         String name,
         Role role,
-        double flows,
-        double pace,
-        int slots,
-        int copies,
-        double coldFrom,
-        long coldNs,
-        double fallsAt,
-        long fallNs,
-        long baseNs,
-        double rate) {
+        double maxTransfers,
+        double bytesPerSecond,
+        int maxRequests,
+        int maxCopies,
+        double coldStartShare,
+        long warmUpNs,
+        double overloadMultiple,
+        long overloadWindowNs,
+        long baseLatencyNs,
+        double maxRequestsPerS) {
     /** What a host is. */
     public enum Role {
         CACHE,
--- a/src/main/java/brooklock/warming/HotParts.java
+++ b/src/main/java/brooklock/warming/HotParts.java
@@ -21,83 +21,88 @@
      * Parts remembered of one interval; the one that came first goes first. Bounds the sorting to a
      * few milliseconds.
      */
-    static final int MOST = 8_000;
+    static final int MAX_PARTS = 8_000;
 
     /** A part of an object. */
-    record Key(long object, int part) {}
+    record PartKey(long object, int part) {}
 
     /** A part that was asked for. */
-    static final class Hot<T> {
-        final Key key;
-        final T how;
-        final long order;
-        int times;
+    static final class HotPart<T> {
+        final PartKey key;
+        final T request;
+        final long tieBreak;
+        int requestCount;
         // The cache that it belongs to, and in which list of caches that is so.
-        long owner;
-        int ownerIn = -1;
+        long ownerId;
+        int ownerListVersion = -1;
 
-        Hot(Key key, T how, long order) {
+        HotPart(PartKey key, T how, long order) {
             this.key = key;
-            this.how = how;
-            this.order = order;
+            this.request = how;
+            this.tieBreak = order;
         }
     }
 
-    private Map<Key, Hot<T>> before = Map.of();
-    private LinkedHashMap<Key, Hot<T>> now = new LinkedHashMap<>();
-    private long turnAt;
+    private Map<PartKey, HotPart<T>> previousInterval = Map.of();
+    private LinkedHashMap<PartKey, HotPart<T>> currentInterval = new LinkedHashMap<>();
+    private long intervalEndNs;
 
     private final long seed;
 
     /** {@code seed} draws the order of those alike, another at each dispatcher. */
     HotParts(long seed, long nowNs) {
         this.seed = seed;
-        turnAt = nowNs + INTERVAL_NS;
+        intervalEndNs = nowNs + INTERVAL_NS;
     }
 
-    void asked(Key key, T how, long nowNs) {
-        turn(nowNs);
-        Hot<T> h = now.get(key);
+    void recordRequest(PartKey key, T how, long nowNs) {
+        rotateInterval(nowNs);
+        HotPart<T> h = currentInterval.get(key);
         if (h == null) {
-            Hot<T> old = before.get(key);
-            h = new Hot<>(key, how, Mix.of(seed ^ Mix.of(key.object() * 31 + key.part())));
-            h.times = old == null ? 0 : old.times / 2;
-            now.put(key, h);
-            if (now.size() > MOST) {
-                now.remove(now.keySet().iterator().next());
+            HotPart<T> old = previousInterval.get(key);
+            h =
+                    new HotPart<>(
+                            key,
+                            how,
+                            StableHash.hash(
+                                    seed ^ StableHash.hash(key.object() * 31 + key.part())));
+            h.requestCount = old == null ? 0 : old.requestCount / 2;
+            currentInterval.put(key, h);
+            if (currentInterval.size() > MAX_PARTS) {
+                currentInterval.remove(currentInterval.keySet().iterator().next());
             }
         }
-        h.times++;
+        h.requestCount++;
     }
 
-    private void turn(long nowNs) {
-        if (nowNs < turnAt) {
+    private void rotateInterval(long nowNs) {
+        if (nowNs < intervalEndNs) {
             return;
         }
-        before = nowNs < turnAt + INTERVAL_NS ? now : Map.of();
-        now = new LinkedHashMap<>();
-        turnAt = nowNs + INTERVAL_NS;
+        previousInterval = nowNs < intervalEndNs + INTERVAL_NS ? currentInterval : Map.of();
+        currentInterval = new LinkedHashMap<>();
+        intervalEndNs = nowNs + INTERVAL_NS;
     }
 
     /**
      * Those listed, as the module lists objects: asked for in the last interval, or twice in this
      * one. Hottest first by doublings, in each by an order of this dispatcher's own.
      */
-    List<Hot<T>> hottest(long nowNs) {
-        turn(nowNs);
-        Map<Key, Hot<T>> all = new LinkedHashMap<>(before);
-        all.putAll(now);
-        List<Hot<T>> hot = new ArrayList<>();
+    List<HotPart<T>> hottest(long nowNs) {
+        rotateInterval(nowNs);
+        Map<PartKey, HotPart<T>> all = new LinkedHashMap<>(previousInterval);
+        all.putAll(currentInterval);
+        List<HotPart<T>> hot = new ArrayList<>();
         all.values()
                 .forEach(
                         h -> {
-                            if (h.times > 1 || before.containsKey(h.key)) {
+                            if (h.requestCount > 1 || previousInterval.containsKey(h.key)) {
                                 hot.add(h);
                             }
                         });
-        Comparator<Hot<T>> byHeat =
-                Comparator.comparingInt(h -> Integer.numberOfLeadingZeros(h.times));
-        hot.sort(byHeat.thenComparingLong(h -> h.order));
+        Comparator<HotPart<T>> byHeat =
+                Comparator.comparingInt(h -> Integer.numberOfLeadingZeros(h.requestCount));
+        hot.sort(byHeat.thenComparingLong(h -> h.tieBreak));
         return hot;
     }
 }
--- a/src/main/java/brooklock/warming/Report.java
+++ b/src/main/java/brooklock/warming/LoadReport.java
@@ -10,13 +10,18 @@
  *     it may have said before its last start
  * @param atNs when it was heard
  */
-public record Report(double util, int inflight, double hits, long sentNs, long atNs) {
+public record LoadReport(
+        double utilization, int inFlight, double hitRatio, long requestSentNs, long receivedNs) {
     // A link may be told as fuller than full while transfers share it; beyond this it is no share
     // at all.
-    private static final double MOST_UTIL = 100;
+    private static final double MAX_UTILIZATION = 100;
 
     /** Whether the figures can be. */
-    public boolean sane() {
-        return util >= 0 && util <= MOST_UTIL && inflight >= 0 && hits >= 0 && hits <= 1;
+    public boolean isPlausible() {
+        return utilization >= 0
+                && utilization <= MAX_UTILIZATION
+                && inFlight >= 0
+                && hitRatio >= 0
+                && hitRatio <= 1;
     }
 }
--- a/src/main/java/brooklock/warming/Budget.java
+++ b/src/main/java/brooklock/warming/PacedBudget.java
@@ -6,11 +6,11 @@
  * moment do not all spend what they saved up: within a span S all together do no more than their
  * summed rate permits in S and the time of lapsing.
  */
-final class Budget {
-    private final long lapseNs;
+final class PacedBudget {
+    private final long permitLifetimeNs;
     // Things permitted: the whole ones came one after the other, the rest is on its way.
-    private double left;
-    private long at;
+    private double permits;
+    private long updatedAtNs;
 
     /**
      * With nothing permitted yet.
@@ -18,36 +18,36 @@
      * @param phase from 0 up to 1: how far the first thing is on its way
      * @param lapseNs how long a permission lasts
      */
-    Budget(double phase, long lapseNs, long now) {
+    PacedBudget(double phase, long lapseNs, long now) {
         if (!(phase >= 0 && phase < 1)) {
             throw new IllegalArgumentException("a phase lies from 0 up to 1");
         }
-        this.lapseNs = lapseNs;
-        left = phase;
-        at = now;
+        this.permitLifetimeNs = lapseNs;
+        permits = phase;
+        updatedAtNs = now;
     }
 
-    /** Whether one is permitted now at a rate a ns; {@link #spend} is to follow if it is done. */
-    boolean any(double perNs, long now) {
+    /** Whether one is permitted now at a rate a ns; {@link #acquire} is to follow if it is done. */
+    boolean canAcquire(double perNs, long now) {
         double rate = Math.max(0, perNs);
-        left += rate * Math.max(0, now - at);
-        at = Math.max(at, now);
-        double since = left - 1;
-        if (since >= 1 || since > rate * lapseNs) {
+        permits += rate * Math.max(0, now - updatedAtNs);
+        updatedAtNs = Math.max(updatedAtNs, now);
+        double since = permits - 1;
+        if (since >= 1 || since > rate * permitLifetimeNs) {
             // Older than it may be: of the permissions since, the newest is there or has lapsed as
             // well.
             since -= Math.floor(since);
-            left = since <= rate * lapseNs ? 1 + since : since;
+            permits = since <= rate * permitLifetimeNs ? 1 + since : since;
         }
-        return left >= 1;
+        return permits >= 1;
     }
 
-    void spend() {
-        left--;
+    void acquire() {
+        permits--;
     }
 
     /** What was spent was not used after all. */
-    void unspent() {
-        left++;
+    void refund() {
+        permits++;
     }
 }
--- a/src/main/java/brooklock/warming/Law.java
+++ b/src/main/java/brooklock/warming/WarmingLimits.java
@@ -14,24 +14,24 @@
  * @param fallMultiple multiple of what it can do that pushes it over
  * @param overloadNs the span over which that is reckoned
  */
-public record Law(
-        boolean anyZone,
-        double neighbourShare,
-        double bearsPerNs,
-        int dispatchers,
-        double coldFrom,
-        long coldNs,
-        double fallMultiple,
-        long overloadNs) {
+public record WarmingLimits(
+        boolean crossZone,
+        double peerShare,
+        double warmCapacityPerNs,
+        int dispatcherCount,
+        double initialCapacity,
+        long warmUpNs,
+        double overloadMultiple,
+        long overloadWindowNs) {
     /** Checks the figures. */
-    public Law {
-        if (!(neighbourShare > 0 && neighbourShare <= 1)
-                || !(bearsPerNs >= 0)
-                || dispatchers <= 0
-                || !(coldFrom > 0 && coldFrom <= 1)
-                || coldNs <= 0
-                || fallMultiple < 0
-                || overloadNs <= 0) {
+    public WarmingLimits {
+        if (!(peerShare > 0 && peerShare <= 1)
+                || !(warmCapacityPerNs >= 0)
+                || dispatcherCount <= 0
+                || !(initialCapacity > 0 && initialCapacity <= 1)
+                || warmUpNs <= 0
+                || overloadMultiple < 0
+                || overloadWindowNs <= 0) {
             throw new IllegalArgumentException("figures of warming that cannot be");
         }
     }
@@ -41,19 +41,21 @@
      *
      * @param ownPerNs requests a ns that this dispatcher sends a warm cache itself
      */
-    public double partPerNs(double ownPerNs) {
-        return bearsPerNs > 0 ? bearsPerNs / dispatchers : ownPerNs;
+    public double dispatcherSharePerNs(double ownPerNs) {
+        return warmCapacityPerNs > 0 ? warmCapacityPerNs / dispatcherCount : ownPerNs;
     }
 
     /**
      * How long a permission lasts that is not used: half the span over which too much is reckoned.
      */
-    long lapseNs() {
-        return overloadNs / 2;
+    long permitLifetimeNs() {
+        return overloadWindowNs / 2;
     }
 
     /** Share of its capacity that a cache surely has at an age. */
-    public double warmth(long ageNs) {
-        return ageNs >= coldNs ? 1 : coldFrom + (1 - coldFrom) * Math.max(0, ageNs) / coldNs;
+    public double capacityAt(long ageNs) {
+        return ageNs >= warmUpNs
+                ? 1
+                : initialCapacity + (1 - initialCapacity) * Math.max(0, ageNs) / warmUpNs;
     }
 }
--- a/src/main/java/brooklock/warming/SnapshotText.java
+++ b/src/main/java/brooklock/warming/WarmingSnapshotCodec.java
@@ -1,6 +1,6 @@
 package brooklock.warming;
 
-import brooklock.config.Sealed;
+import brooklock.config.ChecksummedText;
 import java.util.ArrayList;
 import java.util.List;
 
@@ -8,49 +8,49 @@
  * What was learned of cold caches, as it is written down: a first line with version and wall time,
  * a line a cache, sealed. Bounded; one that is cut or has a bit turned is refused whole.
  */
-public final class SnapshotText {
+public final class WarmingSnapshotCodec {
     /** Most caches in one. */
-    public static final int MOST = 4096;
+    public static final int MAX_ENTRIES = 4096;
 
     /** One that was read. */
-    public record Read(long wallMs, List<Warming.Line> lines) {}
+    public record WarmingSnapshot(long savedAtMs, List<CacheWarming.SnapshotEntry> entries) {}
 
-    private SnapshotText() {}
+    private WarmingSnapshotCodec() {}
 
     /** As text. */
-    public static String write(long wallMs, List<Warming.Line> lines) {
+    public static String encode(long wallMs, List<CacheWarming.SnapshotEntry> lines) {
         StringBuilder s = new StringBuilder("warming 1 ").append(wallMs).append('\n');
-        int n = Math.min(MOST, lines.size());
+        int n = Math.min(MAX_ENTRIES, lines.size());
         lines.subList(0, n)
                 .forEach(
                         l ->
-                                s.append(Long.toHexString(l.host()))
+                                s.append(Long.toHexString(l.endpointId()))
                                         .append(' ')
                                         .append(l.startedMs())
                                         .append(' ')
-                                        .append(l.share())
+                                        .append(l.loadShare())
                                         .append(' ')
-                                        .append(l.part())
+                                        .append(l.peerFraction())
                                         .append('\n'));
-        return Sealed.seal(s.toString());
+        return ChecksummedText.withChecksum(s.toString());
     }
 
     /** Reads it back; a damaged one throws with the reason. */
-    public static Read read(String text) {
-        String[] rows = Sealed.open(text);
-        if (rows.length - 1 > MOST || !rows[0].matches("warming 1 \\d{1,15}")) {
+    public static WarmingSnapshot decode(String text) {
+        String[] rows = ChecksummedText.verifiedLines(text);
+        if (rows.length - 1 > MAX_ENTRIES || !rows[0].matches("warming 1 \\d{1,15}")) {
             throw new IllegalArgumentException("it is of another version, or too long");
         }
-        List<Warming.Line> lines = new ArrayList<>();
+        List<CacheWarming.SnapshotEntry> lines = new ArrayList<>();
         for (int i = 1; i < rows.length; i++) {
             String[] w = rows[i].split(" ");
             lines.add(
-                    new Warming.Line(
+                    new CacheWarming.SnapshotEntry(
                             Long.parseUnsignedLong(w[0], 16),
                             Long.parseLong(w[1]),
                             Double.parseDouble(w[2]),
                             Double.parseDouble(w[3])));
         }
-        return new Read(Long.parseLong(rows[0].substring(10)), lines);
+        return new WarmingSnapshot(Long.parseLong(rows[0].substring(10)), lines);
     }
 }
--- a/src/test/java/brooklock/ArchitectureTest.java
+++ b/src/test/java/brooklock/ArchitectureTest.java
@@ -56,7 +56,7 @@
 
     /** The classes of membership that keep files and threads; the rest is its pure core. */
     private static final String MEMBERSHIP_WITH_FILES =
-            "brooklock\\.membership\\.(HostBook|ListFile)(\\$.*)?";
+            "brooklock\\.membership\\.(EndpointRegistry|EndpointListFile)(\\$.*)?";
 
     private final JavaClasses all =
             new ClassFileImporter()
--- a/src/test/java/brooklock/authorization/NewestPolicyPropertyTest.java
+++ b/src/test/java/brooklock/authorization/PolicyReloadPropertyTest.java
@@ -5,14 +5,14 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import brooklock.config.SettingsException;
-import brooklock.credentials.AtOnce;
-import brooklock.credentials.BadCredential;
 import brooklock.credentials.Identity;
-import brooklock.credentials.KeyFile;
-import brooklock.credentials.KeyRing;
-import brooklock.credentials.TokenBook;
-import brooklock.credentials.TokenCheck;
-import brooklock.credentials.TokenMaker;
+import brooklock.credentials.InvalidCredentialException;
+import brooklock.credentials.KeySet;
+import brooklock.credentials.KeySetFile;
+import brooklock.credentials.SynchronousAuthenticator;
+import brooklock.credentials.TokenCache;
+import brooklock.credentials.TokenSigner;
+import brooklock.credentials.TokenVerifier;
 import com.nimbusds.jose.util.JSONObjectUtils;
 import java.security.KeyPair;
 import java.util.ArrayList;
@@ -27,30 +27,30 @@
  * However keys rotate and policies are reloaded between requests, what counts is the newest set and
  * policy in force.
  */
-class NewestPolicyPropertyTest {
+class PolicyReloadPropertyTest {
     private static final KeyPair[] PAIRS = {
-        KeyFile.generate("EdDSA"), KeyFile.generate("EdDSA"), KeyFile.generate("EdDSA")
+        KeySetFile.generate("EdDSA"), KeySetFile.generate("EdDSA"), KeySetFile.generate("EdDSA")
     };
     private static final long NOW = 1_800_000_000_000L;
 
     private static String token(int key, int tenant) {
-        return TokenMaker.make(
+        return TokenSigner.sign(
                 PAIRS[key].getPrivate(),
                 "k" + key,
                 Map.of("tenant", "t" + tenant, "exp", NOW / 1000 + 60));
     }
 
-    private static KeyRing ring(boolean[] retired) {
+    private static KeySet ring(boolean[] retired) {
         List<Object> keys = new ArrayList<>();
         for (int i = 0; i < retired.length; i++) {
             keys.add(
-                    KeyFile.entry(
+                    KeySetFile.toJwk(
                             "k" + i,
                             "EdDSA",
                             PAIRS[i],
-                            retired[i] ? KeyRing.State.RETIRED : KeyRing.State.ACCEPTED));
+                            retired[i] ? KeySet.State.RETIRED : KeySet.State.ACCEPTED));
         }
-        return KeyRing.parse(JSONObjectUtils.toJSONString(Map.of("keys", keys)));
+        return KeySet.parse(JSONObjectUtils.toJSONString(Map.of("keys", keys)));
     }
 
     private static Policy policy(boolean[][] may) throws SettingsException {
@@ -72,9 +72,9 @@
             throws SettingsException {
         boolean[] retired = new boolean[3];
         boolean[][] may = {{true, true, true}, {true, true, true}};
-        KeyRing ring = ring(retired);
+        KeySet ring = ring(retired);
         Policy policy = policy(may);
-        TokenBook book = new TokenBook(new TokenCheck(null, null, 0), new byte[32]);
+        TokenCache book = new TokenCache(new TokenVerifier(null, null, 0), new byte[32]);
         for (int step : steps) {
             int what = step % 4;
             int a = step / 4 % 3;
@@ -87,24 +87,28 @@
                 may[t][o] ^= true;
                 policy = policy(may);
             } else if (retired[a]) {
-                KeyRing now = ring;
+                KeySet now = ring;
                 assertThrows(
-                        BadCredential.class,
-                        () -> AtOnce.look(book, token(a, t), now, "x", NOW, 1));
+                        InvalidCredentialException.class,
+                        () ->
+                                SynchronousAuthenticator.authenticate(
+                                        book, token(a, t), now, "x", NOW, 1));
             } else {
-                Decision d = decide(book, ring, policy, a, t, o);
-                assertTrue(may[t][o] == d.allowed(), d.why());
+                AccessDecision d = decide(book, ring, policy, a, t, o);
+                assertTrue(may[t][o] == d.allowed(), d.explain());
                 assertFalse(d.allowed() && !may[t][o]);
             }
         }
     }
 
-    private static Decision decide(
-            TokenBook book, KeyRing ring, Policy policy, int key, int tenant, int object) {
+    private static AccessDecision decide(
+            TokenCache book, KeySet ring, Policy policy, int key, int tenant, int object) {
         try {
-            Identity i = AtOnce.look(book, token(key, tenant), ring, "x", NOW, 1);
-            return policy.decide(i.tenant(policy).name(), "GET", "/o" + object, "c", NOW);
-        } catch (BadCredential e) {
+            Identity i =
+                    SynchronousAuthenticator.authenticate(
+                            book, token(key, tenant), ring, "x", NOW, 1);
+            return policy.decide(i.resolveTenant(policy).name(), "GET", "/o" + object, "c", NOW);
+        } catch (InvalidCredentialException e) {
             throw new AssertionError(e);
         }
     }
--- a/src/test/java/brooklock/authorization/PolicyTest.java
+++ b/src/test/java/brooklock/authorization/PolicyTest.java
@@ -67,15 +67,16 @@
             String at,
             boolean allowed,
             int line) {
-        Decision d = policy().decide(tenant, method, path, cls, Instant.parse(at).toEpochMilli());
-        assertEquals(allowed, d.allowed(), d.why());
+        AccessDecision d =
+                policy().decide(tenant, method, path, cls, Instant.parse(at).toEpochMilli());
+        assertEquals(allowed, d.allowed(), d.explain());
         assertEquals(line, d.line());
     }
 
     @Test
     void aDecisionSaysHowLongItSurelyHolds() {
-        Decision d = policy().decide("beta", "GET", "/scans/shared/secret/a", "scans", 0);
-        assertEquals(Instant.parse("2027-01-31T08:00:00Z").toEpochMilli(), d.untilMs());
+        AccessDecision d = policy().decide("beta", "GET", "/scans/shared/secret/a", "scans", 0);
+        assertEquals(Instant.parse("2027-01-31T08:00:00Z").toEpochMilli(), d.validUntilMs());
     }
 
     @ParameterizedTest
@@ -139,7 +140,7 @@
                 "/scans/%ED%A0%80"
             })
     void pathsThatAnotherReaderMightTakeOtherwiseAreRefused(String target) {
-        assertNotNull(PathForm.wrong(target), target);
+        assertNotNull(PathValidator.validate(target), target);
     }
 
     @ParameterizedTest
@@ -156,7 +157,7 @@
                 "/scans/%22"
             })
     void pathsInFormAreTakenAsTheyAre(String target) {
-        assertNull(PathForm.wrong(target), target);
+        assertNull(PathValidator.validate(target), target);
     }
 
     @Test
@@ -204,7 +205,7 @@
                     allow = l[0].equals("allow") ? n + 21 : allow;
                 }
             }
-            Decision d = p.decide(tenant, "GET", path, "c", 0);
+            AccessDecision d = p.decide(tenant, "GET", path, "c", 0);
             assertEquals(deny == 0 && allow > 0, d.allowed(), tenant + " " + path);
             assertEquals(deny > 0 ? deny : allow, d.line(), tenant + " " + path);
         }
--- a/src/test/java/brooklock/authorization/LimiterTest.java
+++ b/src/test/java/brooklock/authorization/TenantLimiterTest.java
@@ -7,12 +7,12 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-class LimiterTest {
+class TenantLimiterTest {
     private static final long MS = 1_000_000L;
 
-    private static Limiter limiter(Tenant... tenants) {
-        Limiter l = new Limiter();
-        l.tenants(List.of(tenants));
+    private static TenantLimiter limiter(Tenant... tenants) {
+        TenantLimiter l = new TenantLimiter();
+        l.setTenants(List.of(tenants));
         return l;
     }
 
@@ -22,41 +22,43 @@
 
     @Test
     void rateConcurrencyAndBytesAreTheTenantsOwn() {
-        Limiter l =
+        TenantLimiter l =
                 limiter(
                         new Tenant(0, "r", 1, 10, 0, 0),
                         new Tenant(1, "c", 1, 0, 2, 0),
                         new Tenant(2, "b", 1, 0, 0, 1000));
         int admitted = 0;
         for (int i = 0; i < 30; i++) {
-            Limiter.Verdict v = l.ask("r", 5);
+            TenantLimiter.Admission v = l.tryAcquire("r", 5);
             admitted += v.admitted() ? 1 : 0;
             assertTrue(
                     v.admitted()
-                            || v.reason() == Limiter.Reason.RATE
-                                    && v.retryNs() > 0
-                                    && v.retryNs() < 200 * MS);
+                            || v.reason() == TenantLimiter.Reason.RATE
+                                    && v.retryAfterNs() > 0
+                                    && v.retryAfterNs() < 200 * MS);
         }
         assertEquals(10, admitted);
-        assertTrue(l.ask("r", 105 * MS).admitted(), "a tenth of a second later there is one more");
-        assertTrue(l.ask("c", 5).admitted() && l.ask("c", 5).admitted());
-        assertEquals(Limiter.Reason.CONCURRENT, l.ask("c", 5).reason());
-        l.done("c", 0, false);
-        assertTrue(l.ask("c", 5).admitted());
-        assertTrue(l.ask("b", 5).admitted());
-        l.done("b", 3000, false);
-        assertEquals(Limiter.Reason.BYTES, l.ask("b", 6).reason());
-        assertTrue(l.ask("b", 2_100 * MS).admitted(), "the debt is paid");
+        assertTrue(
+                l.tryAcquire("r", 105 * MS).admitted(),
+                "a tenth of a second later there is one more");
+        assertTrue(l.tryAcquire("c", 5).admitted() && l.tryAcquire("c", 5).admitted());
+        assertEquals(TenantLimiter.Reason.CONCURRENT, l.tryAcquire("c", 5).reason());
+        l.release("c", 0, false);
+        assertTrue(l.tryAcquire("c", 5).admitted());
+        assertTrue(l.tryAcquire("b", 5).admitted());
+        l.release("b", 3000, false);
+        assertEquals(TenantLimiter.Reason.BYTES, l.tryAcquire("b", 6).reason());
+        assertTrue(l.tryAcquire("b", 2_100 * MS).admitted(), "the debt is paid");
     }
 
     @Test
     void aClockThatGoesBackGivesNothingAway() {
-        Limiter l = limiter(new Tenant(0, "r", 1, 10, 0, 0));
+        TenantLimiter l = limiter(new Tenant(0, "r", 1, 10, 0, 0));
         for (int i = 0; i < 10; i++) {
-            l.ask("r", 1_000 * MS);
+            l.tryAcquire("r", 1_000 * MS);
         }
-        assertFalse(l.ask("r", 10 * MS).admitted());
-        assertFalse(l.ask("r", 1_000 * MS).admitted());
+        assertFalse(l.tryAcquire("r", 10 * MS).admitted());
+        assertFalse(l.tryAcquire("r", 1_000 * MS).admitted());
     }
 
     /**
@@ -64,7 +66,12 @@
      * for all.
      */
     private static double[] served(
-            Limiter l, long fromMs, double capacity, int seconds, String[] names, double[] demand) {
+            TenantLimiter l,
+            long fromMs,
+            double capacity,
+            int seconds,
+            String[] names,
+            double[] demand) {
         java.util.Random chance = new java.util.Random(3);
         double[] served = new double[names.length];
         double[] due = new double[names.length];
@@ -82,10 +89,10 @@
                     if (due[i] >= 1) {
                         due[i]--;
                         more = true;
-                        if (l.ask(names[i], (fromMs + ms) * MS).admitted()) {
+                        if (l.tryAcquire(names[i], (fromMs + ms) * MS).admitted()) {
                             boolean ok = room >= 1;
                             room -= ok ? 1 : 0;
-                            l.done(names[i], 0, !ok);
+                            l.release(names[i], 0, !ok);
                             served[i] += ok && ms >= seconds * 500 ? 1 : 0;
                         }
                     }
@@ -100,7 +107,7 @@
 
     @Test
     void oneTenantsBurstDoesNotTakeAnothersService() {
-        Limiter l = limiter(tenant(0, "calm", 1), tenant(1, "burst", 1));
+        TenantLimiter l = limiter(tenant(0, "calm", 1), tenant(1, "burst", 1));
         double[] s = served(l, 0, 200, 20, new String[] {"calm", "burst"}, new double[] {60, 1200});
         assertTrue(s[0] > 0.8 * 60, "calm is served " + s[0] + " of 60");
         assertTrue(s[1] > 0.8 * 110, "burst has what is left: " + s[1]);
@@ -108,29 +115,29 @@
 
     @Test
     void whereAllWantMoreTheWeightsCount() {
-        Limiter l = limiter(tenant(0, "a", 1), tenant(1, "b", 3));
+        TenantLimiter l = limiter(tenant(0, "a", 1), tenant(1, "b", 3));
         double[] s = served(l, 0, 200, 20, new String[] {"a", "b"}, new double[] {400, 400});
         assertEquals(3, s[1] / s[0], 0.6, s[0] + " " + s[1]);
     }
 
     @Test
     void nobodyIsHeldBackOnceAllFits() {
-        Limiter l = limiter(tenant(0, "a", 1), tenant(1, "b", 1));
+        TenantLimiter l = limiter(tenant(0, "a", 1), tenant(1, "b", 1));
         served(l, 0, 100, 10, new String[] {"a", "b"}, new double[] {50, 500});
         double[] s = served(l, 10_000, 2000, 20, new String[] {"a", "b"}, new double[] {50, 500});
         assertTrue(s[1] > 0.98 * 500, "served " + s[1]);
-        assertFalse(l.isShort());
+        assertFalse(l.isOverloaded());
     }
 
     @Test
     void refusalsOfAnotherCauseDoNotShrinkTheServiceForEver() {
-        Limiter l = limiter(tenant(0, "a", 1), tenant(1, "b", 1));
+        TenantLimiter l = limiter(tenant(0, "a", 1), tenant(1, "b", 1));
         java.util.Random chance = new java.util.Random(9);
         double served = 0;
         for (int ms = 0; ms < 60_000; ms++) {
-            if (ms % 5 == 0 && l.ask(ms % 10 == 0 ? "a" : "b", ms * MS).admitted()) {
+            if (ms % 5 == 0 && l.tryAcquire(ms % 10 == 0 ? "a" : "b", ms * MS).admitted()) {
                 boolean refused = chance.nextDouble() < 0.3;
-                l.done(ms % 10 == 0 ? "a" : "b", 0, refused);
+                l.release(ms % 10 == 0 ? "a" : "b", 0, refused);
                 served += refused || ms < 30_000 ? 0 : 1;
             }
         }
@@ -141,20 +148,20 @@
 
     @Test
     void tenantsThatAskAlikeAreNotHeldBackHoweverMuchIsRefused() {
-        Limiter l = limiter(tenant(0, "a", 1), tenant(1, "b", 1));
+        TenantLimiter l = limiter(tenant(0, "a", 1), tenant(1, "b", 1));
         for (int ms = 0; ms < 10_000; ms++) {
-            assertTrue(l.ask(ms % 2 == 0 ? "a" : "b", ms * MS).admitted(), "at " + ms);
-            l.done(ms % 2 == 0 ? "a" : "b", 0, ms % 10 < 7);
+            assertTrue(l.tryAcquire(ms % 2 == 0 ? "a" : "b", ms * MS).admitted(), "at " + ms);
+            l.release(ms % 2 == 0 ? "a" : "b", 0, ms % 10 < 7);
         }
     }
 
     @Test
     void whatATenantHasAtWorkOutlivesAPolicyThatDropsIt() {
-        Limiter l = limiter(tenant(0, "a", 1), tenant(1, "b", 1));
-        assertTrue(l.ask("b", 1).admitted());
-        l.tenants(List.of(tenant(0, "a", 1)));
-        l.done("b", 10, false);
-        l.tenants(List.of(tenant(0, "a", 1)));
-        assertFalse(l.knows("b"));
+        TenantLimiter l = limiter(tenant(0, "a", 1), tenant(1, "b", 1));
+        assertTrue(l.tryAcquire("b", 1).admitted());
+        l.setTenants(List.of(tenant(0, "a", 1)));
+        l.release("b", 10, false);
+        l.setTenants(List.of(tenant(0, "a", 1)));
+        assertFalse(l.isKnown("b"));
     }
 }
--- a/src/test/java/brooklock/config/SettingsTest.java
+++ b/src/test/java/brooklock/config/SettingsReaderTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** Settings are taken whole, and a mistake is told with its line in plain words. */
-class SettingsTest {
+class SettingsReaderTest {
     private static final String RIGHT =
             """
             name d1                      # this dispatcher
@@ -45,16 +45,16 @@
     @Test
     void aRightFileIsReadWithItsUnits() throws SettingsException {
         Settings s = SettingsReader.parse("f.conf", Path.of("/base"), RIGHT);
-        assertEquals(1, s.here());
-        assertEquals(0, s.zones().get(1).hub());
-        assertEquals(0, s.zones().get(0).hub(), "a hub is its own");
-        assertEquals(300_000_000L, s.classes().get(0).aimNs());
-        assertEquals(5e6, s.fleet().pace());
-        assertEquals(1_000_000, s.limits().body());
-        assertEquals(HostId.of("c1"), s.hosts().get(0).id());
-        assertEquals(2, s.routes().get(1).unkeyed());
-        assertEquals(Path.of("/base/trace.log"), s.files().trace());
-        assertEquals(17_000_000_000L, s.guards().coldNs());
+        assertEquals(1, s.localZone());
+        assertEquals(0, s.zones().get(1).hubIndex());
+        assertEquals(0, s.zones().get(0).hubIndex(), "a hub is its own");
+        assertEquals(300_000_000L, s.classes().get(0).latencyObjectiveNs());
+        assertEquals(5e6, s.fleet().transferBytesPerS());
+        assertEquals(1_000_000, s.limits().maxRequestBodyBytes());
+        assertEquals(EndpointId.of("c1"), s.endpoints().get(0).id());
+        assertEquals(2, s.routes().get(1).unkeyedClassIndex());
+        assertEquals(Path.of("/base/trace.log"), s.files().traceFile());
+        assertEquals(17_000_000_000L, s.invariants().warmUpNs());
         assertEquals(
                 250,
                 SettingsReader.parse(
@@ -62,7 +62,7 @@
                                 Path.of("/base"),
                                 RIGHT + "warming all share 0.2 bears 250/s\n")
                         .warming()
-                        .bears());
+                        .warmCapacityPerS());
     }
 
     @ParameterizedTest
@@ -127,9 +127,9 @@
     void numbersWithoutSenseAreNotNumbers() {
         for (String bad :
                 new String[] {"", ".", "1.", "1..2s", "s", "-1s", "1e3s", "0x1s", "1 s"}) {
-            assertThrows(IllegalArgumentException.class, () -> Units.time(bad), bad);
+            assertThrows(IllegalArgumentException.class, () -> Units.parseDurationNs(bad), bad);
         }
-        assertEquals(1_500_000L, Units.time("1.5ms"));
+        assertEquals(1_500_000L, Units.parseDurationNs("1.5ms"));
     }
 
     @Test
@@ -139,13 +139,13 @@
         assertFalse(p.matches("/a/g/o"));
         assertFalse(p.matches("/a/g//3"));
         assertFalse(p.matches("/a/g/o/3/"));
-        assertEquals("o", p.at("/a/g/o/3", "object"));
-        assertNull(p.at("/a/g/o/3", "rest"));
-        assertEquals("/a/g/o/*", p.without("/a/g/o/3", "part"));
-        assertEquals("/a/*/g/3", p.without("/a/g/g/3", "group"));
+        assertEquals("o", p.extract("/a/g/o/3", "object"));
+        assertNull(p.extract("/a/g/o/3", "rest"));
+        assertEquals("/a/g/o/*", p.withoutPlaceholder("/a/g/o/3", "part"));
+        assertEquals("/a/*/g/3", p.withoutPlaceholder("/a/g/g/3", "group"));
         PathPattern rest = new PathPattern("/a/{rest}");
-        assertEquals("x/y", rest.at("/a/x/y", "rest"));
-        assertEquals("", rest.at("/a/", "rest"));
+        assertEquals("x/y", rest.extract("/a/x/y", "rest"));
+        assertEquals("", rest.extract("/a/", "rest"));
         assertFalse(rest.matches("/a"));
         assertThrows(IllegalArgumentException.class, () -> new PathPattern("/{rest}/a"));
         assertThrows(IllegalArgumentException.class, () -> new PathPattern("/{a}/{a}"));
--- a/src/test/java/brooklock/credentials/CredentialFuzzTest.java
+++ b/src/test/java/brooklock/credentials/CredentialFuzzTest.java
@@ -10,18 +10,18 @@
  * Whatever is shown as a token is refused with a reason; nothing but the holder of the key gets in.
  */
 class CredentialFuzzTest {
-    private static final KeyRing RING =
-            KeyRing.parse(
+    private static final KeySet RING =
+            KeySet.parse(
                     com.nimbusds.jose.util.JSONObjectUtils.toJSONString(
                             java.util.Map.of(
                                     "keys",
                                     java.util.List.of(
-                                            KeyFile.entry(
+                                            KeySetFile.toJwk(
                                                     "k",
                                                     "EdDSA",
-                                                    KeyFile.generate("EdDSA"),
-                                                    KeyRing.State.SIGNING)))));
-    private static final TokenCheck CHECK = new TokenCheck(null, null, 0);
+                                                    KeySetFile.generate("EdDSA"),
+                                                    KeySet.State.SIGNING)))));
+    private static final TokenVerifier CHECK = new TokenVerifier(null, null, 0);
 
     @FuzzTest(maxDuration = "2m")
     void anyToken(byte[] data) {
@@ -29,6 +29,7 @@
                 StandardCharsets.ISO_8859_1
                         .decode(ByteBuffer.wrap(Arrays.copyOf(data, Math.min(data.length, 9000))))
                         .toString();
-        Assertions.assertThrows(BadCredential.class, () -> CHECK.check(token, RING, 0, "l"));
+        Assertions.assertThrows(
+                InvalidCredentialException.class, () -> CHECK.verify(token, RING, 0, "l"));
     }
 }
--- a/src/test/java/brooklock/credentials/AtOnce.java
+++ b/src/test/java/brooklock/credentials/SynchronousAuthenticator.java
@@ -1,18 +1,18 @@
 package brooklock.credentials;
 
 /** Looks tokens up with a checker that checks at once. */
-public final class AtOnce implements TokenBook.Taker {
+public final class SynchronousAuthenticator implements TokenCache.ResultListener {
     private Identity good;
-    private BadCredential bad;
+    private InvalidCredentialException bad;
 
-    private AtOnce() {}
+    private SynchronousAuthenticator() {}
 
     /** The caller, or why not. */
-    public static Identity look(
-            TokenBook book, String token, KeyRing ring, String address, long nowMs, long nowNs)
-            throws BadCredential {
-        AtOnce mine = new AtOnce();
-        book.look(
+    public static Identity authenticate(
+            TokenCache book, String token, KeySet ring, String address, long nowMs, long nowNs)
+            throws InvalidCredentialException {
+        SynchronousAuthenticator mine = new SynchronousAuthenticator();
+        book.authenticate(
                 token,
                 ring,
                 address,
@@ -31,17 +31,17 @@
     }
 
     @Override
-    public void good(Identity caller) {
+    public void onValid(Identity caller) {
         good = caller;
     }
 
     @Override
-    public void bad(BadCredential why) {
+    public void onInvalid(InvalidCredentialException why) {
         bad = why;
     }
 
     @Override
-    public void full() {
+    public void onOverload() {
         throw new AssertionError("there is always room");
     }
 }
--- a/src/test/java/brooklock/credentials/TokenTest.java
+++ b/src/test/java/brooklock/credentials/TokenTest.java
@@ -23,21 +23,21 @@
 /** Tokens right and wrong, keys through their lives, files that change. */
 class TokenTest {
     private static final long NOW = 1_800_000_000_000L;
-    private static final KeyPair ED = KeyFile.generate("EdDSA");
-    private static final KeyPair EC = KeyFile.generate("ES256");
-    private static final KeyPair RSA = KeyFile.generate("RS256");
-    private static final KeyRing RING =
-            KeyRing.parse(
+    private static final KeyPair ED = KeySetFile.generate("EdDSA");
+    private static final KeyPair EC = KeySetFile.generate("ES256");
+    private static final KeyPair RSA = KeySetFile.generate("RS256");
+    private static final KeySet RING =
+            KeySet.parse(
                     set(
-                            KeyFile.entry("ed", "EdDSA", ED, KeyRing.State.SIGNING),
-                            KeyFile.entry("ec", "ES256", EC, KeyRing.State.ACCEPTED),
-                            KeyFile.entry("rsa", "RS256", RSA, KeyRing.State.ANNOUNCED),
-                            KeyFile.entry(
+                            KeySetFile.toJwk("ed", "EdDSA", ED, KeySet.State.SIGNING),
+                            KeySetFile.toJwk("ec", "ES256", EC, KeySet.State.ACCEPTED),
+                            KeySetFile.toJwk("rsa", "RS256", RSA, KeySet.State.ANNOUNCED),
+                            KeySetFile.toJwk(
                                     "old",
                                     "EdDSA",
-                                    KeyFile.generate("EdDSA"),
-                                    KeyRing.State.RETIRED)));
-    private static final TokenCheck CHECK = new TokenCheck("issuer", "edge", 30_000);
+                                    KeySetFile.generate("EdDSA"),
+                                    KeySet.State.RETIRED)));
+    private static final TokenVerifier CHECK = new TokenVerifier("issuer", "edge", 30_000);
 
     @TempDir Path dir;
 
@@ -69,12 +69,13 @@
     }
 
     private static String why(String token) {
-        return assertThrows(BadCredential.class, () -> CHECK.check(token, RING, NOW, "l"))
+        return assertThrows(
+                        InvalidCredentialException.class, () -> CHECK.verify(token, RING, NOW, "l"))
                 .getMessage();
     }
 
     private static String token(Object... changes) {
-        return TokenMaker.make(ED.getPrivate(), "ed", claims(changes));
+        return TokenSigner.sign(ED.getPrivate(), "ed", claims(changes));
     }
 
     private static String headed(Object... header) {
@@ -82,21 +83,21 @@
         for (int i = 0; i < header.length; i += 2) {
             h.put((String) header[i], header[i + 1]);
         }
-        return TokenMaker.make(ED.getPrivate(), h, claims());
+        return TokenSigner.sign(ED.getPrivate(), h, claims());
     }
 
     @Test
-    void goodOnesOfEachAlgorithm() throws BadCredential {
+    void goodOnesOfEachAlgorithm() throws InvalidCredentialException {
         for (String token :
                 List.of(
                         token(),
-                        TokenMaker.make(EC.getPrivate(), "ec", claims()),
-                        TokenMaker.make(RSA.getPrivate(), "rsa", claims()),
+                        TokenSigner.sign(EC.getPrivate(), "ec", claims()),
+                        TokenSigner.sign(RSA.getPrivate(), "rsa", claims()),
                         token("exp", NOW / 1000 - 29),
                         token("nbf", NOW / 1000 + 29),
                         token("aud", "edge"))) {
-            Identity i = CHECK.check(token, RING, NOW, "l").identity();
-            assertTrue(i.names().contains(new Identity.Name("claim", "tenant", "acme")));
+            Identity i = CHECK.verify(token, RING, NOW, "l").identity();
+            assertTrue(i.attributes().contains(new Identity.Attribute("claim", "tenant", "acme")));
         }
     }
 
@@ -137,7 +138,7 @@
                 parts[0] + "." + Base64URL.encode("not json") + "." + parts[2],
                 "the token's claims cannot be read");
         cases.put(
-                TokenMaker.make(KeyFile.generate("EdDSA").getPrivate(), "ed", claims()),
+                TokenSigner.sign(KeySetFile.generate("EdDSA").getPrivate(), "ed", claims()),
                 "the token's signature is wrong");
         cases.put(
                 parts[0]
@@ -156,7 +157,7 @@
         Map<String, Object> header = Map.of("alg", "HS256", "kid", "rsa");
         assertEquals(
                 "the token's algorithm is not its key's",
-                why(TokenMaker.make(RSA.getPrivate(), header, claims())));
+                why(TokenSigner.sign(RSA.getPrivate(), header, claims())));
         Map<String, Object> secret =
                 new LinkedHashMap<>(
                         Map.of(
@@ -170,15 +171,15 @@
                                 "HS256"));
         assertThrows(
                 IllegalArgumentException.class,
-                () -> KeyRing.parse(set(secret)),
+                () -> KeySet.parse(set(secret)),
                 "only where a file says so");
         secret.put("shared", true);
-        assertEquals(1, KeyRing.parse(set(secret)).all().size());
+        assertEquals(1, KeySet.parse(set(secret)).keys().size());
     }
 
     @Test
     void setsThatCannotBeMeantAreRefused() {
-        Map<String, Object> a = KeyFile.entry("a", "EdDSA", ED, KeyRing.State.SIGNING);
+        Map<String, Object> a = KeySetFile.toJwk("a", "EdDSA", ED, KeySet.State.SIGNING);
         Map<String, Object> noAlg = new LinkedHashMap<>(a);
         noAlg.remove("alg");
         Map<String, Object> wrongAlg = new LinkedHashMap<>(a);
@@ -198,80 +199,87 @@
                         "{}",
                         "[",
                         set(a).substring(0, 80))) {
-            assertThrows(IllegalArgumentException.class, () -> KeyRing.parse(bad), bad);
+            assertThrows(IllegalArgumentException.class, () -> KeySet.parse(bad), bad);
         }
     }
 
     @Test
-    void badTokensCostAnAddressNoMoreThanItsBudgetAndGoodOnesOnce() throws BadCredential {
-        TokenBook book = new TokenBook(CHECK, new byte[32]);
+    void badTokensCostAnAddressNoMoreThanItsBudgetAndGoodOnesOnce()
+            throws InvalidCredentialException {
+        TokenCache book = new TokenCache(CHECK, new byte[32]);
         int checked = 0;
         for (int i = 0; i < 200; i++) {
             String forged =
-                    TokenMaker.make(
+                    TokenSigner.sign(
                             RSA.getPrivate(),
                             Map.of("alg", "EdDSA", "kid", "ed"),
                             claims("n", "" + i));
             String reason =
                     assertThrows(
-                                    BadCredential.class,
-                                    () -> AtOnce.look(book, forged, RING, "1.2.3.4", NOW, 1))
+                                    InvalidCredentialException.class,
+                                    () ->
+                                            SynchronousAuthenticator.authenticate(
+                                                    book, forged, RING, "1.2.3.4", NOW, 1))
                             .getMessage();
             checked += reason.equals("the token's signature is wrong") ? 1 : 0;
         }
         assertEquals(10, checked);
         String good = token();
         assertThrows(
-                BadCredential.class,
-                () -> AtOnce.look(book, good, RING, "1.2.3.4", NOW, 2),
+                InvalidCredentialException.class,
+                () -> SynchronousAuthenticator.authenticate(book, good, RING, "1.2.3.4", NOW, 2),
                 "guesses from there cost all");
-        assertTrue(AtOnce.look(book, good, RING, "5.6.7.8", NOW, 2) != null);
         assertTrue(
-                AtOnce.look(book, good, RING, "1.2.3.4", NOW, 3) != null,
+                SynchronousAuthenticator.authenticate(book, good, RING, "5.6.7.8", NOW, 2) != null);
+        assertTrue(
+                SynchronousAuthenticator.authenticate(book, good, RING, "1.2.3.4", NOW, 3) != null,
                 "a token that is known costs nothing");
         assertThrows(
-                BadCredential.class,
-                () -> AtOnce.look(book, good, RING, "5.6.7.8", NOW + 91_000, 4),
+                InvalidCredentialException.class,
+                () ->
+                        SynchronousAuthenticator.authenticate(
+                                book, good, RING, "5.6.7.8", NOW + 91_000, 4),
                 "forgotten at its end");
     }
 
     /** What a book told, and how often. */
-    private static final class Heard implements TokenBook.Taker {
+    private static final class Heard implements TokenCache.ResultListener {
         Identity good;
-        BadCredential bad;
+        InvalidCredentialException bad;
         int full;
         int told;
 
         @Override
-        public void good(Identity caller) {
+        public void onValid(Identity caller) {
             good = caller;
             told++;
         }
 
         @Override
-        public void bad(BadCredential why) {
+        public void onInvalid(InvalidCredentialException why) {
             bad = why;
             told++;
         }
 
         @Override
-        public void full() {
+        public void onOverload() {
             full++;
             told++;
         }
     }
 
     @Test
-    void aCheckUnderWayIsSharedBoundedAndToldOnce() throws BadCredential {
-        TokenBook book = new TokenBook(CHECK, new byte[32]);
+    void aCheckUnderWayIsSharedBoundedAndToldOnce() throws InvalidCredentialException {
+        TokenCache book = new TokenCache(CHECK, new byte[32]);
         List<Runnable> checks = new ArrayList<>();
         List<Runnable> afters = new ArrayList<>();
-        TokenBook.Checker later = (check, after) -> checks.add(check) && afters.add(after);
+        TokenCache.VerificationScheduler later =
+                (check, after) -> checks.add(check) && afters.add(after);
         String good = token();
         List<Heard> all = new ArrayList<>();
         for (int i = 0; i < 6; i++) {
             all.add(new Heard());
-            book.look(good, RING, "a" + i % 2, NOW, 1, later, all.get(i));
+            book.authenticate(good, RING, "a" + i % 2, NOW, 1, later, all.get(i));
         }
         assertEquals(1, checks.size(), "six came with the same new token");
         checks.get(0).run();
@@ -284,12 +292,12 @@
         for (int i = 0; i < 100; i++) {
             Heard h = new Heard();
             many.add(h);
-            book.look(token("n", "" + i), RING, "b", NOW, 1, later, h);
+            book.authenticate(token("n", "" + i), RING, "b", NOW, 1, later, h);
             refused += h.full;
         }
         assertEquals(36, refused, "an address has 64 checks under way at most");
         Heard other = new Heard();
-        book.look(token("n", "x"), RING, "c", NOW, 1, (check, after) -> false, other);
+        book.authenticate(token("n", "x"), RING, "c", NOW, 1, (check, after) -> false, other);
         assertEquals(1, other.full, "the pool is full");
         for (int i = 1; i < checks.size(); i++) {
             checks.get(i).run();
@@ -297,45 +305,51 @@
         }
         assertTrue(many.stream().allMatch(h -> h.told == 1));
         Heard again = new Heard();
-        book.look(token("n", "y"), RING, "b", NOW, 1, later, again);
+        book.authenticate(token("n", "y"), RING, "b", NOW, 1, later, again);
         assertEquals(0, again.told, "there is room again");
         assertEquals(66, checks.size());
     }
 
     @Test
-    void aKnownTokenIsForgottenWithItsKey() throws BadCredential {
-        TokenBook book = new TokenBook(CHECK, new byte[32]);
+    void aKnownTokenIsForgottenWithItsKey() throws InvalidCredentialException {
+        TokenCache book = new TokenCache(CHECK, new byte[32]);
         String good = token();
-        AtOnce.look(book, good, RING, "a", NOW, 1);
-        KeyRing retired =
-                KeyRing.parse(set(KeyFile.entry("ed", "EdDSA", ED, KeyRing.State.RETIRED)));
-        assertThrows(BadCredential.class, () -> AtOnce.look(book, good, retired, "a", NOW, 2));
-        Map<String, Object> ending = KeyFile.entry("ed", "EdDSA", ED, KeyRing.State.ACCEPTED);
+        SynchronousAuthenticator.authenticate(book, good, RING, "a", NOW, 1);
+        KeySet retired =
+                KeySet.parse(set(KeySetFile.toJwk("ed", "EdDSA", ED, KeySet.State.RETIRED)));
+        assertThrows(
+                InvalidCredentialException.class,
+                () -> SynchronousAuthenticator.authenticate(book, good, retired, "a", NOW, 2));
+        Map<String, Object> ending = KeySetFile.toJwk("ed", "EdDSA", ED, KeySet.State.ACCEPTED);
         ending.put("until", NOW + 1000);
-        KeyRing soon = KeyRing.parse(set(ending));
-        AtOnce.look(book, good, soon, "a", NOW + 999, 3);
-        assertThrows(BadCredential.class, () -> AtOnce.look(book, good, soon, "a", NOW + 1000, 4));
-        assertFalse(book.label(good).contains(good.substring(0, 10)));
-        assertNotEquals(book.label(good), book.label(token("n", "2")));
+        KeySet soon = KeySet.parse(set(ending));
+        SynchronousAuthenticator.authenticate(book, good, soon, "a", NOW + 999, 3);
+        assertThrows(
+                InvalidCredentialException.class,
+                () -> SynchronousAuthenticator.authenticate(book, good, soon, "a", NOW + 1000, 4));
+        assertFalse(book.logLabel(good).contains(good.substring(0, 10)));
+        assertNotEquals(book.logLabel(good), book.logLabel(token("n", "2")));
     }
 
     @Test
     void aKeyMayLeaveOnlyOnceItIsRetired() throws IOException {
-        KeyFile f = new KeyFile(dir.resolve("set"));
-        f.add(KeyFile.entry("a", "EdDSA", ED, KeyRing.State.SIGNING));
-        f.add(KeyFile.entry("b", "ES256", EC, KeyRing.State.ANNOUNCED));
-        assertThrows(IllegalArgumentException.class, () -> f.drop("a"));
-        f.state("b", KeyRing.State.SIGNING, 0);
-        KeyRing now = KeyRing.parse(Files.readString(dir.resolve("set")));
-        assertEquals(KeyRing.State.ACCEPTED, now.get("a").state());
-        assertEquals(KeyRing.State.SIGNING, now.get("b").state());
-        f.state("a", KeyRing.State.RETIRED, 0);
-        f.drop("a");
-        assertEquals(1, KeyRing.parse(Files.readString(dir.resolve("set"))).all().size());
-        KeyRing other = KeyRing.parse(set(KeyFile.entry("b", "EdDSA", ED, KeyRing.State.SIGNING)));
+        KeySetFile f = new KeySetFile(dir.resolve("set"));
+        f.addKey(KeySetFile.toJwk("a", "EdDSA", ED, KeySet.State.SIGNING));
+        f.addKey(KeySetFile.toJwk("b", "ES256", EC, KeySet.State.ANNOUNCED));
+        assertThrows(IllegalArgumentException.class, () -> f.removeKey("a"));
+        f.setState("b", KeySet.State.SIGNING, 0);
+        KeySet now = KeySet.parse(Files.readString(dir.resolve("set")));
+        assertEquals(KeySet.State.ACCEPTED, now.get("a").state());
+        assertEquals(KeySet.State.SIGNING, now.get("b").state());
+        f.setState("a", KeySet.State.RETIRED, 0);
+        f.removeKey("a");
+        assertEquals(1, KeySet.parse(Files.readString(dir.resolve("set"))).keys().size());
+        KeySet other = KeySet.parse(set(KeySetFile.toJwk("b", "EdDSA", ED, KeySet.State.SIGNING)));
         assertThrows(
                 IllegalArgumentException.class,
-                () -> KeyRing.parse(Files.readString(dir.resolve("set"))).replacedBy(other, NOW),
+                () ->
+                        KeySet.parse(Files.readString(dir.resolve("set")))
+                                .validateReplacement(other, NOW),
                 "another key under the same id");
     }
 
@@ -343,14 +357,14 @@
     void timeDoesNotGoBackThoughTheClockIsSet() {
         AtomicLong wall = new AtomicLong(NOW);
         AtomicLong steady = new AtomicLong(5);
-        WallClock c = new WallClock(wall::get, steady::get);
+        MonotonicWallClock c = new MonotonicWallClock(wall::get, steady::get);
         wall.set(NOW - 600_000);
         steady.addAndGet(1000);
-        assertEquals(NOW + 1000, c.ms());
+        assertEquals(NOW + 1000, c.nowMs());
         wall.set(NOW + 5000);
-        assertEquals(NOW + 5000, c.ms());
+        assertEquals(NOW + 5000, c.nowMs());
         steady.addAndGet(10);
-        assertEquals(NOW + 5010, c.ms());
+        assertEquals(NOW + 5010, c.nowMs());
     }
 
     @Test
@@ -358,30 +372,30 @@
         Path p = dir.resolve("f");
         Files.writeString(p, "1");
         List<String> news = new ArrayList<>();
-        Watched<Integer> w =
-                new Watched<>(
+        WatchedFile<Integer> w =
+                new WatchedFile<>(
                         "file",
                         List.of(p),
                         before -> Integer.parseInt(Files.readString(p)),
                         news::add);
         Files.writeString(p, "22");
-        assertFalse(w.look(), "seen for the first time: it may be half-written");
-        assertTrue(w.look());
+        assertFalse(w.poll(), "seen for the first time: it may be half-written");
+        assertTrue(w.poll());
         assertEquals(22, w.get());
         Files.writeString(p, "2x2");
-        w.look();
-        assertFalse(w.look());
+        w.poll();
+        assertFalse(w.poll());
         assertEquals(22, w.get());
-        assertTrue(w.problem() != null && news.get(news.size() - 1).contains("stays in force"));
-        w.look();
+        assertTrue(w.lastError() != null && news.get(news.size() - 1).contains("stays in force"));
+        w.poll();
         assertEquals(2, news.size(), "told once");
         Files.delete(p);
-        w.look();
-        w.look();
+        w.poll();
+        w.poll();
         assertEquals(22, w.get());
         Files.writeString(p, "3333");
-        w.look();
-        assertTrue(w.look());
-        assertEquals(null, w.problem());
+        w.poll();
+        assertTrue(w.poll());
+        assertEquals(null, w.lastError());
     }
 }
--- a/src/test/java/brooklock/faulttest/RehearsalTest.java
+++ b/src/test/java/brooklock/faulttest/FaultTestRunnerTest.java
@@ -8,27 +8,27 @@
 import brooklock.config.SettingsException;
 import brooklock.http.Fields;
 import brooklock.http.RequestHead;
-import brooklock.net.AnswerTaker;
-import brooklock.net.Client;
+import brooklock.net.CallFailure;
 import brooklock.net.ClientLimits;
-import brooklock.net.Failure;
-import brooklock.net.Listener;
-import brooklock.net.Net;
-import brooklock.net.ServerExchange;
+import brooklock.net.HttpClient;
+import brooklock.net.HttpExchange;
+import brooklock.net.HttpListener;
+import brooklock.net.IoThreads;
+import brooklock.net.ResponseHandler;
 import brooklock.net.ServerLimits;
-import brooklock.proxy.Bent;
-import brooklock.proxy.Decider;
-import brooklock.routing.RouterApi;
-import brooklock.routing.RouterApi.Action;
-import brooklock.routing.RouterApi.Done;
-import brooklock.routing.RouterApi.Event;
-import brooklock.routing.RouterApi.Fail;
-import brooklock.routing.RouterApi.Get;
-import brooklock.routing.RouterApi.HostEntry;
-import brooklock.routing.RouterApi.HostList;
-import brooklock.routing.RouterApi.Outcome;
-import brooklock.routing.RouterApi.Purged;
-import brooklock.routing.RouterApi.Refuse;
+import brooklock.proxy.InterceptingRouter;
+import brooklock.proxy.RoutingStrategy;
+import brooklock.routing.AttemptOutcome;
+import brooklock.routing.Endpoint;
+import brooklock.routing.RouterAction;
+import brooklock.routing.RouterAction.FailRequest;
+import brooklock.routing.RouterAction.RejectRequest;
+import brooklock.routing.RouterAction.StartAttempt;
+import brooklock.routing.RouterEvent;
+import brooklock.routing.RouterEvent.AttemptCompleted;
+import brooklock.routing.RouterEvent.EndpointListReceived;
+import brooklock.routing.RouterEvent.PurgeReceived;
+import brooklock.routing.RouterSettings;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -47,9 +47,9 @@
  * Short bad days through real dispatchers, and dispatchers broken on purpose, which the audit must
  * catch.
  */
-class RehearsalTest {
+class FaultTestRunnerTest {
     // Another seed can be asked for: -Drehearsal.seed=N.
-    private static final String DAY =
+    private static final String SCENARIO =
             "seed "
                     + Integer.getInteger("rehearsal.seed", 11)
                     + "\n"
@@ -72,27 +72,30 @@
 
     @TempDir Path dir;
 
-    private Rehearsal.Outcome play(String troubles, Stage.Maker maker) throws Exception {
-        return Rehearsal.play(Script.parse("day", DAY + troubles), dir, maker, line -> {});
+    private FaultTestRunner.Result play(String troubles, TestFleet.RunnerFactory maker)
+            throws Exception {
+        return FaultTestRunner.play(
+                Scenario.parse("day", SCENARIO + troubles), dir, maker, line -> {});
     }
 
-    private static Stage.Maker inside(Function<RouterApi.Settings, Decider> decider) {
-        return (name, file, settings) -> Runner.inside(name, file, settings, decider);
+    private static TestFleet.RunnerFactory inProcess(
+            Function<RouterSettings, RoutingStrategy> decider) {
+        return (name, file, settings) -> DispatcherRunner.inProcess(name, file, settings, decider);
     }
 
-    private static Audit.Verdict verdict(Rehearsal.Outcome o, int rule) {
-        return o.verdicts.get(rule - 1);
+    private static InvariantChecker.CheckResult checkResult(FaultTestRunner.Result o, int rule) {
+        return o.checks.get(rule - 1);
     }
 
     // Where the machine gave the rig itself no time a day cannot be judged, which is no fault of a
     // dispatcher.
-    private static void assertNotBroken(Rehearsal.Outcome o) {
-        assertTrue(o.verdict() != Rehearsal.Verdict.BROKEN, o.report());
+    private static void assertNotBroken(FaultTestRunner.Result o) {
+        assertTrue(o.verdict() != FaultTestRunner.Verdict.BROKEN, o.report());
     }
 
     @Test
     void aBadDayKeepsAllRulesWithADispatcherKilledOutright() throws Exception {
-        Rehearsal.Outcome o =
+        FaultTestRunner.Result o =
                 play(
                         """
                 at 300ms purge 50% of groups
@@ -105,18 +108,18 @@
                 at 2500ms purge 100% of groups
                 from 3s to 4s cut 20% at caches
                 """,
-                        Runner::process);
+                        DispatcherRunner::ownProcess);
         assertNotBroken(o);
-        assertTrue(o.service() > 0.3, o.report());
+        assertTrue(o.servedShare() > 0.3, o.report());
     }
 
     @Test
     void withTenantsAndTlsTheFiveRulesHoldAndNobodyGetsWhatIsAnothers() throws Exception {
-        Rehearsal.Outcome o =
-                Rehearsal.play(
-                        Script.parse(
+        FaultTestRunner.Result o =
+                FaultTestRunner.play(
+                        Scenario.parse(
                                 "day",
-                                DAY
+                                SCENARIO
                                         + """
                 tenants 3
                 trespass 20%
@@ -127,10 +130,10 @@
                 at 1500ms kill 40% of caches for 700ms
                 """),
                         dir,
-                        inside(Decider::rules),
+                        inProcess(RoutingStrategy::newRouter),
                         line -> {});
         assertNotBroken(o);
-        assertTrue(verdict(o, 6).cases() > 20, o.report());
+        assertTrue(checkResult(o, 6).cases() > 20, o.report());
     }
 
     @Test
@@ -138,42 +141,47 @@
         // Hosts that bear the ordinary load and not the seven times of it that the flood makes of
         // it.
         String day =
-                DAY.replace("rate 120/s", "rate 70/s")
+                SCENARIO.replace("rate 120/s", "rate 70/s")
                                 .replace("flows 14 30 60", "flows 4 12 30")
                                 .replace("length 6s", "length 8s")
                         + "tenants 3\nfrom 1s to 8s flood 20x by tenant 2\n";
-        Rehearsal.Outcome o =
-                Rehearsal.play(Script.parse("day", day), dir, inside(Decider::rules), line -> {});
-        assertTrue(o.verdicts.stream().allMatch(v -> v.breaches().isEmpty()), o.report());
-        List<Service.Part> t = o.service.tenants;
-        assertTrue(t.get(1).asked > 6 * t.get(0).asked, o.report());
+        FaultTestRunner.Result o =
+                FaultTestRunner.play(
+                        Scenario.parse("day", day),
+                        dir,
+                        inProcess(RoutingStrategy::newRouter),
+                        line -> {});
+        assertTrue(o.checks.stream().allMatch(v -> v.violations().isEmpty()), o.report());
+        List<ServiceReport.Tally> t = o.serviceReport.byTenant;
+        assertTrue(t.get(1).requested > 6 * t.get(0).requested, o.report());
         double others =
-                (t.get(0).inTime + t.get(2).inTime) / (double) (t.get(0).asked + t.get(2).asked);
+                (t.get(0).inTime + t.get(2).inTime)
+                        / (double) (t.get(0).requested + t.get(2).requested);
         assertTrue(others > 0.5 && others > 1.5 * t.get(1).share(), o.report());
     }
 
     @Test
     void allHostsOfAFleetRestartedWithinASecondAreNotPushedOver() throws Exception {
-        Rehearsal.Outcome o =
-                Rehearsal.play(
-                        Script.parse(
+        FaultTestRunner.Result o =
+                FaultTestRunner.play(
+                        Scenario.parse(
                                 "day",
-                                DAY.replace("zone north 5 2", "zone north 20 2")
+                                SCENARIO.replace("zone north 5 2", "zone north 20 2")
                                                 .replace("rate 120/s", "rate 250/s")
                                         + "at 1s restart caches within 1s\nat 1s restart parents within 1s\n"
                                         + "at 2s drain north-1 for 1s\nat 300ms purge 20% of groups\n"),
                         dir,
-                        inside(Decider::rules),
+                        inProcess(RoutingStrategy::newRouter),
                         l -> {});
         assertNotBroken(o);
-        assertTrue(verdict(o, 4).cases() > 100, o.report());
+        assertTrue(checkResult(o, 4).cases() > 100, o.report());
     }
 
     @Test
     void twentyCachesBackColdTogetherWhileTheOriginRefusesAreWarmedAndNobodyIsPushedOver()
             throws Exception {
         String day =
-                DAY.replace("zone north 5 2", "zone north 20 2\nzone south 6 1")
+                SCENARIO.replace("zone north 5 2", "zone north 20 2\nzone south 6 1")
                                 .replace("rate 120/s", "rate 220/s")
                                 .replace("length 6s", "length 16s")
                         + """
@@ -184,42 +192,43 @@
                 at 9s drain south-1 for 2s
                 """;
         long[] given = new long[1];
-        Rehearsal.Outcome o =
-                Rehearsal.play(
-                        Script.parse("day", day),
+        FaultTestRunner.Result o =
+                FaultTestRunner.play(
+                        Scenario.parse("day", day),
                         dir,
-                        inside(Decider::rules),
+                        inProcess(RoutingStrategy::newRouter),
                         l -> {},
                         stage ->
                                 given[0] =
-                                        stage.ledger.sightings().stream()
+                                        stage.traffic.requests().stream()
                                                 .filter(
                                                         s ->
-                                                                s.by.startsWith("north-")
-                                                                        && (s.host.startsWith(
+                                                                s.sender.startsWith("north-")
+                                                                        && (s.server.startsWith(
                                                                                         "north-")
-                                                                                || s.host
+                                                                                || s.server
                                                                                         .startsWith(
                                                                                                 "south-"))
-                                                                        && s.served != 0)
+                                                                        && s.copySerial != 0)
                                                 .count());
         assertNotBroken(o);
-        assertTrue(verdict(o, 4).cases() > 100, o.report());
+        assertTrue(checkResult(o, 4).cases() > 100, o.report());
         assertTrue(given[0] > 0, "nothing was given by neighbours\n" + o.report());
     }
 
     @Test
     void aRuleThatNoCaseWasSeenOfIsNotCalledKept() throws Exception {
-        Rehearsal.Outcome o =
-                Rehearsal.play(
-                        Script.parse("day", DAY.replace("length 6s", "length 1s")),
+        FaultTestRunner.Result o =
+                FaultTestRunner.play(
+                        Scenario.parse("day", SCENARIO.replace("length 6s", "length 1s")),
                         dir,
-                        inside(Decider::rules),
+                        inProcess(RoutingStrategy::newRouter),
                         l -> {});
-        assertFalse(o.kept());
-        assertTrue(verdict(o, 1).kept() && verdict(o, 2).kept(), o.report());
+        assertFalse(o.passed());
+        assertTrue(checkResult(o, 1).holds() && checkResult(o, 2).holds(), o.report());
         assertFalse(
-                verdict(o, 3).kept() || verdict(o, 4).kept() || verdict(o, 5).kept(), o.report());
+                checkResult(o, 3).holds() || checkResult(o, 4).holds() || checkResult(o, 5).holds(),
+                o.report());
         assertTrue(o.report().contains("NOT SEEN"));
     }
 
@@ -227,76 +236,79 @@
 
     @Test
     void requestsThatAreNeverAnsweredAreCaught() throws Exception {
-        Rehearsal.Outcome o =
+        FaultTestRunner.Result o =
                 play(
                         "from 500ms to 4s lose 60% at caches\n",
-                        inside(
+                        inProcess(
                                 s ->
-                                        new Bent(s) {
+                                        new InterceptingRouter(s) {
                                             @Override
-                                            protected void action(Action a, List<Action> out) {
-                                                if (!(a instanceof Refuse)
-                                                        && !(a instanceof Fail)) {
+                                            protected void interceptAction(
+                                                    RouterAction a, List<RouterAction> out) {
+                                                if (!(a instanceof RejectRequest)
+                                                        && !(a instanceof FailRequest)) {
                                                     out.add(a);
                                                 }
                                             }
                                         }));
-        assertFalse(verdict(o, 1).breaches().isEmpty(), o.report());
+        assertFalse(checkResult(o, 1).violations().isEmpty(), o.report());
     }
 
     @Test
     void unsafeRequestsThatAreSentAgainAreCaught() throws Exception {
-        Rehearsal.Outcome o =
+        FaultTestRunner.Result o =
                 play(
                         "from 500ms to 5s lose 50% at origin by reset\n",
-                        inside(
+                        inProcess(
                                 s ->
-                                        new Bent(s) {
+                                        new InterceptingRouter(s) {
                                             @Override
-                                            protected Event event(Event e) {
+                                            protected RouterEvent interceptEvent(RouterEvent e) {
                                                 // The reset is reported as if it proved that
                                                 // nothing ran.
-                                                return e instanceof Done d
-                                                                && d.outcome() == Outcome.RESET
-                                                        ? new Done(
+                                                return e instanceof AttemptCompleted d
+                                                                && d.outcome()
+                                                                        == AttemptOutcome.RESET
+                                                        ? new AttemptCompleted(
                                                                 d.id(),
                                                                 d.attempt(),
-                                                                d.host(),
-                                                                Outcome.FULL,
-                                                                d.note(),
-                                                                d.tookNs(),
-                                                                d.sourceWaitNs(),
-                                                                d.closed())
+                                                                d.endpoint(),
+                                                                AttemptOutcome.OVERLOADED,
+                                                                d.cacheStatus(),
+                                                                d.durationNs(),
+                                                                d.fillDurationNs(),
+                                                                d.requestFinished())
                                                         : e;
                                             }
                                         }));
-        assertFalse(verdict(o, 2).breaches().isEmpty(), o.report());
+        assertFalse(checkResult(o, 2).violations().isEmpty(), o.report());
     }
 
     /** Dispatchers behind something that tampers with what they are told. */
-    private Rehearsal.Outcome tampered(String troubles, Tamper tamper) throws Exception {
-        try (Net net = Net.open("tamper", 1)) {
-            Client client = new Client(net.loop(0), ClientLimits.STANDARD);
+    private FaultTestRunner.Result tampered(String troubles, ListTamperer tamper) throws Exception {
+        try (IoThreads net = IoThreads.start("tamper", 1)) {
+            HttpClient client = new HttpClient(net.loop(0), ClientLimits.STANDARD);
             return play(
                     troubles,
                     (name, file, settings) ->
-                            new Runner(name, file, settings) {
-                                private final Runner real =
-                                        Runner.inside(name, file, settings, Decider::rules);
+                            new DispatcherRunner(name, file, settings) {
+                                private final DispatcherRunner real =
+                                        DispatcherRunner.inProcess(
+                                                name, file, settings, RoutingStrategy::newRouter);
 
                                 @Override
-                                void run() throws IOException {
+                                void launch() throws IOException {
                                     real.start();
-                                    Listener between =
-                                            Listener.open(
+                                    HttpListener between =
+                                            HttpListener.open(
                                                     net,
                                                     new InetSocketAddress(
                                                             InetAddress.getLoopbackAddress(), 0),
                                                     ServerLimits.STANDARD,
                                                     x ->
-                                                            x.body(
+                                                            x.readBody(
                                                                     b ->
-                                                                            tamper.take(
+                                                                            tamper.onUpdate(
                                                                                     x,
                                                                                     new String(
                                                                                             b,
@@ -305,15 +317,17 @@
                                                                                     body ->
                                                                                             forward(
                                                                                                     client,
-                                                                                                    real.control,
+                                                                                                    real.controlAddress,
                                                                                                     x.head()
                                                                                                             .target(),
                                                                                                     body))));
-                                    at(real.clients.getPort(), between.address().getPort());
+                                    setPorts(
+                                            real.clientAddress.getPort(),
+                                            between.address().getPort());
                                 }
 
                                 @Override
-                                void end() {
+                                void terminate() {
                                     real.kill();
                                 }
                             });
@@ -321,17 +335,18 @@
     }
 
     /** Answers a notice, and passes on what it likes. */
-    private interface Tamper {
-        void take(ServerExchange x, String body, Consumer<String> pass);
+    private interface ListTamperer {
+        void onUpdate(HttpExchange x, String body, Consumer<String> pass);
     }
 
-    private static void taken(ServerExchange x) {
+    private static void taken(HttpExchange x) {
         x.send(200, new Fields(), "taken\n".getBytes(StandardCharsets.UTF_8));
     }
 
-    private static void forward(Client client, InetSocketAddress to, String target, String body) {
+    private static void forward(
+            HttpClient client, InetSocketAddress to, String target, String body) {
         byte[] bytes = body.getBytes(StandardCharsets.UTF_8);
-        client.call(
+        client.send(
                 to,
                 new RequestHead(
                         "POST",
@@ -340,14 +355,14 @@
                         1,
                         new Fields().add("Content-Length", Integer.toString(bytes.length))),
                 bytes,
-                new AnswerTaker() {
+                new ResponseHandler() {
                     @Override
-                    public void end(Fields trailers) {
+                    public void onComplete(Fields trailers) {
                         // Done.
                     }
 
                     @Override
-                    public void failed(Failure failure, String why) {
+                    public void onFailure(CallFailure failure, String why) {
                         // Its dispatcher has ended.
                     }
                 });
@@ -357,30 +372,30 @@
 
     @Test
     void drainsThatAreNotHeededAreCaught() throws Exception {
-        Rehearsal.Outcome o = tampered(DRAINS, (x, body, pass) -> taken(x));
-        assertFalse(verdict(o, 3).breaches().isEmpty(), o.report());
+        FaultTestRunner.Result o = tampered(DRAINS, (x, body, pass) -> taken(x));
+        assertFalse(checkResult(o, 3).violations().isEmpty(), o.report());
         assertTrue(
-                verdict(o, 3).breaches().stream().anyMatch(b -> b.contains("naming p1")),
+                checkResult(o, 3).violations().stream().anyMatch(b -> b.contains("naming p1")),
                 o.report());
     }
 
     @Test
     void drainsThatAreHeededLateByASecondAndAHalfAreCaught() throws Exception {
-        Rehearsal.Outcome o =
+        FaultTestRunner.Result o =
                 tampered(
                         DRAINS,
                         (x, body, pass) -> {
                             taken(x);
-                            x.loop().after(1_500_000_000L, () -> pass.accept(body));
+                            x.loop().schedule(1_500_000_000L, () -> pass.accept(body));
                         });
-        assertFalse(verdict(o, 3).breaches().isEmpty(), o.report());
+        assertFalse(checkResult(o, 3).violations().isEmpty(), o.report());
     }
 
     @Test
     void drainsThatAreHeededForRequestsButNotForSourcesAreCaught() throws Exception {
         // Only sources are told of as ready on and on; that a parent gets requests straight is a
         // breach as well.
-        Rehearsal.Outcome o =
+        FaultTestRunner.Result o =
                 tampered(
                         DRAINS,
                         (x, body, pass) -> {
@@ -390,11 +405,11 @@
                                             "(?m)^(p\\d parent .*) draining ", "$1 ready "));
                         });
         assertTrue(
-                verdict(o, 3).breaches().stream()
+                checkResult(o, 3).violations().stream()
                         .allMatch(b -> b.contains(" naming p1") || b.contains(" at p1")),
                 o.report());
         assertTrue(
-                verdict(o, 3).breaches().stream().anyMatch(b -> b.contains(" naming p1")),
+                checkResult(o, 3).violations().stream().anyMatch(b -> b.contains(" naming p1")),
                 o.report());
     }
 
@@ -403,7 +418,7 @@
         // As a dispatcher without an order of notices does: the first list comes again after each
         // newer one.
         Map<InetSocketAddress, String> first = new ConcurrentHashMap<>();
-        Rehearsal.Outcome o =
+        FaultTestRunner.Result o =
                 tampered(
                         DRAINS,
                         (x, body, pass) -> {
@@ -413,16 +428,16 @@
                                 return;
                             }
                             String unnumbered = body.replaceFirst(" source .*", "");
-                            String old = first.merge(x.peer(), unnumbered, (a, b) -> a);
+                            String old = first.merge(x.peerAddress(), unnumbered, (a, b) -> a);
                             String mine =
                                     first.values().stream()
                                             .filter(l -> l.startsWith("list full"))
                                             .findFirst()
                                             .orElse(old);
                             pass.accept(unnumbered);
-                            x.loop().after(100_000_000L, () -> pass.accept(mine));
+                            x.loop().schedule(100_000_000L, () -> pass.accept(mine));
                         });
-        assertFalse(verdict(o, 3).breaches().isEmpty(), o.report());
+        assertFalse(checkResult(o, 3).violations().isEmpty(), o.report());
     }
 
     @Test
@@ -430,16 +445,16 @@
         // The clients' threads stand still for longer than the slack, over and over; the
         // dispatchers are sound.
         List<Thread> late = new ArrayList<>();
-        Rehearsal.Outcome o =
-                Rehearsal.play(
-                        Script.parse(
+        FaultTestRunner.Result o =
+                FaultTestRunner.play(
+                        Scenario.parse(
                                 "day",
-                                DAY
+                                SCENARIO
                                         + DRAINS
                                         + "at 300ms purge 20% of groups\n"
                                         + "at 1s restart caches within 100ms\n"),
                         dir,
-                        inside(Decider::rules),
+                        inProcess(RoutingStrategy::newRouter),
                         line -> {
                             if (line.contains(" purge ")) {
                                 // This is said on the thread of the hosts and the notices.
@@ -449,7 +464,7 @@
                                 sleep(500);
                             }
                         });
-        assertTrue(o.verdicts.stream().allMatch(v -> v.breaches().isEmpty()), o.report());
+        assertTrue(o.checks.stream().allMatch(v -> v.violations().isEmpty()), o.report());
         assertTrue(o.report().contains("the rig itself was late in "), o.report());
     }
 
@@ -465,30 +480,30 @@
     void aColdHostThatIsPushedOverIsCaught() throws Exception {
         // Hosts that start colder than elsewhere, and all that is sent goes to the one that has
         // just started.
-        String colder = DAY.replace("cold-from 0.25 cold-for 4s", "cold-from 0.04 cold-for 20s");
-        Rehearsal.Outcome o =
-                Rehearsal.play(
-                        Script.parse("day", colder + "at 1s restart north-1 within 1ms\n"),
+        String colder =
+                SCENARIO.replace("cold-from 0.25 cold-for 4s", "cold-from 0.04 cold-for 20s");
+        FaultTestRunner.Result o =
+                FaultTestRunner.play(
+                        Scenario.parse("day", colder + "at 1s restart north-1 within 1ms\n"),
                         dir,
-                        inside(
+                        inProcess(
                                 s ->
-                                        new Bent(s) {
+                                        new InterceptingRouter(s) {
                                             private long cold;
 
                                             @Override
-                                            protected Event event(Event e) {
-                                                if (e instanceof HostList l) {
-                                                    l.entries().stream()
+                                            protected RouterEvent interceptEvent(RouterEvent e) {
+                                                if (e instanceof EndpointListReceived l) {
+                                                    l.endpoints().stream()
                                                             .filter(h -> h.startedAtNs() > 0)
-                                                            .forEach(h -> cold = h.host());
-                                                    return new HostList(
+                                                            .forEach(h -> cold = h.id());
+                                                    return new EndpointListReceived(
                                                             l.kind(),
-                                                            l.entries().stream()
+                                                            l.endpoints().stream()
                                                                     .map(
                                                                             h ->
-                                                                                    new HostEntry(
-                                                                                            h
-                                                                                                    .host(),
+                                                                                    new Endpoint(
+                                                                                            h.id(),
                                                                                             h
                                                                                                     .zone(),
                                                                                             h
@@ -504,42 +519,46 @@
                                             }
 
                                             @Override
-                                            protected void action(Action a, List<Action> out) {
+                                            protected void interceptAction(
+                                                    RouterAction a, List<RouterAction> out) {
                                                 out.add(
                                                         cold != 0
-                                                                        && a instanceof Get g
-                                                                        && g.source() != g.host()
-                                                                ? new Get(
+                                                                        && a
+                                                                                instanceof
+                                                                                StartAttempt g
+                                                                        && g.fillSource()
+                                                                                != g.endpoint()
+                                                                ? new StartAttempt(
                                                                         g.id(),
                                                                         cold,
-                                                                        g.limitNs(),
-                                                                        g.source(),
-                                                                        g.keep(),
-                                                                        g.oldestNs(),
-                                                                        g.join(),
-                                                                        g.heldOnly(),
-                                                                        g.beginWithinNs())
+                                                                        g.timeoutNs(),
+                                                                        g.fillSource(),
+                                                                        g.cachePriority(),
+                                                                        g.maxAgeNs(),
+                                                                        g.collapse(),
+                                                                        g.onlyIfCached(),
+                                                                        g.startWithinNs())
                                                                 : a);
                                             }
                                         }),
                         line -> {});
-        assertFalse(verdict(o, 4).breaches().isEmpty(), o.report());
+        assertFalse(checkResult(o, 4).violations().isEmpty(), o.report());
     }
 
     @Test
     void purgesThatAreNotHeededAreCaught() throws Exception {
-        Rehearsal.Outcome o =
+        FaultTestRunner.Result o =
                 play(
                         "at 1s purge 100% of groups\n",
-                        inside(
+                        inProcess(
                                 s ->
-                                        new Bent(s) {
+                                        new InterceptingRouter(s) {
                                             @Override
-                                            protected Event event(Event e) {
-                                                return e instanceof Purged ? null : e;
+                                            protected RouterEvent interceptEvent(RouterEvent e) {
+                                                return e instanceof PurgeReceived ? null : e;
                                             }
                                         }));
-        assertFalse(verdict(o, 5).breaches().isEmpty(), o.report());
+        assertFalse(checkResult(o, 5).violations().isEmpty(), o.report());
     }
 
     // ---- Scripts
@@ -560,41 +579,45 @@
         };
         for (String[] w : wrong) {
             String told =
-                    assertThrows(SettingsException.class, () -> Script.parse("s", DAY + w[0]))
+                    assertThrows(
+                                    SettingsException.class,
+                                    () -> Scenario.parse("s", SCENARIO + w[0]))
                             .getMessage();
-            assertTrue(told.startsWith("s:" + (DAY.lines().count() + 1) + ": " + w[1]), told);
+            assertTrue(told.startsWith("s:" + (SCENARIO.lines().count() + 1) + ": " + w[1]), told);
         }
     }
 
     @Test
     void aYardstickThatSeesAllServesBetterThanChanceAndKeepsTheRules() throws Exception {
         String day =
-                DAY
+                SCENARIO
                         + """
                 at 300ms purge 50% of groups
                 at 500ms drain north-1 for 2s
                 from 1s to 5s slow 6x at 40% of caches
                 at 1500ms kill 40% of caches for 700ms
                 """;
-        Rehearsal.Outcome chance =
-                Rehearsal.compare("day", day, dir, Rehearsal.Router.RANDOM, l -> {});
-        Rehearsal.Outcome informed =
-                Rehearsal.compare("day", day, dir, Rehearsal.Router.INFORMED, l -> {});
+        FaultTestRunner.Result chance =
+                FaultTestRunner.compare(
+                        "day", day, dir, FaultTestRunner.RouterKind.RANDOM, l -> {});
+        FaultTestRunner.Result informed =
+                FaultTestRunner.compare(
+                        "day", day, dir, FaultTestRunner.RouterKind.INFORMED, l -> {});
         assertNotBroken(informed);
-        assertTrue(informed.service() > chance.service(), chance.report() + informed.report());
         assertTrue(
-                informed.scale(chance, informed)
+                informed.servedShare() > chance.servedShare(), chance.report() + informed.report());
+        assertTrue(
+                informed.compareWith(chance, informed)
                         .lines()
                         .filter(l -> l.startsWith("all "))
                         .allMatch(l -> l.endsWith("1.00") || l.endsWith("-")),
-                informed.scale(chance, informed));
+                informed.compareWith(chance, informed));
     }
 
     @Test
     void theBuiltInDayHoldsEveryKindOfTrouble() throws Exception {
-        Script s = Script.parse("built-in", Rehearsal.builtIn());
+        Scenario s = Scenario.parse("built-in", FaultTestRunner.builtInScenario());
         assertEquals(
-                Trouble.Verb.values().length,
-                s.troubles.stream().map(Trouble::verb).distinct().count());
+                Fault.Kind.values().length, s.faults.stream().map(Fault::kind).distinct().count());
     }
 }
--- a/src/test/java/brooklock/http/CodecPropertyTest.java
+++ b/src/test/java/brooklock/http/CodecPropertyTest.java
@@ -77,7 +77,7 @@
                                         kind == 1 ? "" + whole.length() : "chunked");
                             }
                             return text(
-                                            Writing.request(
+                                            HttpEncoder.encodeRequest(
                                                     new RequestHead("PUT", t, "a.example", 1, f)))
                                     + body;
                         });
@@ -85,26 +85,27 @@
 
     @Property(tries = 400, seed = "71")
     void anyCutReadsAlike(@ForAll("requests") String text, @ForAll List<Integer> cuts)
-            throws HttpProblem {
-        Messages.Read whole = Messages.request(text, List.of());
-        assertEquals(whole, Messages.request(text, cuts));
-        assertEquals(whole, Messages.request(text, Messages.everyByte(text)));
+            throws HttpProtocolException {
+        MessageFeeder.ParsedMessage whole = MessageFeeder.request(text, List.of());
+        assertEquals(whole, MessageFeeder.request(text, cuts));
+        assertEquals(whole, MessageFeeder.request(text, MessageFeeder.everyByte(text)));
         assertEquals(0, whole.left());
     }
 
     @Property(tries = 400, seed = "72")
-    void whatIsWrittenReadsBack(@ForAll("requests") String text) throws HttpProblem {
-        RequestHead head = (RequestHead) Messages.request(text, List.of()).head();
-        RequestHead again = new RequestParser(HttpLimits.STANDARD).next(Writing.request(head));
+    void whatIsWrittenReadsBack(@ForAll("requests") String text) throws HttpProtocolException {
+        RequestHead head = (RequestHead) MessageFeeder.request(text, List.of()).head();
+        RequestHead again =
+                new RequestParser(HttpLimits.STANDARD).next(HttpEncoder.encodeRequest(head));
         assertEquals(head.target(), again.target());
         assertEquals(head.fields(), again.fields());
     }
 
     @Property(tries = 200, seed = "73")
     void answersReadBack(@ForAll("heads") ResponseHead head, @ForAll List<Integer> cuts)
-            throws HttpProblem {
-        String text = text(Writing.response(head)) + "until the end";
-        Messages.Read read = Messages.response(text, "GET", cuts);
+            throws HttpProtocolException {
+        String text = text(HttpEncoder.encodeResponse(head)) + "until the end";
+        MessageFeeder.ParsedMessage read = MessageFeeder.response(text, "GET", cuts);
         assertEquals(head, read.head());
         assertEquals("until the end", read.body());
     }
@@ -119,7 +120,7 @@
     @Property(tries = 300, seed = "74")
     void aSecondRequestIsLeftWhole(
             @ForAll("requests") String first, @ForAll("requests") String second)
-            throws HttpProblem {
-        assertEquals(second.length(), Messages.request(first + second, List.of()).left());
+            throws HttpProtocolException {
+        assertEquals(second.length(), MessageFeeder.request(first + second, List.of()).left());
     }
 }
--- a/src/test/java/brooklock/http/Messages.java
+++ b/src/test/java/brooklock/http/MessageFeeder.java
@@ -5,14 +5,14 @@
 import java.util.List;
 
 /** Feeds messages in pieces. */
-final class Messages {
-    private Messages() {}
+final class MessageFeeder {
+    private MessageFeeder() {}
 
     /**
      * What came out of one message: its head as text, its body and trailers, and what was left
      * over.
      */
-    record Read(Object head, String body, Fields trailers, int left) {}
+    record ParsedMessage(Object head, String body, Fields trailers, int left) {}
 
     static ByteBuffer bytes(String s) {
         return ByteBuffer.wrap(s.getBytes(StandardCharsets.ISO_8859_1));
@@ -20,22 +20,22 @@
 
     /** A step that may find the message wrong. */
     private interface Step<A, B> {
-        B of(A a) throws HttpProblem;
+        B of(A a) throws HttpProtocolException;
     }
 
     /** What one message is read into, piece by piece. */
-    private static final class Reading<H> {
+    private static final class MessageParse<H> {
         H head;
         BodyDecoder body;
         final StringBuilder out = new StringBuilder();
         int left;
 
-        Reading(
+        MessageParse(
                 String text,
                 List<Integer> cuts,
                 Step<ByteBuffer, H> parser,
                 Step<H, BodyDecoder> decoder)
-                throws HttpProblem {
+                throws HttpProtocolException {
             for (ByteBuffer piece : pieces(text, cuts)) {
                 if (head == null) {
                     head = parser.of(piece);
@@ -48,8 +48,8 @@
             }
         }
 
-        Read read(boolean whole) {
-            return new Read(
+        ParsedMessage read(boolean whole) {
+            return new ParsedMessage(
                     head,
                     whole ? out.toString() : null,
                     body == null ? null : body.trailers(),
@@ -58,19 +58,20 @@
     }
 
     /** Reads one request that comes cut at the given places (taken modulo its length). */
-    static Read request(String text, List<Integer> cuts) throws HttpProblem {
-        Reading<RequestHead> r =
-                new Reading<>(
+    static ParsedMessage request(String text, List<Integer> cuts) throws HttpProtocolException {
+        MessageParse<RequestHead> r =
+                new MessageParse<>(
                         text,
                         cuts,
                         new RequestParser(HttpLimits.STANDARD)::next,
                         head -> BodyDecoder.ofRequest(Framing.of(head), HttpLimits.STANDARD));
-        return r.read(r.body != null && r.body.done());
+        return r.read(r.body != null && r.body.isComplete());
     }
 
-    static Read response(String text, String method, List<Integer> cuts) throws HttpProblem {
-        Reading<ResponseHead> r =
-                new Reading<>(
+    static ParsedMessage response(String text, String method, List<Integer> cuts)
+            throws HttpProtocolException {
+        MessageParse<ResponseHead> r =
+                new MessageParse<>(
                         text,
                         cuts,
                         new ResponseParser(HttpLimits.STANDARD)::next,
@@ -78,13 +79,13 @@
                                 BodyDecoder.ofResponse(
                                         Framing.of(head, method), HttpLimits.STANDARD));
         if (r.body != null) {
-            r.body.ended();
+            r.body.onEndOfInput();
         }
         return r.read(true);
     }
 
     private static void drain(BodyDecoder body, ByteBuffer in, StringBuilder out)
-            throws HttpProblem {
+            throws HttpProtocolException {
         for (ByteBuffer b = body.next(in); b != null; b = body.next(in)) {
             out.append(StandardCharsets.ISO_8859_1.decode(b));
         }
