--- a/src/test/java/brooklock/http/StrictnessTest.java
+++ b/src/test/java/brooklock/http/MessageStrictnessTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** What could fool one of two readers is refused, whole or byte by byte. */
-class StrictnessTest {
+class MessageStrictnessTest {
     private static final String GET = "GET /a HTTP/1.1\r\nHost: x\r\n";
 
     private static String text(String escaped) {
@@ -67,12 +67,15 @@
         String text = text(escaped);
         assertEquals(
                 status,
-                assertThrows(HttpProblem.class, () -> Messages.request(text, List.of())).status);
+                assertThrows(
+                                HttpProtocolException.class,
+                                () -> MessageFeeder.request(text, List.of()))
+                        .status);
         assertEquals(
                 status,
                 assertThrows(
-                                HttpProblem.class,
-                                () -> Messages.request(text, Messages.everyByte(text)))
+                                HttpProtocolException.class,
+                                () -> MessageFeeder.request(text, MessageFeeder.everyByte(text)))
                         .status);
     }
 
@@ -91,8 +94,8 @@
         assertEquals(
                 502,
                 assertThrows(
-                                HttpProblem.class,
-                                () -> Messages.response(text(escaped), "GET", List.of()))
+                                HttpProtocolException.class,
+                                () -> MessageFeeder.response(text(escaped), "GET", List.of()))
                         .status);
     }
 
@@ -108,34 +111,39 @@
     }
 
     private static int problem(String text) {
-        return assertThrows(HttpProblem.class, () -> Messages.request(text, List.of())).status;
+        return assertThrows(
+                        HttpProtocolException.class, () -> MessageFeeder.request(text, List.of()))
+                .status;
     }
 
     @Test
-    void formsOfTargets() throws HttpProblem {
+    void formsOfTargets() throws HttpProtocolException {
         RequestHead abs = head("GET http://b.example:81/x?y HTTP/1.1\r\nHost: a\r\n\r\n");
         assertEquals("/x?y", abs.target());
-        assertEquals("b.example:81", abs.host());
+        assertEquals("b.example:81", abs.authority());
         assertEquals("/?q", head("GET http://b?q HTTP/1.1\r\nHost: a\r\n\r\n").target());
         assertEquals("*", head("OPTIONS * HTTP/1.1\r\nHost: [::1]:80\r\n\r\n").target());
-        assertEquals("", head("GET / HTTP/1.0\r\n\r\n").host());
+        assertEquals("", head("GET / HTTP/1.0\r\n\r\n").authority());
     }
 
-    private static RequestHead head(String text) throws HttpProblem {
-        return (RequestHead) Messages.request(text, List.of()).head();
+    private static RequestHead head(String text) throws HttpProtocolException {
+        return (RequestHead) MessageFeeder.request(text, List.of()).head();
     }
 
     @Test
-    void bodilessAnswersEndWithTheirHeads() throws HttpProblem {
+    void bodilessAnswersEndWithTheirHeads() throws HttpProtocolException {
         String head = "Content-Length: 5\r\n\r\n";
-        assertEquals("", Messages.response("HTTP/1.1 200 OK\r\n" + head, "HEAD", List.of()).body());
-        assertEquals("", Messages.response("HTTP/1.1 304 x\r\n" + head, "GET", List.of()).body());
-        assertEquals("", Messages.response("HTTP/1.1 204 \r\n\r\n", "GET", List.of()).body());
         assertEquals(
-                "", Messages.response("HTTP/1.1 100 Continue\r\n\r\n", "GET", List.of()).body());
+                "", MessageFeeder.response("HTTP/1.1 200 OK\r\n" + head, "HEAD", List.of()).body());
+        assertEquals(
+                "", MessageFeeder.response("HTTP/1.1 304 x\r\n" + head, "GET", List.of()).body());
+        assertEquals("", MessageFeeder.response("HTTP/1.1 204 \r\n\r\n", "GET", List.of()).body());
+        assertEquals(
+                "",
+                MessageFeeder.response("HTTP/1.1 100 Continue\r\n\r\n", "GET", List.of()).body());
         assertEquals(
                 "until close",
-                Messages.response("HTTP/1.1 200\r\n\r\nuntil close", "GET", List.of()).body());
+                MessageFeeder.response("HTTP/1.1 200\r\n\r\nuntil close", "GET", List.of()).body());
     }
 
     @Test
@@ -150,11 +158,11 @@
                         .add("Accept", "b");
         Fields on = Forwarding.endToEnd(f);
         assertEquals(new Fields().add("Content-Length", "3").add("Accept", "b"), on);
-        Forwarding.via(on, 1, "edge-1");
-        Forwarding.via(on, 0, "edge-2");
+        Forwarding.appendVia(on, 1, "edge-1");
+        Forwarding.appendVia(on, 0, "edge-2");
         assertEquals("1.1 edge-1, 1.0 edge-2", on.get("via"));
-        assertTrue(Forwarding.loops(on, "EDGE-1"));
-        assertFalse(Forwarding.loops(on, "edge"));
+        assertTrue(Forwarding.hasPassedThrough(on, "EDGE-1"));
+        assertFalse(Forwarding.hasPassedThrough(on, "edge"));
     }
 
     @Test
@@ -164,22 +172,22 @@
         assertThrows(
                 IllegalArgumentException.class,
                 () ->
-                        Writing.request(
+                        HttpEncoder.encodeRequest(
                                 new RequestHead(
                                         "GET", "/ HTTP/1.1\r\nX: y", "a", 1, new Fields())));
     }
 
     @Test
     void statusListsOfTwoHops() {
-        List<StatusList.Member> all =
-                StatusList.parse("origin;fwd=miss;fwd-status=200, \"edge, 1\"; hit; ttl=-4");
+        List<StatusFieldParser.Member> all =
+                StatusFieldParser.parse("origin;fwd=miss;fwd-status=200, \"edge, 1\"; hit; ttl=-4");
         assertEquals(2, all.size());
         assertEquals("edge, 1", all.get(1).name());
-        assertTrue(all.get(1).flag("hit"));
+        assertTrue(all.get(1).hasFlag("hit"));
         assertEquals("-4", all.get(1).parameters().get("ttl"));
         assertEquals("200", all.get(0).parameters().get("fwd-status"));
-        assertNull(StatusList.nearest("a;;"));
-        assertNull(StatusList.nearest(null));
-        assertTrue(StatusList.parse("a,".repeat(40) + "a").isEmpty());
+        assertNull(StatusFieldParser.nearestMember("a;;"));
+        assertNull(StatusFieldParser.nearestMember(null));
+        assertTrue(StatusFieldParser.parse("a,".repeat(40) + "a").isEmpty());
     }
 }
--- a/src/test/java/brooklock/http/ParserFuzzTest.java
+++ b/src/test/java/brooklock/http/ParserFuzzTest.java
@@ -8,17 +8,19 @@
 import org.junit.jupiter.api.Assertions;
 
 /**
- * Whatever comes, the parsers end with a message or with an {@link HttpProblem}, the same whole and
- * byte by byte. The seeds beside this class run with the tests; {@code JAZZER_FUZZ=1 mvn test
- * -Dtest=ParserFuzzTest} searches on.
+ * Whatever comes, the parsers end with a message or with an {@link HttpProtocolException}, the same
+ * whole and byte by byte. The seeds beside this class run with the tests; {@code JAZZER_FUZZ=1 mvn
+ * test -Dtest=ParserFuzzTest} searches on.
  */
 class ParserFuzzTest {
     private static String outcome(String text, boolean request, List<Integer> cuts) {
         try {
-            Messages.Read r =
-                    request ? Messages.request(text, cuts) : Messages.response(text, "GET", cuts);
+            MessageFeeder.ParsedMessage r =
+                    request
+                            ? MessageFeeder.request(text, cuts)
+                            : MessageFeeder.response(text, "GET", cuts);
             return r.head() + "|" + r.body() + "|" + r.trailers();
-        } catch (HttpProblem e) {
+        } catch (HttpProtocolException e) {
             return e.status + " " + e.getMessage();
         }
     }
@@ -30,8 +32,8 @@
         for (boolean request : new boolean[] {true, false}) {
             Assertions.assertEquals(
                     outcome(text, request, List.of()),
-                    outcome(text, request, Messages.everyByte(text)));
+                    outcome(text, request, MessageFeeder.everyByte(text)));
         }
-        StatusList.parse(text);
+        StatusFieldParser.parse(text);
     }
 }
--- a/src/test/java/brooklock/membership/ListTextTest.java
+++ b/src/test/java/brooklock/membership/EndpointListCodecTest.java
@@ -5,11 +5,11 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import brooklock.config.Settings.Kind;
-import brooklock.routing.RouterApi.HostEntry;
-import brooklock.routing.RouterApi.HostList;
-import brooklock.routing.RouterApi.HostState;
-import brooklock.routing.RouterApi.ListKind;
+import brooklock.config.Settings.EndpointKind;
+import brooklock.routing.Endpoint;
+import brooklock.routing.EndpointListKind;
+import brooklock.routing.EndpointState;
+import brooklock.routing.RouterEvent.EndpointListReceived;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.file.Files;
@@ -19,14 +19,14 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-class ListTextTest {
+class EndpointListCodecTest {
     @TempDir Path dir;
 
-    private static Member member(String name, HostState state, long started) {
-        return new Member(
+    private static ListedEndpoint member(String name, EndpointState state, long started) {
+        return new ListedEndpoint(
                 name,
-                brooklock.config.HostId.of(name),
-                Kind.CACHE,
+                brooklock.config.EndpointId.of(name),
+                EndpointKind.CACHE,
                 "north",
                 new InetSocketAddress("127.0.0.1", 9000),
                 state,
@@ -37,25 +37,27 @@
     @Test
     void aListReadsBackAndAnyCutOfItIsRefused() {
         String text =
-                ListText.write(
-                        new Notice(
-                                new Stamp("eureka-1", 3, 17, 0),
+                EndpointListCodec.encode(
+                        new WatchEvent(
+                                new EventVersion("eureka-1", 3, 17, 0),
                                 true,
                                 List.of(
-                                        member("c1", HostState.READY, 0),
-                                        member("c2", HostState.DRAINING, 1234))));
-        assertEquals(2, ListText.parse(text).members().size());
-        assertEquals(text, ListText.write(ListText.parse(text)));
+                                        member("c1", EndpointState.READY, 0),
+                                        member("c2", EndpointState.DRAINING, 1234))));
+        assertEquals(2, EndpointListCodec.decode(text).endpoints().size());
+        assertEquals(text, EndpointListCodec.encode(EndpointListCodec.decode(text)));
         for (int n = 0; n < text.length(); n++) {
             String cut = text.substring(0, n);
-            assertThrows(IllegalArgumentException.class, () -> ListText.parse(cut), cut);
+            assertThrows(IllegalArgumentException.class, () -> EndpointListCodec.decode(cut), cut);
         }
     }
 
     @Test
     void aWrongLineRefusesTheWholeList() {
         String text =
-                ListText.write(Notice.unnumbered(false, List.of(member("c1", HostState.READY, 0))));
+                EndpointListCodec.encode(
+                        WatchEvent.unversioned(
+                                false, List.of(member("c1", EndpointState.READY, 0))));
         for (String[] change :
                 new String[][] {
                     {"cache", "oven"},
@@ -67,7 +69,9 @@
                 }) {
             String wrong = text.replace(change[0], change[1]);
             String told =
-                    assertThrows(IllegalArgumentException.class, () -> ListText.parse(wrong))
+                    assertThrows(
+                                    IllegalArgumentException.class,
+                                    () -> EndpointListCodec.decode(wrong))
                             .getMessage();
             assertTrue(told.startsWith("line 2: "), told);
         }
@@ -75,7 +79,7 @@
 
     @Test
     void aPlaceInAnOrderIsWholeOrTheListIsRefused() {
-        String text = ListText.write(Notice.unnumbered(false, List.of()));
+        String text = EndpointListCodec.encode(WatchEvent.unversioned(false, List.of()));
         for (String[] wrong :
                 new String[][] {
                     {"source r", "an epoch and a"},
@@ -95,32 +99,33 @@
                     assertThrows(
                                     IllegalArgumentException.class,
                                     () ->
-                                            ListText.parse(
+                                            EndpointListCodec.decode(
                                                     text.replace("delta", "delta " + wrong[0])))
                             .getMessage();
             assertTrue(told.startsWith("line 1: " + wrong[1]), told);
         }
         assertEquals(
-                new Stamp("r", 1, 2, 1),
-                ListText.parse(text.replace("delta", "delta source r epoch 1 number 2 follows 1"))
-                        .stamp());
+                new EventVersion("r", 1, 2, 1),
+                EndpointListCodec.decode(
+                                text.replace("delta", "delta source r epoch 1 number 2 follows 1"))
+                        .version());
     }
 
     @Test
     void whatIsSavedIsWholeOrRefused() throws IOException {
-        ListFile f = new ListFile(dir.resolve("l"));
+        EndpointListFile f = new EndpointListFile(dir.resolve("l"));
         assertEquals(null, f.load());
         Membership m = new Membership(List.of("north"));
-        m.take(
+        m.apply(
                 5,
-                new Notice(
-                        new Stamp("r", 7, 2, 0),
+                new WatchEvent(
+                        new EventVersion("r", 7, 2, 0),
                         true,
                         List.of(
-                                member("c1", HostState.READY, 5),
-                                member("c2", HostState.READY, 0))));
-        m.take(6, Notice.unnumbered(true, List.of(member("c3", HostState.DRAINING, 0))));
-        m.byHand("c2", HostState.GONE);
+                                member("c1", EndpointState.READY, 5),
+                                member("c2", EndpointState.READY, 0))));
+        m.apply(6, WatchEvent.unversioned(true, List.of(member("c3", EndpointState.DRAINING, 0))));
+        m.setOverride("c2", EndpointState.GONE);
         f.save(m.state());
         Membership again = new Membership(List.of("north"));
         again.restore(f.load());
@@ -138,48 +143,62 @@
                 dir.resolve("l"),
                 "list full\nc1 cache north 127.0.0.1:9000 draining 1.5 0\nend 1\n");
         assertEquals(
-                HostState.DRAINING,
-                f.load().sources().get(Source.UNNUMBERED).words().firstEntry().getValue().state(),
+                EndpointState.DRAINING,
+                f.load()
+                        .sources()
+                        .get(EventSource.UNVERSIONED)
+                        .endpoints()
+                        .firstEntry()
+                        .getValue()
+                        .state(),
                 "as it was saved before there was an order");
     }
 
-    private static HostList take(HostBook book, boolean full, Member... members) {
-        Answer a = book.change(m -> m.take(1, Notice.unnumbered(full, List.of(members))));
-        return book.news(a, full ? ListKind.FULL : ListKind.DELTA);
+    private static EndpointListReceived take(
+            EndpointRegistry book, boolean full, ListedEndpoint... members) {
+        UpdateResult a =
+                book.apply(m -> m.apply(1, WatchEvent.unversioned(full, List.of(members))));
+        return book.toEndpointList(a, full ? EndpointListKind.FULL : EndpointListKind.DELTA);
     }
 
     @Test
     void aStartKeepsItsMomentThoughTheWallClockIsSet() {
         AtomicLong shift = new AtomicLong();
-        HostBook book = new HostBook(List.of("north"), ms -> ms * 1_000_000 + shift.get());
-        HostEntry first = take(book, true, member("c1", HostState.READY, 70)).entries().get(0);
+        EndpointRegistry book =
+                new EndpointRegistry(List.of("north"), ms -> ms * 1_000_000 + shift.get());
+        Endpoint first = take(book, true, member("c1", EndpointState.READY, 70)).endpoints().get(0);
         shift.set(-5_000_000);
-        assertEquals(first, take(book, true, member("c1", HostState.READY, 70)).entries().get(0));
+        assertEquals(
+                first, take(book, true, member("c1", EndpointState.READY, 70)).endpoints().get(0));
         assertNotEquals(
                 first.startedAtNs(),
-                take(book, false, member("c1", HostState.READY, 71))
-                        .entries()
+                take(book, false, member("c1", EndpointState.READY, 71))
+                        .endpoints()
                         .get(0)
                         .startedAtNs());
     }
 
     @Test
     void whatAFullListLeavesOutIsGoneAndWhatItCannotPlaceRefusesIt() {
-        HostBook book = new HostBook(List.of("north"), ms -> ms);
-        take(book, true, member("c1", HostState.READY, 0), member("c2", HostState.READY, 0));
-        take(book, true, member("c2", HostState.READY, 0));
-        assertEquals(HostState.GONE, book.get(brooklock.config.HostId.of("c1")).state());
-        Member lost =
-                new Member(
+        EndpointRegistry book = new EndpointRegistry(List.of("north"), ms -> ms);
+        take(
+                book,
+                true,
+                member("c1", EndpointState.READY, 0),
+                member("c2", EndpointState.READY, 0));
+        take(book, true, member("c2", EndpointState.READY, 0));
+        assertEquals(EndpointState.GONE, book.find(brooklock.config.EndpointId.of("c1")).state());
+        ListedEndpoint lost =
+                new ListedEndpoint(
                         "c3",
                         3,
-                        Kind.CACHE,
+                        EndpointKind.CACHE,
                         "south",
                         new InetSocketAddress("127.0.0.1", 1),
-                        HostState.READY,
+                        EndpointState.READY,
                         1,
                         0);
         assertEquals(null, take(book, true, lost));
-        assertTrue(book.ready(brooklock.config.HostId.of("c2")), "nothing of it was taken");
+        assertTrue(book.isReady(brooklock.config.EndpointId.of("c2")), "nothing of it was taken");
     }
 }
--- a/src/test/java/brooklock/net/HostPoolTest.java
+++ b/src/test/java/brooklock/net/HttpConnectionPoolTest.java
@@ -4,9 +4,9 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import brooklock.credentials.ClientTrust;
-import brooklock.credentials.LocalAuthority;
-import brooklock.credentials.Tls;
+import brooklock.credentials.CertificateTrust;
+import brooklock.credentials.LocalCertificateAuthority;
+import brooklock.credentials.TlsContexts;
 import brooklock.http.Fields;
 import brooklock.http.RequestHead;
 import java.io.IOException;
@@ -30,23 +30,25 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** Connections that are long on their way, as with TLS at a host that has much to do. */
-class HostPoolTest {
-    private static final int OPENINGS = 2;
-    private static final long LONG_NS = 20_000_000_000L;
+class HttpConnectionPoolTest {
+    private static final int MAX_CONNECTING = 2;
+    private static final long LONG_TIMEOUT_NS = 20_000_000_000L;
 
     @TempDir private Path dir;
-    private Net net;
+    private IoThreads net;
     private SSLContext server;
     private SSLContext client;
 
     @BeforeEach
     void start() throws Exception {
-        net = Net.open("pool", 1);
-        LocalAuthority pki = new LocalAuthority("authority");
-        ClientTrust trust = pki.trust(dir);
-        Tls.Shown shown = pki.issue("host", "localhost", 3600_000);
-        server = Tls.server(() -> List.of(shown), () -> trust, System::currentTimeMillis);
-        client = Tls.client(null, () -> trust, System::currentTimeMillis);
+        net = IoThreads.start("pool", 1);
+        LocalCertificateAuthority pki = new LocalCertificateAuthority("authority");
+        CertificateTrust trust = pki.createTrust(dir);
+        TlsContexts.TlsIdentity shown = pki.issue("host", "localhost", 3600_000);
+        server =
+                TlsContexts.serverContext(
+                        () -> List.of(shown), () -> trust, System::currentTimeMillis);
+        client = TlsContexts.clientContext(null, () -> trust, System::currentTimeMillis);
     }
 
     @AfterEach
@@ -55,11 +57,11 @@
     }
 
     /** A host before which so many connections come through and all others stay silent. */
-    private static final class Narrow implements AutoCloseable {
+    private static final class ThrottledProxy implements AutoCloseable {
         final ServerSocket in = new ServerSocket(0, 200, InetAddress.getLoopbackAddress());
         final AtomicInteger accepted = new AtomicInteger();
 
-        Narrow(InetSocketAddress behind, int lets) throws IOException {
+        ThrottledProxy(InetSocketAddress behind, int lets) throws IOException {
             Thread t =
                     new Thread(
                             () -> {
@@ -110,37 +112,37 @@
     }
 
     /** One call; how it ended. */
-    private static final class Taker implements AnswerTaker {
-        final CompletableFuture<String> end = new CompletableFuture<>();
-        volatile boolean went;
+    private static final class RecordingHandler implements ResponseHandler {
+        final CompletableFuture<String> outcome = new CompletableFuture<>();
+        volatile boolean sent;
 
         @Override
-        public boolean mayGo() {
-            went = true;
+        public boolean shouldSend() {
+            sent = true;
             return true;
         }
 
         @Override
-        public void end(Fields trailers) {
-            assertTrue(end.complete("whole"));
+        public void onComplete(Fields trailers) {
+            assertTrue(outcome.complete("whole"));
         }
 
         @Override
-        public void failed(Failure failure, String why) {
-            assertTrue(end.complete(failure + " " + why));
+        public void onFailure(CallFailure failure, String why) {
+            assertTrue(outcome.complete(failure + " " + why));
         }
 
-        String ended() throws Exception {
-            return end.get(20, TimeUnit.SECONDS);
+        String awaitOutcome() throws Exception {
+            return outcome.get(20, TimeUnit.SECONDS);
         }
     }
 
-    private Taker call(Client c, InetSocketAddress to) {
-        Taker t = new Taker();
+    private RecordingHandler call(HttpClient c, InetSocketAddress to) {
+        RecordingHandler t = new RecordingHandler();
         net.loop(0)
                 .execute(
                         () ->
-                                c.call(
+                                c.send(
                                         to,
                                         new RequestHead("GET", "/", "localhost", 1, new Fields()),
                                         new byte[0],
@@ -150,57 +152,59 @@
 
     @Test
     void aBurstAtASilentHostOpensFewConnectionsAndEachCallFailsOnceUnsent() throws Exception {
-        try (Narrow silent = new Narrow(null, 0)) {
-            Client c =
-                    new Client(
+        try (ThrottledProxy silent = new ThrottledProxy(null, 0)) {
+            HttpClient c =
+                    new HttpClient(
                             net.loop(0),
                             ClientLimits.STANDARD
-                                    .withOpenings(OPENINGS)
-                                    .withConnectNs(300_000_000L),
+                                    .withMaxConnecting(MAX_CONNECTING)
+                                    .withConnectTimeoutNs(300_000_000L),
                             client);
-            List<Taker> all =
+            List<RecordingHandler> all =
                     java.util.stream.IntStream.range(0, 50)
                             .mapToObj(i -> call(c, silent.address()))
                             .toList();
-            for (Taker t : all) {
-                assertTrue(t.ended().startsWith("NOT_CONNECTED"), t.ended());
-                assertFalse(t.went, "nothing is sent before the handshake is over");
+            for (RecordingHandler t : all) {
+                assertTrue(t.awaitOutcome().startsWith("NOT_CONNECTED"), t.awaitOutcome());
+                assertFalse(t.sent, "nothing is sent before the handshake is over");
             }
             // Those that fail make room for as many again, not for each call.
-            assertTrue(silent.accepted.get() <= 4 * OPENINGS, "opened " + silent.accepted);
+            assertTrue(silent.accepted.get() <= 4 * MAX_CONNECTING, "opened " + silent.accepted);
         }
     }
 
     @Test
     void aCallTakesAConnectionThatBecomesFreeWhileAnotherIsStillOnItsWay() throws Exception {
-        BlockingQueue<ServerExchange> asked = new LinkedBlockingQueue<>();
-        Listener host =
-                Listener.openTls(
+        BlockingQueue<HttpExchange> asked = new LinkedBlockingQueue<>();
+        HttpListener host =
+                HttpListener.openTls(
                         net,
                         new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
                         ServerLimits.STANDARD,
                         asked::add,
                         server);
-        try (Narrow narrow = new Narrow(host.address(), 1)) {
-            Client c =
-                    new Client(
+        try (ThrottledProxy narrow = new ThrottledProxy(host.address(), 1)) {
+            HttpClient c =
+                    new HttpClient(
                             net.loop(0),
-                            ClientLimits.STANDARD.withOpenings(OPENINGS).withConnectNs(LONG_NS),
+                            ClientLimits.STANDARD
+                                    .withMaxConnecting(MAX_CONNECTING)
+                                    .withConnectTimeoutNs(LONG_TIMEOUT_NS),
                             client);
-            Taker first = call(c, narrow.address());
-            ServerExchange x = asked.poll(20, TimeUnit.SECONDS);
-            Taker second = call(c, narrow.address());
-            Taker third = call(c, narrow.address());
+            RecordingHandler first = call(c, narrow.address());
+            HttpExchange x = asked.poll(20, TimeUnit.SECONDS);
+            RecordingHandler second = call(c, narrow.address());
+            RecordingHandler third = call(c, narrow.address());
             while (narrow.accepted.get() < 3) {
                 Thread.sleep(1);
             }
-            assertFalse(second.went || third.went, "their connections are on their way");
+            assertFalse(second.sent || third.sent, "their connections are on their way");
             net.loop(0).execute(() -> x.send(200, new Fields(), new byte[0]));
-            assertEquals("whole", first.ended());
-            for (Taker t : List.of(second, third)) {
-                ServerExchange y = asked.poll(20, TimeUnit.SECONDS);
+            assertEquals("whole", first.awaitOutcome());
+            for (RecordingHandler t : List.of(second, third)) {
+                HttpExchange y = asked.poll(20, TimeUnit.SECONDS);
                 net.loop(0).execute(() -> y.send(200, new Fields(), new byte[0]));
-                assertEquals("whole", t.ended());
+                assertEquals("whole", t.awaitOutcome());
             }
             assertEquals(3, narrow.accepted.get(), "no more were opened");
         } finally {
@@ -214,45 +218,49 @@
         try (ServerSocket s = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             nobody = new InetSocketAddress(s.getInetAddress(), s.getLocalPort());
         }
-        Client c =
-                new Client(
+        HttpClient c =
+                new HttpClient(
                         net.loop(0),
-                        ClientLimits.STANDARD.withOpenings(OPENINGS).withConnectNs(LONG_NS));
+                        ClientLimits.STANDARD
+                                .withMaxConnecting(MAX_CONNECTING)
+                                .withConnectTimeoutNs(LONG_TIMEOUT_NS));
         long from = System.nanoTime();
-        List<Taker> all =
+        List<RecordingHandler> all =
                 java.util.stream.IntStream.range(0, 50).mapToObj(i -> call(c, nobody)).toList();
-        for (Taker t : all) {
-            assertTrue(t.ended().startsWith("NOT_CONNECTED"), t.ended());
+        for (RecordingHandler t : all) {
+            assertTrue(t.awaitOutcome().startsWith("NOT_CONNECTED"), t.awaitOutcome());
         }
         assertTrue(
-                System.nanoTime() - from < LONG_NS / 2,
+                System.nanoTime() - from < LONG_TIMEOUT_NS / 2,
                 "none of them waited for its time in line to end");
     }
 
     @Test
     void noAnswerIsLostToAHandshakeThatEndsWhileItIsRead() throws Exception {
-        Listener host =
-                Listener.openTls(
+        HttpListener host =
+                HttpListener.openTls(
                         net,
                         new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
                         ServerLimits.STANDARD,
                         x -> x.send(200, new Fields(), new byte[0]),
                         server);
-        Client c =
-                new Client(
+        HttpClient c =
+                new HttpClient(
                         net.loop(0),
-                        ClientLimits.STANDARD.withOpenings(8).withConnectNs(LONG_NS),
+                        ClientLimits.STANDARD
+                                .withMaxConnecting(8)
+                                .withConnectTimeoutNs(LONG_TIMEOUT_NS),
                         client);
         for (int round = 0; round < 40; round++) {
-            List<Taker> all =
+            List<RecordingHandler> all =
                     java.util.stream.IntStream.range(0, 8)
                             .mapToObj(
                                     i -> {
-                                        Taker t = new Taker();
+                                        RecordingHandler t = new RecordingHandler();
                                         net.loop(0)
                                                 .execute(
                                                         () ->
-                                                                c.call(
+                                                                c.send(
                                                                         host.address(),
                                                                         new RequestHead(
                                                                                 "GET",
@@ -268,8 +276,8 @@
                                         return t;
                                     })
                             .toList();
-            for (Taker t : all) {
-                assertEquals("whole", t.ended());
+            for (RecordingHandler t : all) {
+                assertEquals("whole", t.awaitOutcome());
             }
         }
         host.close();
--- a/src/test/java/brooklock/platform/CodecTest.java
+++ b/src/test/java/brooklock/platform/CodecTest.java
@@ -7,9 +7,9 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import brooklock.routing.RouterApi.HostList;
-import brooklock.routing.RouterApi.HostState;
-import brooklock.routing.RouterApi.ListKind;
+import brooklock.routing.EndpointListKind;
+import brooklock.routing.EndpointState;
+import brooklock.routing.RouterEvent.EndpointListReceived;
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
@@ -24,19 +24,20 @@
 
 /** The protocols' parsers at every cut, and what they turn away. */
 class CodecTest {
-    private static final Map<String, ClientRequest.Form> CLASSES =
+    private static final Map<String, ClientRequest.RequestClass> CLASSES =
             Map.of(
                     "pages",
-                    new ClientRequest.Form(0, false, false, 2500),
+                    new ClientRequest.RequestClass(0, false, false, 2500),
                     "orders",
-                    new ClientRequest.Form(1, true, true, 3000));
+                    new ClientRequest.RequestClass(1, true, true, 3000));
 
-    private interface Reader<T> {
-        T next(ByteBuffer in) throws Malformed;
+    private interface MessageDecoder<T> {
+        T next(ByteBuffer in) throws MalformedMessageException;
     }
 
     // Feeds bytes in two pieces, what is left of the first before the second, as a connection does.
-    private static <T> List<T> read(Reader<T> reader, byte[] bytes, int cut) throws Malformed {
+    private static <T> List<T> read(MessageDecoder<T> reader, byte[] bytes, int cut)
+            throws MalformedMessageException {
         List<T> out = new ArrayList<>();
         ByteBuffer in = ByteBuffer.allocate(bytes.length);
         for (int[] piece : new int[][] {{0, cut}, {cut, bytes.length}}) {
@@ -59,22 +60,23 @@
     }
 
     @Test
-    void callsAreReadAtEveryCut() throws Malformed {
+    void callsAreReadAtEveryCut() throws MalformedMessageException {
         byte[] body = new byte[300];
         new Random(7).nextBytes(body);
         byte[] bytes =
-                Caller.join(
-                        Caller.call(7, "pages", Map.of("i", "9b1f03aa5c7e2d41", "d", "1500"), body),
-                        Caller.forget(7),
-                        Caller.call(300, "isWell", Map.of(), null));
+                RpcTestClient.concat(
+                        RpcTestClient.encodeCall(
+                                7, "pages", Map.of("i", "9b1f03aa5c7e2d41", "d", "1500"), body),
+                        RpcTestClient.encodeCancel(7),
+                        RpcTestClient.encodeCall(300, "isWell", Map.of(), null));
         for (int cut = 0; cut <= bytes.length; cut++) {
             List<RpcMessage> got = read(new RpcDecoder()::next, bytes, cut);
             assertEquals(3, got.size());
             RpcMessage.Call call = (RpcMessage.Call) got.get(0);
             assertEquals(Map.of("i", "9b1f03aa5c7e2d41", "d", "1500"), call.fields());
             assertArrayEquals(body, call.body());
-            assertEquals(new RpcMessage.Forget(7), got.get(1));
-            assertEquals(300, ((RpcMessage.Call) got.get(2)).number());
+            assertEquals(new RpcMessage.Cancel(7), got.get(1));
+            assertEquals(300, ((RpcMessage.Call) got.get(2)).messageId());
         }
     }
 
@@ -99,18 +101,25 @@
                 "93 02 a4 73746f70", // an unknown notice
             })
     void whatIsNoMessageIsToldAtOnce(String text) {
-        assertThrows(Malformed.class, () -> read(new RpcDecoder()::next, hex(text), 0));
+        assertThrows(
+                MalformedMessageException.class, () -> read(new RpcDecoder()::next, hex(text), 0));
     }
 
     @Test
-    void framesAreReadAtEveryCut() throws Malformed {
+    void framesAreReadAtEveryCut() throws MalformedMessageException {
         byte[] body = new byte[700];
         new Random(9).nextBytes(body);
         byte[] bytes =
-                Caller.join(
-                        FrameWriter.frame(Frame.FROM_HOST, Frame.OK, -5, "rev=4be0,tell=hit", body)
+                RpcTestClient.concat(
+                        FrameEncoder.encode(
+                                        Frame.ENDPOINT_MARK,
+                                        Frame.OK,
+                                        -5,
+                                        "rev=4be0,tell=hit",
+                                        body)
                                 .array(),
-                        FrameWriter.frame(Frame.FROM_HOST, Frame.MISS, 6, "", new byte[0]).array());
+                        FrameEncoder.encode(Frame.ENDPOINT_MARK, Frame.MISS, 6, "", new byte[0])
+                                .array());
         for (int cut = 0; cut <= bytes.length; cut++) {
             List<Frame> got = read(new FrameDecoder()::next, bytes, cut);
             assertEquals(2, got.size());
@@ -124,7 +133,8 @@
     @Test
     void everyBitOfAFrameCounts() {
         byte[] good =
-                FrameWriter.frame(Frame.FROM_HOST, Frame.OK, 77, "rev=4b,tell=hit", new byte[40])
+                FrameEncoder.encode(
+                                Frame.ENDPOINT_MARK, Frame.OK, 77, "rev=4b,tell=hit", new byte[40])
                         .array();
         for (int bit = 0; bit < good.length * 8; bit++) {
             byte[] bad = good.clone();
@@ -132,7 +142,7 @@
             Frame f;
             try {
                 f = new FrameDecoder().next(ByteBuffer.wrap(bad));
-            } catch (Malformed told) {
+            } catch (MalformedMessageException told) {
                 continue;
             }
             // What is left: a length that waits for more, another answer's code, another's id.
@@ -150,38 +160,46 @@
                 "5a 40 0000 00000000 0000000000000001 00000001"
             })
     void framesThatDoNotFitAreToldFromTheirHead(String text) {
-        assertThrows(Malformed.class, () -> read(new FrameDecoder()::next, hex(text), 0));
+        assertThrows(
+                MalformedMessageException.class,
+                () -> read(new FrameDecoder()::next, hex(text), 0));
     }
 
     @Test
     void fieldsOfFramesAreStrict() {
         for (String bad : List.of("rev", "=1", "a=1,a=2", "a=1,", ",")) {
             assertThrows(
-                    Malformed.class,
-                    () -> FrameDecoder.fieldsOf(bad.getBytes(StandardCharsets.ISO_8859_1)),
+                    MalformedMessageException.class,
+                    () -> FrameDecoder.parseFields(bad.getBytes(StandardCharsets.ISO_8859_1)),
                     bad);
         }
     }
 
     @Test
-    void theCommandChannelIsReadAtEveryCut() throws Malformed {
+    void theCommandChannelIsReadAtEveryCut() throws MalformedMessageException {
         String text =
-                Configs.nodes(
+                TestConfigs.listUpdate(
                                 41,
                                 false,
-                                List.of(Configs.endpoint("s-1", "127.0.0.1:5", "box", "leaving")))
+                                List.of(
+                                        TestConfigs.endpoint(
+                                                "s-1", "127.0.0.1:5", "box", "leaving")))
                         + "\n"
                         + "{\"cursor\":42,\"drop\":{\"id\":\"7f3a9c21e0b4d655\",\"when\":1764576000123}}\n"
                         + "{\"cursor\":43,\"drop\":{\"family\":17,\"when\":1764576000480}}\n43\n{\"cursor\":44,\"else\":{}}\n{\"cur";
         byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
         for (int cut = 0; cut <= bytes.length; cut++) {
-            List<Command> got = read(new CommandReader()::next, bytes, cut);
+            List<DiscoveryEvent> got = read(new DiscoveryEventDecoder()::next, bytes, cut);
             assertEquals(5, got.size());
-            assertEquals("leaving", ((Command.Nodes) got.get(0)).endpoints().get(0).status());
-            assertEquals(new Command.Drop(42, 0x7f3a9c21e0b4d655L, 0, 1764576000123L), got.get(1));
-            assertEquals(new Command.Drop(43, 0, 17, 1764576000480L), got.get(2));
-            assertEquals(new Command.Beat(43), got.get(3));
-            assertEquals(new Command.Other(44), got.get(4));
+            assertEquals(
+                    "leaving",
+                    ((DiscoveryEvent.EndpointListUpdate) got.get(0)).endpoints().get(0).status());
+            assertEquals(
+                    new DiscoveryEvent.Purge(42, 0x7f3a9c21e0b4d655L, 0, 1764576000123L),
+                    got.get(1));
+            assertEquals(new DiscoveryEvent.Purge(43, 0, 17, 1764576000480L), got.get(2));
+            assertEquals(new DiscoveryEvent.Heartbeat(43), got.get(3));
+            assertEquals(new DiscoveryEvent.UnknownEvent(44), got.get(4));
         }
     }
 
@@ -201,7 +219,7 @@
                 "\u0000"
             })
     void linesThatTellNothingAreTold(String line) {
-        assertThrows(Malformed.class, () -> CommandReader.of(line));
+        assertThrows(MalformedMessageException.class, () -> DiscoveryEventDecoder.parse(line));
     }
 
     private static Map<String, String> with(String name, String value) {
@@ -229,21 +247,21 @@
     }
 
     private static ClientRequest ask(String cls, Map<String, String> fields, int body)
-            throws Malformed {
-        return ClientRequest.of(new RpcMessage.Call(1, cls, fields, new byte[body]), CLASSES);
+            throws MalformedMessageException {
+        return ClientRequest.parse(new RpcMessage.Call(1, cls, fields, new byte[body]), CLASSES);
     }
 
     @Test
-    void requestsAreTakenAsTheyStand() throws Malformed {
+    void requestsAreTakenAsTheyStand() throws MalformedMessageException {
         ClientRequest r = ask("pages", with("r", "1"), 0);
         assertEquals(0x9b1f03aa5c7e2d41L, r.id());
         assertEquals(
                 List.of(3, 17, 1500, 412.5, true),
-                List.of(r.part(), r.group(), r.waitMs(), r.sizeKb(), r.repeat()));
-        assertNull(r.tag());
+                List.of(r.part(), r.group(), r.timeoutMs(), r.sizeKb(), r.clientRetry()));
+        assertNull(r.etag());
         assertEquals(
                 "5c0f6e1a2b3d4c59a8b7c6d5e4f30211",
-                ask("orders", with("k", "5c0f6e1a2b3d4c59a8b7c6d5e4f30211"), 9).key());
+                ask("orders", with("k", "5c0f6e1a2b3d4c59a8b7c6d5e4f30211"), 9).idempotencyKey());
     }
 
     @Test
@@ -273,30 +291,30 @@
         };
         for (String[] b : bad) {
             assertThrows(
-                    Malformed.class,
+                    MalformedMessageException.class,
                     () -> ask("pages", with(b[0], b[1]), 0),
                     String.join(" ", b[0], "" + b[1]));
         }
-        assertThrows(Malformed.class, () -> ask("nothing", with("r", "1"), 0));
-        assertThrows(Malformed.class, () -> ask("pages", with("r", "1"), 1));
-        assertThrows(Malformed.class, () -> ask("orders", with("r", "1"), 1));
+        assertThrows(MalformedMessageException.class, () -> ask("nothing", with("r", "1"), 0));
+        assertThrows(MalformedMessageException.class, () -> ask("pages", with("r", "1"), 1));
+        assertThrows(MalformedMessageException.class, () -> ask("orders", with("r", "1"), 1));
     }
 
     @Test
     void hostsAreTheSameNumberEverywhereAndTheirStartsOneMoment() {
         long[] moment = {100};
-        HostTable table =
-                new HostTable(List.of("west"), List.of("box", "origin"), ms -> moment[0]++);
-        Command.Endpoint a =
-                new Command.Endpoint("s-a", "127.0.0.1:1", "west", "box", "active", 4, 1000);
-        HostList first =
-                table.take(
-                        new Command.Nodes(
+        EndpointTable table =
+                new EndpointTable(List.of("west"), List.of("box", "origin"), ms -> moment[0]++);
+        DiscoveryEvent.Endpoint a =
+                new DiscoveryEvent.Endpoint("s-a", "127.0.0.1:1", "west", "box", "active", 4, 1000);
+        EndpointListReceived first =
+                table.apply(
+                        new DiscoveryEvent.EndpointListUpdate(
                                 1,
                                 true,
                                 List.of(
                                         a,
-                                        new Command.Endpoint(
+                                        new DiscoveryEvent.Endpoint(
                                                 "s-b",
                                                 "127.0.0.1:2",
                                                 "nowhere",
@@ -304,22 +322,27 @@
                                                 "active",
                                                 4,
                                                 0))));
-        assertEquals(ListKind.FULL, first.kind());
-        assertEquals(1, first.entries().size());
-        long number = first.entries().get(0).host();
-        HostTable other = new HostTable(List.of("west"), List.of("box", "origin"), ms -> 1);
+        assertEquals(EndpointListKind.FULL, first.kind());
+        assertEquals(1, first.endpoints().size());
+        long number = first.endpoints().get(0).id();
+        EndpointTable other = new EndpointTable(List.of("west"), List.of("box", "origin"), ms -> 1);
         assertEquals(
-                number, other.take(new Command.Nodes(1, true, List.of(a))).entries().get(0).host());
-        HostList again = table.take(new Command.Nodes(2, false, List.of(a)));
-        assertEquals(ListKind.DELTA, again.kind());
-        assertEquals(100, again.entries().get(0).startedAtNs());
-        HostList restarted =
-                table.take(
-                        new Command.Nodes(
+                number,
+                other.apply(new DiscoveryEvent.EndpointListUpdate(1, true, List.of(a)))
+                        .endpoints()
+                        .get(0)
+                        .id());
+        EndpointListReceived again =
+                table.apply(new DiscoveryEvent.EndpointListUpdate(2, false, List.of(a)));
+        assertEquals(EndpointListKind.DELTA, again.kind());
+        assertEquals(100, again.endpoints().get(0).startedAtNs());
+        EndpointListReceived restarted =
+                table.apply(
+                        new DiscoveryEvent.EndpointListUpdate(
                                 3,
                                 false,
                                 List.of(
-                                        new Command.Endpoint(
+                                        new DiscoveryEvent.Endpoint(
                                                 "s-a",
                                                 "127.0.0.1:1",
                                                 "west",
@@ -327,27 +350,29 @@
                                                 "active",
                                                 4,
                                                 2000))));
-        assertNotEquals(100, restarted.entries().get(0).startedAtNs());
-        HostList left =
-                table.take(
-                        new Command.Nodes(
+        assertNotEquals(100, restarted.endpoints().get(0).startedAtNs());
+        EndpointListReceived left =
+                table.apply(
+                        new DiscoveryEvent.EndpointListUpdate(
                                 4,
                                 false,
-                                List.of(new Command.Endpoint("s-a", "", "", "", "left", 0, 0))));
-        assertEquals(HostState.GONE, left.entries().get(0).state());
-        assertTrue(table.get(number).gone());
+                                List.of(
+                                        new DiscoveryEvent.Endpoint(
+                                                "s-a", "", "", "", "left", 0, 0))));
+        assertEquals(EndpointState.GONE, left.endpoints().get(0).state());
+        assertTrue(table.get(number).isGone());
     }
 
     @Test
     void aListThatLeavesAHostOutTakesItAway() {
-        HostTable table = new HostTable(List.of("west"), List.of("box"), ms -> 1);
+        EndpointTable table = new EndpointTable(List.of("west"), List.of("box"), ms -> 1);
         long number =
-                table.take(
-                                new Command.Nodes(
+                table.apply(
+                                new DiscoveryEvent.EndpointListUpdate(
                                         1,
                                         true,
                                         List.of(
-                                                new Command.Endpoint(
+                                                new DiscoveryEvent.Endpoint(
                                                         "s-a",
                                                         "127.0.0.1:1",
                                                         "west",
@@ -355,16 +380,16 @@
                                                         "active",
                                                         4,
                                                         0))))
-                        .entries()
+                        .endpoints()
                         .get(0)
-                        .host();
-        table.take(new Command.Nodes(2, true, List.of()));
-        assertTrue(table.get(number).gone());
+                        .id();
+        table.apply(new DiscoveryEvent.EndpointListUpdate(2, true, List.of()));
+        assertTrue(table.get(number).isGone());
     }
 
     @Test
     void aConfigurationThatIsNoneIsToldAsOne() {
-        String good = Configs.config("127.0.0.1:1", List.of());
+        String good = TestConfigs.config("127.0.0.1:1", List.of());
         for (String bad :
                 List.of(
                         "",
@@ -372,7 +397,7 @@
                         good.substring(0, good.length() / 2),
                         good.replace("127.0.0.1:1", "a.host:1"),
                         good.replace("\"lanes\"", "\"lines\""))) {
-            assertThrows(IOException.class, () -> NodeConfig.of(bad));
+            assertThrows(IOException.class, () -> PlatformConfig.parse(bad));
         }
     }
 }
--- a/src/test/java/brooklock/platform/ClosingTest.java
+++ b/src/test/java/brooklock/platform/ConnectionCloseTest.java
@@ -4,10 +4,11 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import brooklock.net.Stream;
-import brooklock.routing.RouterApi.Outcome;
-import brooklock.routing.RouterApi.Refuse;
-import brooklock.routing.RouterApi.Request;
+import brooklock.net.RawConnection;
+import brooklock.routing.AttemptOutcome;
+import brooklock.routing.RouterAction.RejectRequest;
+import brooklock.routing.RouterEvent;
+import brooklock.routing.RouterEvent.RequestReceived;
 import java.io.IOException;
 import java.net.Socket;
 import java.net.SocketTimeoutException;
@@ -24,25 +25,25 @@
 
 /** Bytes that come in the very moment in which a connection to a client is shut or closed. */
 @Timeout(60)
-class ClosingTest {
-    private Rig rig;
+class ConnectionCloseTest {
+    private DispatcherFixture rig;
     private Socket client;
     private final CountDownLatch ended = new CountDownLatch(1);
 
     @BeforeEach
     void begin() throws Exception {
         rig =
-                new Rig(
+                new DispatcherFixture(
                         64,
                         (e, out) -> {
-                            if (e instanceof Request r) {
-                                out.add(Rig.get(r.id(), "a", 2000, 2000));
-                            } else if (e instanceof brooklock.routing.RouterApi.Done d
-                                    && d.outcome() != Outcome.OK) {
-                                out.add(new Refuse(d.id(), 0));
+                            if (e instanceof RequestReceived r) {
+                                out.add(DispatcherFixture.attemptAction(r.id(), "a", 2000, 2000));
+                            } else if (e instanceof RouterEvent.AttemptCompleted d
+                                    && d.outcome() != AttemptOutcome.OK) {
+                                out.add(new RejectRequest(d.id(), 0));
                             }
                         });
-        rig.list("active", "a");
+        rig.updateList("active", "a");
         client = new Socket(rig.address.getAddress(), rig.address.getPort());
         client.setSoTimeout(20_000);
         client.setTcpNoDelay(true);
@@ -55,10 +56,11 @@
     }
 
     private static byte[] call(long number, long id) {
-        return Caller.call(number, Configs.READS, Caller.fields(id, 0x7f, 2000), new byte[0]);
+        return RpcTestClient.encodeCall(
+                number, TestConfigs.READ_CLASS, RpcTestClient.fields(id, 0x7f, 2000), new byte[0]);
     }
 
-    private static final byte[] WELL = Caller.call(1, "isWell", Map.of(), null);
+    private static final byte[] WELL = RpcTestClient.encodeCall(1, "isWell", Map.of(), null);
 
     private void isKnown() throws IOException {
         client.getOutputStream().write(WELL);
@@ -75,18 +77,19 @@
     }
 
     private void endsOnTheThread() {
-        rig.loop.execute(() -> rig.front.end(ended::countDown));
+        rig.loop.execute(() -> rig.clientListener.shutDown(ended::countDown));
     }
 
     @Test
     void aCallThatLiesUnreadWhenTheEndComesIsAnswered() throws Exception {
         isKnown();
         endsOnTheThread();
-        Runnable free = rig.hold();
+        Runnable free = rig.holdIoThread();
         client.getOutputStream().write(call(2, 0x21));
         // Held until the moment in which idle connections are ended has come: it does so before it
         // looks at sockets again.
-        for (long from = System.nanoTime(); System.nanoTime() - from < 2 * Front.LOOK_NS; ) {
+        for (long from = System.nanoTime();
+                System.nanoTime() - from < 2 * ClientListener.SHUTDOWN_POLL_NS; ) {
             Thread.onSpinWait();
         }
         free.run();
@@ -100,7 +103,7 @@
 
     @Test
     void aConnectionThatTheSystemHasTakenIsServedBeforeTheListenerCloses() throws Exception {
-        Runnable free = rig.hold();
+        Runnable free = rig.holdIoThread();
         try (Socket late = new Socket(rig.address.getAddress(), rig.address.getPort())) {
             late.setSoTimeout(20_000);
             late.getOutputStream().write(call(1, 0x22));
@@ -123,7 +126,7 @@
         assertEquals(-1, client.getInputStream().read());
         client.shutdownOutput();
         assertTrue(ended.await(20, TimeUnit.SECONDS));
-        assertTrue(rig.seen.stream().noneMatch(Request.class::isInstance));
+        assertTrue(rig.allEvents.stream().noneMatch(RequestReceived.class::isInstance));
     }
 
     @Test
@@ -132,7 +135,7 @@
         byte[] call = call(2, 0x25);
         // One byte of a token that has more: nothing of it has been taken yet.
         byte[] wide =
-                Caller.join(
+                RpcTestClient.concat(
                         new byte[] {(byte) 0xdc, 0, 4}, Arrays.copyOfRange(call, 1, call.length));
         client.getOutputStream().write(wide, 0, 1);
         endsOnTheThread();
@@ -140,7 +143,7 @@
         while (isListening()) {
             Thread.onSpinWait();
         }
-        rig.on(() -> null);
+        rig.onIoThread(() -> null);
         client.getOutputStream().write(wide, 1, wide.length - 1);
         assertTrue(
                 new String(
@@ -151,17 +154,17 @@
 
     @Test
     void aMessageThatComesByteByByteHoldsNoPlaceForEver() throws Exception {
-        rig.on(
+        rig.onIoThread(
                 () -> {
-                    rig.front.messageNs(100_000_000);
+                    rig.clientListener.messageTimeoutNs(100_000_000);
                     return null;
                 });
         byte[] call =
-                Caller.call(
+                RpcTestClient.encodeCall(
                         1,
-                        Configs.WRITES,
-                        Caller.fields(0x28, 0x7f, 2000),
-                        new byte[RpcDecoder.MOST_BODY]);
+                        TestConfigs.WRITE_CLASS,
+                        RpcTestClient.fields(0x28, 0x7f, 2000),
+                        new byte[RpcDecoder.MAX_BODY_BYTES]);
         int sent = 0;
         client.setSoTimeout(1);
         int read = 0;
@@ -178,63 +181,64 @@
 
     @Test
     void bodiesThatTheHeapCantHoldAreRefused() throws Exception {
-        rig.on(
+        rig.onIoThread(
                 () -> {
-                    rig.engine.mostBodyBytes(1500);
+                    rig.executor.maxBodyBytes(1500);
                     return null;
                 });
-        try (Caller caller = new Caller(rig.address)) {
+        try (RpcTestClient caller = new RpcTestClient(rig.address)) {
             for (int i = 1; i <= 2; i++) {
-                Map<String, String> f = Caller.fields(0x30 + i, 0x7f, 2000);
+                Map<String, String> f = RpcTestClient.fields(0x30 + i, 0x7f, 2000);
                 f.put("k", "5c0f6e1a2b3d4c59a8b7c6d5e4f30211");
-                caller.send(Caller.call(i, Configs.WRITES, f, new byte[1000]));
+                caller.send(
+                        RpcTestClient.encodeCall(i, TestConfigs.WRITE_CLASS, f, new byte[1000]));
             }
-            Caller.Answer refused = caller.answer();
-            assertEquals(2, refused.number());
+            RpcTestClient.Response refused = caller.response();
+            assertEquals(2, refused.messageId());
             assertEquals("Overloaded", refused.error());
-            Rig.Peer host = rig.open(rig.dialled());
-            host.answers(Frame.OK, host.asked().id(), "rev=1");
-            assertEquals(1, caller.answer().number());
-            assertEquals(0, rig.on(rig.engine::open));
+            DispatcherFixture.EndpointPeer host = rig.connect(rig.nextConnectRequest());
+            host.respond(Frame.OK, host.nextFrame().id(), "rev=1");
+            assertEquals(1, caller.response().messageId());
+            assertEquals(0, rig.onIoThread(rig.executor::openRequests));
         }
     }
 
     @Test
     void aClientThatTakesNoneOfItsAnswersIsClosedBeforeTheyFillTheHeap() throws Exception {
-        rig.on(
+        rig.onIoThread(
                 () -> {
-                    rig.front.mostPending(300_000);
+                    rig.clientListener.maxPendingWriteBytes(300_000);
                     return null;
                 });
         isKnown();
-        Rig.Peer host = null;
-        for (int i = 1; i <= 64 && rig.on(rig.front::connections) > 0; i++) {
+        DispatcherFixture.EndpointPeer host = null;
+        for (int i = 1; i <= 64 && rig.onIoThread(rig.clientListener::connectionCount) > 0; i++) {
             client.getOutputStream().write(call(i + 1, 0x100 + i));
-            rig.event(Request.class);
-            host = host == null ? rig.open(rig.dialled()) : host;
-            host.answers(Frame.OK, host.asked().id(), "rev=1", Frame.MOST_BODY);
-            rig.event(brooklock.routing.RouterApi.Done.class);
+            rig.nextEvent(RequestReceived.class);
+            host = host == null ? rig.connect(rig.nextConnectRequest()) : host;
+            host.respond(Frame.OK, host.nextFrame().id(), "rev=1", Frame.MAX_BODY_BYTES);
+            rig.nextEvent(RouterEvent.AttemptCompleted.class);
         }
-        assertEquals(0, rig.on(rig.front::connections));
+        assertEquals(0, rig.onIoThread(rig.clientListener::connectionCount));
     }
 
     @Test
     void aFaultWhileBytesAreTakenCostsTheirConnectionAlone() throws Exception {
         CountDownLatch told = new CountDownLatch(1);
         AtomicInteger calls = new AtomicInteger();
-        Stream[] pair = rig.on(() -> Stream.pair(rig.loop));
-        rig.on(
+        RawConnection[] pair = rig.onIoThread(() -> RawConnection.pair(rig.loop));
+        rig.onIoThread(
                 () -> {
                     pair[0].start(
-                            new Stream.Taker() {
+                            new RawConnection.EventListener() {
                                 @Override
-                                public void bytes(ByteBuffer in) {
+                                public void onBytes(ByteBuffer in) {
                                     calls.incrementAndGet();
                                     throw new IllegalStateException("a fault of the test's own");
                                 }
 
                                 @Override
-                                public void ended(String why) {
+                                public void onClose(String why) {
                                     told.countDown();
                                 }
                             });
@@ -249,11 +253,11 @@
     @Test
     void whatIsTakenIsAnsweredBeforeTheSendingSideIsShut() throws Exception {
         client.getOutputStream().write(call(1, 0x26));
-        Rig.Peer host = rig.open(rig.dialled());
-        assertEquals(0x26, host.asked().id());
+        DispatcherFixture.EndpointPeer host = rig.connect(rig.nextConnectRequest());
+        assertEquals(0x26, host.nextFrame().id());
         endsOnTheThread();
-        rig.on(() -> null);
-        host.answers(Frame.OK, 0x26, "rev=1");
+        rig.onIoThread(() -> null);
+        host.respond(Frame.OK, 0x26, "rev=1");
         byte[] answer = client.getInputStream().readAllBytes();
         assertArrayEquals(new byte[] {(byte) 0x94, 1, 1, (byte) 0xc0}, Arrays.copyOf(answer, 4));
     }
@@ -261,11 +265,11 @@
     @Test
     void aCloseOverUnreadBytesTakesNoAnswerWithIt() throws Exception {
         client.getOutputStream().write(call(1, 0x27));
-        Rig.Peer host = rig.open(rig.dialled());
-        host.asked();
-        host.answers(Frame.FULL, 0x27, "");
-        rig.event(brooklock.routing.RouterApi.Done.class);
-        Runnable free = rig.hold();
+        DispatcherFixture.EndpointPeer host = rig.connect(rig.nextConnectRequest());
+        host.nextFrame();
+        host.respond(Frame.FULL, 0x27, "");
+        rig.nextEvent(RouterEvent.AttemptCompleted.class);
+        Runnable free = rig.holdIoThread();
         byte[] noise = new byte[100_000];
         Arrays.fill(noise, (byte) 0xc1);
         client.getOutputStream().write(noise);
--- a/src/test/java/brooklock/platform/Rig.java
+++ b/src/test/java/brooklock/platform/DispatcherFixture.java
@@ -1,13 +1,12 @@
 package brooklock.platform;
 
 import brooklock.net.IoLoop;
-import brooklock.net.Net;
-import brooklock.net.Stream;
-import brooklock.proxy.Clock;
-import brooklock.proxy.Decider;
-import brooklock.routing.RouterApi;
-import brooklock.routing.RouterApi.Action;
-import brooklock.routing.RouterApi.Event;
+import brooklock.net.IoThreads;
+import brooklock.net.RawConnection;
+import brooklock.proxy.MonotonicClock;
+import brooklock.proxy.RoutingStrategy;
+import brooklock.routing.RouterAction;
+import brooklock.routing.RouterEvent;
 import java.io.Closeable;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -28,105 +27,111 @@
  * The parts of a dispatcher with a decider that the test writes, a front on a real socket, and
  * connections to hosts that come up when the test lets them: what crosses is forced.
  */
-final class Rig implements Closeable {
+final class DispatcherFixture implements Closeable {
     /** A connection on its way to a host; the test opens it or lets it fail. */
-    record Dialled(InetSocketAddress to, Consumer<Stream> opened, Consumer<String> failed) {}
+    record ConnectRequest(
+            InetSocketAddress address,
+            Consumer<RawConnection> onConnected,
+            Consumer<String> onFailed) {}
 
     /** The far end of a connection to a host. */
-    final class Peer implements Stream.Taker {
+    final class EndpointPeer implements RawConnection.EventListener {
         final BlockingQueue<Frame> frames = new LinkedBlockingQueue<>();
-        final CountDownLatch ended = new CountDownLatch(1);
+        final CountDownLatch closed = new CountDownLatch(1);
         private final FrameDecoder decoder =
-                new FrameDecoder(Frame.FROM_DISPATCHER, Frame.ASK, Frame.QUIT);
-        private Stream stream;
+                new FrameDecoder(Frame.DISPATCHER_MARK, Frame.REQUEST, Frame.CANCEL);
+        private RawConnection stream;
 
         @Override
-        public void bytes(ByteBuffer in) {
+        public void onBytes(ByteBuffer in) {
             try {
                 for (Frame f = decoder.next(in); f != null; f = decoder.next(in)) {
                     frames.add(f);
                 }
-            } catch (Malformed e) {
+            } catch (MalformedMessageException e) {
                 throw new IllegalStateException(e);
             }
         }
 
         @Override
-        public void ended(String why) {
-            ended.countDown();
+        public void onClose(String why) {
+            closed.countDown();
         }
 
-        void answers(int code, long id, String fields) throws Exception {
-            answers(code, id, fields, 0);
+        void respond(int code, long id, String fields) throws Exception {
+            respond(code, id, fields, 0);
         }
 
-        void answers(int code, long id, String fields, int bytes) throws Exception {
-            on(
+        void respond(int code, long id, String fields, int bytes) throws Exception {
+            onIoThread(
                     () -> {
                         stream.write(
-                                FrameWriter.frame(
-                                        Frame.FROM_HOST, code, id, fields, new byte[bytes]));
+                                FrameEncoder.encode(
+                                        Frame.ENDPOINT_MARK, code, id, fields, new byte[bytes]));
                         return null;
                     });
         }
 
-        Frame asked() throws InterruptedException {
+        Frame nextFrame() throws InterruptedException {
             return frames.poll(20, TimeUnit.SECONDS);
         }
     }
 
-    final Net net = Net.open("rig", 1);
+    final IoThreads net = IoThreads.start("rig", 1);
     final IoLoop loop = net.loop(0);
-    final BlockingQueue<Dialled> dials = new LinkedBlockingQueue<>();
-    final BlockingQueue<Event> events = new LinkedBlockingQueue<>();
-    final List<Event> seen = new CopyOnWriteArrayList<>();
-    final Clock clock = new Clock();
-    final Engine engine;
-    final Hosts hosts;
-    final Front front;
+    final BlockingQueue<ConnectRequest> connectRequests = new LinkedBlockingQueue<>();
+    final BlockingQueue<RouterEvent> events = new LinkedBlockingQueue<>();
+    final List<RouterEvent> allEvents = new CopyOnWriteArrayList<>();
+    final MonotonicClock clock = new MonotonicClock();
+    final RequestExecutor executor;
+    final EndpointConnector connector;
+    final ClientListener clientListener;
     final InetSocketAddress address;
-    private long cursor;
+    private long sequence;
 
     /**
      * Decides by what is given; hosts are numbered as the table numbers them, see {@link #host}.
      */
-    Rig(int connections, BiConsumer<Event, List<Action>> decides) throws Exception {
-        NodeConfig config = NodeConfig.of(Configs.config("127.0.0.1:9", List.of()));
-        hosts =
-                new Hosts(
+    DispatcherFixture(int maxConnections, BiConsumer<RouterEvent, List<RouterAction>> decisions)
+            throws Exception {
+        PlatformConfig config = PlatformConfig.parse(TestConfigs.config("127.0.0.1:9", List.of()));
+        connector =
+                new EndpointConnector(
                         loop,
-                        new HostTable(config.zones(), config.kinds(), clock::ofWall),
+                        new EndpointTable(config.zones(), config.kinds(), clock::fromWallMs),
                         config,
-                        connections,
+                        maxConnections,
                         (to, limitNs, opened, failed) -> {
-                            dials.add(new Dialled(to, opened, failed));
+                            connectRequests.add(new ConnectRequest(to, opened, failed));
                             return () -> {};
                         });
-        engine =
-                new Engine(
-                        new Decider() {
+        executor =
+                new RequestExecutor(
+                        new RoutingStrategy() {
                             @Override
-                            public void start(long now, List<Action> out) {
+                            public void start(long now, List<RouterAction> out) {
                                 // Nothing is decided before the first event.
                             }
 
                             @Override
-                            public void on(long now, Event event, List<Action> out) {
-                                seen.add(event);
+                            public void onEvent(
+                                    long now, RouterEvent event, List<RouterAction> out) {
+                                allEvents.add(event);
                                 events.add(event);
-                                decides.accept(event, out);
+                                decisions.accept(event, out);
                             }
                         },
                         clock,
                         loop,
-                        hosts);
-        front = new Front(loop, config.classes(), 8, engine);
+                        connector);
+        clientListener = new ClientListener(loop, config.requestClasses(), 8, executor);
         address =
-                on(
+                onIoThread(
                         () -> {
-                            hosts.start(engine);
-                            engine.start();
-                            return front.open(
+                            connector.start(executor);
+                            executor.start();
+                            return clientListener
+                                    .open(
                                             net,
                                             new InetSocketAddress(
                                                     InetAddress.getLoopbackAddress(), 0))
@@ -135,7 +140,7 @@
     }
 
     /** Runs work on the I/O thread and waits for it. */
-    <T> T on(Callable<T> work) throws Exception {
+    <T> T onIoThread(Callable<T> work) throws Exception {
         CompletableFuture<T> done = new CompletableFuture<>();
         loop.execute(
                 () -> {
@@ -149,7 +154,7 @@
     }
 
     /** Holds the I/O thread until what is given is run: what peers send meanwhile lies unread. */
-    Runnable hold() throws InterruptedException {
+    Runnable holdIoThread() throws InterruptedException {
         CountDownLatch held = new CountDownLatch(1);
         CountDownLatch free = new CountDownLatch(1);
         loop.execute(
@@ -166,32 +171,34 @@
     }
 
     /** Tells of hosts, each in a state. */
-    void list(String state, String... names) throws Exception {
-        List<Command.Endpoint> entries = new ArrayList<>();
+    void updateList(String state, String... names) throws Exception {
+        List<DiscoveryEvent.Endpoint> entries = new ArrayList<>();
         for (String n : names) {
-            entries.add(new Command.Endpoint(n, "127.0.0.1:7", "west", "box", state, 1, 0));
+            entries.add(new DiscoveryEvent.Endpoint(n, "127.0.0.1:7", "west", "box", state, 1, 0));
         }
-        on(
+        onIoThread(
                 () -> {
-                    hosts.take(new Command.Nodes(++cursor, false, entries));
+                    connector.onListUpdate(
+                            new DiscoveryEvent.EndpointListUpdate(++sequence, false, entries));
                     return null;
                 });
     }
 
     /** The number that the table gives a host. */
-    static long host(String name) {
+    static long endpointId(String name) {
         java.util.zip.CRC32 c = new java.util.zip.CRC32();
         c.update(name.getBytes(java.nio.charset.StandardCharsets.UTF_8));
         return c.getValue();
     }
 
     /** An attempt at a host that fills from nobody. */
-    static RouterApi.Get get(long request, String host, long limitMs, long beginMs) {
-        return new RouterApi.Get(
+    static RouterAction.StartAttempt attemptAction(
+            long request, String host, long limitMs, long beginMs) {
+        return new RouterAction.StartAttempt(
                 request,
-                host(host),
+                endpointId(host),
                 limitMs * 1_000_000,
-                host(host),
+                endpointId(host),
                 0,
                 0,
                 false,
@@ -199,26 +206,26 @@
                 beginMs * 1_000_000);
     }
 
-    Dialled dialled() throws InterruptedException {
-        return dials.poll(20, TimeUnit.SECONDS);
+    ConnectRequest nextConnectRequest() throws InterruptedException {
+        return connectRequests.poll(20, TimeUnit.SECONDS);
     }
 
     /** Lets a connection come up. */
-    Peer open(Dialled d) throws Exception {
-        Peer p = new Peer();
-        return on(
+    EndpointPeer connect(ConnectRequest d) throws Exception {
+        EndpointPeer p = new EndpointPeer();
+        return onIoThread(
                 () -> {
-                    Stream[] pair = Stream.pair(loop);
+                    RawConnection[] pair = RawConnection.pair(loop);
                     p.stream = pair[1];
                     pair[1].start(p);
-                    d.opened().accept(pair[0]);
+                    d.onConnected().accept(pair[0]);
                     return p;
                 });
     }
 
     /** The next event of a kind. */
-    <E extends Event> E event(Class<E> kind) throws InterruptedException {
-        for (Event e = events.poll(20, TimeUnit.SECONDS);
+    <E extends RouterEvent> E nextEvent(Class<E> kind) throws InterruptedException {
+        for (RouterEvent e = events.poll(20, TimeUnit.SECONDS);
                 e != null;
                 e = events.poll(20, TimeUnit.SECONDS)) {
             if (kind.isInstance(e)) {
--- a/src/test/java/brooklock/platform/ProcessTest.java
+++ b/src/test/java/brooklock/platform/DispatcherProcessTest.java
@@ -30,7 +30,7 @@
 
 /** A dispatcher as a process of its own: how it starts, what signals do, how it ends. */
 @Timeout(60)
-class ProcessTest {
+class DispatcherProcessTest {
     private static final Pattern SERVING = Pattern.compile("serving /(127\\.0\\.0\\.1):([0-9]+)");
 
     @TempDir private Path dir;
@@ -74,21 +74,21 @@
 
     @Test
     void aNoticeToEndAlsoTwiceIsFollowedByAnEndOfItsOwn() throws Exception {
-        try (FakeHost origin = new FakeHost(FakeHost.serves(new byte[] {7}))) {
+        try (FakeEndpoint origin = new FakeEndpoint(FakeEndpoint.serving(new byte[] {7}))) {
             start(
-                    Configs.config(
+                    TestConfigs.config(
                             "127.0.0.1:9",
                             List.of(
-                                    Configs.endpoint(
+                                    TestConfigs.endpoint(
                                             "s-o", origin.address(), "origin", "active"))));
-            try (Caller caller = new Caller(serving())) {
-                Map<String, String> f = Caller.fields(0x41, 0x42, 2400);
-                caller.send(Caller.call(1, Configs.READS, f, new byte[0]));
-                assertEquals(1, caller.answer().number());
+            try (RpcTestClient caller = new RpcTestClient(serving())) {
+                Map<String, String> f = RpcTestClient.fields(0x41, 0x42, 2400);
+                caller.send(RpcTestClient.encodeCall(1, TestConfigs.READ_CLASS, f, new byte[0]));
+                assertEquals(1, caller.response().messageId());
                 process.destroy();
                 process.destroy();
                 // The client rests until it is ended.
-                assertEquals(null, caller.answer());
+                assertEquals(null, caller.response());
             }
             assertTrue(process.waitFor(20, TimeUnit.SECONDS));
             assertEquals(0, process.exitValue());
@@ -98,7 +98,7 @@
     @Test
     void signalsBeforeItIsReadyWaitForTheStart() throws Exception {
         try (ServerSocket channel = new ServerSocket(0, 9, InetAddress.getLoopbackAddress())) {
-            start(Configs.config("127.0.0.1:" + channel.getLocalPort(), List.of()));
+            start(TestConfigs.config("127.0.0.1:" + channel.getLocalPort(), List.of()));
             assertEquals("starting", word());
             signal("HUP");
             signal("TERM");
@@ -124,7 +124,8 @@
     @CsvSource({"settings", "known", "name", "listen", "channel"})
     void whatIsMissingEndsTheStartWithOneLine(String field) throws Exception {
         JsonObject config =
-                JsonParser.parseString(Configs.config("127.0.0.1:9", List.of())).getAsJsonObject();
+                JsonParser.parseString(TestConfigs.config("127.0.0.1:9", List.of()))
+                        .getAsJsonObject();
         config.remove(field);
         start(config.toString());
         assertEquals("starting", word());
@@ -138,7 +139,8 @@
     @ValueSource(strings = {"dcs", "lanes", "machineTypes", "limits", "extra", "invariants"})
     void settingsWithoutAPartServeOrEndTheStartWithOneLine(String field) throws Exception {
         JsonObject config =
-                JsonParser.parseString(Configs.config("127.0.0.1:9", List.of())).getAsJsonObject();
+                JsonParser.parseString(TestConfigs.config("127.0.0.1:9", List.of()))
+                        .getAsJsonObject();
         config.getAsJsonObject("settings").remove(field);
         config.addProperty("unheard-of", 1);
         start(config.toString());
--- a/src/test/java/brooklock/platform/FakeHost.java
+++ b/src/test/java/brooklock/platform/FakeEndpoint.java
@@ -12,23 +12,23 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 
 /** A cache host on loopback that does to each request what a test says. */
-final class FakeHost implements Closeable {
+final class FakeEndpoint implements Closeable {
     /** A request as it came. */
-    record Asked(int code, long id, Map<String, String> fields, byte[] body) {}
+    record ReceivedFrame(int code, long id, Map<String, String> fields, byte[] body) {}
 
     /** What to do with a request. */
-    interface Way {
-        void go(Asked asked, OutputStream out, Socket socket) throws IOException;
+    interface FrameHandler {
+        void handle(ReceivedFrame asked, OutputStream out, Socket socket) throws IOException;
     }
 
     final ServerSocket listener = new ServerSocket(0, 200, InetAddress.getLoopbackAddress());
-    final List<Asked> asked = new CopyOnWriteArrayList<>();
-    volatile Way way;
-    private final Thread accepting;
+    final List<ReceivedFrame> received = new CopyOnWriteArrayList<>();
+    volatile FrameHandler handler;
+    private final Thread acceptThread;
 
-    FakeHost(Way way) throws IOException {
-        this.way = way;
-        accepting =
+    FakeEndpoint(FrameHandler handler) throws IOException {
+        this.handler = handler;
+        acceptThread =
                 run(
                         () -> {
                             while (true) {
@@ -38,16 +38,16 @@
                         });
     }
 
-    private interface Work {
-        void go() throws Exception;
+    private interface IoTask {
+        void run() throws Exception;
     }
 
-    private static Thread run(Work w) {
+    private static Thread run(IoTask w) {
         Thread t =
                 new Thread(
                         () -> {
                             try {
-                                w.go();
+                                w.run();
                             } catch (Exception ended) {
                                 // The connection or the test is over.
                             }
@@ -58,7 +58,7 @@
         return t;
     }
 
-    private void serve(Socket s) throws IOException, Malformed {
+    private void serve(Socket s) throws IOException, MalformedMessageException {
         s.setTcpNoDelay(true);
         DataInputStream in = new DataInputStream(s.getInputStream());
         while (true) {
@@ -70,10 +70,10 @@
             in.readFully(fields);
             in.readFully(body);
             in.readInt();
-            Asked a = new Asked(code, id, FrameDecoder.fieldsOf(fields), body);
-            asked.add(a);
-            if (code == Frame.ASK) {
-                way.go(a, s.getOutputStream(), s);
+            ReceivedFrame a = new ReceivedFrame(code, id, FrameDecoder.parseFields(fields), body);
+            received.add(a);
+            if (code == Frame.REQUEST) {
+                handler.handle(a, s.getOutputStream(), s);
             }
         }
     }
@@ -83,11 +83,11 @@
     }
 
     static byte[] frame(int code, long id, String fields, byte[] body) {
-        return FrameWriter.frame(Frame.FROM_HOST, code, id, fields, body).array();
+        return FrameEncoder.encode(Frame.ENDPOINT_MARK, code, id, fields, body).array();
     }
 
     /** Answers with these bytes. */
-    static Way serves(byte[] body) {
+    static FrameHandler serving(byte[] body) {
         return (a, out, s) ->
                 out.write(frame(Frame.OK, a.id(), "rev=4be0c1927d55a6f3,since=1,tell=hit", body));
     }
@@ -100,7 +100,7 @@
     public void close() throws IOException {
         listener.close();
         try {
-            accepting.join();
+            acceptThread.join();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
--- a/src/test/java/brooklock/platform/NodeTest.java
+++ b/src/test/java/brooklock/platform/PlatformDispatcherTest.java
@@ -7,7 +7,7 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import brooklock.platform.Caller.Answer;
+import brooklock.platform.RpcTestClient.Response;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.ServerSocket;
@@ -28,14 +28,14 @@
 
 /** A whole dispatcher on loopback sockets, its peers played by the test. */
 @Timeout(120)
-class NodeTest {
+class PlatformDispatcherTest {
     private static final byte[] BODY = "the bytes of the part".getBytes(StandardCharsets.US_ASCII);
 
     @TempDir private Path dir;
-    private final List<FakeHost> hosts = new ArrayList<>();
+    private final List<FakeEndpoint> hosts = new ArrayList<>();
     private ServerSocket channel;
-    private Node node;
-    private Caller caller;
+    private PlatformDispatcher node;
+    private RpcTestClient caller;
 
     @BeforeEach
     void begin() throws IOException {
@@ -50,24 +50,26 @@
         if (node != null) {
             node.close();
         }
-        for (FakeHost h : hosts) {
+        for (FakeEndpoint h : hosts) {
             h.close();
         }
         channel.close();
     }
 
-    private void start(FakeHost.Way... ways) throws IOException {
+    private void start(FakeEndpoint.FrameHandler... ways) throws IOException {
         List<com.google.gson.JsonObject> list = new ArrayList<>();
-        for (FakeHost.Way w : ways) {
-            FakeHost h = new FakeHost(w);
+        for (FakeEndpoint.FrameHandler w : ways) {
+            FakeEndpoint h = new FakeEndpoint(w);
             hosts.add(h);
-            list.add(Configs.endpoint("s-" + hosts.size(), h.address(), "box", "active"));
+            list.add(TestConfigs.endpoint("s-" + hosts.size(), h.address(), "box", "active"));
         }
-        FakeHost origin = new FakeHost(FakeHost.serves(BODY));
+        FakeEndpoint origin = new FakeEndpoint(FakeEndpoint.serving(BODY));
         hosts.add(origin);
-        list.add(Configs.endpoint("s-o", origin.address(), "origin", "active"));
-        node = Node.start(write(Configs.config("127.0.0.1:" + channel.getLocalPort(), list)));
-        caller = new Caller(node.address());
+        list.add(TestConfigs.endpoint("s-o", origin.address(), "origin", "active"));
+        node =
+                PlatformDispatcher.start(
+                        write(TestConfigs.config("127.0.0.1:" + channel.getLocalPort(), list)));
+        caller = new RpcTestClient(node.address());
     }
 
     private Path write(String config) throws IOException {
@@ -82,11 +84,11 @@
 
     @Test
     void aReadIsServedWithItsBytesAndAsksWhatTheModuleChose() throws Exception {
-        start(FakeHost.serves(BODY));
-        Answer a = caller.ask(1, 0x11, 0x7f, 2000);
+        start(FakeEndpoint.serving(BODY));
+        Response a = caller.request(1, 0x11, 0x7f, 2000);
         assertNull(a.error());
         assertArrayEquals(BODY, a.body());
-        FakeHost.Asked asked = hosts.get(0).asked.get(0);
+        FakeEndpoint.ReceivedFrame asked = hosts.get(0).received.get(0);
         assertEquals(0x11, asked.id());
         assertEquals(
                 Map.of(
@@ -110,15 +112,15 @@
 
     @Test
     void aWriteGoesToTheOriginWithItsKeyAndBody() throws Exception {
-        start(FakeHost.serves(BODY));
-        Map<String, String> f = Caller.fields(0x12, 0x80, 2000);
+        start(FakeEndpoint.serving(BODY));
+        Map<String, String> f = RpcTestClient.fields(0x12, 0x80, 2000);
         f.put("k", "5c0f6e1a2b3d4c59a8b7c6d5e4f30211");
-        caller.send(Caller.call(1, Configs.WRITES, f, BODY));
-        assertNull(caller.answer().error());
-        FakeHost.Asked asked = hosts.get(1).asked.get(0);
+        caller.send(RpcTestClient.encodeCall(1, TestConfigs.WRITE_CLASS, f, BODY));
+        assertNull(caller.response().error());
+        FakeEndpoint.ReceivedFrame asked = hosts.get(1).received.get(0);
         assertArrayEquals(BODY, asked.body());
         assertEquals("5c0f6e1a2b3d4c59a8b7c6d5e4f30211", asked.fields().get("nonce"));
-        assertTrue(hosts.get(0).asked.isEmpty());
+        assertTrue(hosts.get(0).received.isEmpty());
     }
 
     @Test
@@ -126,43 +128,43 @@
         start(
                 (a, out, s) ->
                         out.write(
-                                FakeHost.frame(
-                                        Frame.SAME,
+                                FakeEndpoint.frame(
+                                        Frame.NOT_MODIFIED,
                                         a.id(),
                                         "rev=0123456789abcdef,tell=hit",
                                         new byte[0])));
-        Map<String, String> f = Caller.fields(0x13, 0x81, 2000);
+        Map<String, String> f = RpcTestClient.fields(0x13, 0x81, 2000);
         f.put("etag", "0123456789abcdef");
-        caller.send(Caller.call(1, Configs.READS, f, new byte[0]));
-        Answer a = caller.answer();
+        caller.send(RpcTestClient.encodeCall(1, TestConfigs.READ_CLASS, f, new byte[0]));
+        Response a = caller.response();
         assertEquals(Map.of("notmod", "1"), a.fields());
         assertEquals(0, a.body().length);
-        assertEquals("0123456789abcdef", hosts.get(0).asked.get(0).fields().get("inm"));
+        assertEquals("0123456789abcdef", hosts.get(0).received.get(0).fields().get("inm"));
     }
 
     @Test
     void aSpoiltAnswerIsNotPassedOnAndTriedElsewhere() throws Exception {
         AtomicInteger spoilt = new AtomicInteger();
-        FakeHost.Way once =
+        FakeEndpoint.FrameHandler once =
                 (a, out, s) -> {
-                    byte[] f = FakeHost.frame(Frame.OK, a.id(), "tell=hit", BODY);
+                    byte[] f = FakeEndpoint.frame(Frame.OK, a.id(), "tell=hit", BODY);
                     if (spoilt.getAndIncrement() == 0) {
                         f[f.length - 6] ^= 1;
                     }
                     out.write(f);
                 };
         start(once, once);
-        assertArrayEquals(BODY, caller.ask(1, 0x14, 0x82, 2000).body());
+        assertArrayEquals(BODY, caller.request(1, 0x14, 0x82, 2000).body());
         assertEquals(2, spoilt.get());
     }
 
     @Test
     void anAnswerWhoseFieldsCantBeUsedEndsItsAttemptAtOnce() throws Exception {
         AtomicInteger asked = new AtomicInteger();
-        FakeHost.Way once =
+        FakeEndpoint.FrameHandler once =
                 (a, out, s) ->
                         out.write(
-                                FakeHost.frame(
+                                FakeEndpoint.frame(
                                         Frame.OK,
                                         a.id(),
                                         asked.getAndIncrement() == 0
@@ -170,7 +172,7 @@
                                                 : "tell=hit",
                                         BODY));
         start(once, once);
-        assertArrayEquals(BODY, caller.ask(1, 0x31, 0x95, 2000).body());
+        assertArrayEquals(BODY, caller.request(1, 0x31, 0x95, 2000).body());
         assertEquals(2, asked.get());
     }
 
@@ -178,46 +180,46 @@
     void answersNobodyWaitsForAreLeft() throws Exception {
         start(
                 (a, out, s) -> {
-                    out.write(FakeHost.frame(Frame.OK, 999, "tell=hit", new byte[5000]));
-                    out.write(FakeHost.frame(Frame.OK, a.id(), "tell=hit", BODY));
-                    out.write(FakeHost.frame(Frame.OK, a.id(), "tell=hit", BODY));
+                    out.write(FakeEndpoint.frame(Frame.OK, 999, "tell=hit", new byte[5000]));
+                    out.write(FakeEndpoint.frame(Frame.OK, a.id(), "tell=hit", BODY));
+                    out.write(FakeEndpoint.frame(Frame.OK, a.id(), "tell=hit", BODY));
                 });
         for (int i = 1; i <= 20; i++) {
-            assertArrayEquals(BODY, caller.ask(i, 0x100 + i, 0x83, 2000).body());
+            assertArrayEquals(BODY, caller.request(i, 0x100 + i, 0x83, 2000).body());
         }
     }
 
     @Test
     void aHostThatBreaksOffIsReplacedByAnother() throws Exception {
         AtomicInteger asked = new AtomicInteger();
-        FakeHost.Way once =
+        FakeEndpoint.FrameHandler once =
                 (a, out, s) -> {
                     if (asked.getAndIncrement() == 0) {
-                        out.write(FakeHost.frame(Frame.OK, a.id(), "tell=hit", BODY), 0, 20);
+                        out.write(FakeEndpoint.frame(Frame.OK, a.id(), "tell=hit", BODY), 0, 20);
                         s.close();
                     } else {
-                        FakeHost.serves(BODY).go(a, out, s);
+                        FakeEndpoint.serving(BODY).handle(a, out, s);
                     }
                 };
         start(once, once);
-        assertArrayEquals(BODY, caller.ask(1, 0x15, 0x84, 2000).body());
+        assertArrayEquals(BODY, caller.request(1, 0x15, 0x84, 2000).body());
     }
 
     @Test
     void aSilentHostLeavesNoRequestWithoutAnAnswer() throws Exception {
         start((a, out, s) -> {});
-        Answer a = caller.ask(1, 0x16, 0x85, 300);
+        Response a = caller.request(1, 0x16, 0x85, 300);
         assertEquals("Overloaded", a.error());
         assertEquals("2000", a.fields().get("w"));
     }
 
     @Test
     void hostsThatAreNotThereLeaveNoRequestWithoutAnAnswer() throws Exception {
-        start(FakeHost.serves(BODY));
-        for (FakeHost h : hosts) {
+        start(FakeEndpoint.serving(BODY));
+        for (FakeEndpoint h : hosts) {
             h.close();
         }
-        assertNotNull(caller.ask(1, 0x17, 0x86, 1000).error());
+        assertNotNull(caller.request(1, 0x17, 0x86, 1000).error());
     }
 
     @Test
@@ -225,32 +227,37 @@
         start(
                 (a, out, s) -> {
                     if (a.id() != 0x18) {
-                        FakeHost.serves(BODY).go(a, out, s);
+                        FakeEndpoint.serving(BODY).handle(a, out, s);
                     }
                 });
-        caller.send(Caller.call(1, Configs.READS, Caller.fields(0x18, 0x87, 2000), new byte[0]));
-        caller.send(Caller.forget(1));
-        assertArrayEquals(BODY, caller.ask(1, 0x19, 0x87, 2000).body());
+        caller.send(
+                RpcTestClient.encodeCall(
+                        1,
+                        TestConfigs.READ_CLASS,
+                        RpcTestClient.fields(0x18, 0x87, 2000),
+                        new byte[0]));
+        caller.send(RpcTestClient.encodeCancel(1));
+        assertArrayEquals(BODY, caller.request(1, 0x19, 0x87, 2000).body());
     }
 
     @Test
     void callsTakenBackInTheSameBreathReachNoHost() throws Exception {
-        start(FakeHost.serves(BODY));
+        start(FakeEndpoint.serving(BODY));
         byte[] burst = new byte[0];
         for (int i = 1; i <= 60; i++) {
             burst =
-                    Caller.join(
+                    RpcTestClient.concat(
                             burst,
-                            Caller.call(
+                            RpcTestClient.encodeCall(
                                     i,
-                                    Configs.READS,
-                                    Caller.fields(0x400 + i, 0x500 + i, 2000),
+                                    TestConfigs.READ_CLASS,
+                                    RpcTestClient.fields(0x400 + i, 0x500 + i, 2000),
                                     new byte[0]),
-                            Caller.forget(i));
+                            RpcTestClient.encodeCancel(i));
         }
         caller.send(burst);
-        assertArrayEquals(BODY, caller.ask(100, 0x27, 0x93, 2000).body());
-        assertTrue(hosts.get(0).asked.size() < 10, "asked " + hosts.get(0).asked.size());
+        assertArrayEquals(BODY, caller.request(100, 0x27, 0x93, 2000).body());
+        assertTrue(hosts.get(0).received.size() < 10, "asked " + hosts.get(0).received.size());
     }
 
     @Test
@@ -258,58 +265,65 @@
         start(
                 (a, out, s) -> {
                     if (a.id() != 0x20) {
-                        FakeHost.serves(BODY).go(a, out, s);
+                        FakeEndpoint.serving(BODY).handle(a, out, s);
                     }
                 });
-        caller.send(Caller.call(1, Configs.READS, Caller.fields(0x20, 0x88, 2000), new byte[0]));
-        until(() -> !hosts.get(0).asked.isEmpty());
-        try (Caller bad = new Caller(node.address())) {
-            assertEquals("Invalid", bad.ask(1, 0x20, 0x99, 2000).error());
-            bad.send(Caller.call(2, "nothing", Caller.fields(0x21, 0x99, 2000), new byte[0]));
-            assertEquals("Invalid", bad.answer().error());
+        caller.send(
+                RpcTestClient.encodeCall(
+                        1,
+                        TestConfigs.READ_CLASS,
+                        RpcTestClient.fields(0x20, 0x88, 2000),
+                        new byte[0]));
+        until(() -> !hosts.get(0).received.isEmpty());
+        try (RpcTestClient bad = new RpcTestClient(node.address())) {
+            assertEquals("Invalid", bad.request(1, 0x20, 0x99, 2000).error());
+            bad.send(
+                    RpcTestClient.encodeCall(
+                            2, "nothing", RpcTestClient.fields(0x21, 0x99, 2000), new byte[0]));
+            assertEquals("Invalid", bad.response().error());
             bad.send(new byte[] {(byte) 0xc1});
-            assertNull(bad.answer());
+            assertNull(bad.response());
         }
-        assertArrayEquals(BODY, caller.ask(2, 0x22, 0x88, 2000).body());
+        assertArrayEquals(BODY, caller.request(2, 0x22, 0x88, 2000).body());
     }
 
     @Test
     void callsAboveTheBoundOfAConnectionAreRefused() throws Exception {
         start((a, out, s) -> {});
-        for (int i = 1; i <= ClientLink.MOST_OPEN + 1; i++) {
+        for (int i = 1; i <= ClientConnection.MAX_OPEN_CALLS + 1; i++) {
             caller.send(
-                    Caller.call(
+                    RpcTestClient.encodeCall(
                             i,
-                            Configs.READS,
-                            Caller.fields(0x200 + i, 0x300 + i, 2400),
+                            TestConfigs.READ_CLASS,
+                            RpcTestClient.fields(0x200 + i, 0x300 + i, 2400),
                             new byte[0]));
         }
-        Answer a = caller.answer();
+        Response a = caller.response();
         assertEquals("Overloaded", a.error());
-        assertEquals(ClientLink.MOST_OPEN + 1, a.number());
+        assertEquals(ClientConnection.MAX_OPEN_CALLS + 1, a.messageId());
     }
 
     @Test
     void aClientThatSaysNothingIsClosed() throws Exception {
-        start(FakeHost.serves(BODY));
-        assertNull(caller.answer());
-        try (Caller half = new Caller(node.address())) {
+        start(FakeEndpoint.serving(BODY));
+        assertNull(caller.response());
+        try (RpcTestClient half = new RpcTestClient(node.address())) {
             half.send(new byte[] {(byte) 0x94, 0, 1});
-            assertNull(half.answer());
+            assertNull(half.response());
         }
     }
 
     @Test
     void silentClientsGiveWayToThoseThatAsk() throws Exception {
-        start(FakeHost.serves(BODY));
-        List<Caller> silent = new ArrayList<>();
+        start(FakeEndpoint.serving(BODY));
+        List<RpcTestClient> silent = new ArrayList<>();
         for (int i = 0; i < 300; i++) {
-            silent.add(new Caller(node.address()));
+            silent.add(new RpcTestClient(node.address()));
         }
-        try (Caller late = new Caller(node.address())) {
-            assertArrayEquals(BODY, late.ask(1, 0x23, 0x89, 2000).body());
+        try (RpcTestClient late = new RpcTestClient(node.address())) {
+            assertArrayEquals(BODY, late.request(1, 0x23, 0x89, 2000).body());
         }
-        for (Caller c : silent) {
+        for (RpcTestClient c : silent) {
             c.close();
         }
     }
@@ -328,7 +342,7 @@
 
     @Test
     void theCommandChannelIsTakenUpWhereItBrokeOff() throws Exception {
-        start(FakeHost.serves(BODY));
+        start(FakeEndpoint.serving(BODY));
         try (Socket first = channel.accept()) {
             assertEquals("resume 1", resumed(first));
             tell(
@@ -345,59 +359,61 @@
             tell(second, 2);
             tell(
                     second,
-                    Configs.nodes(
+                    TestConfigs.listUpdate(
                             3,
                             false,
                             List.of(
-                                    Configs.endpoint(
+                                    TestConfigs.endpoint(
                                             "s-1", hosts.get(0).address(), "box", "left"))));
             tell(second, "{\"cursor\":5,\"drop\":{\"family\":1,\"when\":1}}");
             try (Socket third = channel.accept()) {
                 assertEquals("resume 3", resumed(third));
                 // The only cache has left: the request goes to the origin.
-                assertArrayEquals(BODY, caller.ask(1, 0x24, 0x90, 2000).body());
-                assertTrue(hosts.get(0).asked.isEmpty());
-                assertEquals(1, hosts.get(1).asked.size());
+                assertArrayEquals(BODY, caller.request(1, 0x24, 0x90, 2000).body());
+                assertTrue(hosts.get(0).received.isEmpty());
+                assertEquals(1, hosts.get(1).received.size());
             }
         }
     }
 
     @Test
     void aHostThatLeftAndIsBackElsewhereIsReached() throws Exception {
-        start(FakeHost.serves(BODY));
-        assertArrayEquals(BODY, caller.ask(1, 0x30, 0x94, 2000).body());
-        FakeHost moved = new FakeHost(FakeHost.serves(BODY));
+        start(FakeEndpoint.serving(BODY));
+        assertArrayEquals(BODY, caller.request(1, 0x30, 0x94, 2000).body());
+        FakeEndpoint moved = new FakeEndpoint(FakeEndpoint.serving(BODY));
         hosts.add(moved);
         try (Socket s = channel.accept()) {
             resumed(s);
             tell(
                     s,
-                    Configs.nodes(
+                    TestConfigs.listUpdate(
                             2,
                             false,
                             List.of(
-                                    Configs.endpoint(
+                                    TestConfigs.endpoint(
                                             "s-1", hosts.get(0).address(), "box", "left"))));
             tell(
                     s,
-                    Configs.nodes(
+                    TestConfigs.listUpdate(
                             3,
                             false,
-                            List.of(Configs.endpoint("s-1", moved.address(), "box", "active"))));
+                            List.of(
+                                    TestConfigs.endpoint(
+                                            "s-1", moved.address(), "box", "active"))));
             int i = 2;
-            while (moved.asked.isEmpty()) {
-                assertArrayEquals(BODY, caller.ask(i, 0x30 + i, 0x94, 2000).body());
+            while (moved.received.isEmpty()) {
+                assertArrayEquals(BODY, caller.request(i, 0x30 + i, 0x94, 2000).body());
                 i++;
             }
-            int before = moved.asked.size();
-            assertArrayEquals(BODY, caller.ask(i, 0x30 + i, 0x94, 2000).body());
-            assertEquals(before + 1, moved.asked.size());
+            int before = moved.received.size();
+            assertArrayEquals(BODY, caller.request(i, 0x30 + i, 0x94, 2000).body());
+            assertEquals(before + 1, moved.received.size());
         }
     }
 
     @Test
     void aSilentCommandChannelIsLeft() throws Exception {
-        start(FakeHost.serves(BODY));
+        start(FakeEndpoint.serving(BODY));
         try (Socket first = channel.accept()) {
             assertEquals("resume 1", resumed(first));
             try (Socket second = channel.accept()) {
@@ -408,13 +424,13 @@
 
     @Test
     void aNewConfigurationMovesTheCommandChannel() throws Exception {
-        start(FakeHost.serves(BODY));
+        start(FakeEndpoint.serving(BODY));
         try (Socket first = channel.accept();
                 ServerSocket next = new ServerSocket(0, 9, InetAddress.getLoopbackAddress())) {
             assertEquals("resume 1", resumed(first));
             write("{\"chan");
             node.reload();
-            write(Configs.config("127.0.0.1:" + next.getLocalPort(), List.of()));
+            write(TestConfigs.config("127.0.0.1:" + next.getLocalPort(), List.of()));
             try (Socket second = next.accept()) {
                 assertEquals("resume 1", resumed(second));
             }
@@ -426,12 +442,17 @@
         start(
                 (a, out, s) -> {
                     if (a.id() == 0x25) {
-                        until2(() -> hosts.get(0).asked.size() > 1);
+                        until2(() -> hosts.get(0).received.size() > 1);
                     }
-                    FakeHost.serves(BODY).go(a, out, s);
+                    FakeEndpoint.serving(BODY).handle(a, out, s);
                 });
-        caller.send(Caller.call(1, Configs.READS, Caller.fields(0x25, 0x91, 2400), new byte[0]));
-        until(() -> !hosts.get(0).asked.isEmpty());
+        caller.send(
+                RpcTestClient.encodeCall(
+                        1,
+                        TestConfigs.READ_CLASS,
+                        RpcTestClient.fields(0x25, 0x91, 2400),
+                        new byte[0]));
+        until(() -> !hosts.get(0).received.isEmpty());
         Thread end =
                 new Thread(
                         () -> {
@@ -442,28 +463,33 @@
                             }
                         });
         end.start();
-        try (Caller other = new Caller(node.address())) {
-            other.send(Caller.call(1, "isWell", Map.of(), null));
+        try (RpcTestClient other = new RpcTestClient(node.address())) {
+            other.send(RpcTestClient.encodeCall(1, "isWell", Map.of(), null));
             until(
                     () -> {
                         try {
-                            other.send(Caller.call(2, "isWell", Map.of(), null));
-                            return !other.answer().truth();
-                        } catch (IOException | Malformed e) {
+                            other.send(RpcTestClient.encodeCall(2, "isWell", Map.of(), null));
+                            return !other.response().healthy();
+                        } catch (IOException | MalformedMessageException e) {
                             throw new IllegalStateException(e);
                         }
                     });
             assertArrayEquals(BODY, ask(other));
         }
-        assertArrayEquals(BODY, caller.answer().body());
+        assertArrayEquals(BODY, caller.response().body());
         end.join();
         assertFalse(end.isAlive());
     }
 
-    private static byte[] ask(Caller c) throws IOException, Malformed {
-        c.send(Caller.call(3, Configs.READS, Caller.fields(0x26, 0x92, 2400), new byte[0]));
-        for (Answer a = c.answer(); a != null; a = c.answer()) {
-            if (a.number() == 3) {
+    private static byte[] ask(RpcTestClient c) throws IOException, MalformedMessageException {
+        c.send(
+                RpcTestClient.encodeCall(
+                        3,
+                        TestConfigs.READ_CLASS,
+                        RpcTestClient.fields(0x26, 0x92, 2400),
+                        new byte[0]));
+        for (Response a = c.response(); a != null; a = c.response()) {
+            if (a.messageId() == 3) {
                 return a.body();
             }
         }
--- a/src/test/java/brooklock/platform/Caller.java
+++ b/src/test/java/brooklock/platform/RpcTestClient.java
@@ -11,22 +11,26 @@
 import java.util.Map;
 
 /** A client of the platform, as blocking as can be. */
-final class Caller implements Closeable {
+final class RpcTestClient implements Closeable {
     /** An answer: what kind, by its words, and its body. */
-    record Answer(
-            long number, String error, byte[] body, Map<String, String> fields, boolean truth) {}
+    record Response(
+            long messageId,
+            String error,
+            byte[] body,
+            Map<String, String> fields,
+            boolean healthy) {}
 
     private final Socket socket;
-    private final PackReader pack = new PackReader(Frame.MOST_BODY);
+    private final MessagePackReader reader = new MessagePackReader(Frame.MAX_BODY_BYTES);
     private ByteBuffer in = ByteBuffer.allocate(0);
 
-    Caller(InetSocketAddress to) throws IOException {
+    RpcTestClient(InetSocketAddress to) throws IOException {
         socket = new Socket(to.getAddress(), to.getPort());
         socket.setSoTimeout(20_000);
         socket.setTcpNoDelay(true);
     }
 
-    static byte[] join(byte[]... parts) {
+    static byte[] concat(byte[]... parts) {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         for (byte[] p : parts) {
             out.writeBytes(p);
@@ -34,19 +38,19 @@
         return out.toByteArray();
     }
 
-    static byte[] call(long number, String method, Map<String, String> fields, byte[] body) {
+    static byte[] encodeCall(long number, String method, Map<String, String> fields, byte[] body) {
         ByteBuffer b =
                 ByteBuffer.allocate(4096 + (body == null ? 0 : body.length))
                         .put((byte) 0x94)
                         .put((byte) 0)
                         .put((byte) 0xce)
                         .putInt((int) number);
-        RpcWriter.text(b, method);
+        RpcEncoder.putText(b, method);
         b.put((byte) (body == null ? 0x91 : 0x92)).put((byte) 0xde).putShort((short) fields.size());
         fields.forEach(
                 (k, v) -> {
-                    RpcWriter.text(b, k);
-                    RpcWriter.text(b, v);
+                    RpcEncoder.putText(b, k);
+                    RpcEncoder.putText(b, v);
                 });
         if (body != null) {
             b.put((byte) 0xc6).putInt(body.length).put(body);
@@ -56,8 +60,8 @@
         return out;
     }
 
-    static byte[] forget(long number) {
-        return join(
+    static byte[] encodeCancel(long number) {
+        return concat(
                 new byte[] {(byte) 0x93, 2, (byte) 0xa6},
                 "forget".getBytes(StandardCharsets.US_ASCII),
                 new byte[] {(byte) 0x91, (byte) number});
@@ -84,49 +88,52 @@
         socket.getOutputStream().write(bytes);
     }
 
-    Answer ask(long number, long id, long object, int waitMs) throws IOException, Malformed {
-        send(call(number, Configs.READS, fields(id, object, waitMs), new byte[0]));
-        return answer();
+    Response request(long number, long id, long object, int waitMs)
+            throws IOException, MalformedMessageException {
+        send(encodeCall(number, TestConfigs.READ_CLASS, fields(id, object, waitMs), new byte[0]));
+        return response();
     }
 
     /** The next answer, or null at the connection's end. */
-    Answer answer() throws IOException, Malformed {
-        if (!token()) {
+    Response response() throws IOException, MalformedMessageException {
+        if (!readToken()) {
             return null;
         }
-        token();
-        long number = token() ? pack.number() : -1;
-        token();
+        readToken();
+        long number = readToken() ? reader.value() : -1;
+        readToken();
         String error = null;
         Map<String, String> fields = Map.of();
-        if (pack.kind() == PackReader.Kind.ARRAY) {
-            token();
-            error = pack.text();
-            fields = map();
-            token();
-            return new Answer(number, error, null, fields, false);
+        if (reader.tokenType() == MessagePackReader.TokenType.ARRAY) {
+            readToken();
+            error = reader.text();
+            fields = readMap();
+            readToken();
+            return new Response(number, error, null, fields, false);
         }
-        token();
-        token();
-        boolean truth = pack.kind() == PackReader.Kind.BOOL && pack.number() == 1;
-        byte[] body = pack.kind() == PackReader.Kind.BYTES ? pack.bytes() : null;
-        return new Answer(number, null, body, map(), truth);
+        readToken();
+        readToken();
+        boolean truth =
+                reader.tokenType() == MessagePackReader.TokenType.BOOL && reader.value() == 1;
+        byte[] body =
+                reader.tokenType() == MessagePackReader.TokenType.BYTES ? reader.bytes() : null;
+        return new Response(number, null, body, readMap(), truth);
     }
 
-    private Map<String, String> map() throws IOException, Malformed {
-        token();
+    private Map<String, String> readMap() throws IOException, MalformedMessageException {
+        readToken();
         Map<String, String> out = new HashMap<>();
-        for (long n = pack.number(); n > 0; n--) {
-            token();
-            String name = pack.text();
-            token();
-            out.put(name, pack.text());
+        for (long n = reader.value(); n > 0; n--) {
+            readToken();
+            String name = reader.text();
+            readToken();
+            out.put(name, reader.text());
         }
         return out;
     }
 
-    private boolean token() throws IOException, Malformed {
-        while (!pack.next(in)) {
+    private boolean readToken() throws IOException, MalformedMessageException {
+        while (!reader.next(in)) {
             byte[] more = new byte[8192];
             int n;
             try {
--- a/src/test/java/brooklock/platform/Configs.java
+++ b/src/test/java/brooklock/platform/TestConfigs.java
@@ -6,11 +6,11 @@
 import java.util.List;
 
 /** A configuration as the platform writes it, small. */
-final class Configs {
-    static final String READS = "pages";
-    static final String WRITES = "orders";
+final class TestConfigs {
+    static final String READ_CLASS = "pages";
+    static final String WRITE_CLASS = "orders";
 
-    private Configs() {}
+    private TestConfigs() {}
 
     static JsonObject endpoint(String name, String address, String type, String status) {
         JsonObject o = new JsonObject();
@@ -25,7 +25,7 @@
         return o;
     }
 
-    static JsonObject nodes(long cursor, boolean snapshot, List<JsonObject> endpoints) {
+    static JsonObject listUpdate(long cursor, boolean snapshot, List<JsonObject> endpoints) {
         JsonArray a = new JsonArray();
         endpoints.forEach(a::add);
         JsonObject n = new JsonObject();
@@ -42,7 +42,7 @@
         JsonObject known = new JsonObject();
         known.addProperty("cursor", 1);
         JsonArray events = new JsonArray();
-        events.add(nodes(1, true, endpoints));
+        events.add(listUpdate(1, true, endpoints));
         known.add("cmds", events);
         JsonObject limits = new JsonObject();
         limits.addProperty("cores", 0.5);
--- a/src/test/java/brooklock/proxy/Bed.java
+++ b/src/test/java/brooklock/proxy/LoopbackFleet.java
@@ -2,10 +2,11 @@
 
 import brooklock.config.Settings;
 import brooklock.config.SettingsReader;
-import brooklock.net.Net;
-import brooklock.testserver.HostModel;
-import brooklock.testserver.Ledger;
-import brooklock.testserver.StandInHost;
+import brooklock.net.IoThreads;
+import brooklock.routing.RouterSettings;
+import brooklock.testserver.ServerModel;
+import brooklock.testserver.TestServer;
+import brooklock.testserver.TrafficRecorder;
 import java.io.IOException;
 import java.io.InputStream;
 import java.net.InetAddress;
@@ -21,40 +22,59 @@
 import java.util.function.Function;
 
 /** A small fleet on loopback with one dispatcher before it, and plain sockets to ask it. */
-public final class Bed implements AutoCloseable {
-    public static final long MS = 1_000_000L;
-    public final Net net;
-    public final Ledger ledger = new Ledger();
-    public final Map<String, StandInHost> hosts = new LinkedHashMap<>();
-    public Dispatcher edge;
+public final class LoopbackFleet implements AutoCloseable {
+    public static final long NS_PER_MS = 1_000_000L;
+    public final IoThreads net;
+    public final TrafficRecorder effectLog = new TrafficRecorder();
+    public final Map<String, TestServer> servers = new LinkedHashMap<>();
+    public Dispatcher dispatcher;
     private final Path dir;
-    private final String extra;
+    private final String extraSettings;
 
     /** Caches c1.., parents p1.., an origin o1; {@code extra} lines go into the settings. */
-    public Bed(Path dir, int caches, int parents, String extra) throws Exception {
+    public LoopbackFleet(Path dir, int caches, int parents, String extraSettings) throws Exception {
         this.dir = dir;
-        this.extra = extra;
-        net = Net.open("bed", 1);
-        StandInHost origin = add("o1", HostModel.Role.ORIGIN, null);
+        this.extraSettings = extraSettings;
+        net = IoThreads.start("bed", 1);
+        TestServer origin = addServer("o1", ServerModel.Role.ORIGIN, null);
         for (int i = 1; i <= parents; i++) {
-            add("p" + i, HostModel.Role.PARENT, origin.address());
+            addServer("p" + i, ServerModel.Role.PARENT, origin.address());
         }
         for (int i = 1; i <= caches; i++) {
-            add("c" + i, HostModel.Role.CACHE, null);
+            addServer("c" + i, ServerModel.Role.CACHE, null);
         }
     }
 
-    private StandInHost add(String name, HostModel.Role role, InetSocketAddress origin)
+    private TestServer addServer(String name, ServerModel.Role role, InetSocketAddress origin)
             throws IOException {
-        HostModel m =
-                new HostModel(name, role, 50, 50e6, 500, 1000, 0.2, 2000 * MS, 0, 1500 * MS, MS, 0);
-        StandInHost h =
-                new StandInHost(net, m, ledger, this::size, c -> 10.0 * MS, origin, hosts.size());
-        hosts.put(name, h);
+        ServerModel m =
+                new ServerModel(
+                        name,
+                        role,
+                        50,
+                        50e6,
+                        500,
+                        1000,
+                        0.2,
+                        2000 * NS_PER_MS,
+                        0,
+                        1500 * NS_PER_MS,
+                        NS_PER_MS,
+                        0);
+        TestServer h =
+                new TestServer(
+                        net,
+                        m,
+                        effectLog,
+                        this::bodySize,
+                        c -> 10.0 * NS_PER_MS,
+                        origin,
+                        servers.size());
+        servers.put(name, h);
         return h;
     }
 
-    private int size(String path, String cls) {
+    private int bodySize(String path, String cls) {
         return cls.equals("big") ? 4_000_000 : cls.equals("huge") ? 8_000_000 : 2000;
     }
 
@@ -71,32 +91,35 @@
                                 + "route GET,HEAD /scans/{group}/{object}/{part} scans\n"
                                 + "route GET /big/{object} big\nroute GET /huge/{object} huge\n"
                                 + "route POST /orders/{object} orders unkeyed notes\nroute POST /notes/{object} notes\n"
-                                + (extra.contains("rights ")
+                                + (extraSettings.contains("rights ")
                                         ? "route GET,HEAD /own/{group}/{object}/{part} scans rights\n"
                                                 + "route GET /ownbig/{group}/{object} big rights\n"
                                         : ""));
-        hosts.forEach(
+        servers.forEach(
                 (name, h) ->
                         s.append("host ")
                                 .append(name)
                                 .append(' ')
                                 .append(h.model().role().name().toLowerCase(java.util.Locale.ROOT))
                                 .append(' ')
-                                .append(h.model().role() == HostModel.Role.CACHE ? "here " : "hub ")
+                                .append(
+                                        h.model().role() == ServerModel.Role.CACHE
+                                                ? "here "
+                                                : "hub ")
                                 .append("127.0.0.1:")
                                 .append(h.address().getPort())
                                 .append('\n'));
-        return s.append(extra).append('\n').toString();
+        return s.append(extraSettings).append('\n').toString();
     }
 
-    public Bed start() throws Exception {
-        return start(Decider::rules);
+    public LoopbackFleet start() throws Exception {
+        return start(RoutingStrategy::newRouter);
     }
 
-    public Bed start(Function<brooklock.routing.RouterApi.Settings, Decider> decider)
+    public LoopbackFleet start(Function<RouterSettings, RoutingStrategy> strategyFactory)
             throws Exception {
         Settings settings = SettingsReader.parse("bed.conf", dir, settingsText());
-        edge = Dispatcher.start(settings, decider);
+        dispatcher = Dispatcher.start(settings, strategyFactory);
         return this;
     }
 
@@ -104,14 +127,14 @@
      * What came back: the head as text, the body's bytes, and whether the connection ended before
      * its end.
      */
-    public record Answer(String head, byte[] body, boolean broken) {
+    public record Response(String head, byte[] body, boolean aborted) {
         public int status() {
             return head.length() < 12 ? 0 : Integer.parseInt(head.substring(9, 12));
         }
     }
 
     public Socket connect() throws IOException {
-        Socket s = new Socket(InetAddress.getLoopbackAddress(), edge.address().getPort());
+        Socket s = new Socket(InetAddress.getLoopbackAddress(), dispatcher.address().getPort());
         s.setSoTimeout(20_000);
         s.setTcpNoDelay(true);
         return s;
@@ -122,17 +145,17 @@
         s.getOutputStream().flush();
     }
 
-    public static String get(String path, String more) {
-        return "GET " + path + " HTTP/1.1\r\nHost: a.example\r\n" + more + "\r\n";
+    public static String get(String path, String fields) {
+        return "GET " + path + " HTTP/1.1\r\nHost: a.example\r\n" + fields + "\r\n";
     }
 
-    public static String post(String path, String more, String body) {
+    public static String post(String path, String fields, String body) {
         return "POST "
                 + path
                 + " HTTP/1.1\r\nHost: a.example\r\nContent-Length: "
                 + body.length()
                 + "\r\n"
-                + more
+                + fields
                 + "\r\n"
                 + body;
     }
@@ -143,22 +166,24 @@
         javax.net.ssl.SSLSocket s =
                 (javax.net.ssl.SSLSocket)
                         context.getSocketFactory()
-                                .createSocket(plain, "localhost", edge.address().getPort(), true);
+                                .createSocket(
+                                        plain, "localhost", dispatcher.address().getPort(), true);
         s.startHandshake();
         return s;
     }
 
     /** Asks once on a connection of its own. */
-    public Answer ask(String request) throws IOException {
+    public Response send(String request) throws IOException {
         try (Socket s = connect()) {
             write(s, request);
-            return read(s.getInputStream());
+            return readResponse(s.getInputStream());
         }
     }
 
-    public Answer control(String method, String target, String body) throws IOException {
+    public Response sendControl(String method, String target, String body) throws IOException {
         try (Socket s =
-                new Socket(InetAddress.getLoopbackAddress(), edge.controlAddress().getPort())) {
+                new Socket(
+                        InetAddress.getLoopbackAddress(), dispatcher.controlAddress().getPort())) {
             s.setSoTimeout(20_000);
             write(
                     s,
@@ -169,38 +194,39 @@
                             + body.length()
                             + "\r\n\r\n"
                             + body);
-            return read(s.getInputStream());
+            return readResponse(s.getInputStream());
         }
     }
 
     /** Reads one answer of a stated length or in chunks. */
-    public static Answer read(InputStream in) throws IOException {
+    public static Response readResponse(InputStream in) throws IOException {
         StringBuilder head = new StringBuilder();
         try {
             while (!head.toString().endsWith("\r\n\r\n")) {
                 int b = in.read();
                 if (b < 0) {
-                    return new Answer(head.toString(), new byte[0], true);
+                    return new Response(head.toString(), new byte[0], true);
                 }
                 head.append((char) b);
             }
             String low = head.toString().toLowerCase(java.util.Locale.ROOT);
             int at = low.indexOf("content-length: ");
             if (at < 0) {
-                return new Answer(head.toString(), new byte[0], false);
+                return new Response(head.toString(), new byte[0], false);
             }
             int n = Integer.parseInt(low.substring(at + 16, low.indexOf('\r', at)));
             byte[] body = in.readNBytes(n);
-            return new Answer(head.toString(), body, body.length < n);
+            return new Response(head.toString(), body, body.length < n);
         } catch (java.net.SocketException e) {
-            return new Answer(head.toString(), new byte[0], true);
+            return new Response(head.toString(), new byte[0], true);
         }
     }
 
     /** What reached hosts for a client's request, in its order. */
-    public List<brooklock.testserver.Sighting> seen(String request) {
-        List<brooklock.testserver.Sighting> all = new ArrayList<>();
-        ledger.sightings()
+    public List<brooklock.testserver.RecordedRequest> recordedRequests(String request) {
+        List<brooklock.testserver.RecordedRequest> all = new ArrayList<>();
+        effectLog
+                .requests()
                 .forEach(
                         s -> {
                             if (request.equals(s.request)) {
@@ -211,7 +237,7 @@
     }
 
     public static void await(String what, BooleanSupplier condition) throws InterruptedException {
-        long end = System.nanoTime() + 20_000 * MS;
+        long end = System.nanoTime() + 20_000 * NS_PER_MS;
         while (!condition.getAsBoolean()) {
             if (System.nanoTime() - end > 0) {
                 throw new AssertionError("waited in vain for " + what);
@@ -222,8 +248,8 @@
 
     @Override
     public void close() {
-        if (edge != null) {
-            edge.close();
+        if (dispatcher != null) {
+            dispatcher.close();
         }
         net.close();
     }
--- a/src/test/java/brooklock/proxy/RightsTest.java
+++ b/src/test/java/brooklock/proxy/RequestAuthorizationTest.java
@@ -1,21 +1,21 @@
 package brooklock.proxy;
 
-import static brooklock.proxy.Bed.get;
+import static brooklock.proxy.LoopbackFleet.get;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import brooklock.authorization.Decision;
+import brooklock.authorization.AccessDecision;
 import brooklock.authorization.Policy;
 import brooklock.authorization.PolicyReader;
 import brooklock.config.SettingsException;
-import brooklock.credentials.KeyFile;
-import brooklock.credentials.KeyRing;
-import brooklock.credentials.LocalAuthority;
-import brooklock.credentials.Tls;
-import brooklock.credentials.TokenMaker;
-import brooklock.testserver.Sighting;
+import brooklock.credentials.KeySet;
+import brooklock.credentials.KeySetFile;
+import brooklock.credentials.LocalCertificateAuthority;
+import brooklock.credentials.TlsContexts;
+import brooklock.credentials.TokenSigner;
+import brooklock.testserver.RecordedRequest;
 import java.io.IOException;
 import java.net.Socket;
 import java.nio.file.Files;
@@ -37,7 +37,7 @@
 /**
  * Rights through real sockets: what comes to whom, while keys, policies and certificates change.
  */
-class RightsTest {
+class RequestAuthorizationTest {
     private static final String POLICY =
             """
             tenant acme
@@ -58,21 +58,21 @@
             """;
 
     @TempDir Path dir;
-    private final KeyPair first = KeyFile.generate("EdDSA");
+    private final KeyPair first = KeySetFile.generate("EdDSA");
 
     @BeforeEach
     void files() throws IOException {
         Files.writeString(dir.resolve("policy"), POLICY);
-        new KeyFile(dir.resolve("keys"))
-                .add(KeyFile.entry("k1", "EdDSA", first, KeyRing.State.SIGNING));
+        new KeySetFile(dir.resolve("keys"))
+                .addKey(KeySetFile.toJwk("k1", "EdDSA", first, KeySet.State.SIGNING));
     }
 
-    private Bed bed() throws Exception {
-        return new Bed(dir, 2, 1, "rights policy\ntokens keys audience edge cookie pass");
+    private LoopbackFleet newFleet() throws Exception {
+        return new LoopbackFleet(dir, 2, 1, "rights policy\ntokens keys audience edge cookie pass");
     }
 
     private static String token(KeyPair keys, String kid, String tenant, long seconds) {
-        return TokenMaker.make(
+        return TokenSigner.sign(
                 keys.getPrivate(),
                 kid,
                 Map.of(
@@ -94,7 +94,7 @@
     void theTableHoldsThroughSocketsAndAtTheCoreAlike() throws Exception {
         Policy core = PolicyReader.parse("p", POLICY);
         int rows = 0;
-        try (Bed bed = bed().start();
+        try (LoopbackFleet bed = newFleet().start();
                 Socket s = bed.connect()) {
             for (String tenant : List.of("acme", "beta", "carl", "nobody")) {
                 String credential = bearer(tenant);
@@ -109,14 +109,14 @@
                                     continue;
                                 }
                                 String path = "/own/" + group + "/" + object + "/" + part;
-                                Decision d =
+                                AccessDecision d =
                                         core.decide(
                                                 tenant,
                                                 method,
                                                 path,
                                                 "scans",
                                                 System.currentTimeMillis());
-                                Bed.write(
+                                LoopbackFleet.write(
                                         s,
                                         method
                                                 + " "
@@ -124,10 +124,10 @@
                                                 + " HTTP/1.1\r\nHost: a\r\n"
                                                 + credential
                                                 + "\r\n");
-                                Bed.Answer a =
+                                LoopbackFleet.Response a =
                                         method.equals("HEAD")
                                                 ? head(s)
-                                                : Bed.read(s.getInputStream());
+                                                : LoopbackFleet.readResponse(s.getInputStream());
                                 boolean limited = tenant.equals("carl") && a.status() == 429;
                                 assertTrue(
                                         limited || a.status() == (d.allowed() ? 200 : 403),
@@ -139,7 +139,7 @@
                                                 + ": "
                                                 + a.status()
                                                 + ", the core says "
-                                                + d.why());
+                                                + d.explain());
                                 assertTrue(a.status() == 200 || a.body().length < 100);
                                 rows++;
                             }
@@ -148,21 +148,21 @@
                 }
             }
             assertTrue(rows > 280, "rows " + rows);
-            assertTrue(bed.ledger.sightings().stream().noneMatch(x -> x.request != null));
+            assertTrue(bed.effectLog.requests().stream().noneMatch(x -> x.request != null));
         }
     }
 
-    private static Bed.Answer head(Socket s) throws IOException {
+    private static LoopbackFleet.Response head(Socket s) throws IOException {
         StringBuilder head = new StringBuilder();
         while (!head.toString().endsWith("\r\n\r\n")) {
             head.append((char) s.getInputStream().read());
         }
-        return new Bed.Answer(head.toString(), new byte[0], false);
+        return new LoopbackFleet.Response(head.toString(), new byte[0], false);
     }
 
     @Test
     void withoutACredentialOrWithABadOneNothingIsSaid() throws Exception {
-        try (Bed bed = bed().start()) {
+        try (LoopbackFleet bed = newFleet().start()) {
             String good = token(first, "k1", "acme", 600);
             for (String bad :
                     List.of(
@@ -177,24 +177,26 @@
                             "Authorization: Bearer " + token(first, "k1", "acme", -60) + "\r\n",
                             "Cookie: pass=" + good + "; pass=" + good + "\r\n",
                             "Cookie: other=" + good + "\r\n")) {
-                Bed.Answer a = bed.ask(get("/own/acme/x/0", bad + "X-Request-Id: bad\r\n"));
+                LoopbackFleet.Response a =
+                        bed.send(get("/own/acme/x/0", bad + "X-Request-Id: bad\r\n"));
                 assertEquals(401, a.status(), bad);
                 assertTrue(a.head().contains("WWW-Authenticate: Bearer"));
             }
-            assertEquals(0, bed.seen("bad").size(), "what is turned away reaches no host");
+            assertEquals(
+                    0, bed.recordedRequests("bad").size(), "what is turned away reaches no host");
             assertEquals(
                     200,
-                    bed.ask(get("/own/acme/x/0", "Cookie: a=b; pass=" + good + "\r\n")).status());
+                    bed.send(get("/own/acme/x/0", "Cookie: a=b; pass=" + good + "\r\n")).status());
             assertEquals(
                     200,
-                    bed.ask(get("/scans/g/x/0", "")).status(),
+                    bed.send(get("/scans/g/x/0", "")).status(),
                     "a route that asks for no rights is open");
         }
     }
 
     @Test
     void pathTricksAreRefusedBeforeAnybodyReadsThemOtherwise() throws Exception {
-        try (Bed bed = bed().start()) {
+        try (LoopbackFleet bed = newFleet().start()) {
             for (String path :
                     List.of(
                             "/own/acme/%2e%2e/0",
@@ -205,20 +207,21 @@
                             "/own/acme/../0",
                             "/own/acme/x/0?a=1&a=2",
                             "/own/acme/%41/0")) {
-                Bed.Answer a = bed.ask(get(path, bearer("acme") + "X-Request-Id: trick\r\n"));
+                LoopbackFleet.Response a =
+                        bed.send(get(path, bearer("acme") + "X-Request-Id: trick\r\n"));
                 assertEquals(400, a.status(), path);
             }
             assertEquals(
-                    403, bed.ask(get("/own/ACME/x/0", bearer("acme"))).status(), "case counts");
-            assertEquals(0, bed.seen("trick").size());
+                    403, bed.send(get("/own/ACME/x/0", bearer("acme"))).status(), "case counts");
+            assertEquals(0, bed.recordedRequests("trick").size());
         }
     }
 
     @Test
     void aSharedCopyIsGivenOnlyToThoseWhoMayHaveIt() throws Exception {
-        try (Bed bed = bed().start()) {
-            bed.hosts.get("o1").faults.slower = 200;
-            List<CompletableFuture<Bed.Answer>> all = new ArrayList<>();
+        try (LoopbackFleet bed = newFleet().start()) {
+            bed.servers.get("o1").faults.slowdown = 200;
+            List<CompletableFuture<LoopbackFleet.Response>> all = new ArrayList<>();
             String acme = bearer("acme");
             String beta = bearer("beta");
             for (int i = 0; i < 10; i++) {
@@ -227,7 +230,7 @@
                         CompletableFuture.supplyAsync(
                                 () -> {
                                     try {
-                                        return bed.ask(
+                                        return bed.send(
                                                 get(
                                                         "/own/shared/secret/0",
                                                         who + "X-Request-Id: joined\r\n"));
@@ -238,7 +241,7 @@
                                 r -> new Thread(r).start()));
             }
             for (int i = 0; i < 10; i++) {
-                Bed.Answer a = all.get(i).get();
+                LoopbackFleet.Response a = all.get(i).get();
                 assertEquals(i % 2 == 0 ? 200 : 403, a.status());
                 assertTrue(
                         i % 2 == 0
@@ -247,40 +250,47 @@
                         a.head());
             }
             assertTrue(
-                    bed.seen("joined").stream().filter(s -> s.host.equals("o1")).count() < 5,
+                    bed.recordedRequests("joined").stream()
+                                    .filter(s -> s.server.equals("o1"))
+                                    .count()
+                            < 5,
                     "joined to one fill");
             assertEquals(
                     403,
-                    bed.ask(get("/own/shared/secret/0", beta)).status(),
+                    bed.send(get("/own/shared/secret/0", beta)).status(),
                     "nor once it is kept");
         }
     }
 
     @Test
     void aRightThatEndsBetweenTwoPartsEndsThere() throws Exception {
-        try (Bed bed = bed().start()) {
+        try (LoopbackFleet bed = newFleet().start()) {
             String acme = bearer("acme");
-            assertEquals(200, bed.ask(get("/own/acme/scan/0", acme)).status());
+            assertEquals(200, bed.send(get("/own/acme/scan/0", acme)).status());
             Files.writeString(
                     dir.resolve("policy"),
                     POLICY.replace("allow acme GET,HEAD /own/acme", "deny acme * /own/acme"));
-            Bed.await("the new policy", () -> status(bed, "/own/acme/scan/1", acme) == 403);
+            LoopbackFleet.await(
+                    "the new policy", () -> status(bed, "/own/acme/scan/1", acme) == 403);
             Files.writeString(dir.resolve("policy"), "tenant acme\nallow");
-            Bed.await("the wrong one to be refused", () -> bed.edge.state().contains("refused "));
+            LoopbackFleet.await(
+                    "the wrong one to be refused",
+                    () -> bed.dispatcher.statePage().contains("refused "));
             assertEquals(
                     403,
-                    bed.ask(get("/own/acme/scan/2", acme)).status(),
+                    bed.send(get("/own/acme/scan/2", acme)).status(),
                     "the last good one stays");
             Files.writeString(dir.resolve("policy"), "");
-            Bed.await(
-                    "the emptied one to be refused", () -> bed.edge.state().contains("no tenant"));
-            assertEquals(200, bed.ask(get("/own/shared/o/0", acme)).status());
+            LoopbackFleet.await(
+                    "the emptied one to be refused",
+                    () -> bed.dispatcher.statePage().contains("no tenant"));
+            assertEquals(200, bed.send(get("/own/shared/o/0", acme)).status());
         }
     }
 
-    private static int status(Bed bed, String path, String credential) {
+    private static int status(LoopbackFleet bed, String path, String credential) {
         try {
-            return bed.ask(get(path, credential)).status();
+            return bed.send(get(path, credential)).status();
         } catch (IOException e) {
             return -1;
         }
@@ -290,9 +300,9 @@
 
     @Test
     void aRotationUnderLoadRefusesNoValidCallerAndTakesNoRetiredKey() throws Exception {
-        KeyFile set = new KeyFile(dir.resolve("keys"));
-        KeyPair second = KeyFile.generate("ES256");
-        try (Bed bed = bed().start()) {
+        KeySetFile set = new KeySetFile(dir.resolve("keys"));
+        KeyPair second = KeySetFile.generate("ES256");
+        try (LoopbackFleet bed = newFleet().start()) {
             AtomicBoolean stop = new AtomicBoolean();
             AtomicBoolean announced = new AtomicBoolean();
             AtomicBoolean retired = new AtomicBoolean();
@@ -334,42 +344,49 @@
                 callers.add(th);
                 th.start();
             }
-            Bed.await("some load", () -> asked.get() > 50);
-            set.add(KeyFile.entry("k2", "ES256", second, KeyRing.State.ANNOUNCED));
-            Bed.await("k2", () -> bed.edge.state().contains("key k2 ANNOUNCED"));
+            LoopbackFleet.await("some load", () -> asked.get() > 50);
+            set.addKey(KeySetFile.toJwk("k2", "ES256", second, KeySet.State.ANNOUNCED));
+            LoopbackFleet.await(
+                    "k2", () -> bed.dispatcher.statePage().contains("key k2 ANNOUNCED"));
             announced.set(true);
-            set.state("k2", KeyRing.State.SIGNING, 0);
-            Bed.await("the switch", () -> bed.edge.state().contains("key k2 SIGNING"));
+            set.setState("k2", KeySet.State.SIGNING, 0);
+            LoopbackFleet.await(
+                    "the switch", () -> bed.dispatcher.statePage().contains("key k2 SIGNING"));
             int before = asked.get();
-            Bed.await("both in flight", () -> asked.get() > before + 100);
+            LoopbackFleet.await("both in flight", () -> asked.get() > before + 100);
             // By accident the old key is taken out while it is still in use: nothing changes, and
             // it is told.
             String whole = Files.readString(dir.resolve("keys"));
             Files.writeString(dir.resolve("keys"), whole.substring(0, whole.length() / 2));
-            Bed.await("half a file", () -> bed.edge.state().contains("refused "));
+            LoopbackFleet.await(
+                    "half a file", () -> bed.dispatcher.statePage().contains("refused "));
             Files.writeString(
                     dir.resolve("keys"),
                     com.nimbusds.jose.util.JSONObjectUtils.toJSONString(
                             Map.of(
                                     "keys",
                                     List.of(
-                                            KeyFile.entry(
+                                            KeySetFile.toJwk(
                                                     "k2",
                                                     "ES256",
                                                     second,
-                                                    KeyRing.State.SIGNING)))));
-            Bed.await(
+                                                    KeySet.State.SIGNING)))));
+            LoopbackFleet.await(
                     "a key gone",
-                    () -> bed.edge.state().contains("has gone without having been retired"));
+                    () ->
+                            bed.dispatcher
+                                    .statePage()
+                                    .contains("has gone without having been retired"));
             Files.writeString(dir.resolve("keys"), whole);
-            Bed.await(
+            LoopbackFleet.await(
                     "the right file",
                     () ->
-                            !bed.edge.state().contains("refused has gone")
-                                    && bed.edge.state().contains("key k1"));
+                            !bed.dispatcher.statePage().contains("refused has gone")
+                                    && bed.dispatcher.statePage().contains("key k1"));
             retired.set(true);
-            set.state("k1", KeyRing.State.RETIRED, 0);
-            Bed.await("the retirement", () -> bed.edge.state().contains("key k1 RETIRED"));
+            set.setState("k1", KeySet.State.RETIRED, 0);
+            LoopbackFleet.await(
+                    "the retirement", () -> bed.dispatcher.statePage().contains("key k1 RETIRED"));
             assertEquals(
                     401,
                     status(bed, "/own/acme/x/0", bearer("acme")),
@@ -384,19 +401,20 @@
 
     // ---- Certificates
 
-    private SSLContext client(LocalAuthority pki, Tls.Shown mine) throws Exception {
-        var trust = pki.trust(dir);
-        return Tls.client(mine, () -> trust, System::currentTimeMillis);
+    private SSLContext client(LocalCertificateAuthority pki, TlsContexts.TlsIdentity mine)
+            throws Exception {
+        var trust = pki.createTrust(dir);
+        return TlsContexts.clientContext(mine, () -> trust, System::currentTimeMillis);
     }
 
-    private Bed tlsBed(LocalAuthority pki, String more) throws Exception {
-        pki.writeAuthority(dir.resolve("ca.pem"));
-        LocalAuthority.write(
+    private LoopbackFleet newTlsFleet(LocalCertificateAuthority pki, String more) throws Exception {
+        pki.writeCaCertificate(dir.resolve("ca.pem"));
+        LocalCertificateAuthority.writeCertificate(
                 dir.resolve("server.pem"),
                 dir.resolve("server.key"),
                 pki.issue("edge", "localhost", 3600_000));
-        Files.writeString(dir.resolve("revoked.pem"), pki.revoked(3600_000));
-        return new Bed(
+        Files.writeString(dir.resolve("revoked.pem"), pki.createCrl(3600_000));
+        return new LoopbackFleet(
                 dir,
                 2,
                 1,
@@ -406,43 +424,43 @@
 
     @Test
     void certificatesLeadToTenantsAndStrangersNowhere() throws Exception {
-        LocalAuthority pki = new LocalAuthority("authority");
-        LocalAuthority other = new LocalAuthority("other");
-        try (Bed bed = tlsBed(pki, "").start()) {
+        LocalCertificateAuthority pki = new LocalCertificateAuthority("authority");
+        LocalCertificateAuthority other = new LocalCertificateAuthority("other");
+        try (LoopbackFleet bed = newTlsFleet(pki, "").start()) {
             assertEquals(
                     200,
-                    askTls(
+                    sendTls(
                             bed,
                             client(pki, pki.issue("x", "acme.example", 60_000)),
                             "/own/acme/x/0"));
             assertEquals(
                     403,
-                    askTls(
+                    sendTls(
                             bed,
                             client(pki, pki.issue("x", "acme.example", 60_000)),
                             "/own/beta/x/0"));
             assertEquals(
                     200,
-                    askTls(bed, client(pki, pki.issue("beta", null, 60_000)), "/own/beta/x/0"));
+                    sendTls(bed, client(pki, pki.issue("beta", null, 60_000)), "/own/beta/x/0"));
             assertEquals(
                     403,
-                    askTls(bed, client(pki, pki.issue("zeta", null, 60_000)), "/own/beta/x/0"));
-            assertEquals(401, askTls(bed, client(pki, null), "/own/acme/x/0"));
-            assertEquals(200, askTls(bed, client(pki, null), "/scans/g/x/0"));
-            Tls.Shown strange = other.issue("x", "acme.example", 60_000);
+                    sendTls(bed, client(pki, pki.issue("zeta", null, 60_000)), "/own/beta/x/0"));
+            assertEquals(401, sendTls(bed, client(pki, null), "/own/acme/x/0"));
+            assertEquals(200, sendTls(bed, client(pki, null), "/scans/g/x/0"));
+            TlsContexts.TlsIdentity strange = other.issue("x", "acme.example", 60_000);
             assertThrows(
                     IOException.class,
                     () -> {
-                        int status = askTls(bed, client(pki, strange), "/own/acme/x/0");
+                        int status = sendTls(bed, client(pki, strange), "/own/acme/x/0");
                         if (status == 0) {
                             throw new IOException("broken off");
                         }
                     });
-            Tls.Shown ended = pki.issue("x", "acme.example", -1000);
+            TlsContexts.TlsIdentity ended = pki.issue("x", "acme.example", -1000);
             assertThrows(
                     IOException.class,
                     () -> {
-                        int status = askTls(bed, client(pki, ended), "/own/acme/x/0");
+                        int status = sendTls(bed, client(pki, ended), "/own/acme/x/0");
                         if (status == 0) {
                             throw new IOException("broken off");
                         }
@@ -450,49 +468,52 @@
         }
     }
 
-    private static int askTls(Bed bed, SSLContext c, String path) throws IOException {
+    private static int sendTls(LoopbackFleet bed, SSLContext c, String path) throws IOException {
         try (SSLSocket s = bed.connectTls(c)) {
-            Bed.write(s, get(path, ""));
-            return Bed.read(s.getInputStream()).status();
+            LoopbackFleet.write(s, get(path, ""));
+            return LoopbackFleet.readResponse(s.getInputStream()).status();
         }
     }
 
     @Test
     void aRevokedCertificateIsBrokenOffWithinItsTransferAndNotTakenAgain() throws Exception {
-        LocalAuthority pki = new LocalAuthority("authority");
-        Tls.Shown bad = pki.issue("x", "acme.example", 600_000);
-        Tls.Shown fine = pki.issue("y", "acme.example", 600_000);
-        try (Bed bed = tlsBed(pki, "").start()) {
+        LocalCertificateAuthority pki = new LocalCertificateAuthority("authority");
+        TlsContexts.TlsIdentity bad = pki.issue("x", "acme.example", 600_000);
+        TlsContexts.TlsIdentity fine = pki.issue("y", "acme.example", 600_000);
+        try (LoopbackFleet bed = newTlsFleet(pki, "").start()) {
             SSLContext badContext = client(pki, bad);
             for (int i = 0; i < 3; i++) {
                 assertEquals(
                         200,
-                        askTls(bed, client(pki, fine), "/ownbig/acme/x"),
+                        sendTls(bed, client(pki, fine), "/ownbig/acme/x"),
                         "kept at the cache by now");
             }
             SSLSocket transfer = bed.connectTls(badContext);
-            Bed.write(transfer, get("/ownbig/acme/x", ""));
+            LoopbackFleet.write(transfer, get("/ownbig/acme/x", ""));
             assertTrue(transfer.getInputStream().read(new byte[1000]) > 0, "under way");
             SSLSocket idle = bed.connectTls(badContext);
-            Bed.write(idle, get("/own/acme/x/0", ""));
-            assertEquals(200, Bed.read(idle.getInputStream()).status());
+            LoopbackFleet.write(idle, get("/own/acme/x/0", ""));
+            assertEquals(200, LoopbackFleet.readResponse(idle.getInputStream()).status());
             SSLSocket other = bed.connectTls(client(pki, fine));
             Files.writeString(
                     dir.resolve("revoked.pem"),
-                    pki.revoked(3600_000, new X509Certificate[] {bad.chain()[0]}));
+                    pki.createCrl(3600_000, new X509Certificate[] {bad.chain()[0]}));
             long written = System.nanoTime();
             assertFalse(endsWhole(transfer), "the transfer is broken off");
             assertFalse(endsWhole(idle));
-            assertTrue(System.nanoTime() - written < 10_000 * Bed.MS);
+            assertTrue(System.nanoTime() - written < 10_000 * LoopbackFleet.NS_PER_MS);
             assertThrows(
                     IOException.class,
                     () -> {
-                        if (askTls(bed, badContext, "/own/acme/x/0") != 200) {
+                        if (sendTls(bed, badContext, "/own/acme/x/0") != 200) {
                             throw new IOException("not taken, in a new or in a resumed session");
                         }
                     });
-            Bed.write(other, get("/own/acme/x/0", ""));
-            assertEquals(200, Bed.read(other.getInputStream()).status(), "others go on");
+            LoopbackFleet.write(other, get("/own/acme/x/0", ""));
+            assertEquals(
+                    200,
+                    LoopbackFleet.readResponse(other.getInputStream()).status(),
+                    "others go on");
         }
     }
 
@@ -516,37 +537,37 @@
 
     @Test
     void aListPastItsTimeClosesItsAuthorityUnlessTheSettingsSayOtherwise() throws Exception {
-        LocalAuthority pki = new LocalAuthority("authority");
-        Tls.Shown mine = pki.issue("x", "acme.example", 600_000);
-        try (Bed bed = tlsBed(pki, "").start()) {
-            assertEquals(200, askTls(bed, client(pki, mine), "/own/acme/x/0"));
-            Files.writeString(dir.resolve("revoked.pem"), pki.revoked(-500));
-            Bed.await(
+        LocalCertificateAuthority pki = new LocalCertificateAuthority("authority");
+        TlsContexts.TlsIdentity mine = pki.issue("x", "acme.example", 600_000);
+        try (LoopbackFleet bed = newTlsFleet(pki, "").start()) {
+            assertEquals(200, sendTls(bed, client(pki, mine), "/own/acme/x/0"));
+            Files.writeString(dir.resolve("revoked.pem"), pki.createCrl(-500));
+            LoopbackFleet.await(
                     "the list to be past its time",
                     () -> {
                         try {
-                            return askTls(bed, client(pki, mine), "/own/acme/x/0") != 200;
+                            return sendTls(bed, client(pki, mine), "/own/acme/x/0") != 200;
                         } catch (Exception e) {
                             return true;
                         }
                     });
-            assertTrue(bed.edge.state().contains("stale-revocations CN=authority"));
+            assertTrue(bed.dispatcher.statePage().contains("stale-revocations CN=authority"));
         }
     }
 
     @Test
     void hostsAreSpokenToOverTlsWithTheDispatchersCertificateAndOnlyIfTheyAreTrusted()
             throws Exception {
-        LocalAuthority pki = new LocalAuthority("authority");
-        LocalAuthority stranger = new LocalAuthority("stranger");
-        var trust = pki.trust(dir);
+        LocalCertificateAuthority pki = new LocalCertificateAuthority("authority");
+        LocalCertificateAuthority stranger = new LocalCertificateAuthority("stranger");
+        var trust = pki.createTrust(dir);
         List<String> shown = java.util.Collections.synchronizedList(new ArrayList<>());
-        try (brooklock.net.Net net = brooklock.net.Net.open("tls-host", 1);
-                Bed bed = tlsBed(pki, "hosts-tls ca.pem\nlimits threads 1")) {
-            java.util.function.Function<Tls.Shown, brooklock.net.Listener> host =
+        try (brooklock.net.IoThreads net = brooklock.net.IoThreads.start("tls-host", 1);
+                LoopbackFleet bed = newTlsFleet(pki, "hosts-tls ca.pem\nlimits threads 1")) {
+            java.util.function.Function<TlsContexts.TlsIdentity, brooklock.net.HttpListener> host =
                     leaf -> {
                         try {
-                            return brooklock.net.Listener.openTls(
+                            return brooklock.net.HttpListener.openTls(
                                     net,
                                     new java.net.InetSocketAddress("127.0.0.1", 0),
                                     brooklock.net.ServerLimits.STANDARD,
@@ -561,7 +582,7 @@
                                                         .add("Cache-Status", "h; hit"),
                                                 new byte[3]);
                                     },
-                                    Tls.server(
+                                    TlsContexts.serverContext(
                                             () -> List.of(leaf),
                                             () -> trust,
                                             System::currentTimeMillis));
@@ -579,11 +600,12 @@
                             .replaceAll(
                                     "host c2 cache here 127.0.0.1:\\d+",
                                     "host c2 cache here 127.0.0.1:" + good.address().getPort());
-            bed.edge = Dispatcher.start(brooklock.config.SettingsReader.parse("x", dir, text));
+            bed.dispatcher =
+                    Dispatcher.start(brooklock.config.SettingsReader.parse("x", dir, text));
             for (int i = 0; i < 8; i++) {
                 assertEquals(
                         200,
-                        askTls(bed, client(pki, null), "/scans/g/o" + i + "/0"),
+                        sendTls(bed, client(pki, null), "/scans/g/o" + i + "/0"),
                         "the trusted one serves all");
             }
             assertEquals(8, shown.size());
@@ -598,7 +620,7 @@
         String told =
                 assertThrows(
                                 SettingsException.class,
-                                () -> new Bed(dir, 1, 1, "#rights \n").start())
+                                () -> new LoopbackFleet(dir, 1, 1, "#rights \n").start())
                         .getMessage();
         assertTrue(told.contains("the statement 'rights FILE' is missing"), told);
         assertTrue(told.contains("neither tokens nor clients' certificates"), told);
@@ -607,8 +629,8 @@
     @Test
     void credentialsEndAtTheDispatcher() throws Exception {
         try (java.net.ServerSocket cache = new java.net.ServerSocket(0);
-                Bed bed =
-                        new Bed(
+                LoopbackFleet bed =
+                        new LoopbackFleet(
                                 dir,
                                 1,
                                 0,
@@ -623,7 +645,7 @@
                                         head.append((char) s.getInputStream().read());
                                     }
                                     heads.add(head.toString());
-                                    Bed.write(
+                                    LoopbackFleet.write(
                                             s,
                                             "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nSet-Cookie: a=b\r\nCache-Control: public\r\n"
                                                     + "Cache-Status: c1; hit\r\n\r\nok");
@@ -637,9 +659,10 @@
                             .replaceAll(
                                     "host c1 cache here 127.0.0.1:\\d+",
                                     "host c1 cache here 127.0.0.1:" + cache.getLocalPort());
-            bed.edge = Dispatcher.start(brooklock.config.SettingsReader.parse("x", dir, text));
-            Bed.Answer a =
-                    bed.ask(
+            bed.dispatcher =
+                    Dispatcher.start(brooklock.config.SettingsReader.parse("x", dir, text));
+            LoopbackFleet.Response a =
+                    bed.send(
                             get(
                                     "/own/acme/x/0",
                                     bearer("acme")
@@ -658,12 +681,13 @@
 
     @Test
     void whatATenantIsHeldBackFromIsNoEvent() throws Exception {
-        try (Bed bed = bed().start()) {
+        try (LoopbackFleet bed = newFleet().start()) {
             String carl = bearer("carl");
             int ok = 0;
             int held = 0;
             for (int i = 0; i < 30; i++) {
-                Bed.Answer a = bed.ask(get("/own/carl/x/" + i, carl + "X-Request-Id: carl\r\n"));
+                LoopbackFleet.Response a =
+                        bed.send(get("/own/carl/x/" + i, carl + "X-Request-Id: carl\r\n"));
                 ok += a.status() == 200 ? 1 : 0;
                 held +=
                         a.status() == 429
@@ -674,7 +698,11 @@
             }
             assertEquals(30, ok + held);
             assertTrue(ok >= 5 && held > 0, ok + " served, " + held + " held back");
-            assertEquals(ok, bed.seen("carl").stream().filter(Sighting::straight).count());
+            assertEquals(
+                    ok,
+                    bed.recordedRequests("carl").stream()
+                            .filter(RecordedRequest::isDirect)
+                            .count());
         }
     }
 }
--- /dev/null
+++ b/src/test/java/brooklock/proxy/StoredTraceTest.java
@@ -0,0 +1,44 @@
+package brooklock.proxy;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.net.URISyntaxException;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.List;
+import org.junit.jupiter.api.Test;
+
+/**
+ * A trace that an earlier build stored. Operators keep traces of incidents; a renamed type or
+ * constant must not make them unreadable.
+ */
+class StoredTraceTest {
+    private static Path stored() throws URISyntaxException {
+        return Path.of(StoredTraceTest.class.getResource("stored.trace").toURI());
+    }
+
+    @Test
+    void replaysWithoutADifference() throws Exception {
+        TraceReplay.Result result = TraceReplay.replay(stored());
+        assertNull(result.difference());
+        assertEquals(196, result.events());
+        assertEquals(222, result.actions());
+    }
+
+    @Test
+    void everyRecordIsWrittenBackToTheSameText() throws Exception {
+        List<String> lines = Files.readAllLines(stored());
+        int records = 0;
+        for (String line : lines) {
+            int open = line.indexOf('(');
+            if (open >= 0) {
+                String record = line.substring(line.lastIndexOf(' ', open) + 1);
+                assertEquals(record, TraceCodec.write(TraceCodec.read(record)));
+                records++;
+            }
+        }
+        assertTrue(records > 400, "records: " + records);
+    }
+}
--- a/src/test/java/brooklock/proxy/TraceTest.java
+++ b/src/test/java/brooklock/proxy/TraceTest.java
@@ -6,6 +6,9 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import brooklock.routing.AttemptOutcome;
+import brooklock.routing.CacheStatus;
+import brooklock.routing.RouterEvent;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -16,21 +19,21 @@
     @TempDir Path dir;
 
     private Path traced(String bound) throws Exception {
-        try (Bed bed = new Bed(dir, 3, 2, "trace t.log " + bound).start()) {
-            bed.hosts.get("c1").faults.errors = 0.5;
+        try (LoopbackFleet bed = new LoopbackFleet(dir, 3, 2, "trace t.log " + bound).start()) {
+            bed.servers.get("c1").faults.errorShare = 0.5;
             for (int i = 0; i < 60; i++) {
-                bed.ask(Bed.get("/scans/g/o" + i % 7 + "/0", ""));
+                bed.send(LoopbackFleet.get("/scans/g/o" + i % 7 + "/0", ""));
             }
-            bed.control("POST", "/purge?group=g&at=" + System.currentTimeMillis(), "");
-            bed.control("POST", "/drain?host=c2", "");
-            bed.ask(Bed.get("/scans/g/o1/0", ""));
+            bed.sendControl("POST", "/purge?group=g&at=" + System.currentTimeMillis(), "");
+            bed.sendControl("POST", "/drain?host=c2", "");
+            bed.send(LoopbackFleet.get("/scans/g/o1/0", ""));
         }
         return dir.resolve("t.log");
     }
 
     @Test
     void aDayOnSocketsReplaysAlikeWithoutThem() throws Exception {
-        Replay.Result r = Replay.run(traced("64MB"));
+        TraceReplay.Result r = TraceReplay.replay(traced("64MB"));
         assertNull(r.difference());
         assertTrue(r.events() > 120 && r.actions() > 120, r.toString());
     }
@@ -43,30 +46,30 @@
         Files.writeString(
                 trace,
                 text.substring(0, at) + text.substring(at).replaceFirst(",1,0,true", ",3,0,true"));
-        assertNotNull(Replay.run(trace).difference());
+        assertNotNull(TraceReplay.replay(trace).difference());
     }
 
     @Test
     void aFullTraceEndsAndStillReplaysAndACutOneTooButNotADamagedOne() throws Exception {
         Path trace = traced("9KB");
         assertTrue(Files.size(trace) < 9_100);
-        assertNull(Replay.run(trace).difference());
+        assertNull(TraceReplay.replay(trace).difference());
         String text = Files.readString(trace);
         Files.writeString(trace, text.substring(0, text.length() * 2 / 3));
-        assertNull(Replay.run(trace).difference());
+        assertNull(TraceReplay.replay(trace).difference());
         Files.writeString(trace, text.replaceFirst("event ", "evnt "));
-        assertThrows(IOException.class, () -> Replay.run(trace));
+        assertThrows(IOException.class, () -> TraceReplay.replay(trace));
     }
 
     @Test
     void recordsReadBack() {
-        brooklock.routing.RouterApi.Event e =
-                new brooklock.routing.RouterApi.Done(
+        RouterEvent e =
+                new RouterEvent.AttemptCompleted(
                         3,
                         1,
                         9,
-                        brooklock.routing.RouterApi.Outcome.RESET,
-                        brooklock.routing.RouterApi.Note.SOURCE_BROKE,
+                        AttemptOutcome.RESET,
+                        CacheStatus.FILL_SOURCE_CONNECTION_LOST,
                         7,
                         8,
                         true);
--- a/src/test/java/brooklock/proxy/WarmerTest.java
+++ b/src/test/java/brooklock/proxy/WarmingCoordinatorTest.java
@@ -1,21 +1,21 @@
 package brooklock.proxy;
 
-import static brooklock.proxy.Bed.get;
+import static brooklock.proxy.LoopbackFleet.get;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import brooklock.config.HostId;
-import brooklock.config.Settings.Kind;
+import brooklock.config.EndpointId;
+import brooklock.config.Settings.EndpointKind;
 import brooklock.http.Fields;
 import brooklock.http.RequestHead;
-import brooklock.membership.ListText;
-import brooklock.membership.Member;
-import brooklock.membership.Notice;
+import brooklock.membership.EndpointListCodec;
+import brooklock.membership.ListedEndpoint;
+import brooklock.membership.WatchEvent;
 import brooklock.net.IoLoop;
-import brooklock.routing.RouterApi.HostState;
-import brooklock.testserver.Sighting;
-import brooklock.testserver.StandInHost;
+import brooklock.routing.EndpointState;
+import brooklock.testserver.RecordedRequest;
+import brooklock.testserver.TestServer;
 import java.io.IOException;
 import java.net.Socket;
 import java.nio.file.Files;
@@ -27,17 +27,18 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** Cold caches filled by their neighbours, through real sockets. */
-class WarmerTest {
+class WarmingCoordinatorTest {
     private static final int OBJECTS = 300;
 
     @TempDir Path dir;
 
-    private static void askAll(Bed bed, Socket s, int times) throws IOException {
+    private static void requestAllObjects(LoopbackFleet bed, Socket s, int times)
+            throws IOException {
         for (int t = 0; t < times; t++) {
             for (int i = 0; i < OBJECTS; i++) {
                 String path = "/scans/g" + i % 5 + "/o" + i + "/0";
-                Bed.write(s, get(path, ""));
-                Bed.Answer a = Bed.read(s.getInputStream());
+                LoopbackFleet.write(s, get(path, ""));
+                LoopbackFleet.Response a = LoopbackFleet.readResponse(s.getInputStream());
                 assertEquals(200, a.status(), a.head());
                 assertTrue(
                         new String(a.body()).startsWith(path), "the bytes are those of its path");
@@ -45,21 +46,22 @@
         }
     }
 
-    private static void tell(Bed bed, String host, HostState state) throws IOException {
-        StandInHost h = bed.hosts.get(host);
+    private static void sendDelta(LoopbackFleet bed, String host, EndpointState state)
+            throws IOException {
+        TestServer h = bed.servers.get(host);
         assertEquals(
                 200,
-                bed.control(
+                bed.sendControl(
                                 "POST",
                                 "/hosts",
-                                ListText.write(
-                                        Notice.unnumbered(
+                                EndpointListCodec.encode(
+                                        WatchEvent.unversioned(
                                                 false,
                                                 List.of(
-                                                        new Member(
+                                                        new ListedEndpoint(
                                                                 host,
-                                                                HostId.of(host),
-                                                                Kind.CACHE,
+                                                                EndpointId.of(host),
+                                                                EndpointKind.CACHE,
                                                                 "here",
                                                                 h.address(),
                                                                 state,
@@ -69,80 +71,85 @@
     }
 
     /** c1 has died and is back cold; its neighbours took over meanwhile and hold what it held. */
-    private Bed coldOne(String warming) throws Exception {
-        Bed bed = new Bed(dir, 3, 1, warming + "guards cold-from 0.2 cold-for 2s\n").start();
+    private LoopbackFleet fleetWithOneColdCache(String warming) throws Exception {
+        LoopbackFleet bed =
+                new LoopbackFleet(dir, 3, 1, warming + "guards cold-from 0.2 cold-for 2s\n")
+                        .start();
         try (Socket s = bed.connect()) {
-            askAll(bed, s, 6);
-            bed.hosts.get("c1").kill();
-            tell(bed, "c1", HostState.GONE);
-            askAll(bed, s, 4);
-            bed.hosts.get("c1").restart();
-            tell(bed, "c1", HostState.READY);
+            requestAllObjects(bed, s, 6);
+            bed.servers.get("c1").kill();
+            sendDelta(bed, "c1", EndpointState.GONE);
+            requestAllObjects(bed, s, 4);
+            bed.servers.get("c1").restart();
+            sendDelta(bed, "c1", EndpointState.READY);
         }
         return bed;
     }
 
-    private static long given(Bed bed, long after) {
-        return bed.ledger.sightings().stream()
-                .filter(s -> byNeighbour(s) && s.atNs - after > 0 && s.served != 0)
+    private static long peerFillsAfter(LoopbackFleet bed, long after) {
+        return bed.effectLog.requests().stream()
+                .filter(s -> byNeighbour(s) && s.atNs - after > 0 && s.copySerial != 0)
                 .count();
     }
 
-    private static boolean byNeighbour(Sighting s) {
-        return s.by.equals("c1") && s.host.startsWith("c");
+    private static boolean byNeighbour(RecordedRequest s) {
+        return s.sender.equals("c1") && s.server.startsWith("c");
     }
 
-    private static void until(Bed bed, long after, int least) throws IOException {
-        long end = System.nanoTime() + 20_000 * Bed.MS;
+    private static void requestUntilPeerFills(LoopbackFleet bed, long after, int least)
+            throws IOException {
+        long end = System.nanoTime() + 20_000 * LoopbackFleet.NS_PER_MS;
         try (Socket s = bed.connect()) {
-            while (given(bed, after) < least && System.nanoTime() - end < 0) {
-                askAll(bed, s, 1);
+            while (peerFillsAfter(bed, after) < least && System.nanoTime() - end < 0) {
+                requestAllObjects(bed, s, 1);
             }
         }
     }
 
     @Test
     void aColdCacheIsFilledByItsNeighboursAndNothingOfItWithoutThePermission() throws Exception {
-        try (Bed bed = coldOne("warming zone share 0.5\n")) {
-            until(bed, 0, 3);
-            assertTrue(given(bed, 0) >= 3, "given " + given(bed, 0));
-            String state = bed.edge.state();
+        try (LoopbackFleet bed = fleetWithOneColdCache("warming zone share 0.5\n")) {
+            requestUntilPeerFills(bed, 0, 3);
+            assertTrue(peerFillsAfter(bed, 0) >= 3, "given " + peerFillsAfter(bed, 0));
+            String state = bed.dispatcher.statePage();
             assertTrue(state.matches("(?s).*warming-given [1-9].*"), state);
         }
-        try (Bed bed = coldOne("")) {
+        try (LoopbackFleet bed = fleetWithOneColdCache("")) {
             try (Socket s = bed.connect()) {
-                askAll(bed, s, 5);
+                requestAllObjects(bed, s, 5);
             }
-            assertTrue(bed.ledger.sightings().stream().noneMatch(WarmerTest::byNeighbour));
-            assertFalse(bed.edge.state().contains("warming"));
+            assertTrue(
+                    bed.effectLog.requests().stream()
+                            .noneMatch(WarmingCoordinatorTest::byNeighbour));
+            assertFalse(bed.dispatcher.statePage().contains("warming"));
         }
     }
 
     @Test
     void aNeighbourThatDrainsIsNotNamedAnyMoreAndOneThatBreaksOffCostsNoAnswer() throws Exception {
-        try (Bed bed = coldOne("warming zone share 0.5\n")) {
-            until(bed, 0, 2);
-            bed.hosts.get("c3").faults.cut = 1;
+        try (LoopbackFleet bed = fleetWithOneColdCache("warming zone share 0.5\n")) {
+            requestUntilPeerFills(bed, 0, 2);
+            bed.servers.get("c3").faults.truncatedShare = 1;
             try (Socket s = bed.connect()) {
                 // c3 itself may be asked by clients, whose transfers it cuts: only its giving is
                 // looked at.
-                tell(bed, "c3", HostState.DRAINING);
+                sendDelta(bed, "c3", EndpointState.DRAINING);
                 long told = System.nanoTime();
-                askAll(bed, s, 4);
+                requestAllObjects(bed, s, 4);
                 assertTrue(
-                        bed.ledger.sightings().stream()
+                        bed.effectLog.requests().stream()
                                 .noneMatch(
                                         x ->
-                                                x.host.equals("c3")
+                                                x.server.equals("c3")
                                                         && x.atNs - told > 0
-                                                        && x.straight()),
+                                                        && x.isDirect()),
                         "nor asked itself");
                 assertTrue(
-                        bed.ledger.sightings().stream()
+                        bed.effectLog.requests().stream()
                                 .noneMatch(
                                         x ->
                                                 byNeighbour(x)
-                                                        && x.host.equals("c3")
+                                                        && x.server.equals("c3")
                                                         && x.atNs - told > 0));
             }
         }
@@ -150,15 +157,15 @@
 
     @Test
     void aPurgeWinsOverWhatANeighbourStillHolds() throws Exception {
-        try (Bed bed = coldOne("warming zone share 0.5\n")) {
-            until(bed, 0, 2);
+        try (LoopbackFleet bed = fleetWithOneColdCache("warming zone share 0.5\n")) {
+            requestUntilPeerFills(bed, 0, 2);
             long moment = System.nanoTime();
             for (int g = 0; g < 5; g++) {
                 // Hosts are not told: every copy is older than the purge, and only the dispatcher
                 // knows.
                 assertEquals(
                         200,
-                        bed.control(
+                        bed.sendControl(
                                         "POST",
                                         "/purge?group=g" + g + "&at=" + System.currentTimeMillis(),
                                         "")
@@ -166,12 +173,13 @@
             }
             long told = System.nanoTime();
             try (Socket s = bed.connect()) {
-                askAll(bed, s, 3);
+                requestAllObjects(bed, s, 3);
             }
-            for (Sighting s : bed.ledger.sightings()) {
-                if (s.straight() && s.atNs - told > 0 && s.served != 0) {
+            for (RecordedRequest s : bed.effectLog.requests()) {
+                if (s.isDirect() && s.atNs - told > 0 && s.copySerial != 0) {
                     assertTrue(
-                            bed.ledger.bornAt(s.served) - moment > -2 * Bed.MS,
+                            bed.effectLog.copyBirthNs(s.copySerial) - moment
+                                    > -2 * LoopbackFleet.NS_PER_MS,
                             s + ": an old copy");
                 }
             }
@@ -180,35 +188,35 @@
 
     @Test
     void partsAreFetchedAheadFromNeighboursWithoutAClient() throws Exception {
-        try (Bed bed = coldOne("warming zone share 1\n")) {
-            long end = System.nanoTime() + 15_000 * Bed.MS;
+        try (LoopbackFleet bed = fleetWithOneColdCache("warming zone share 1\n")) {
+            long end = System.nanoTime() + 15_000 * LoopbackFleet.NS_PER_MS;
             try (Socket s = bed.connect()) {
                 // Clients go on asking, so that hosts tell how they are; a fetch ahead names no
                 // client's request.
-                while (System.nanoTime() - end < 0 && !fetched(bed)) {
-                    askAll(bed, s, 1);
+                while (System.nanoTime() - end < 0 && !prefetchSeen(bed)) {
+                    requestAllObjects(bed, s, 1);
                 }
             }
-            assertTrue(fetched(bed), bed.edge.state());
+            assertTrue(prefetchSeen(bed), bed.dispatcher.statePage());
         }
     }
 
     @Test
     void aFetchAheadThatNobodyAnswersEndsByItsTime() throws Exception {
-        try (Bed bed = new Bed(dir, 1, 1, "").start()) {
-            bed.hosts.get("c1").faults.silent = true;
+        try (LoopbackFleet bed = new LoopbackFleet(dir, 1, 1, "").start()) {
+            bed.servers.get("c1").faults.silent = true;
             CompletableFuture<Integer> status = new CompletableFuture<>();
-            IoLoop loop = bed.edge.loop(0);
+            IoLoop loop = bed.dispatcher.loop(0);
             loop.execute(
                     () ->
-                            new FetchAhead(
-                                            bed.edge,
-                                            HostId.of("c1"),
-                                            HostId.of("p1"),
+                            new PrefetchRequest(
+                                            bed.dispatcher,
+                                            EndpointId.of("c1"),
+                                            EndpointId.of("p1"),
                                             (s, f, at) -> status.complete(s))
                                     .send(
                                             loop,
-                                            bed.hosts.get("c1").address(),
+                                            bed.servers.get("c1").address(),
                                             new RequestHead(
                                                     "GET",
                                                     "/scans/g1/x/0",
@@ -219,12 +227,12 @@
         }
     }
 
-    private static boolean fetched(Bed bed) {
-        return bed.ledger.sightings().stream()
+    private static boolean prefetchSeen(LoopbackFleet bed) {
+        return bed.effectLog.requests().stream()
                 .anyMatch(
                         s ->
-                                s.host.equals("c1")
-                                        && s.straight()
+                                s.server.equals("c1")
+                                        && s.isDirect()
                                         && s.request == null
                                         && s.source != null
                                         && s.source.startsWith("c"));
@@ -232,9 +240,9 @@
 
     @Test
     void aDamagedOrOldSnapshotIsToldOfAndNotUsed() throws Exception {
-        try (Bed bed = coldOne("warming zone share 0.5 saved warm\n")) {
-            Bed.await("the snapshot", () -> Files.exists(dir.resolve("warm")));
-            bed.edge.close();
+        try (LoopbackFleet bed = fleetWithOneColdCache("warming zone share 0.5 saved warm\n")) {
+            LoopbackFleet.await("the snapshot", () -> Files.exists(dir.resolve("warm")));
+            bed.dispatcher.close();
             String whole = Files.readString(dir.resolve("warm"));
             for (String bad :
                     List.of(
@@ -245,9 +253,9 @@
                 Files.writeString(dir.resolve("warm"), bad);
                 bed.start();
                 try (Socket s = bed.connect()) {
-                    askAll(bed, s, 1);
+                    requestAllObjects(bed, s, 1);
                 }
-                bed.edge.close();
+                bed.dispatcher.close();
             }
             bed.start();
         }
--- a/src/test/java/brooklock/proxy/OrderedNoticesTest.java
+++ b/src/test/java/brooklock/proxy/WatchEventOrderTest.java
@@ -3,14 +3,14 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import brooklock.config.HostId;
-import brooklock.config.Settings.Kind;
-import brooklock.membership.ListText;
-import brooklock.membership.Member;
-import brooklock.membership.Notice;
-import brooklock.membership.Stamp;
-import brooklock.routing.RouterApi.HostState;
-import brooklock.testserver.StandInHost;
+import brooklock.config.EndpointId;
+import brooklock.config.Settings.EndpointKind;
+import brooklock.membership.EndpointListCodec;
+import brooklock.membership.EventVersion;
+import brooklock.membership.ListedEndpoint;
+import brooklock.membership.WatchEvent;
+import brooklock.routing.EndpointState;
+import brooklock.testserver.TestServer;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.Socket;
@@ -26,40 +26,45 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** Notices over several connections: whichever comes first, the newest is in force. */
-class OrderedNoticesTest {
+class WatchEventOrderTest {
     @TempDir Path dir;
 
-    private static String list(Bed bed, long epoch, long number, long follows, String gone) {
-        List<Member> all = new ArrayList<>();
-        bed.hosts.forEach(
+    private static String list(
+            LoopbackFleet bed, long epoch, long number, long follows, String gone) {
+        List<ListedEndpoint> all = new ArrayList<>();
+        bed.servers.forEach(
                 (name, h) -> {
                     if (follows == 0 || name.equals("c1")) {
                         all.add(
                                 member(
                                         name,
                                         h,
-                                        name.equals(gone) ? HostState.GONE : HostState.READY));
+                                        name.equals(gone)
+                                                ? EndpointState.GONE
+                                                : EndpointState.READY));
                     }
                 });
-        return ListText.write(
-                new Notice(new Stamp("registry", epoch, number, follows), follows == 0, all));
+        return EndpointListCodec.encode(
+                new WatchEvent(
+                        new EventVersion("registry", epoch, number, follows), follows == 0, all));
     }
 
-    private static Member member(String name, StandInHost h, HostState state) {
-        Kind kind = Kind.valueOf(h.model().role().name());
-        return new Member(
+    private static ListedEndpoint member(String name, TestServer h, EndpointState state) {
+        EndpointKind kind = EndpointKind.valueOf(h.model().role().name());
+        return new ListedEndpoint(
                 name,
-                HostId.of(name),
+                EndpointId.of(name),
                 kind,
-                kind == Kind.CACHE ? "here" : "hub",
+                kind == EndpointKind.CACHE ? "here" : "hub",
                 h.address(),
                 state,
                 1,
                 0);
     }
 
-    private static Bed.Answer post(Socket s, String target, String body) throws IOException {
-        Bed.write(
+    private static LoopbackFleet.Response post(Socket s, String target, String body)
+            throws IOException {
+        LoopbackFleet.write(
                 s,
                 "POST "
                         + target
@@ -67,19 +72,21 @@
                         + body.length()
                         + "\r\n\r\n"
                         + body);
-        return Bed.read(s.getInputStream());
+        return LoopbackFleet.readResponse(s.getInputStream());
     }
 
-    private static Socket control(Bed bed) throws IOException {
+    private static Socket control(LoopbackFleet bed) throws IOException {
         Socket s =
-                new Socket(InetAddress.getLoopbackAddress(), bed.edge.controlAddress().getPort());
+                new Socket(
+                        InetAddress.getLoopbackAddress(),
+                        bed.dispatcher.controlAddress().getPort());
         s.setTcpNoDelay(true);
         s.setSoTimeout(20_000);
         return s;
     }
 
-    private static String state(Bed bed, String host) throws IOException {
-        String all = new String(bed.control("GET", "/state", "").body());
+    private static String state(LoopbackFleet bed, String host) throws IOException {
+        String all = new String(bed.sendControl("GET", "/state", "").body());
         return all.lines()
                 .filter(l -> l.startsWith("host " + host + " "))
                 .findFirst()
@@ -90,7 +97,7 @@
     @Test
     void ofTwoListsOnTwoConnectionsTheNewerHoldsThousandTimesOver() throws Exception {
         ExecutorService two = Executors.newFixedThreadPool(2);
-        try (Bed bed = new Bed(dir, 2, 1, "").start();
+        try (LoopbackFleet bed = new LoopbackFleet(dir, 2, 1, "").start();
                 Socket one = control(bed);
                 Socket other = control(bed)) {
             Random r = new Random(5);
@@ -101,10 +108,12 @@
                 String older = list(bed, 1, 2L * i, 0, goneLast ? null : "c1");
                 String newer = list(bed, 1, 2L * i + 1, 0, goneLast ? "c1" : null);
                 boolean first = r.nextBoolean();
-                Callable<Bed.Answer> a = () -> post(one, "/hosts", first ? older : newer);
-                Callable<Bed.Answer> b = () -> post(other, "/hosts", first ? newer : older);
-                List<Future<Bed.Answer>> both = two.invokeAll(List.of(a, b));
-                Bed.Answer toOlder = both.get(first ? 0 : 1).get();
+                Callable<LoopbackFleet.Response> a =
+                        () -> post(one, "/hosts", first ? older : newer);
+                Callable<LoopbackFleet.Response> b =
+                        () -> post(other, "/hosts", first ? newer : older);
+                List<Future<LoopbackFleet.Response>> both = two.invokeAll(List.of(a, b));
+                LoopbackFleet.Response toOlder = both.get(first ? 0 : 1).get();
                 assertEquals(200, both.get(first ? 1 : 0).get().status());
                 if (toOlder.status() == 409) {
                     overtaken++;
@@ -113,8 +122,8 @@
                             new String(toOlder.body()));
                 }
                 assertEquals(
-                        goneLast ? HostState.GONE : HostState.READY,
-                        bed.edge.book.get(HostId.of("c1")).state(),
+                        goneLast ? EndpointState.GONE : EndpointState.READY,
+                        bed.dispatcher.endpointRegistry.find(EndpointId.of("c1")).state(),
                         "try " + i);
             }
             assertTrue(
@@ -127,7 +136,7 @@
     @Test
     void aDrainByHandThatRacesFullListsHoldsAndUndoesNothingOfThem() throws Exception {
         ExecutorService two = Executors.newFixedThreadPool(2);
-        try (Bed bed = new Bed(dir, 2, 1, "").start();
+        try (LoopbackFleet bed = new LoopbackFleet(dir, 2, 1, "").start();
                 Socket one = control(bed);
                 Socket other = control(bed)) {
             for (int i = 1; i <= 200; i++) {
@@ -140,12 +149,12 @@
                         List.of(
                                 () -> post(one, "/hosts", moved),
                                 () -> post(other, "/drain?host=c1", "")));
-                Member c1 = bed.edge.book.get(HostId.of("c1"));
-                assertEquals(HostState.DRAINING, c1.state());
+                ListedEndpoint c1 = bed.dispatcher.endpointRegistry.find(EndpointId.of("c1"));
+                assertEquals(EndpointState.DRAINING, c1.state());
                 assertEquals(i, c1.weight());
                 assertEquals(i, c1.startedMs());
                 assertEquals(200, post(one, "/ready?host=c1", "").status());
-                assertTrue(bed.edge.book.ready(c1.id()));
+                assertTrue(bed.dispatcher.endpointRegistry.isReady(c1.id()));
             }
         } finally {
             two.shutdown();
@@ -154,42 +163,43 @@
 
     @Test
     void whatWasAnsweredHoldsThroughARestartAndAnOlderListDoesNot() throws Exception {
-        Bed bed = new Bed(dir, 2, 1, "list saved\n");
+        LoopbackFleet bed = new LoopbackFleet(dir, 2, 1, "list saved\n");
         try (bed) {
             bed.start();
-            assertEquals(200, bed.control("POST", "/hosts", list(bed, 3, 7, 0, null)).status());
-            assertEquals(200, bed.control("POST", "/hosts", list(bed, 3, 8, 7, "c1")).status());
-            assertEquals(200, bed.control("POST", "/drain?host=c2", "").status());
-            bed.edge.close();
+            assertEquals(200, bed.sendControl("POST", "/hosts", list(bed, 3, 7, 0, null)).status());
+            assertEquals(200, bed.sendControl("POST", "/hosts", list(bed, 3, 8, 7, "c1")).status());
+            assertEquals(200, bed.sendControl("POST", "/drain?host=c2", "").status());
+            bed.dispatcher.close();
             bed.start();
             assertEquals("GONE", state(bed, "c1"));
             assertEquals("DRAINING", state(bed, "c2"));
             assertTrue(
-                    new String(bed.control("GET", "/state", "").body())
+                    new String(bed.sendControl("GET", "/state", "").body())
                             .contains("source registry epoch 3 number 8 heard-ms-ago "));
-            assertEquals(409, bed.control("POST", "/hosts", list(bed, 3, 7, 0, null)).status());
-            assertEquals(409, bed.control("POST", "/hosts", list(bed, 2, 99, 0, null)).status());
+            assertEquals(409, bed.sendControl("POST", "/hosts", list(bed, 3, 7, 0, null)).status());
+            assertEquals(
+                    409, bed.sendControl("POST", "/hosts", list(bed, 2, 99, 0, null)).status());
             assertEquals(
                     409,
-                    bed.control("POST", "/hosts", list(bed, 3, 11, 10, null)).status(),
+                    bed.sendControl("POST", "/hosts", list(bed, 3, 11, 10, null)).status(),
                     "a gap");
             assertEquals(
                     409,
-                    bed.control("POST", "/ready?host=c1", "").status(),
+                    bed.sendControl("POST", "/ready?host=c1", "").status(),
                     "the registry says that it is gone");
             assertEquals("GONE", state(bed, "c1"));
-            assertEquals(200, bed.control("POST", "/hosts", list(bed, 4, 1, 0, null)).status());
+            assertEquals(200, bed.sendControl("POST", "/hosts", list(bed, 4, 1, 0, null)).status());
             assertEquals("READY", state(bed, "c1"));
             assertEquals("DRAINING", state(bed, "c2"), "by hand, until it is taken back by hand");
             assertEquals(
                     400,
-                    bed.control(
+                    bed.sendControl(
                                     "POST",
                                     "/hosts",
                                     list(bed, 4, 2, 0, null).replace("epoch 4", "epoch x"))
                             .status());
-            assertEquals(404, bed.control("POST", "/reset?source=nobody", "").status());
-            assertEquals(404, bed.control("POST", "/forget", "").status());
+            assertEquals(404, bed.sendControl("POST", "/reset?source=nobody", "").status());
+            assertEquals(404, bed.sendControl("POST", "/forget", "").status());
         }
     }
 }
