--- a/src/test/java/brooklock/routing/RandomDay.java
+++ b/src/test/java/brooklock/routing/RandomTraffic.java
@@ -4,20 +4,15 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import brooklock.routing.RouterApi.Action;
-import brooklock.routing.RouterApi.Done;
-import brooklock.routing.RouterApi.Event;
-import brooklock.routing.RouterApi.Fail;
-import brooklock.routing.RouterApi.Get;
-import brooklock.routing.RouterApi.HostState;
-import brooklock.routing.RouterApi.Lapsed;
-import brooklock.routing.RouterApi.Note;
-import brooklock.routing.RouterApi.Outcome;
-import brooklock.routing.RouterApi.Purged;
-import brooklock.routing.RouterApi.Refuse;
-import brooklock.routing.RouterApi.Request;
-import brooklock.routing.RouterApi.SetTimer;
-import brooklock.routing.RouterApi.TimerFired;
+import brooklock.routing.RouterAction.FailRequest;
+import brooklock.routing.RouterAction.RejectRequest;
+import brooklock.routing.RouterAction.SetTimer;
+import brooklock.routing.RouterAction.StartAttempt;
+import brooklock.routing.RouterEvent.AttemptCompleted;
+import brooklock.routing.RouterEvent.ClientDisconnected;
+import brooklock.routing.RouterEvent.PurgeReceived;
+import brooklock.routing.RouterEvent.RequestReceived;
+import brooklock.routing.RouterEvent.TimerFired;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -28,11 +23,11 @@
 import java.util.TreeMap;
 
 /** A seeded random sequence of events, checked against what the rules ask of one router alone. */
-final class RandomDay {
+final class RandomTraffic {
     private final Random random;
-    private final Rig rig = new Rig().withFleet();
-    private final TreeMap<Long, List<Event>> due = new TreeMap<>();
-    private final Map<Long, Request> open = new HashMap<>();
+    private final RouterFixture rig = new RouterFixture().withFleet();
+    private final TreeMap<Long, List<RouterEvent>> due = new TreeMap<>();
+    private final Map<Long, RequestReceived> open = new HashMap<>();
     private final Set<Long> ended = new HashSet<>();
     private final Map<Long, Integer> attempts = new HashMap<>();
     private final Map<Long, Integer> out = new HashMap<>();
@@ -41,23 +36,23 @@
     private final Set<Long> leaving = new HashSet<>();
     private final Map<Long, Long> purged = new HashMap<>();
 
-    RandomDay(long seed) {
+    RandomTraffic(long seed) {
         random = new Random(seed);
     }
 
     void play() {
         for (int step = 0; step < 1500; step++) {
-            rig.now += 4 * Rig.MS;
+            rig.now += 4 * RouterFixture.MS;
             deliver();
             int what = random.nextInt(40);
             if (what == 0) {
                 turnHost();
             } else if (what == 1) {
                 long object = 1 + random.nextInt(30);
-                feed(new Purged(object, 3, 50 * Rig.MS));
-                purged.put(object, rig.now - 50 * Rig.MS);
+                feed(new PurgeReceived(object, 3, 50 * RouterFixture.MS));
+                purged.put(object, rig.now - 50 * RouterFixture.MS);
             } else if (what < 32) {
-                Request r =
+                RequestReceived r =
                         rig.request(
                                 random.nextInt(10) == 0 ? 1 + random.nextInt(2) : 0,
                                 1 + random.nextInt(30));
@@ -66,7 +61,7 @@
             }
         }
         for (int step = 0; step < 1000; step++) {
-            rig.now += 4 * Rig.MS;
+            rig.now += 4 * RouterFixture.MS;
             deliver();
         }
         assertTrue(open.isEmpty(), "requests without an answer: " + open.keySet());
@@ -74,46 +69,50 @@
 
     private void turnHost() {
         long id = random.nextBoolean() ? 11 + random.nextInt(4) : 801 + random.nextInt(2);
-        int kind = id > 800 ? Rig.PARENT : Rig.CACHE;
+        int kind = id > 800 ? RouterFixture.PARENT : RouterFixture.CACHE;
         boolean back = leaving.remove(id);
         if (!back) {
             leaving.add(id);
         }
-        HostState state =
-                back ? HostState.READY : random.nextBoolean() ? HostState.DRAINING : HostState.GONE;
-        rig.change(Rig.host(id, kind == Rig.PARENT ? 0 : 1, kind, state, back ? rig.now : 0));
+        EndpointState state =
+                back
+                        ? EndpointState.READY
+                        : random.nextBoolean() ? EndpointState.DRAINING : EndpointState.GONE;
+        rig.change(
+                RouterFixture.host(
+                        id, kind == RouterFixture.PARENT ? 0 : 1, kind, state, back ? rig.now : 0));
     }
 
     private void deliver() {
         while (!due.isEmpty() && due.firstKey() <= rig.now) {
-            for (Event e : due.pollFirstEntry().getValue()) {
+            for (RouterEvent e : due.pollFirstEntry().getValue()) {
                 feed(e);
             }
         }
     }
 
-    private void feed(Event e) {
-        if (e instanceof Done d) {
+    private void feed(RouterEvent e) {
+        if (e instanceof AttemptCompleted d) {
             out.merge(d.id(), -1, Integer::sum);
             boolean closed = !open.containsKey(d.id());
-            if (!closed && d.outcome() == Outcome.OK) {
+            if (!closed && d.outcome() == AttemptOutcome.OK) {
                 end(d.id());
                 closed = true;
             }
-            if (!d.outcome().provesNotRun) {
+            if (!d.outcome().provesNotExecuted) {
                 mayHaveRunSince.putIfAbsent(d.id(), rig.now);
             }
             e =
-                    new Done(
+                    new AttemptCompleted(
                             d.id(),
                             d.attempt(),
-                            d.host(),
+                            d.endpoint(),
                             d.outcome(),
-                            d.note(),
-                            d.tookNs(),
+                            d.cacheStatus(),
+                            d.durationNs(),
                             0,
                             closed);
-        } else if (e instanceof Lapsed l) {
+        } else if (e instanceof ClientDisconnected l) {
             if (!open.containsKey(l.id())) {
                 return;
             }
@@ -122,18 +121,18 @@
         rig.on(e).forEach(this::check);
     }
 
-    private void check(Action a) {
-        if (a instanceof Get g) {
+    private void check(RouterAction a) {
+        if (a instanceof StartAttempt g) {
             send(g);
-        } else if (a instanceof Refuse r) {
-            Request q = open.get(r.id());
+        } else if (a instanceof RejectRequest r) {
+            RequestReceived q = open.get(r.id());
             assertTrue(q != null && rig.now <= q.deadlineNs());
             assertTrue(
-                    q.cls() != Rig.UNSAFE
+                    q.classIndex() != RouterFixture.UNSAFE
                             || !mayHaveRunSince.containsKey(r.id())
                                     && out.getOrDefault(r.id(), 0) == 0);
             end(r.id());
-        } else if (a instanceof Fail f) {
+        } else if (a instanceof FailRequest f) {
             assertTrue(open.containsKey(f.id()));
             end(f.id());
         } else if (a instanceof SetTimer t) {
@@ -142,37 +141,41 @@
         }
     }
 
-    private void send(Get g) {
-        Request q = open.get(g.id());
+    private void send(StartAttempt g) {
+        RequestReceived q = open.get(g.id());
         assertTrue(q != null, "a send for a request that has ended");
         assertFalse(
-                leaving.contains(g.host()) || leaving.contains(g.source()),
+                leaving.contains(g.endpoint()) || leaving.contains(g.fillSource()),
                 "sent to a host that leaves");
         int n = attempts.merge(g.id(), 1, Integer::sum);
         assertTrue(n <= 6);
         firstSent.putIfAbsent(g.id(), rig.now);
-        if (q.cls() == Rig.UNSAFE) {
+        if (q.classIndex() == RouterFixture.UNSAFE) {
             assertTrue(out.getOrDefault(g.id(), 0) == 0 && !mayHaveRunSince.containsKey(g.id()));
-        } else if (q.cls() == Rig.KEYED && mayHaveRunSince.containsKey(g.id())) {
-            assertTrue(rig.now - firstSent.get(g.id()) <= 2000 * Rig.MS);
+        } else if (q.classIndex() == RouterFixture.KEYED && mayHaveRunSince.containsKey(g.id())) {
+            assertTrue(rig.now - firstSent.get(g.id()) <= 2000 * RouterFixture.MS);
         }
         Long since = purged.get(q.object());
-        if (since != null && rig.now < since + 6000 * Rig.MS) {
-            assertTrue(g.oldestNs() > 0 && g.oldestNs() <= rig.now - since);
+        if (since != null && rig.now < since + 6000 * RouterFixture.MS) {
+            assertTrue(g.maxAgeNs() > 0 && g.maxAgeNs() <= rig.now - since);
         }
         out.merge(g.id(), 1, Integer::sum);
-        Outcome[] outcomes = Outcome.values();
+        AttemptOutcome[] outcomes = AttemptOutcome.values();
         boolean well = random.nextInt(3) > 0;
-        Outcome outcome = well ? Outcome.OK : outcomes[random.nextInt(outcomes.length)];
-        Note note =
-                outcome == Outcome.OK
-                        ? Note.HIT
-                        : Note.values()[random.nextInt(Note.values().length)];
-        long took = Math.min(g.limitNs(), (1 + random.nextInt(800)) * Rig.MS);
+        AttemptOutcome outcome =
+                well ? AttemptOutcome.OK : outcomes[random.nextInt(outcomes.length)];
+        CacheStatus note =
+                outcome == AttemptOutcome.OK
+                        ? CacheStatus.HIT
+                        : CacheStatus.values()[random.nextInt(CacheStatus.values().length)];
+        long took = Math.min(g.timeoutNs(), (1 + random.nextInt(800)) * RouterFixture.MS);
         due.computeIfAbsent(rig.now + took, k -> new ArrayList<>())
-                .add(new Done(g.id(), n - 1, g.host(), outcome, note, took, 0, false));
+                .add(
+                        new AttemptCompleted(
+                                g.id(), n - 1, g.endpoint(), outcome, note, took, 0, false));
         if (n == 1) {
-            due.computeIfAbsent(q.deadlineNs(), k -> new ArrayList<>()).add(new Lapsed(g.id()));
+            due.computeIfAbsent(q.deadlineNs(), k -> new ArrayList<>())
+                    .add(new ClientDisconnected(g.id()));
         }
     }
 
--- a/src/test/java/brooklock/simulator/WireTest.java
+++ b/src/test/java/brooklock/simulator/SimulatorHostTest.java
@@ -6,12 +6,13 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import brooklock.routing.RouterApi;
-import brooklock.routing.RouterApi.Done;
-import brooklock.routing.RouterApi.HostList;
-import brooklock.routing.RouterApi.Note;
-import brooklock.routing.RouterApi.Outcome;
-import brooklock.routing.RouterApi.Request;
+import brooklock.routing.AttemptOutcome;
+import brooklock.routing.CacheStatus;
+import brooklock.routing.EndpointListKind;
+import brooklock.routing.RouterAction;
+import brooklock.routing.RouterEvent.AttemptCompleted;
+import brooklock.routing.RouterEvent.EndpointListReceived;
+import brooklock.routing.RouterEvent.RequestReceived;
 import java.io.ByteArrayInputStream;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
@@ -21,7 +22,7 @@
 import java.util.HexFormat;
 import org.junit.jupiter.api.Test;
 
-class WireTest {
+class SimulatorHostTest {
     private static final String SETTINGS =
             """
             {"lanes": [{"name": "page", "effect": "read_like", "onTimeNs": 300000000, "giveUpNs": 3000000000}],
@@ -32,8 +33,8 @@
         return HexFormat.of().parseHex(text.replaceAll("\\s", ""));
     }
 
-    private static WireCodec.Reader read(String text) {
-        WireCodec.Reader r = new WireCodec.Reader(hex(text));
+    private static SimulatorCodec.EventDecoder read(String text) {
+        SimulatorCodec.EventDecoder r = new SimulatorCodec.EventDecoder(hex(text));
         assertTrue(r.nextRecord());
         return r;
     }
@@ -78,22 +79,23 @@
 
     private static byte[] serve(byte[] input) throws IOException {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        new WireHost().serve(new ByteArrayInputStream(input), out);
+        new SimulatorHost().serve(new ByteArrayInputStream(input), out);
         return out.toByteArray();
     }
 
     private static String fault(byte[] input) {
-        return assertThrows(WireCodec.WireFault.class, () -> serve(input)).getMessage();
+        return assertThrows(SimulatorCodec.MalformedFrameException.class, () -> serve(input))
+                .getMessage();
     }
 
     @Test
     void aRequestIsRead() {
-        WireCodec.Reader r =
+        SimulatorCodec.EventDecoder r =
                 read(
                         "12 2c000000 03000000 c4913a5d3ef60e00 01 0000 00004040 00 00003041"
                                 + "640ad2557c3bf091 00002044 90dbb60302000000");
         assertEquals(3, r.instance());
-        Request q = (Request) r.event(0);
+        RequestReceived q = (RequestReceived) r.event(0);
         assertEquals(3, q.part());
         assertEquals(11, q.group());
         assertEquals(640, q.sizeKb());
@@ -102,20 +104,21 @@
 
     @Test
     void anOutcomeIsRead() {
-        Done d =
-                (Done)
+        AttemptCompleted d =
+                (AttemptCompleted)
                         read("14 36000000 03000000 c4913a5d3ef60e00 0a00 a0491a0100000000 02000000 074a1203 01 0000"
                                         + "c06e8f0000000000 03 52b81e3f0000e040cdcccc3e")
                                 .event(0);
-        assertEquals(Outcome.OK, d.outcome());
-        assertEquals(Note.FILLED, d.note());
-        assertTrue(d.closed());
+        assertEquals(AttemptOutcome.OK, d.outcome());
+        assertEquals(CacheStatus.FILLED_BY_PARENT, d.cacheStatus());
+        assertTrue(d.requestFinished());
     }
 
     @Test
     void trailingFieldsMayBeAbsent() {
-        Done d = (Done) read("14 0e000000 03000000 c4913a5d3ef60e00 1e00").event(0);
-        assertEquals(Outcome.FULL, d.outcome());
+        AttemptCompleted d =
+                (AttemptCompleted) read("14 0e000000 03000000 c4913a5d3ef60e00 1e00").event(0);
+        assertEquals(AttemptOutcome.OVERLOADED, d.outcome());
         assertEquals(0, d.attempt());
     }
 
@@ -126,30 +129,30 @@
                         .event(0));
         assertNull(read("18 0c000000 03000000 0200 0400 68692037").event(0));
         assertThrows(
-                WireCodec.WireFault.class,
+                SimulatorCodec.MalformedFrameException.class,
                 () -> read("18 0a000000 03000000 0200 0400 6869").event(0));
     }
 
     @Test
     void aHostListIsRead() {
-        HostList l =
-                (HostList)
+        EndpointListReceived l =
+                (EndpointListReceived)
                         read("11 3d000000 03000000 02 2900000000000000 02000000"
                                         + "074a1203 00 0000 0000 01 0000803f 0000000000000000"
                                         + "f211902c 01 0000 0000 01 0000c03f 009d966b01000000")
                                 .event(0);
-        assertEquals(RouterApi.ListKind.CACHED, l.kind());
-        assertEquals(1.5, l.entries().get(1).weight());
+        assertEquals(EndpointListKind.CACHED, l.kind());
+        assertEquals(1.5, l.endpoints().get(1).weight());
     }
 
     @Test
     void actionsAreWrittenAsTheWireAsks() {
-        WireCodec.Writer w = new WireCodec.Writer();
+        SimulatorCodec.ActionEncoder w = new SimulatorCodec.ActionEncoder();
         w.action(
                 3,
-                new RouterApi.Get(
+                new RouterAction.StartAttempt(
                         0x0ef63e5d3a91c4L, 0x03124a07, 60, 0x2c9011f2L, 2, 7, true, true, 60));
-        w.action(3, new RouterApi.SetTimer(0x4d, 0x0213362490L));
+        w.action(3, new RouterAction.SetTimer(0x4d, 0x0213362490L));
         ByteBuffer b = ByteBuffer.wrap(w.frame()).order(ByteOrder.LITTLE_ENDIAN);
         assertEquals(b.capacity() - 4, b.getInt(0));
         byte[] timer = new byte[21];
