--- a/src/test/java/brooklock/platform/ConnectionCloseTest.java
+++ b/src/test/java/brooklock/platform/ConnectionCloseTest.java
@@ -5,14 +5,13 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import brooklock.net.RawConnection;
-import brooklock.routing.AttemptOutcome;
-import brooklock.routing.RouterAction.RejectRequest;
+import brooklock.routing.EndpointState;
 import brooklock.routing.RouterEvent;
 import brooklock.routing.RouterEvent.RequestReceived;
 import java.io.IOException;
 import java.net.Socket;
-import java.net.SocketTimeoutException;
 import java.nio.ByteBuffer;
+import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 import java.util.Map;
 import java.util.concurrent.CountDownLatch;
@@ -23,211 +22,149 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Bytes that come in the very moment in which a connection to a client is shut or closed. */
+/** Bytes that come at the very moment at which a client's connection is shut or closed. */
 @Timeout(60)
 class ConnectionCloseTest {
-    private DispatcherFixture rig;
+    private static final byte[] HEALTH_CHECK =
+            RpcTestClient.encodeCall(1, "isWell", Map.of(), null);
+
+    private final CountDownLatch shutDown = new CountDownLatch(1);
+    private DispatcherFixture fixture;
     private Socket client;
-    private final CountDownLatch ended = new CountDownLatch(1);
 
     @BeforeEach
-    void begin() throws Exception {
-        rig =
-                new DispatcherFixture(
-                        64,
-                        (e, out) -> {
-                            if (e instanceof RequestReceived r) {
-                                out.add(DispatcherFixture.attemptAction(r.id(), "a", 2000, 2000));
-                            } else if (e instanceof RouterEvent.AttemptCompleted d
-                                    && d.outcome() != AttemptOutcome.OK) {
-                                out.add(new RejectRequest(d.id(), 0));
-                            }
-                        });
-        rig.updateList("active", "a");
-        client = new Socket(rig.address.getAddress(), rig.address.getPort());
+    void start() throws Exception {
+        fixture = new DispatcherFixture(64, DispatcherFixture.rejectingUnlessServedBy("a"));
+        fixture.updateList(EndpointState.READY, "a");
+        client = new Socket(fixture.address.getAddress(), fixture.address.getPort());
         client.setSoTimeout(20_000);
         client.setTcpNoDelay(true);
     }
 
     @AfterEach
-    void end() throws IOException {
+    void stop() throws IOException {
         client.close();
-        rig.close();
+        fixture.close();
     }
 
-    private static byte[] call(long number, long id) {
+    private static byte[] read(long messageId, long id) {
         return RpcTestClient.encodeCall(
-                number, TestConfigs.READ_CLASS, RpcTestClient.fields(id, 0x7f, 2000), new byte[0]);
+                messageId,
+                TestConfigs.READ_CLASS,
+                RpcTestClient.fields(id, 0x7f, 2000),
+                new byte[0]);
     }
 
-    private static final byte[] WELL = RpcTestClient.encodeCall(1, "isWell", Map.of(), null);
-
-    private void isKnown() throws IOException {
-        client.getOutputStream().write(WELL);
+    private void awaitHealthCheck() throws IOException {
+        client.getOutputStream().write(HEALTH_CHECK);
         assertTrue(client.getInputStream().read() >= 0);
         client.getInputStream().readNBytes(client.getInputStream().available());
     }
 
     private boolean isListening() {
-        try (Socket s = new Socket(rig.address.getAddress(), rig.address.getPort())) {
-            return s.isConnected();
+        try (Socket socket = new Socket(fixture.address.getAddress(), fixture.address.getPort())) {
+            return socket.isConnected();
         } catch (IOException refused) {
             return false;
         }
     }
 
-    private void endsOnTheThread() {
-        rig.loop.execute(() -> rig.clientListener.shutDown(ended::countDown));
+    private void shutDownOnIoThread() {
+        fixture.loop.execute(() -> fixture.clientListener.shutDown(shutDown::countDown));
+    }
+
+    private static void assertRejected(Socket socket) throws IOException {
+        byte[] response = socket.getInputStream().readAllBytes();
+        assertTrue(new String(response, StandardCharsets.ISO_8859_1).contains("Overloaded"));
     }
 
+    /**
+     * A call comes after the shutdown has begun and lies unread when idle connections are closed.
+     * It must be read and rejected before the connection closes, not lost.
+     */
     @Test
-    void aCallThatLiesUnreadWhenTheEndComesIsAnswered() throws Exception {
-        isKnown();
-        endsOnTheThread();
-        Runnable free = rig.holdIoThread();
-        client.getOutputStream().write(call(2, 0x21));
-        // Held until the moment in which idle connections are ended has come: it does so before it
-        // looks at sockets again.
-        for (long from = System.nanoTime();
-                System.nanoTime() - from < 2 * ClientListener.SHUTDOWN_POLL_NS; ) {
+    void aCallThatLiesUnreadAtTheShutdownIsAnswered() throws Exception {
+        awaitHealthCheck();
+        shutDownOnIoThread();
+        Runnable release = fixture.holdIoThread();
+        client.getOutputStream().write(read(2, 0x21));
+        // Until idle connections are due to be closed: that happens before sockets are read again.
+        for (long startNs = System.nanoTime();
+                System.nanoTime() - startNs < 2 * ClientListener.SHUTDOWN_POLL_NS; ) {
             Thread.onSpinWait();
         }
-        free.run();
-        byte[] answer = client.getInputStream().readAllBytes();
-        assertTrue(
-                new String(answer, java.nio.charset.StandardCharsets.ISO_8859_1)
-                        .contains("Overloaded"));
+        release.run();
+        assertRejected(client);
         client.close();
-        assertTrue(ended.await(20, TimeUnit.SECONDS));
+        assertTrue(shutDown.await(20, TimeUnit.SECONDS));
     }
 
+    /**
+     * A client's connection has been accepted by the operating system but not by the dispatcher
+     * when the shutdown begins. Its call must be answered: to the client the connection was open.
+     */
     @Test
-    void aConnectionThatTheSystemHasTakenIsServedBeforeTheListenerCloses() throws Exception {
-        Runnable free = rig.holdIoThread();
-        try (Socket late = new Socket(rig.address.getAddress(), rig.address.getPort())) {
+    void aConnectionThatTheSystemHasAcceptedIsServedBeforeTheListenerCloses() throws Exception {
+        Runnable release = fixture.holdIoThread();
+        try (Socket late = new Socket(fixture.address.getAddress(), fixture.address.getPort())) {
             late.setSoTimeout(20_000);
-            late.getOutputStream().write(call(1, 0x22));
-            endsOnTheThread();
-            free.run();
-            byte[] answer = late.getInputStream().readAllBytes();
-            assertTrue(
-                    new String(answer, java.nio.charset.StandardCharsets.ISO_8859_1)
-                            .contains("Overloaded"));
+            late.getOutputStream().write(read(1, 0x22));
+            shutDownOnIoThread();
+            release.run();
+            assertRejected(late);
         }
     }
 
+    /**
+     * Calls come after the dispatcher has shut its side of the connection. No response could reach
+     * the client, so they must not be forwarded; and they must not reset the connection.
+     */
     @Test
-    void whatComesAfterTheShutdownIsNeverSentOnAndResetsNothing() throws Exception {
-        isKnown();
-        endsOnTheThread();
+    void callsAfterTheSendingSideWasShutAreNeitherForwardedNorDoTheyReset() throws Exception {
+        awaitHealthCheck();
+        shutDownOnIoThread();
         assertEquals(-1, client.getInputStream().read());
-        client.getOutputStream().write(call(2, 0x23));
-        client.getOutputStream().write(call(3, 0x24));
+        client.getOutputStream().write(read(2, 0x23));
+        client.getOutputStream().write(read(3, 0x24));
         assertEquals(-1, client.getInputStream().read());
         client.shutdownOutput();
-        assertTrue(ended.await(20, TimeUnit.SECONDS));
-        assertTrue(rig.allEvents.stream().noneMatch(RequestReceived.class::isInstance));
+        assertTrue(shutDown.await(20, TimeUnit.SECONDS));
+        assertTrue(fixture.allEvents.stream().noneMatch(RequestReceived.class::isInstance));
     }
 
+    /**
+     * Only the first byte of a call has come when the shutdown begins. The connection is not idle,
+     * and the rest of the call must be read and answered.
+     */
     @Test
-    void aCallThatIsHalfReadKeepsItsConnectionOpenAtTheEnd() throws Exception {
-        isKnown();
-        byte[] call = call(2, 0x25);
-        // One byte of a token that has more: nothing of it has been taken yet.
+    void aHalfReadCallKeepsItsConnectionOpenAtTheShutdown() throws Exception {
+        awaitHealthCheck();
+        byte[] call = read(2, 0x25);
+        // The first byte of a longer token: the decoder has taken nothing of it yet.
         byte[] wide =
                 RpcTestClient.concat(
                         new byte[] {(byte) 0xdc, 0, 4}, Arrays.copyOfRange(call, 1, call.length));
         client.getOutputStream().write(wide, 0, 1);
-        endsOnTheThread();
-        // The listener closes in the same breath in which idle connections are ended.
+        shutDownOnIoThread();
+        // The listener closes in the same task that closes idle connections.
         while (isListening()) {
             Thread.onSpinWait();
         }
-        rig.onIoThread(() -> null);
+        fixture.onIoThread(() -> null);
         client.getOutputStream().write(wide, 1, wide.length - 1);
-        assertTrue(
-                new String(
-                                client.getInputStream().readAllBytes(),
-                                java.nio.charset.StandardCharsets.ISO_8859_1)
-                        .contains("Overloaded"));
-    }
-
-    @Test
-    void aMessageThatComesByteByByteHoldsNoPlaceForEver() throws Exception {
-        rig.onIoThread(
-                () -> {
-                    rig.clientListener.messageTimeoutNs(100_000_000);
-                    return null;
-                });
-        byte[] call =
-                RpcTestClient.encodeCall(
-                        1,
-                        TestConfigs.WRITE_CLASS,
-                        RpcTestClient.fields(0x28, 0x7f, 2000),
-                        new byte[RpcDecoder.MAX_BODY_BYTES]);
-        int sent = 0;
-        client.setSoTimeout(1);
-        int read = 0;
-        while (read >= 0 && sent < call.length - 1) {
-            client.getOutputStream().write(call, sent++, 1);
-            try {
-                read = client.getInputStream().read();
-            } catch (SocketTimeoutException stillOpen) {
-                read = 0;
-            }
-        }
-        assertEquals(-1, read);
+        assertRejected(client);
     }
 
+    /**
+     * A fault of the protocol's handler must cost the connection whose bytes caused it, not the I/O
+     * thread, on which every other connection depends.
+     */
     @Test
-    void bodiesThatTheHeapCantHoldAreRefused() throws Exception {
-        rig.onIoThread(
-                () -> {
-                    rig.executor.maxBodyBytes(1500);
-                    return null;
-                });
-        try (RpcTestClient caller = new RpcTestClient(rig.address)) {
-            for (int i = 1; i <= 2; i++) {
-                Map<String, String> f = RpcTestClient.fields(0x30 + i, 0x7f, 2000);
-                f.put("k", "5c0f6e1a2b3d4c59a8b7c6d5e4f30211");
-                caller.send(
-                        RpcTestClient.encodeCall(i, TestConfigs.WRITE_CLASS, f, new byte[1000]));
-            }
-            RpcTestClient.Response refused = caller.response();
-            assertEquals(2, refused.messageId());
-            assertEquals("Overloaded", refused.error());
-            DispatcherFixture.EndpointPeer host = rig.connect(rig.nextConnectRequest());
-            host.respond(Frame.OK, host.nextFrame().id(), "rev=1");
-            assertEquals(1, caller.response().messageId());
-            assertEquals(0, rig.onIoThread(rig.executor::openRequests));
-        }
-    }
-
-    @Test
-    void aClientThatTakesNoneOfItsAnswersIsClosedBeforeTheyFillTheHeap() throws Exception {
-        rig.onIoThread(
-                () -> {
-                    rig.clientListener.maxPendingWriteBytes(300_000);
-                    return null;
-                });
-        isKnown();
-        DispatcherFixture.EndpointPeer host = null;
-        for (int i = 1; i <= 64 && rig.onIoThread(rig.clientListener::connectionCount) > 0; i++) {
-            client.getOutputStream().write(call(i + 1, 0x100 + i));
-            rig.nextEvent(RequestReceived.class);
-            host = host == null ? rig.connect(rig.nextConnectRequest()) : host;
-            host.respond(Frame.OK, host.nextFrame().id(), "rev=1", Frame.MAX_BODY_BYTES);
-            rig.nextEvent(RouterEvent.AttemptCompleted.class);
-        }
-        assertEquals(0, rig.onIoThread(rig.clientListener::connectionCount));
-    }
-
-    @Test
-    void aFaultWhileBytesAreTakenCostsTheirConnectionAlone() throws Exception {
-        CountDownLatch told = new CountDownLatch(1);
+    void aFaultWhileBytesAreHandledCostsTheirConnectionAlone() throws Exception {
+        CountDownLatch closed = new CountDownLatch(1);
         AtomicInteger calls = new AtomicInteger();
-        RawConnection[] pair = rig.onIoThread(() -> RawConnection.pair(rig.loop));
-        rig.onIoThread(
+        RawConnection[] pair = fixture.onIoThread(() -> RawConnection.pair(fixture.loop));
+        fixture.onIoThread(
                 () -> {
                     pair[0].start(
                             new RawConnection.EventListener() {
@@ -238,46 +175,48 @@
                                 }
 
                                 @Override
-                                public void onClose(String why) {
-                                    told.countDown();
+                                public void onClose(String reason) {
+                                    closed.countDown();
                                 }
                             });
                     pair[1].write(ByteBuffer.allocate(3));
                     return null;
                 });
-        assertTrue(told.await(20, TimeUnit.SECONDS));
-        isKnown();
+        assertTrue(closed.await(20, TimeUnit.SECONDS));
+        awaitHealthCheck();
         assertEquals(1, calls.get());
     }
 
+    /** A request is open when the shutdown begins: its response comes before the side is shut. */
     @Test
-    void whatIsTakenIsAnsweredBeforeTheSendingSideIsShut() throws Exception {
-        client.getOutputStream().write(call(1, 0x26));
-        DispatcherFixture.EndpointPeer host = rig.connect(rig.nextConnectRequest());
-        assertEquals(0x26, host.nextFrame().id());
-        endsOnTheThread();
-        rig.onIoThread(() -> null);
-        host.respond(Frame.OK, 0x26, "rev=1");
-        byte[] answer = client.getInputStream().readAllBytes();
-        assertArrayEquals(new byte[] {(byte) 0x94, 1, 1, (byte) 0xc0}, Arrays.copyOf(answer, 4));
-    }
-
+    void anOpenRequestIsAnsweredBeforeTheSendingSideIsShut() throws Exception {
+        client.getOutputStream().write(read(1, 0x26));
+        DispatcherFixture.EndpointPeer endpoint = fixture.connect(fixture.nextConnectRequest());
+        assertEquals(0x26, endpoint.nextFrame().id());
+        shutDownOnIoThread();
+        fixture.onIoThread(() -> null);
+        endpoint.respond(Frame.OK, 0x26, "rev=1");
+        byte[] response = client.getInputStream().readAllBytes();
+        assertArrayEquals(new byte[] {(byte) 0x94, 1, 1, (byte) 0xc0}, Arrays.copyOf(response, 4));
+    }
+
+    /**
+     * A response waits to be read by the client, and the client sends bytes that are no message. A
+     * plain close over the unread bytes would reset the connection, and the response would be lost.
+     */
     @Test
-    void aCloseOverUnreadBytesTakesNoAnswerWithIt() throws Exception {
-        client.getOutputStream().write(call(1, 0x27));
-        DispatcherFixture.EndpointPeer host = rig.connect(rig.nextConnectRequest());
-        host.nextFrame();
-        host.respond(Frame.FULL, 0x27, "");
-        rig.nextEvent(RouterEvent.AttemptCompleted.class);
-        Runnable free = rig.holdIoThread();
+    void aCloseOverUnreadBytesTakesNoResponseWithIt() throws Exception {
+        client.getOutputStream().write(read(1, 0x27));
+        DispatcherFixture.EndpointPeer endpoint = fixture.connect(fixture.nextConnectRequest());
+        endpoint.nextFrame();
+        endpoint.respond(Frame.FULL, 0x27, "");
+        fixture.nextEvent(RouterEvent.AttemptCompleted.class);
+        Runnable release = fixture.holdIoThread();
         byte[] noise = new byte[100_000];
         Arrays.fill(noise, (byte) 0xc1);
         client.getOutputStream().write(noise);
-        free.run();
+        release.run();
         // A reset would throw here, or bring less.
-        byte[] answer = client.getInputStream().readAllBytes();
-        assertTrue(
-                new String(answer, java.nio.charset.StandardCharsets.ISO_8859_1)
-                        .contains("Overloaded"));
+        assertRejected(client);
     }
 }
--- /dev/null
+++ b/src/test/java/brooklock/platform/DiscoveryClientTest.java
@@ -0,0 +1,136 @@
+package brooklock.platform;
+
+import static org.junit.jupiter.api.Assertions.assertArrayEquals;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.io.IOException;
+import java.net.InetAddress;
+import java.net.ServerSocket;
+import java.net.Socket;
+import java.nio.charset.StandardCharsets;
+import java.util.List;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.Timeout;
+import org.junit.jupiter.api.extension.RegisterExtension;
+
+/** A discovery service that breaks off, repeats, skips, falls silent or moves. */
+@Timeout(120)
+class DiscoveryClientTest {
+    private static final byte[] BODY = LoopbackDispatcher.BODY;
+
+    @RegisterExtension private final LoopbackDispatcher loopback = new LoopbackDispatcher();
+
+    private static String readLine(Socket socket) throws IOException {
+        StringBuilder line = new StringBuilder();
+        for (int b = socket.getInputStream().read();
+                b != '\n';
+                b = socket.getInputStream().read()) {
+            line.append((char) b);
+        }
+        return line.toString();
+    }
+
+    private static void writeLine(Socket socket, Object line) throws IOException {
+        socket.getOutputStream().write((line + "\n").getBytes(StandardCharsets.UTF_8));
+    }
+
+    /**
+     * The connection breaks in the middle of event 3. On the next one the service repeats event 2,
+     * sends event 3, and then skips event 4. The dispatcher must resume after the last event that
+     * it has whole, take each event once, and connect again at the gap.
+     */
+    @Test
+    void eventsAreResumedWhereTheConnectionBroke() throws Exception {
+        loopback.start(FakeEndpoint.serving(BODY));
+        try (Socket first = loopback.acceptDiscoveryClient()) {
+            assertEquals("resume 1", readLine(first));
+            writeLine(
+                    first,
+                    "{\"cursor\":2,\"drop\":{\"family\":1,\"when\":"
+                            + System.currentTimeMillis()
+                            + "}}");
+            first.getOutputStream()
+                    .write("{\"cursor\":3,\"drop\":{\"fam".getBytes(StandardCharsets.UTF_8));
+        }
+        try (Socket second = loopback.acceptDiscoveryClient()) {
+            assertEquals("resume 2", readLine(second));
+            writeLine(second, "{\"cursor\":2,\"drop\":{\"family\":1,\"when\":1}}");
+            writeLine(second, 2);
+            writeLine(second, cacheListUpdate(3, loopback.cache(0), "left"));
+            writeLine(second, "{\"cursor\":5,\"drop\":{\"family\":1,\"when\":1}}");
+            try (Socket third = loopback.acceptDiscoveryClient()) {
+                assertEquals("resume 3", readLine(third));
+                // The only cache has left: the request goes to the origin.
+                assertArrayEquals(BODY, loopback.client().request(1, 0x24, 0x90, 2000).body());
+                assertTrue(loopback.cache(0).received.isEmpty());
+                assertEquals(1, loopback.origin().received.size());
+            }
+        }
+    }
+
+    /**
+     * A cache leaves the list and comes back under the same name at another address. Requests must
+     * go to the new address, not to connections of the old one.
+     */
+    @Test
+    void anEndpointThatLeftAndIsBackAtAnotherAddressIsReached() throws Exception {
+        loopback.start(FakeEndpoint.serving(BODY));
+        assertArrayEquals(BODY, loopback.client().request(1, 0x30, 0x94, 2000).body());
+        FakeEndpoint moved = loopback.newEndpoint(FakeEndpoint.serving(BODY));
+        try (Socket discovery = loopback.acceptDiscoveryClient()) {
+            readLine(discovery);
+            writeLine(discovery, cacheListUpdate(2, loopback.cache(0), "left"));
+            writeLine(discovery, cacheListUpdate(3, moved, "active"));
+            int i = 2;
+            while (moved.received.isEmpty()) {
+                assertArrayEquals(BODY, loopback.client().request(i, 0x30 + i, 0x94, 2000).body());
+                i++;
+            }
+            int before = moved.received.size();
+            assertArrayEquals(BODY, loopback.client().request(i, 0x30 + i, 0x94, 2000).body());
+            assertEquals(before + 1, moved.received.size());
+        }
+    }
+
+    /**
+     * The service accepts the connection and then sends nothing, not even heartbeats. The
+     * dispatcher must take the connection for dead and open another.
+     */
+    @Test
+    void aSilentConnectionIsReplaced() throws Exception {
+        loopback.start(FakeEndpoint.serving(BODY));
+        try (Socket first = loopback.acceptDiscoveryClient()) {
+            assertEquals("resume 1", readLine(first));
+            try (Socket second = loopback.acceptDiscoveryClient()) {
+                assertEquals("resume 1", readLine(second));
+            }
+        }
+    }
+
+    /**
+     * The configuration is reloaded while it is being written, so that the first reading finds half
+     * of it. The dispatcher reads it again and moves to the new address of the discovery service.
+     */
+    @Test
+    void aReloadMovesToAnotherDiscoveryServiceAlsoIfTheFileIsHalfWritten() throws Exception {
+        loopback.start(FakeEndpoint.serving(BODY));
+        try (Socket first = loopback.acceptDiscoveryClient();
+                ServerSocket next = new ServerSocket(0, 9, InetAddress.getLoopbackAddress())) {
+            assertEquals("resume 1", readLine(first));
+            loopback.writeConfig("{\"chan");
+            loopback.dispatcher().reload();
+            loopback.writeConfig(TestConfigs.config("127.0.0.1:" + next.getLocalPort(), List.of()));
+            try (Socket second = next.accept()) {
+                assertEquals("resume 1", readLine(second));
+            }
+        }
+    }
+
+    private static Object cacheListUpdate(long sequence, FakeEndpoint cache, String status) {
+        return TestConfigs.listUpdate(
+                sequence,
+                false,
+                List.of(TestConfigs.endpoint("s-1", cache.address(), "box", status)));
+    }
+}
--- a/src/test/java/brooklock/platform/DispatcherFixture.java
+++ b/src/test/java/brooklock/platform/DispatcherFixture.java
@@ -5,14 +5,18 @@
 import brooklock.net.RawConnection;
 import brooklock.proxy.MonotonicClock;
 import brooklock.proxy.RoutingStrategy;
+import brooklock.routing.AttemptOutcome;
+import brooklock.routing.EndpointState;
 import brooklock.routing.RouterAction;
 import brooklock.routing.RouterEvent;
 import java.io.Closeable;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
+import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Optional;
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.Callable;
 import java.util.concurrent.CompletableFuture;
@@ -22,31 +26,32 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.BiConsumer;
 import java.util.function.Consumer;
+import java.util.zip.CRC32;
 
 /**
  * The parts of a dispatcher with a decider that the test writes, a front on a real socket, and
  * connections to hosts that come up when the test lets them: what crosses is forced.
  */
 final class DispatcherFixture implements Closeable {
-    /** A connection on its way to a host; the test opens it or lets it fail. */
+    /** A connection on its way to an endpoint; the test opens it or lets it fail. */
     record ConnectRequest(
             InetSocketAddress address,
             Consumer<RawConnection> onConnected,
             Consumer<String> onFailed) {}
 
-    /** The far end of a connection to a host. */
+    /** The endpoint's side of a connection. */
     final class EndpointPeer implements RawConnection.EventListener {
         final BlockingQueue<Frame> frames = new LinkedBlockingQueue<>();
         final CountDownLatch closed = new CountDownLatch(1);
         private final FrameDecoder decoder =
                 new FrameDecoder(Frame.DISPATCHER_MARK, Frame.REQUEST, Frame.CANCEL);
-        private RawConnection stream;
+        private RawConnection transport;
 
         @Override
         public void onBytes(ByteBuffer in) {
             try {
-                for (Frame f = decoder.next(in); f != null; f = decoder.next(in)) {
-                    frames.add(f);
+                for (Frame frame = decoder.next(in); frame != null; frame = decoder.next(in)) {
+                    frames.add(frame);
                 }
             } catch (MalformedMessageException e) {
                 throw new IllegalStateException(e);
@@ -54,7 +59,7 @@
         }
 
         @Override
-        public void onClose(String why) {
+        public void onClose(String reason) {
             closed.countDown();
         }
 
@@ -65,7 +70,7 @@
         void respond(int code, long id, String fields, int bytes) throws Exception {
             onIoThread(
                     () -> {
-                        stream.write(
+                        transport.write(
                                 FrameEncoder.encode(
                                         Frame.ENDPOINT_MARK, code, id, fields, new byte[bytes]));
                         return null;
@@ -77,8 +82,8 @@
         }
     }
 
-    final IoThreads net = IoThreads.start("rig", 1);
-    final IoLoop loop = net.loop(0);
+    final IoThreads threads = IoThreads.start("fixture", 1);
+    final IoLoop loop = threads.loop(0);
     final BlockingQueue<ConnectRequest> connectRequests = new LinkedBlockingQueue<>();
     final BlockingQueue<RouterEvent> events = new LinkedBlockingQueue<>();
     final List<RouterEvent> allEvents = new CopyOnWriteArrayList<>();
@@ -90,35 +95,41 @@
     private long sequence;
 
     /**
-     * Decides by what is given; hosts are numbered as the table numbers them, see {@link #host}.
+     * Starts a dispatcher.
+     *
+     * @param maxConnections connections to all endpoints together
+     * @param decisions makes the decisions; endpoints have the ids of {@link #endpointId}
      */
     DispatcherFixture(int maxConnections, BiConsumer<RouterEvent, List<RouterAction>> decisions)
             throws Exception {
-        PlatformConfig config = PlatformConfig.parse(TestConfigs.config("127.0.0.1:9", List.of()));
+        PlatformConfig config =
+                PlatformConfigReader.parse(TestConfigs.config("127.0.0.1:9", List.of()));
         connector =
                 new EndpointConnector(
-                        loop,
                         new EndpointTable(config.zones(), config.kinds(), clock::fromWallMs),
-                        config,
-                        maxConnections,
-                        (to, limitNs, opened, failed) -> {
-                            connectRequests.add(new ConnectRequest(to, opened, failed));
-                            return () -> {};
-                        });
+                        ConnectionSettings.of(
+                                loop,
+                                (to, timeoutNs, onConnected, onFailed) -> {
+                                    connectRequests.add(
+                                            new ConnectRequest(to, onConnected, onFailed));
+                                    return () -> {};
+                                },
+                                config,
+                                maxConnections));
         executor =
                 new RequestExecutor(
                         new RoutingStrategy() {
                             @Override
-                            public void start(long now, List<RouterAction> out) {
+                            public void start(long nowNs, List<RouterAction> actions) {
                                 // Nothing is decided before the first event.
                             }
 
                             @Override
                             public void onEvent(
-                                    long now, RouterEvent event, List<RouterAction> out) {
+                                    long nowNs, RouterEvent event, List<RouterAction> actions) {
                                 allEvents.add(event);
                                 events.add(event);
-                                decisions.accept(event, out);
+                                decisions.accept(event, actions);
                             }
                         },
                         clock,
@@ -132,14 +143,14 @@
                             executor.start();
                             return clientListener
                                     .open(
-                                            net,
+                                            threads,
                                             new InetSocketAddress(
                                                     InetAddress.getLoopbackAddress(), 0))
                                     .address();
                         });
     }
 
-    /** Runs work on the I/O thread and waits for it. */
+    /** Runs work on the I/O thread and returns its result. */
     <T> T onIoThread(Callable<T> work) throws Exception {
         CompletableFuture<T> done = new CompletableFuture<>();
         loop.execute(
@@ -153,7 +164,9 @@
         return done.get(20, TimeUnit.SECONDS);
     }
 
-    /** Holds the I/O thread until what is given is run: what peers send meanwhile lies unread. */
+    /**
+     * Holds the I/O thread until the returned task is run: what peers send meanwhile stays unread.
+     */
     Runnable holdIoThread() throws InterruptedException {
         CountDownLatch held = new CountDownLatch(1);
         CountDownLatch free = new CountDownLatch(1);
@@ -170,11 +183,13 @@
         return free::countDown;
     }
 
-    /** Tells of hosts, each in a state. */
-    void updateList(String state, String... names) throws Exception {
+    /** Updates the endpoint list with endpoints of one state. */
+    void updateList(EndpointState state, String... names) throws Exception {
         List<DiscoveryEvent.Endpoint> entries = new ArrayList<>();
-        for (String n : names) {
-            entries.add(new DiscoveryEvent.Endpoint(n, "127.0.0.1:7", "west", "box", state, 1, 0));
+        for (String name : names) {
+            entries.add(
+                    new DiscoveryEvent.Endpoint(
+                            name, "127.0.0.1:7", "west", "box", Optional.of(state), 1, 0));
         }
         onIoThread(
                 () -> {
@@ -184,52 +199,65 @@
                 });
     }
 
-    /** The number that the table gives a host. */
+    /** Returns the id that the endpoint table gives an endpoint. */
     static long endpointId(String name) {
-        java.util.zip.CRC32 c = new java.util.zip.CRC32();
-        c.update(name.getBytes(java.nio.charset.StandardCharsets.UTF_8));
-        return c.getValue();
+        CRC32 crc = new CRC32();
+        crc.update(name.getBytes(StandardCharsets.UTF_8));
+        return crc.getValue();
     }
 
-    /** An attempt at a host that fills from nobody. */
+    /** Returns an attempt that allows no fill. */
     static RouterAction.StartAttempt attemptAction(
-            long request, String host, long limitMs, long beginMs) {
+            long request, String endpoint, long timeoutMs, long startWithinMs) {
         return new RouterAction.StartAttempt(
                 request,
-                endpointId(host),
-                limitMs * 1_000_000,
-                endpointId(host),
+                endpointId(endpoint),
+                timeoutMs * 1_000_000,
+                endpointId(endpoint),
                 0,
                 0,
                 false,
                 false,
-                beginMs * 1_000_000);
+                startWithinMs * 1_000_000);
+    }
+
+    /** Decides one attempt at an endpoint for each request; if it is not served, rejects it. */
+    static BiConsumer<RouterEvent, List<RouterAction>> rejectingUnlessServedBy(String endpoint) {
+        return (event, actions) -> {
+            if (event instanceof RouterEvent.RequestReceived received) {
+                actions.add(attemptAction(received.id(), endpoint, 2000, 2000));
+            } else if (event instanceof RouterEvent.AttemptCompleted completed
+                    && completed.outcome() != AttemptOutcome.OK) {
+                actions.add(new RouterAction.RejectRequest(completed.id(), 0));
+            }
+        };
     }
 
+    /** Waits for the next connection that the dispatcher wants. */
     ConnectRequest nextConnectRequest() throws InterruptedException {
         return connectRequests.poll(20, TimeUnit.SECONDS);
     }
 
     /** Lets a connection come up. */
-    EndpointPeer connect(ConnectRequest d) throws Exception {
-        EndpointPeer p = new EndpointPeer();
+    EndpointPeer connect(ConnectRequest request) throws Exception {
+        EndpointPeer peer = new EndpointPeer();
         return onIoThread(
                 () -> {
                     RawConnection[] pair = RawConnection.pair(loop);
-                    p.stream = pair[1];
-                    pair[1].start(p);
-                    d.onConnected().accept(pair[0]);
-                    return p;
+                    peer.transport = pair[1];
+                    pair[1].start(peer);
+                    request.onConnected().accept(pair[0]);
+                    return peer;
                 });
     }
 
-    /** The next event of a kind. */
+    /** Waits for the next event of a kind; events of other kinds are dropped. */
     <E extends RouterEvent> E nextEvent(Class<E> kind) throws InterruptedException {
-        for (RouterEvent e = events.poll(20, TimeUnit.SECONDS);
-                e != null;
-                e = events.poll(20, TimeUnit.SECONDS)) {
-            if (kind.isInstance(e)) {
-                return kind.cast(e);
+        for (RouterEvent event = events.poll(20, TimeUnit.SECONDS);
+                event != null;
+                event = events.poll(20, TimeUnit.SECONDS)) {
+            if (kind.isInstance(event)) {
+                return kind.cast(event);
             }
         }
         throw new AssertionError("no " + kind.getSimpleName());
@@ -237,6 +265,6 @@
 
     @Override
     public void close() {
-        net.close();
+        threads.close();
     }
 }
--- a/src/test/java/brooklock/platform/DispatcherProcessTest.java
+++ b/src/test/java/brooklock/platform/DispatcherProcessTest.java
@@ -2,6 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.google.gson.JsonObject;
@@ -16,7 +17,6 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
-import java.util.Map;
 import java.util.concurrent.TimeUnit;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
@@ -38,42 +38,67 @@
     private BufferedReader log;
 
     @AfterEach
-    void end() {
+    void stop() {
         if (process != null) {
             process.destroyForcibly();
         }
     }
 
     private void start(String config) throws IOException {
-        Path file = Files.writeString(dir.resolve("config.json"), config);
-        ProcessBuilder b =
+        run("node", Files.writeString(dir.resolve("config.json"), config).toString());
+    }
+
+    private void run(String command, String configPath) throws IOException {
+        ProcessBuilder builder =
                 new ProcessBuilder(
                                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                                 "-Xmx48m",
                                 "-cp",
                                 System.getProperty("java.class.path"),
                                 "brooklock.Main",
-                                "node")
+                                command)
                         .redirectErrorStream(true);
-        b.environment().put("NODE_CONFIG", file.toString());
-        process = b.start();
+        builder.environment().put("NODE_CONFIG", configPath);
+        process = builder.start();
         log =
                 new BufferedReader(
                         new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8));
     }
 
-    private InetSocketAddress serving() throws IOException {
+    private InetSocketAddress awaitServing() throws IOException {
         for (String line = log.readLine(); line != null; line = log.readLine()) {
-            Matcher m = SERVING.matcher(line);
-            if (m.find()) {
-                return new InetSocketAddress(m.group(1), Integer.parseInt(m.group(2)));
+            Matcher serving = SERVING.matcher(line);
+            if (serving.find()) {
+                return new InetSocketAddress(serving.group(1), Integer.parseInt(serving.group(2)));
             }
         }
         throw new AssertionError("it does not serve");
     }
 
+    // The next line that comes neither from the log nor from the virtual machine.
+    private String nextLine() throws IOException {
+        String line = log.readLine();
+        while (line != null && (line.startsWith("{") || line.startsWith("Picked up "))) {
+            line = log.readLine();
+        }
+        return line;
+    }
+
+    private void sendSignal(String name) throws Exception {
+        new ProcessBuilder("kill", "-" + name, Long.toString(process.pid())).start().waitFor();
+    }
+
+    private void assertExitStatus(int status) throws InterruptedException {
+        assertTrue(process.waitFor(20, TimeUnit.SECONDS));
+        assertEquals(status, process.exitValue());
+    }
+
+    /**
+     * SIGTERM comes twice, and a client that has its response keeps its connection open. The
+     * dispatcher closes the connection and ends by itself, with status 0.
+     */
     @Test
-    void aNoticeToEndAlsoTwiceIsFollowedByAnEndOfItsOwn() throws Exception {
+    void sigtermEndsItAlsoIfItComesTwice() throws Exception {
         try (FakeEndpoint origin = new FakeEndpoint(FakeEndpoint.serving(new byte[] {7}))) {
             start(
                     TestConfigs.config(
@@ -81,57 +106,42 @@
                             List.of(
                                     TestConfigs.endpoint(
                                             "s-o", origin.address(), "origin", "active"))));
-            try (RpcTestClient caller = new RpcTestClient(serving())) {
-                Map<String, String> f = RpcTestClient.fields(0x41, 0x42, 2400);
-                caller.send(RpcTestClient.encodeCall(1, TestConfigs.READ_CLASS, f, new byte[0]));
-                assertEquals(1, caller.response().messageId());
+            try (RpcTestClient client = new RpcTestClient(awaitServing())) {
+                assertEquals(1, client.request(1, 0x41, 0x42, 2400).messageId());
                 process.destroy();
                 process.destroy();
-                // The client rests until it is ended.
-                assertEquals(null, caller.response());
+                assertNull(client.response());
             }
-            assertTrue(process.waitFor(20, TimeUnit.SECONDS));
-            assertEquals(0, process.exitValue());
+            assertExitStatus(0);
         }
     }
 
+    /**
+     * SIGHUP and SIGTERM come while the dispatcher is starting. Without handlers they would end the
+     * process with the signal's status; they must wait for the start and then take effect.
+     */
     @Test
     void signalsBeforeItIsReadyWaitForTheStart() throws Exception {
-        try (ServerSocket channel = new ServerSocket(0, 9, InetAddress.getLoopbackAddress())) {
-            start(TestConfigs.config("127.0.0.1:" + channel.getLocalPort(), List.of()));
-            assertEquals("starting", word());
-            signal("HUP");
-            signal("TERM");
-            assertTrue(process.waitFor(20, TimeUnit.SECONDS));
-            assertEquals(0, process.exitValue());
+        try (ServerSocket discovery = new ServerSocket(0, 9, InetAddress.getLoopbackAddress())) {
+            start(TestConfigs.config("127.0.0.1:" + discovery.getLocalPort(), List.of()));
+            assertEquals("starting", nextLine());
+            sendSignal("HUP");
+            sendSignal("TERM");
+            assertExitStatus(0);
         }
     }
 
-    // The next line that is neither one of the log nor one of the virtual machine's own.
-    private String word() throws IOException {
-        String line = log.readLine();
-        while (line != null && (line.startsWith("{") || line.startsWith("Picked up "))) {
-            line = log.readLine();
-        }
-        return line;
-    }
-
-    private void signal(String name) throws Exception {
-        new ProcessBuilder("kill", "-" + name, Long.toString(process.pid())).start().waitFor();
-    }
-
     @ParameterizedTest
     @CsvSource({"settings", "known", "name", "listen", "channel"})
-    void whatIsMissingEndsTheStartWithOneLine(String field) throws Exception {
+    void aMissingFieldEndsTheStartWithOneLine(String field) throws Exception {
         JsonObject config =
                 JsonParser.parseString(TestConfigs.config("127.0.0.1:9", List.of()))
                         .getAsJsonObject();
         config.remove(field);
         start(config.toString());
-        assertEquals("starting", word());
+        assertEquals("starting", nextLine());
         String all = String.join("\n", log.lines().toList());
-        assertTrue(process.waitFor(20, TimeUnit.SECONDS));
-        assertEquals(1, process.exitValue());
+        assertExitStatus(1);
         assertEquals("brooklock: the configuration can't be read: " + field + " is missing", all);
     }
 
@@ -144,29 +154,41 @@
         config.getAsJsonObject("settings").remove(field);
         config.addProperty("unheard-of", 1);
         start(config.toString());
-        assertEquals("starting", word());
-        String first = word();
+        assertEquals("starting", nextLine());
+        String first = nextLine();
         if (!first.startsWith("brooklock: ")) {
             assertTrue(SERVING.matcher(first).find(), first);
             return;
         }
         assertEquals("brooklock: the configuration can't be read: " + field + " is missing", first);
-        assertTrue(process.waitFor(20, TimeUnit.SECONDS));
-        assertEquals(1, process.exitValue());
+        assertExitStatus(1);
+    }
+
+    /** A build makes the class archive from this command; a failure would make every start slow. */
+    @ParameterizedTest
+    @ValueSource(strings = {"warm-up", "practice"})
+    void theWarmUpCommandEndsWithStatusZeroAndWritesNothing(String command) throws Exception {
+        run(command, "");
+        assertNull(nextLine());
+        assertExitStatus(0);
     }
 
+    /**
+     * The bench steps through every system call of a start. A start script that read the
+     * configuration, or started another program, would stall it.
+     */
     @Test
-    void theStartScriptReadsNothingAndStartsNoProgramOnTheWay() throws Exception {
+    void theStartScriptReadsNothingAndStartsNoOtherProgram() throws Exception {
         Path java = dir.resolve("java");
         Files.writeString(java, "#!/bin/sh\necho \"$@\"\necho pid $$\n");
         assertTrue(java.toFile().setExecutable(true));
-        // Whoever opens this one to read waits for ever.
+        // Whoever opens a FIFO to read waits for ever.
         Path config = dir.resolve("fifo");
         assertEquals(0, new ProcessBuilder("mkfifo", config.toString()).start().waitFor());
-        ProcessBuilder b = new ProcessBuilder("deploy/node").redirectErrorStream(true);
-        b.environment().put("PATH", dir.toString());
-        b.environment().put("NODE_CONFIG", config.toString());
-        process = b.start();
+        ProcessBuilder builder = new ProcessBuilder("deploy/node").redirectErrorStream(true);
+        builder.environment().put("PATH", dir.toString());
+        builder.environment().put("NODE_CONFIG", config.toString());
+        process = builder.start();
         String out = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
         assertTrue(out.contains("-Djava.net.preferIPv4Stack=true "), out);
         assertTrue(out.contains("pid " + process.pid()), out);
--- /dev/null
+++ b/src/test/java/brooklock/platform/EndpointConnectionPoolTest.java
@@ -0,0 +1,210 @@
+package brooklock.platform;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNotSame;
+import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import brooklock.routing.AttemptOutcome;
+import brooklock.routing.EndpointState;
+import brooklock.routing.RouterAction;
+import brooklock.routing.RouterAction.FailRequest;
+import brooklock.routing.RouterAction.RejectRequest;
+import brooklock.routing.RouterEvent;
+import brooklock.routing.RouterEvent.AttemptCompleted;
+import brooklock.routing.RouterEvent.RequestReceived;
+import java.util.List;
+import java.util.Map;
+import java.util.concurrent.TimeUnit;
+import java.util.function.BiConsumer;
+import org.junit.jupiter.api.AfterEach;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.Timeout;
+
+/** Which connection an attempt uses, and what becomes of connections that are late or idle. */
+@Timeout(60)
+class EndpointConnectionPoolTest {
+    private static final int TIMEOUT_MS = 2400;
+
+    private DispatcherFixture fixture;
+    private RpcTestClient client;
+
+    @AfterEach
+    void stop() throws Exception {
+        client.close();
+        fixture.close();
+    }
+
+    private void start(int maxConnections, BiConsumer<RouterEvent, List<RouterAction>> decisions)
+            throws Exception {
+        fixture = new DispatcherFixture(maxConnections, decisions);
+        fixture.updateList(EndpointState.READY, "a");
+        client = new RpcTestClient(fixture.address);
+    }
+
+    private void send(long messageId, long id, long object) throws Exception {
+        client.send(
+                RpcTestClient.encodeCall(
+                        messageId,
+                        TestConfigs.READ_CLASS,
+                        RpcTestClient.fields(id, object, TIMEOUT_MS),
+                        new byte[0]));
+    }
+
+    private DispatcherFixture.ConnectRequest sendFirst(long id) throws Exception {
+        send(1, id, 0x7f);
+        return fixture.nextConnectRequest();
+    }
+
+    /**
+     * An endpoint responds twice to the first attempt of a request, and the second attempt goes to
+     * the same endpoint under the same id. It must use another connection, or the late second
+     * response would be taken for its own.
+     */
+    @Test
+    void aSecondResponseIsNotTakenForThatOfALaterAttempt() throws Exception {
+        start(
+                64,
+                (event, actions) -> {
+                    if (event instanceof RequestReceived received) {
+                        actions.add(attempt(received.id(), "a"));
+                    } else if (event instanceof AttemptCompleted completed
+                            && completed.attempt() == 0) {
+                        actions.add(attempt(completed.id(), "a"));
+                    }
+                });
+        DispatcherFixture.EndpointPeer first = fixture.connect(sendFirst(0x18));
+        assertEquals(0x18, first.nextFrame().id());
+        first.respond(Frame.MISS, 0x18, "");
+        assertEquals(
+                AttemptOutcome.CACHE_MISS, fixture.nextEvent(AttemptCompleted.class).outcome());
+        DispatcherFixture.EndpointPeer second = fixture.connect(fixture.nextConnectRequest());
+        assertEquals(0x18, second.nextFrame().id());
+        first.respond(Frame.MISS, 0x18, "");
+        second.respond(Frame.OK, 0x18, "rev=1");
+        assertNull(client.response().error());
+        assertEquals(AttemptOutcome.OK, fixture.nextEvent(AttemptCompleted.class).outcome());
+        fixture.onIoThread(() -> null);
+        assertNull(fixture.events.peek());
+        assertNotSame(first, second);
+    }
+
+    /**
+     * An endpoint confirms a copy with an entity tag that is not the client's. Taken at its word,
+     * the client would go on with an outdated copy.
+     */
+    @Test
+    void aCopyIsConfirmedOnlyIfTheEndpointNamesItsTag() throws Exception {
+        start(64, QueuedAttemptTest::decideOneAttempt);
+        Map<String, String> fields = RpcTestClient.fields(0x19, 0x7f, TIMEOUT_MS);
+        fields.put("etag", "4be0c1927d55a6f3");
+        client.send(RpcTestClient.encodeCall(1, TestConfigs.READ_CLASS, fields, new byte[0]));
+        DispatcherFixture.EndpointPeer endpoint = fixture.connect(fixture.nextConnectRequest());
+        endpoint.nextFrame();
+        endpoint.respond(Frame.NOT_MODIFIED, 0x19, "rev=5555555555555555,tell=hit");
+        assertEquals("Internal", client.response().error());
+    }
+
+    /**
+     * The network is slow to bring up a second connection. The attempt that waits for it shares the
+     * first after an eighth of the connect timeout; the late connection serves the next attempt.
+     */
+    @Test
+    void anAttemptSharesAConnectionIfItsOwnIsSlowToComeUp() throws Exception {
+        start(64, QueuedAttemptTest::decideOneAttempt);
+        DispatcherFixture.EndpointPeer first = fixture.connect(sendFirst(0x1d));
+        assertEquals(0x1d, first.nextFrame().id());
+        send(2, 0x1e, 0x7f);
+        DispatcherFixture.ConnectRequest late = fixture.nextConnectRequest();
+        assertEquals(0x1e, first.nextFrame().id());
+        DispatcherFixture.EndpointPeer second = fixture.connect(late);
+        send(3, 0x1f, 0x7f);
+        assertEquals(0x1f, second.nextFrame().id());
+        assertNull(fixture.connectRequests.peek());
+    }
+
+    /**
+     * A connection is not up by its timeout. Its attempt fails as not connected, and the connection
+     * is still waited for: once it is up, the next attempt uses it without a new one.
+     */
+    @Test
+    void aConnectionThatIsOverdueFailsItsAttemptAndServesTheNext() throws Exception {
+        start(64, QueuedAttemptTest::decideOneAttempt);
+        DispatcherFixture.ConnectRequest late = sendFirst(0x20);
+        AttemptCompleted completed = fixture.nextEvent(AttemptCompleted.class);
+        assertEquals(AttemptOutcome.CONNECT_FAILED, completed.outcome());
+        assertEquals("Internal", client.response().error());
+        DispatcherFixture.EndpointPeer endpoint = fixture.connect(late);
+        send(2, 0x2a, 0x7f);
+        assertEquals(0x2a, endpoint.nextFrame().id());
+        assertNull(fixture.connectRequests.peek());
+    }
+
+    /**
+     * An idle connection is chosen for an attempt whose time to start has passed already. It must
+     * go back to the idle ones, or it would be lost to the pool.
+     */
+    @Test
+    void aConnectionOfAnAttemptThatDoesNotStartIsThereForTheNext() throws Exception {
+        start(
+                64,
+                (event, actions) -> {
+                    if (event instanceof RequestReceived received) {
+                        actions.add(
+                                DispatcherFixture.attemptAction(
+                                        received.id(),
+                                        "a",
+                                        TIMEOUT_MS,
+                                        received.object() == 0x80 ? -1 : TIMEOUT_MS));
+                    } else if (event instanceof AttemptCompleted completed
+                            && completed.outcome() != AttemptOutcome.OK) {
+                        actions.add(new FailRequest(completed.id()));
+                    }
+                });
+        DispatcherFixture.EndpointPeer endpoint = fixture.connect(sendFirst(0x2c));
+        endpoint.nextFrame();
+        endpoint.respond(Frame.OK, 0x2c, "rev=1");
+        assertNull(client.response().error());
+        send(2, 0x2d, 0x80);
+        assertEquals("Internal", client.response().error());
+        send(3, 0x2e, 0x7f);
+        assertEquals(0x2e, endpoint.nextFrame().id());
+        assertNull(fixture.connectRequests.peek());
+    }
+
+    /**
+     * All descriptors are in use, one of them by an idle connection to another endpoint. That one
+     * is closed, so that a request to this endpoint need not wait until it is idle for too long.
+     */
+    @Test
+    void anIdleConnectionToAnotherEndpointGivesWay() throws Exception {
+        start(
+                1,
+                (event, actions) -> {
+                    if (event instanceof RequestReceived received) {
+                        actions.add(attempt(received.id(), received.object() == 0x7f ? "a" : "b"));
+                    } else if (event instanceof AttemptCompleted completed
+                            && completed.outcome() != AttemptOutcome.OK) {
+                        actions.add(new RejectRequest(completed.id(), 0));
+                    }
+                });
+        DispatcherFixture.ConnectRequest toA = sendFirst(0x1a);
+        fixture.updateList(EndpointState.READY, "b");
+        DispatcherFixture.EndpointPeer a = fixture.connect(toA);
+        a.nextFrame();
+        send(2, 0x1b, 0x80);
+        fixture.nextEvent(RequestReceived.class);
+        fixture.nextEvent(RequestReceived.class);
+        assertNull(fixture.connectRequests.peek());
+        a.respond(Frame.OK, 0x1a, "rev=1");
+        assertNull(client.response().error());
+        send(3, 0x1c, 0x80);
+        DispatcherFixture.EndpointPeer b = fixture.connect(fixture.nextConnectRequest());
+        assertTrue(a.closed.await(20, TimeUnit.SECONDS));
+        assertEquals(0x1b, b.nextFrame().id());
+    }
+
+    private static RouterAction.StartAttempt attempt(long requestId, String endpoint) {
+        return DispatcherFixture.attemptAction(requestId, endpoint, TIMEOUT_MS, TIMEOUT_MS);
+    }
+}
--- /dev/null
+++ b/src/test/java/brooklock/platform/EndpointTableTest.java
@@ -0,0 +1,113 @@
+package brooklock.platform;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNotEquals;
+import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import brooklock.routing.EndpointListKind;
+import brooklock.routing.EndpointState;
+import brooklock.routing.RouterEvent.EndpointListReceived;
+import java.util.List;
+import java.util.Optional;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
+
+/** The endpoint list and the router's events of it. */
+class EndpointTableTest {
+    private final long[] routerTimeNs = {100};
+    private final EndpointTable table =
+            new EndpointTable(
+                    List.of("west"), List.of("box", "origin"), wallMs -> routerTimeNs[0]++);
+
+    private static DiscoveryEvent.Endpoint endpoint(
+            String name, String address, String zone, long startedAtMs) {
+        return new DiscoveryEvent.Endpoint(
+                name, address, zone, "box", Optional.of(EndpointState.READY), 4, startedAtMs);
+    }
+
+    private static EndpointListReceived apply(
+            EndpointTable to, boolean snapshot, DiscoveryEvent.Endpoint... endpoints) {
+        return to.apply(new DiscoveryEvent.EndpointListUpdate(1, snapshot, List.of(endpoints)));
+    }
+
+    /**
+     * Dispatchers that gave an endpoint different ids would hash its objects differently; one that
+     * moved an endpoint's start with each list would warm it up again and again.
+     */
+    @Test
+    void endpointsHaveTheSameIdEverywhereAndStartOnce() {
+        DiscoveryEvent.Endpoint a = endpoint("s-a", "127.0.0.1:1", "west", 1000);
+        EndpointListReceived first =
+                apply(table, true, a, endpoint("s-b", "127.0.0.1:2", "nowhere", 0));
+        assertEquals(EndpointListKind.FULL, first.kind());
+        assertEquals(1, first.endpoints().size());
+        long id = first.endpoints().get(0).id();
+        EndpointTable other =
+                new EndpointTable(List.of("west"), List.of("box", "origin"), wallMs -> 1);
+        assertEquals(id, apply(other, true, a).endpoints().get(0).id());
+        EndpointListReceived again = apply(table, false, a);
+        assertEquals(EndpointListKind.DELTA, again.kind());
+        assertEquals(100, again.endpoints().get(0).startedAtNs());
+        EndpointListReceived restarted =
+                apply(table, false, endpoint("s-a", "127.0.0.1:1", "west", 2000));
+        assertNotEquals(100, restarted.endpoints().get(0).startedAtNs());
+    }
+
+    /** An endpoint that leaves may be listed without its address, zone and kind. */
+    @Test
+    void anEndpointLeavesAlsoWithoutItsAddress() {
+        long id =
+                apply(table, true, endpoint("s-a", "127.0.0.1:1", "west", 0))
+                        .endpoints()
+                        .get(0)
+                        .id();
+        EndpointListReceived left =
+                apply(
+                        table,
+                        false,
+                        new DiscoveryEvent.Endpoint(
+                                "s-a", "", "", "", Optional.of(EndpointState.GONE), 0, 0));
+        assertEquals(EndpointState.GONE, left.endpoints().get(0).state());
+        assertTrue(table.get(id).isGone());
+        table.removeGone();
+        assertNull(table.get(id));
+        assertEquals(0, table.presentCount());
+    }
+
+    @Test
+    void aCompleteListThatOmitsAnEndpointRemovesIt() {
+        long id =
+                apply(table, true, endpoint("s-a", "127.0.0.1:1", "west", 0))
+                        .endpoints()
+                        .get(0)
+                        .id();
+        apply(table, true);
+        assertTrue(table.get(id).isGone());
+    }
+
+    /** One endpoint that can't be used must not take the others of its list with it. */
+    @ParameterizedTest
+    @ValueSource(strings = {"", "a.host:1", "127.0.0.1", "127.0.0.256:1", "127.0.0.1:65536"})
+    void anEndpointWithoutAUsableAddressIsLeftOut(String address) {
+        EndpointListReceived list =
+                apply(
+                        table,
+                        true,
+                        endpoint("s-a", address, "west", 0),
+                        endpoint("s-b", "127.0.0.1:65535", "west", 0));
+        assertEquals(1, list.endpoints().size());
+    }
+
+    @Test
+    void anEndpointOfAnUnknownStateIsLeftOut() {
+        EndpointListReceived list =
+                apply(
+                        table,
+                        true,
+                        new DiscoveryEvent.Endpoint(
+                                "s-a", "127.0.0.1:1", "west", "box", Optional.empty(), 4, 0));
+        assertTrue(list.endpoints().isEmpty());
+    }
+}
--- a/src/test/java/brooklock/platform/FakeEndpoint.java
+++ b/src/test/java/brooklock/platform/FakeEndpoint.java
@@ -11,14 +11,14 @@
 import java.util.Map;
 import java.util.concurrent.CopyOnWriteArrayList;
 
-/** A cache host on loopback that does to each request what a test says. */
+/** An endpoint on a loopback socket that does with each request what a test says. */
 final class FakeEndpoint implements Closeable {
-    /** A request as it came. */
+    /** A frame as it came. */
     record ReceivedFrame(int code, long id, Map<String, String> fields, byte[] body) {}
 
     /** What to do with a request. */
     interface FrameHandler {
-        void handle(ReceivedFrame asked, OutputStream out, Socket socket) throws IOException;
+        void handle(ReceivedFrame request, OutputStream out, Socket socket) throws IOException;
     }
 
     final ServerSocket listener = new ServerSocket(0, 200, InetAddress.getLoopbackAddress());
@@ -32,8 +32,8 @@
                 run(
                         () -> {
                             while (true) {
-                                Socket s = listener.accept();
-                                run(() -> serve(s));
+                                Socket socket = listener.accept();
+                                run(() -> serve(socket));
                             }
                         });
     }
@@ -42,25 +42,25 @@
         void run() throws Exception;
     }
 
-    private static Thread run(IoTask w) {
-        Thread t =
+    private static Thread run(IoTask task) {
+        Thread thread =
                 new Thread(
                         () -> {
                             try {
-                                w.run();
+                                task.run();
                             } catch (Exception ended) {
                                 // The connection or the test is over.
                             }
                         },
-                        "fake-host");
-        t.setDaemon(true);
-        t.start();
-        return t;
+                        "fake-endpoint");
+        thread.setDaemon(true);
+        thread.start();
+        return thread;
     }
 
-    private void serve(Socket s) throws IOException, MalformedMessageException {
-        s.setTcpNoDelay(true);
-        DataInputStream in = new DataInputStream(s.getInputStream());
+    private void serve(Socket socket) throws IOException, MalformedMessageException {
+        socket.setTcpNoDelay(true);
+        DataInputStream in = new DataInputStream(socket.getInputStream());
         while (true) {
             in.readUnsignedByte();
             int code = in.readUnsignedByte();
@@ -70,10 +70,11 @@
             in.readFully(fields);
             in.readFully(body);
             in.readInt();
-            ReceivedFrame a = new ReceivedFrame(code, id, FrameDecoder.parseFields(fields), body);
-            received.add(a);
+            ReceivedFrame frame =
+                    new ReceivedFrame(code, id, FrameDecoder.parseFields(fields), body);
+            received.add(frame);
             if (code == Frame.REQUEST) {
-                handler.handle(a, s.getOutputStream(), s);
+                handler.handle(frame, socket.getOutputStream(), socket);
             }
         }
     }
@@ -86,15 +87,20 @@
         return FrameEncoder.encode(Frame.ENDPOINT_MARK, code, id, fields, body).array();
     }
 
-    /** Answers with these bytes. */
+    /** Serves these bytes. */
     static FrameHandler serving(byte[] body) {
-        return (a, out, s) ->
-                out.write(frame(Frame.OK, a.id(), "rev=4be0c1927d55a6f3,since=1,tell=hit", body));
+        return (request, out, socket) ->
+                out.write(
+                        frame(
+                                Frame.OK,
+                                request.id(),
+                                "rev=4be0c1927d55a6f3,since=1,tell=hit",
+                                body));
     }
 
     /**
-     * Stops listening; the system may keep the socket until the thread that accepts has let go,
-     * which is waited for.
+     * Stops listening. The operating system may keep the socket open until the thread that accepts
+     * has let go of it, so that thread is waited for.
      */
     @Override
     public void close() throws IOException {
--- a/src/test/java/brooklock/platform/QueuedAttemptTest.java
+++ b/src/test/java/brooklock/platform/QueuedAttemptTest.java
@@ -1,366 +1,216 @@
 package brooklock.platform;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
-import static org.junit.jupiter.api.Assertions.assertNotSame;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import brooklock.routing.AttemptOutcome;
+import brooklock.routing.EndpointState;
 import brooklock.routing.RouterAction;
 import brooklock.routing.RouterAction.FailRequest;
-import brooklock.routing.RouterAction.RejectRequest;
 import brooklock.routing.RouterAction.SetTimer;
 import brooklock.routing.RouterEvent;
 import brooklock.routing.RouterEvent.AttemptCompleted;
 import brooklock.routing.RouterEvent.RequestReceived;
 import brooklock.routing.RouterEvent.TimerFired;
 import java.util.List;
-import java.util.Map;
 import java.util.concurrent.TimeUnit;
+import java.util.function.BiConsumer;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
 /**
- * Attempts that wait for a connection: whatever changes meanwhile, what is written is true at its
- * first byte.
+ * Attempts that wait for a connection. Whatever changes meanwhile, what is written holds at its
+ * first byte; else the attempt goes back to the router as not started.
  */
 @Timeout(60)
 class QueuedAttemptTest {
-    private static final int WAIT_MS = 2400;
+    private static final int TIMEOUT_MS = 2400;
 
-    private DispatcherFixture rig;
-    private RpcTestClient caller;
+    private DispatcherFixture fixture;
+    private RpcTestClient client;
 
     @AfterEach
-    void end() throws Exception {
-        if (caller != null) {
-            caller.close();
+    void stop() throws Exception {
+        if (client != null) {
+            client.close();
         }
-        rig.close();
+        fixture.close();
     }
 
-    /** Sends each request to one host once, and fails it if that comes to nothing. */
-    private static void once(RouterEvent e, List<RouterAction> out) {
-        if (e instanceof RequestReceived r) {
-            out.add(DispatcherFixture.attemptAction(r.id(), "a", WAIT_MS, WAIT_MS));
-        } else if (e instanceof AttemptCompleted d && d.outcome() != AttemptOutcome.OK) {
-            out.add(new FailRequest(d.id()));
+    /** Sends each request to one endpoint once; if it is not served, fails it. */
+    static void decideOneAttempt(RouterEvent event, List<RouterAction> actions) {
+        if (event instanceof RequestReceived received) {
+            actions.add(
+                    DispatcherFixture.attemptAction(received.id(), "a", TIMEOUT_MS, TIMEOUT_MS));
+        } else if (event instanceof AttemptCompleted completed
+                && completed.outcome() != AttemptOutcome.OK) {
+            actions.add(new FailRequest(completed.id()));
         }
     }
 
-    private DispatcherFixture.ConnectRequest asks(long id) throws Exception {
-        rig.updateList("active", "a");
-        caller = new RpcTestClient(rig.address);
-        caller.send(
+    private void start(BiConsumer<RouterEvent, List<RouterAction>> decisions) throws Exception {
+        fixture = new DispatcherFixture(64, decisions);
+        fixture.updateList(EndpointState.READY, "a");
+        client = new RpcTestClient(fixture.address);
+    }
+
+    // The connection that the request's attempt waits for.
+    private DispatcherFixture.ConnectRequest sendRequest(long id, int timeoutMs) throws Exception {
+        client.send(
                 RpcTestClient.encodeCall(
                         1,
                         TestConfigs.READ_CLASS,
-                        RpcTestClient.fields(id, 0x7f, WAIT_MS),
+                        RpcTestClient.fields(id, 0x7f, timeoutMs),
                         new byte[0]));
-        return rig.nextConnectRequest();
-    }
-
-    // What was told was told on the I/O thread, and that has been waited for.
-    private void isHandedBackAtOnce(DispatcherFixture.ConnectRequest late) throws Exception {
-        assertTrue(rig.allEvents.stream().anyMatch(AttemptCompleted.class::isInstance));
-        isHandedBack(late);
+        return fixture.nextConnectRequest();
     }
 
-    private void isHandedBack(DispatcherFixture.ConnectRequest late) throws Exception {
-        assertEquals(AttemptOutcome.NOT_STARTED, rig.nextEvent(AttemptCompleted.class).outcome());
-        assertEquals("Internal", caller.response().error());
-        DispatcherFixture.EndpointPeer p = rig.connect(late);
-        assertNull(p.frames.poll(50, TimeUnit.MILLISECONDS));
+    private DispatcherFixture.ConnectRequest startAndSendRequest(long id) throws Exception {
+        start(QueuedAttemptTest::decideOneAttempt);
+        return sendRequest(id, TIMEOUT_MS);
     }
 
-    @Test
-    void theTimeSpentWaitingIsNotPromisedToTheHost() throws Exception {
-        rig = new DispatcherFixture(64, QueuedAttemptTest::once);
-        DispatcherFixture.ConnectRequest late = asks(0x11);
-        long from = System.nanoTime();
-        while (System.nanoTime() - from < 60_000_000) {
-            Thread.onSpinWait();
-        }
-        Frame f = rig.connect(late).nextFrame();
-        assertTrue(
-                Integer.parseInt(f.fields().get("limit")) <= WAIT_MS - 60, f.fields().toString());
+    // The change was made on the I/O thread, and that has been waited for.
+    private void assertReturnedAtOnce(DispatcherFixture.ConnectRequest late) throws Exception {
+        assertTrue(fixture.allEvents.stream().anyMatch(AttemptCompleted.class::isInstance));
+        assertReturned(late);
     }
 
-    @Test
-    void aDrainToldMeanwhileHandsItBack() throws Exception {
-        rig = new DispatcherFixture(64, QueuedAttemptTest::once);
-        DispatcherFixture.ConnectRequest late = asks(0x12);
-        rig.updateList("leaving", "a");
-        isHandedBackAtOnce(late);
+    private void assertReturned(DispatcherFixture.ConnectRequest late) throws Exception {
+        assertEquals(
+                AttemptOutcome.NOT_STARTED, fixture.nextEvent(AttemptCompleted.class).outcome());
+        assertEquals("Internal", client.response().error());
+        assertNothingIsSent(late);
     }
 
-    @Test
-    void aPurgeToldMeanwhileHandsItBack() throws Exception {
-        rig = new DispatcherFixture(64, QueuedAttemptTest::once);
-        DispatcherFixture.ConnectRequest late = asks(0x13);
-        rig.onIoThread(
-                () -> {
-                    rig.connector.onPurge(0x80, 0);
-                    return null;
-                });
-        assertNull(
-                rig.events.stream()
-                        .filter(AttemptCompleted.class::isInstance)
-                        .findAny()
-                        .orElse(null));
-        rig.onIoThread(
-                () -> {
-                    rig.connector.onPurge(0x7f, 0);
-                    return null;
-                });
-        isHandedBackAtOnce(late);
+    private void assertNothingIsSent(DispatcherFixture.ConnectRequest late) throws Exception {
+        DispatcherFixture.EndpointPeer endpoint = fixture.connect(late);
+        assertNull(endpoint.frames.poll(50, TimeUnit.MILLISECONDS));
     }
 
-    @Test
-    void aPurgeOfItsGroupHandsItBack() throws Exception {
-        rig = new DispatcherFixture(64, QueuedAttemptTest::once);
-        DispatcherFixture.ConnectRequest late = asks(0x14);
-        rig.onIoThread(
+    private void purge(long objectId, int group) throws Exception {
+        fixture.onIoThread(
                 () -> {
-                    rig.connector.onPurge(0, 1);
+                    fixture.connector.onPurge(objectId, group);
                     return null;
                 });
-        isHandedBackAtOnce(late);
     }
 
+    /**
+     * A connection comes up 60 ms late. The request frame must promise the endpoint only the time
+     * that is left, or the endpoint would work on after the client has gone.
+     */
     @Test
-    void itsLastMomentToBeginHandsItBack() throws Exception {
-        rig =
-                new DispatcherFixture(
-                        64,
-                        (e, out) -> {
-                            if (e instanceof RequestReceived r) {
-                                out.add(DispatcherFixture.attemptAction(r.id(), "a", WAIT_MS, 40));
-                                out.add(
-                                        new SetTimer(
-                                                1, rig.clock.nowNs() + WAIT_MS / 2 * 1_000_000L));
-                            } else if (e instanceof AttemptCompleted d) {
-                                out.add(new FailRequest(d.id()));
-                            }
-                        });
-        DispatcherFixture.ConnectRequest late = asks(0x15);
-        isHandedBack(late);
-        rig.nextEvent(TimerFired.class);
+    void theTimeSpentWaitingIsNotPromisedToTheEndpoint() throws Exception {
+        DispatcherFixture.ConnectRequest late = startAndSendRequest(0x11);
+        long startNs = System.nanoTime();
+        while (System.nanoTime() - startNs < 60_000_000) {
+            Thread.onSpinWait();
+        }
+        Frame frame = fixture.connect(late).nextFrame();
         assertTrue(
-                rig.allEvents.get(rig.allEvents.size() - 2) instanceof AttemptCompleted,
-                rig.allEvents.toString());
-    }
-
-    @Test
-    void nothingIsSentOnceTheClientHasLeftAlsoWhereNothingIsCalledOff() throws Exception {
-        rig = new DispatcherFixture(64, QueuedAttemptTest::once);
-        DispatcherFixture.ConnectRequest late = asks(0x16);
-        caller.send(RpcTestClient.encodeCancel(1));
-        rig.nextEvent(RouterEvent.ClientDisconnected.class);
-        DispatcherFixture.EndpointPeer p = rig.connect(late);
-        assertEquals(AttemptOutcome.NOT_STARTED, rig.nextEvent(AttemptCompleted.class).outcome());
-        assertNull(p.frames.poll(50, TimeUnit.MILLISECONDS));
+                Integer.parseInt(frame.fields().get("limit")) <= TIMEOUT_MS - 60,
+                frame.fields().toString());
     }
 
+    /** The endpoint begins to drain while the attempt waits: it must not be sent there any more. */
     @Test
-    void whatNeverBeganByItsDeadlineNeverRan() throws Exception {
-        rig = new DispatcherFixture(64, QueuedAttemptTest::once);
-        rig.updateList("active", "a");
-        caller = new RpcTestClient(rig.address);
-        caller.send(
-                RpcTestClient.encodeCall(
-                        1,
-                        TestConfigs.READ_CLASS,
-                        RpcTestClient.fields(0x17, 0x7f, 60),
-                        new byte[0]));
-        isHandedBack(rig.nextConnectRequest());
+    void aDrainReturnsIt() throws Exception {
+        DispatcherFixture.ConnectRequest late = startAndSendRequest(0x12);
+        fixture.updateList(EndpointState.DRAINING, "a");
+        assertReturnedAtOnce(late);
     }
 
+    /**
+     * The object is purged while the attempt waits: the age of the copies that it accepts is wrong
+     * by now, and it could bring a purged copy. A purge of another object changes nothing.
+     */
     @Test
-    void aSecondAnswerIsNotTakenForALaterAttemptsAtTheSameHost() throws Exception {
-        rig =
-                new DispatcherFixture(
-                        64,
-                        (e, out) -> {
-                            if (e instanceof RequestReceived r) {
-                                out.add(
-                                        DispatcherFixture.attemptAction(
-                                                r.id(), "a", WAIT_MS, WAIT_MS));
-                            } else if (e instanceof AttemptCompleted d && d.attempt() == 0) {
-                                out.add(
-                                        DispatcherFixture.attemptAction(
-                                                d.id(), "a", WAIT_MS, WAIT_MS));
-                            }
-                        });
-        DispatcherFixture.EndpointPeer first = rig.connect(asks(0x18));
-        assertEquals(0x18, first.nextFrame().id());
-        first.respond(Frame.MISS, 0x18, "");
-        assertEquals(AttemptOutcome.CACHE_MISS, rig.nextEvent(AttemptCompleted.class).outcome());
-        DispatcherFixture.EndpointPeer second = rig.connect(rig.nextConnectRequest());
-        assertEquals(0x18, second.nextFrame().id());
-        first.respond(Frame.MISS, 0x18, "");
-        second.respond(Frame.OK, 0x18, "rev=1");
-        assertNull(caller.response().error());
-        assertEquals(AttemptOutcome.OK, rig.nextEvent(AttemptCompleted.class).outcome());
-        rig.onIoThread(() -> null);
-        assertNull(rig.events.peek());
-        assertNotSame(first, second);
+    void aPurgeOfItsObjectReturnsIt() throws Exception {
+        DispatcherFixture.ConnectRequest late = startAndSendRequest(0x13);
+        purge(0x80, 0);
+        assertTrue(fixture.events.stream().noneMatch(AttemptCompleted.class::isInstance));
+        purge(0x7f, 0);
+        assertReturnedAtOnce(late);
     }
 
+    /** As a purge of its object; here the whole group is purged. */
     @Test
-    void aCopyIsCalledCurrentOnlyIfTheHostNamesIt() throws Exception {
-        rig = new DispatcherFixture(64, QueuedAttemptTest::once);
-        rig.updateList("active", "a");
-        caller = new RpcTestClient(rig.address);
-        Map<String, String> fields = RpcTestClient.fields(0x19, 0x7f, WAIT_MS);
-        fields.put("etag", "4be0c1927d55a6f3");
-        caller.send(RpcTestClient.encodeCall(1, TestConfigs.READ_CLASS, fields, new byte[0]));
-        DispatcherFixture.EndpointPeer p = rig.connect(rig.nextConnectRequest());
-        p.nextFrame();
-        p.respond(Frame.NOT_MODIFIED, 0x19, "rev=5555555555555555,tell=hit");
-        assertEquals("Internal", caller.response().error());
+    void aPurgeOfItsGroupReturnsIt() throws Exception {
+        DispatcherFixture.ConnectRequest late = startAndSendRequest(0x14);
+        purge(0, 1);
+        assertReturnedAtOnce(late);
     }
 
+    /**
+     * The attempt of a request with an idempotency key may start only while endpoints remember the
+     * key. No connection comes up until then, so the attempt must come back at that time, and not
+     * at the deadline.
+     */
     @Test
-    void whereAConnectionIsLateOneThatIsThereIsShared() throws Exception {
-        rig = new DispatcherFixture(64, QueuedAttemptTest::once);
-        DispatcherFixture.EndpointPeer there = rig.connect(asks(0x1d));
-        assertEquals(0x1d, there.nextFrame().id());
-        caller.send(
-                RpcTestClient.encodeCall(
-                        2,
-                        TestConfigs.READ_CLASS,
-                        RpcTestClient.fields(0x1e, 0x7f, WAIT_MS),
-                        new byte[0]));
-        DispatcherFixture.ConnectRequest late = rig.nextConnectRequest();
-        assertEquals(0x1e, there.nextFrame().id());
-        // The late one is taken when it comes, and is there for the next.
-        DispatcherFixture.EndpointPeer second = rig.connect(late);
-        caller.send(
-                RpcTestClient.encodeCall(
-                        3,
-                        TestConfigs.READ_CLASS,
-                        RpcTestClient.fields(0x1f, 0x7f, WAIT_MS),
-                        new byte[0]));
-        assertEquals(0x1f, second.nextFrame().id());
-        assertNull(rig.connectRequests.peek());
+    void theEndOfTheTimeToStartReturnsIt() throws Exception {
+        start(
+                (event, actions) -> {
+                    if (event instanceof RequestReceived received) {
+                        actions.add(
+                                DispatcherFixture.attemptAction(
+                                        received.id(), "a", TIMEOUT_MS, 40));
+                        actions.add(
+                                new SetTimer(
+                                        1, fixture.clock.nowNs() + TIMEOUT_MS / 2 * 1_000_000L));
+                    } else if (event instanceof AttemptCompleted completed) {
+                        actions.add(new FailRequest(completed.id()));
+                    }
+                });
+        assertReturned(sendRequest(0x15, TIMEOUT_MS));
+        fixture.nextEvent(TimerFired.class);
+        RouterEvent beforeTimer = fixture.allEvents.get(fixture.allEvents.size() - 2);
+        assertTrue(beforeTimer instanceof AttemptCompleted, fixture.allEvents.toString());
     }
 
+    /**
+     * The client cancels while the attempt waits, and the router does not cancel the attempt. It
+     * must not be sent for a client that has gone.
+     */
     @Test
-    void aConnectionThatIsNotThereInTimeFailsItsAttemptAndServesTheNext() throws Exception {
-        rig = new DispatcherFixture(64, QueuedAttemptTest::once);
-        DispatcherFixture.ConnectRequest late = asks(0x20);
-        AttemptCompleted d = rig.nextEvent(AttemptCompleted.class);
-        assertEquals(AttemptOutcome.CONNECT_FAILED, d.outcome());
-        assertEquals("Internal", caller.response().error());
-        DispatcherFixture.EndpointPeer p = rig.connect(late);
-        caller.send(
-                RpcTestClient.encodeCall(
-                        2,
-                        TestConfigs.READ_CLASS,
-                        RpcTestClient.fields(0x2a, 0x7f, WAIT_MS),
-                        new byte[0]));
-        assertEquals(0x2a, p.nextFrame().id());
-        assertNull(rig.connectRequests.peek());
-    }
-
+    void nothingIsSentOnceTheClientHasCancelled() throws Exception {
+        DispatcherFixture.ConnectRequest late = startAndSendRequest(0x16);
+        client.send(RpcTestClient.encodeCancel(1));
+        fixture.nextEvent(RouterEvent.ClientDisconnected.class);
+        DispatcherFixture.EndpointPeer endpoint = fixture.connect(late);
+        assertEquals(
+                AttemptOutcome.NOT_STARTED, fixture.nextEvent(AttemptCompleted.class).outcome());
+        assertNull(endpoint.frames.poll(50, TimeUnit.MILLISECONDS));
+    }
+
+    /**
+     * The deadline passes while the attempt waits. It ends as not started, not as timed out: it
+     * proves that nothing was executed, and says nothing of the endpoint.
+     */
     @Test
-    void aConnectionForAnAttemptThatDoesNotBeginIsThereForTheNext() throws Exception {
-        rig =
-                new DispatcherFixture(
-                        64,
-                        (e, out) -> {
-                            if (e instanceof RequestReceived r) {
-                                out.add(
-                                        DispatcherFixture.attemptAction(
-                                                r.id(),
-                                                "a",
-                                                WAIT_MS,
-                                                r.object() == 0x80 ? -1 : WAIT_MS));
-                            } else if (e instanceof AttemptCompleted d
-                                    && d.outcome() != AttemptOutcome.OK) {
-                                out.add(new FailRequest(d.id()));
-                            }
-                        });
-        DispatcherFixture.EndpointPeer p = rig.connect(asks(0x2c));
-        p.nextFrame();
-        p.respond(Frame.OK, 0x2c, "rev=1");
-        assertNull(caller.response().error());
-        caller.send(
-                RpcTestClient.encodeCall(
-                        2,
-                        TestConfigs.READ_CLASS,
-                        RpcTestClient.fields(0x2d, 0x80, WAIT_MS),
-                        new byte[0]));
-        assertEquals("Internal", caller.response().error());
-        caller.send(
-                RpcTestClient.encodeCall(
-                        3,
-                        TestConfigs.READ_CLASS,
-                        RpcTestClient.fields(0x2e, 0x7f, WAIT_MS),
-                        new byte[0]));
-        assertEquals(0x2e, p.nextFrame().id());
-        assertNull(rig.connectRequests.peek());
+    void oneThatStillWaitsAtItsDeadlineWasNeverExecuted() throws Exception {
+        start(QueuedAttemptTest::decideOneAttempt);
+        assertReturned(sendRequest(0x17, 60));
     }
 
+    /**
+     * A connection comes up 100 ms late and the endpoint responds at once. The duration that the
+     * router gets must not contain the wait, or it would take the endpoint for slow.
+     */
     @Test
-    void theTimeOfAnAttemptCountsFromItsFirstByte() throws Exception {
-        rig = new DispatcherFixture(64, QueuedAttemptTest::once);
-        DispatcherFixture.ConnectRequest late = asks(0x2b);
-        long from = System.nanoTime();
-        while (System.nanoTime() - from < 100_000_000) {
+    void theDurationOfAnAttemptCountsFromItsFirstByte() throws Exception {
+        DispatcherFixture.ConnectRequest late = startAndSendRequest(0x2b);
+        long startNs = System.nanoTime();
+        while (System.nanoTime() - startNs < 100_000_000) {
             Thread.onSpinWait();
         }
-        long before = System.nanoTime();
-        DispatcherFixture.EndpointPeer p = rig.connect(late);
-        p.nextFrame();
-        p.respond(Frame.OK, 0x2b, "rev=1");
-        assertTrue(
-                rig.nextEvent(AttemptCompleted.class).durationNs() <= System.nanoTime() - before);
-    }
-
-    @Test
-    void anIdleConnectionElsewhereGivesItsPlace() throws Exception {
-        rig =
-                new DispatcherFixture(
-                        1,
-                        (e, out) -> {
-                            if (e instanceof RequestReceived r) {
-                                out.add(
-                                        DispatcherFixture.attemptAction(
-                                                r.id(),
-                                                r.object() == 0x7f ? "a" : "b",
-                                                WAIT_MS,
-                                                WAIT_MS));
-                            } else if (e instanceof AttemptCompleted d
-                                    && d.outcome() != AttemptOutcome.OK) {
-                                out.add(new RejectRequest(d.id(), 0));
-                            }
-                        });
-        DispatcherFixture.ConnectRequest toA = asks(0x1a);
-        rig.updateList("active", "b");
-        DispatcherFixture.EndpointPeer a = rig.connect(toA);
-        a.nextFrame();
-        caller.send(
-                RpcTestClient.encodeCall(
-                        2,
-                        TestConfigs.READ_CLASS,
-                        RpcTestClient.fields(0x1b, 0x80, WAIT_MS),
-                        new byte[0]));
-        rig.nextEvent(RequestReceived.class);
-        rig.nextEvent(RequestReceived.class);
-        assertNull(rig.connectRequests.peek());
-        a.respond(Frame.OK, 0x1a, "rev=1");
-        assertNull(caller.response().error());
-        caller.send(
-                RpcTestClient.encodeCall(
-                        3,
-                        TestConfigs.READ_CLASS,
-                        RpcTestClient.fields(0x1c, 0x80, WAIT_MS),
-                        new byte[0]));
-        DispatcherFixture.EndpointPeer b = rig.connect(rig.nextConnectRequest());
-        assertTrue(a.closed.await(20, TimeUnit.SECONDS));
-        assertEquals(0x1b, b.nextFrame().id());
+        long connectNs = System.nanoTime();
+        DispatcherFixture.EndpointPeer endpoint = fixture.connect(late);
+        endpoint.nextFrame();
+        endpoint.respond(Frame.OK, 0x2b, "rev=1");
+        long durationNs = fixture.nextEvent(AttemptCompleted.class).durationNs();
+        assertTrue(durationNs <= System.nanoTime() - connectNs);
     }
 }
--- a/src/test/java/brooklock/platform/RpcTestClient.java
+++ b/src/test/java/brooklock/platform/RpcTestClient.java
@@ -5,14 +5,20 @@
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.net.Socket;
+import java.net.SocketException;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 import java.util.HashMap;
 import java.util.Map;
 
-/** A client of the platform, as blocking as can be. */
+/** A blocking client of the platform. */
 final class RpcTestClient implements Closeable {
-    /** An answer: what kind, by its words, and its body. */
+    /**
+     * A response as it came.
+     *
+     * @param error the name of the error, or null
+     * @param healthy what a health check was answered
+     */
     record Response(
             long messageId,
             String error,
@@ -32,48 +38,51 @@
 
     static byte[] concat(byte[]... parts) {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        for (byte[] p : parts) {
-            out.writeBytes(p);
+        for (byte[] part : parts) {
+            out.writeBytes(part);
         }
         return out.toByteArray();
     }
 
-    static byte[] encodeCall(long number, String method, Map<String, String> fields, byte[] body) {
-        ByteBuffer b =
+    static byte[] encodeCall(
+            long messageId, String method, Map<String, String> fields, byte[] body) {
+        ByteBuffer buffer =
                 ByteBuffer.allocate(4096 + (body == null ? 0 : body.length))
                         .put((byte) 0x94)
                         .put((byte) 0)
                         .put((byte) 0xce)
-                        .putInt((int) number);
-        RpcEncoder.putText(b, method);
-        b.put((byte) (body == null ? 0x91 : 0x92)).put((byte) 0xde).putShort((short) fields.size());
+                        .putInt((int) messageId);
+        RpcEncoder.putText(buffer, method);
+        buffer.put((byte) (body == null ? 0x91 : 0x92))
+                .put((byte) 0xde)
+                .putShort((short) fields.size());
         fields.forEach(
                 (k, v) -> {
-                    RpcEncoder.putText(b, k);
-                    RpcEncoder.putText(b, v);
+                    RpcEncoder.putText(buffer, k);
+                    RpcEncoder.putText(buffer, v);
                 });
         if (body != null) {
-            b.put((byte) 0xc6).putInt(body.length).put(body);
+            buffer.put((byte) 0xc6).putInt(body.length).put(body);
         }
-        byte[] out = new byte[b.flip().remaining()];
-        b.get(out);
+        byte[] out = new byte[buffer.flip().remaining()];
+        buffer.get(out);
         return out;
     }
 
-    static byte[] encodeCancel(long number) {
+    static byte[] encodeCancel(long messageId) {
         return concat(
                 new byte[] {(byte) 0x93, 2, (byte) 0xa6},
                 "forget".getBytes(StandardCharsets.US_ASCII),
-                new byte[] {(byte) 0x91, (byte) number});
+                new byte[] {(byte) 0x91, (byte) messageId});
     }
 
-    static Map<String, String> fields(long id, long object, int waitMs) {
+    static Map<String, String> fields(long id, long object, int timeoutMs) {
         return new HashMap<>(
                 Map.of(
                         "i",
                         String.format("%016x", id),
                         "d",
-                        Integer.toString(waitMs),
+                        Integer.toString(timeoutMs),
                         "o",
                         String.format("%016x", object),
                         "seg",
@@ -88,19 +97,24 @@
         socket.getOutputStream().write(bytes);
     }
 
-    Response request(long number, long id, long object, int waitMs)
+    Response request(long messageId, long id, long object, int timeoutMs)
             throws IOException, MalformedMessageException {
-        send(encodeCall(number, TestConfigs.READ_CLASS, fields(id, object, waitMs), new byte[0]));
+        send(
+                encodeCall(
+                        messageId,
+                        TestConfigs.READ_CLASS,
+                        fields(id, object, timeoutMs),
+                        new byte[0]));
         return response();
     }
 
-    /** The next answer, or null at the connection's end. */
+    /** Waits for the next response; null at the end of the connection. */
     Response response() throws IOException, MalformedMessageException {
         if (!readToken()) {
             return null;
         }
         readToken();
-        long number = readToken() ? reader.value() : -1;
+        long messageId = readToken() ? reader.value() : -1;
         readToken();
         String error = null;
         Map<String, String> fields = Map.of();
@@ -109,21 +123,21 @@
             error = reader.text();
             fields = readMap();
             readToken();
-            return new Response(number, error, null, fields, false);
+            return new Response(messageId, error, null, fields, false);
         }
         readToken();
         readToken();
-        boolean truth =
+        boolean healthy =
                 reader.tokenType() == MessagePackReader.TokenType.BOOL && reader.value() == 1;
         byte[] body =
                 reader.tokenType() == MessagePackReader.TokenType.BYTES ? reader.bytes() : null;
-        return new Response(number, null, body, readMap(), truth);
+        return new Response(messageId, null, body, readMap(), healthy);
     }
 
     private Map<String, String> readMap() throws IOException, MalformedMessageException {
         readToken();
         Map<String, String> out = new HashMap<>();
-        for (long n = reader.value(); n > 0; n--) {
+        for (long left = reader.value(); left > 0; left--) {
             readToken();
             String name = reader.text();
             readToken();
@@ -135,16 +149,17 @@
     private boolean readToken() throws IOException, MalformedMessageException {
         while (!reader.next(in)) {
             byte[] more = new byte[8192];
-            int n;
+            int count;
             try {
-                n = socket.getInputStream().read(more);
-            } catch (java.net.SocketException reset) {
+                count = socket.getInputStream().read(more);
+            } catch (SocketException reset) {
                 return false;
             }
-            if (n < 0) {
+            if (count < 0) {
                 return false;
             }
-            ByteBuffer next = ByteBuffer.allocate(in.remaining() + n).put(in).put(more, 0, n);
+            ByteBuffer next =
+                    ByteBuffer.allocate(in.remaining() + count).put(in).put(more, 0, count);
             in = next.flip();
         }
         return true;
--- a/src/test/java/brooklock/platform/TestConfigs.java
+++ b/src/test/java/brooklock/platform/TestConfigs.java
@@ -5,7 +5,7 @@
 import com.google.gson.JsonParser;
 import java.util.List;
 
-/** A configuration as the platform writes it, small. */
+/** Small configurations as the platform writes them. */
 final class TestConfigs {
     static final String READ_CLASS = "pages";
     static final String WRITE_CLASS = "orders";
@@ -13,49 +13,49 @@
     private TestConfigs() {}
 
     static JsonObject endpoint(String name, String address, String type, String status) {
-        JsonObject o = new JsonObject();
-        o.addProperty("name", name);
-        o.addProperty("address", address);
-        o.addProperty("zone", "west");
-        o.addProperty("type", type);
-        o.addProperty("group", 1);
-        o.addProperty("status", status);
-        o.addProperty("weight", 4);
-        o.addProperty("since_ms", 0);
-        return o;
+        JsonObject endpoint = new JsonObject();
+        endpoint.addProperty("name", name);
+        endpoint.addProperty("address", address);
+        endpoint.addProperty("zone", "west");
+        endpoint.addProperty("type", type);
+        endpoint.addProperty("group", 1);
+        endpoint.addProperty("status", status);
+        endpoint.addProperty("weight", 4);
+        endpoint.addProperty("since_ms", 0);
+        return endpoint;
     }
 
-    static JsonObject listUpdate(long cursor, boolean snapshot, List<JsonObject> endpoints) {
-        JsonArray a = new JsonArray();
-        endpoints.forEach(a::add);
-        JsonObject n = new JsonObject();
-        n.addProperty("index", cursor);
-        n.addProperty("snapshot", snapshot);
-        n.add("endpoints", a);
-        JsonObject o = new JsonObject();
-        o.addProperty("cursor", cursor);
-        o.add("nodes", n);
-        return o;
+    static JsonObject listUpdate(long sequence, boolean snapshot, List<JsonObject> endpoints) {
+        JsonArray array = new JsonArray();
+        endpoints.forEach(array::add);
+        JsonObject nodes = new JsonObject();
+        nodes.addProperty("index", sequence);
+        nodes.addProperty("snapshot", snapshot);
+        nodes.add("endpoints", array);
+        JsonObject event = new JsonObject();
+        event.addProperty("cursor", sequence);
+        event.add("nodes", nodes);
+        return event;
     }
 
-    static String config(String channel, List<JsonObject> endpoints) {
-        JsonObject known = new JsonObject();
-        known.addProperty("cursor", 1);
+    static String config(String discoveryAddress, List<JsonObject> endpoints) {
         JsonArray events = new JsonArray();
         events.add(listUpdate(1, true, endpoints));
+        JsonObject known = new JsonObject();
+        known.addProperty("cursor", 1);
         known.add("cmds", events);
         JsonObject limits = new JsonObject();
         limits.addProperty("cores", 0.5);
         limits.addProperty("memory_mb", 128);
         limits.addProperty("sockets", 256);
-        JsonObject o = new JsonObject();
-        o.addProperty("name", "n0");
-        o.addProperty("listen", "127.0.0.1:0");
-        o.addProperty("seed", "0123456789abcdef");
-        o.add("limits", limits);
-        o.addProperty("channel", channel);
-        o.add("known", known);
-        o.add(
+        JsonObject config = new JsonObject();
+        config.addProperty("name", "n0");
+        config.addProperty("listen", "127.0.0.1:0");
+        config.addProperty("seed", "0123456789abcdef");
+        config.add("limits", limits);
+        config.addProperty("channel", discoveryAddress);
+        config.add("known", known);
+        config.add(
                 "settings",
                 JsonParser.parseString(
                         """
@@ -75,10 +75,10 @@
                   "maxRetryAfterNs": 2000000000, "mayDuplicate": true, "retryAfter": true, "streamsPerConn": 100,
                   "tryLimit": 6}}
                 """));
-        return o.toString();
+        return config.toString();
     }
 
-    /** Writes one, for a start by hand. */
+    /** Prints a configuration, for a start by hand. */
     public static void main(String[] args) {
         System.out.println(
                 config(
