--- a/src/main/java/brooklock/platform/AttemptResult.java
+++ b/src/main/java/brooklock/platform/AttemptResult.java
@@ -12,6 +12,7 @@
  * @param notModified whether the endpoint confirmed the client's own copy, so that no body follows
  * @param body the bytes of the object; empty where there are none
  */
+@SuppressWarnings("ArrayRecordComponent") // Never compared; a copy of each body would be wasted.
 record AttemptResult(
         AttemptOutcome outcome,
         CacheStatus cacheStatus,
--- a/src/main/java/brooklock/platform/ClientRequest.java
+++ b/src/main/java/brooklock/platform/ClientRequest.java
@@ -16,6 +16,7 @@
  * @param etag the entity tag of the client's copy; null if it holds none
  * @param body the bytes to be written; empty if there are none
  */
+@SuppressWarnings("ArrayRecordComponent") // Never compared; a copy of each body would be wasted.
 record ClientRequest(
         long id,
         int classIndex,
--- a/src/main/java/brooklock/platform/DispatcherStats.java
+++ b/src/main/java/brooklock/platform/DispatcherStats.java
@@ -59,6 +59,7 @@
     }
 
     /** Counts an attempt that ended. */
+    @SuppressWarnings("EnumOrdinal") // Index of an array of this program run, stored nowhere.
     void attemptEnded(AttemptOutcome outcome) {
         attemptOutcomes[outcome.ordinal()]++;
     }
--- a/src/main/java/brooklock/platform/Frame.java
+++ b/src/main/java/brooklock/platform/Frame.java
@@ -10,6 +10,7 @@
  * @param fields its fields by their names
  * @param body its body; empty if there is none
  */
+@SuppressWarnings("ArrayRecordComponent") // Never compared; a copy of each body would be wasted.
 public record Frame(int code, long id, Map<String, String> fields, byte[] body) {
     /** First byte of a frame from a dispatcher. */
     static final int DISPATCHER_MARK = 165;
--- a/src/main/java/brooklock/platform/PlatformMain.java
+++ b/src/main/java/brooklock/platform/PlatformMain.java
@@ -11,6 +11,7 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.atomic.AtomicBoolean;
+import java.util.function.Consumer;
 import sun.misc.Signal;
 
 /**
@@ -72,16 +73,23 @@
 
     private static void handleSignals(CompletableFuture<PlatformDispatcher> started) {
         AtomicBoolean terminating = new AtomicBoolean();
-        Signal.handle(new Signal("HUP"), signal -> started.thenAccept(PlatformDispatcher::reload));
+        Signal.handle(
+                new Signal("HUP"), signal -> whenStarted(started, PlatformDispatcher::reload));
         Signal.handle(
                 new Signal("TERM"),
                 signal -> {
                     if (!terminating.getAndSet(true)) {
-                        started.thenAccept(PlatformMain::drainAndHalt);
+                        whenStarted(started, PlatformMain::drainAndHalt);
                     }
                 });
     }
 
+    // The tasks report their own failures, so nothing is lost with the future's result.
+    private static void whenStarted(
+            CompletableFuture<PlatformDispatcher> started, Consumer<PlatformDispatcher> task) {
+        CompletableFuture<Void> unused = started.thenAccept(task);
+    }
+
     private static void drainAndHalt(PlatformDispatcher dispatcher) {
         try {
             dispatcher.drain();
@@ -130,7 +138,9 @@
                         new Socket(
                                 InetAddress.getLoopbackAddress(), dispatcher.address().getPort())) {
             ByteBuffer healthCheck = RpcEncoder.healthCheck(1);
-            socket.getOutputStream().write(healthCheck.array(), 0, healthCheck.remaining());
+            byte[] bytes = new byte[healthCheck.remaining()];
+            healthCheck.get(bytes);
+            socket.getOutputStream().write(bytes);
             boolean answered = socket.getInputStream().read() >= 0;
             dispatcher.drain();
             return answered;
--- a/src/main/java/brooklock/platform/RpcMessage.java
+++ b/src/main/java/brooklock/platform/RpcMessage.java
@@ -15,6 +15,8 @@
      * @param fields its fields, not checked yet
      * @param body its body; empty if there is none
      */
+    @SuppressWarnings(
+            "ArrayRecordComponent") // Never compared; a copy of each body would be wasted.
     record Call(long messageId, String method, Map<String, String> fields, byte[] body)
             implements RpcMessage {}
 
