--- a/src/main/java/brooklock/cli/ReplayCommand.java
+++ b/src/main/java/brooklock/cli/ReplayCommand.java
@@ -24,8 +24,8 @@
     public Integer call() throws IOException {
         TraceReplay.Result r = TraceReplay.replay(file);
         System.out.println(r.events() + " events, " + r.actions() + " actions alike");
-        if (r.difference() != null) {
-            System.out.println(r.difference());
+        if (r.difference().isPresent()) {
+            System.out.println(r.difference().get());
             return Cli.EXIT_PROBLEM;
         }
         return 0;
--- /dev/null
+++ b/src/main/java/brooklock/proxy/AccessFiles.java
@@ -0,0 +1,248 @@
+package brooklock.proxy;
+
+import brooklock.authorization.Policy;
+import brooklock.authorization.PolicyReader;
+import brooklock.config.Settings.AccessSettings;
+import brooklock.config.Settings.CertificatePair;
+import brooklock.credentials.CertificateTrust;
+import brooklock.credentials.KeySet;
+import brooklock.credentials.MonotonicWallClock;
+import brooklock.credentials.TlsContexts;
+import brooklock.credentials.WatchedFile;
+import brooklock.net.HttpListener;
+import java.io.Closeable;
+import java.io.IOException;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Optional;
+import javax.net.ssl.SSLContext;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/**
+ * The files that say who may come in: policy, keys, certificates, revocations.
+ *
+ * <p>One thread polls them. What it loads is immutable and read by any thread; a file that cannot
+ * be used leaves what was loaded before in force, and is shown on the state page.
+ */
+final class AccessFiles implements Closeable {
+    private static final Logger LOG = LoggerFactory.getLogger("audit");
+    // A file is loaded when it has not changed between two polls, and connections with a revoked
+    // certificate are closed right then: a revocation holds within half a second.
+    private static final long POLL_INTERVAL_MS = 200;
+    // Certificates also expire by time alone.
+    private static final int POLLS_PER_EXPIRY_SWEEP = 5;
+
+    private final List<WatchedFile<?>> watchedFiles = new ArrayList<>();
+    private final Optional<WatchedFile<Policy>> policy;
+    private final Optional<WatchedFile<KeySet>> keySet;
+    private final Optional<WatchedFile<CertificateTrust>> clientTrust;
+    private final Optional<WatchedFile<List<TlsContexts.TlsIdentity>>> identities;
+    private final Optional<WatchedFile<CertificateTrust>> endpointTrust;
+    private final MonotonicWallClock pollClock = new MonotonicWallClock();
+    private volatile boolean closed;
+
+    /**
+     * Loads the files that the settings name.
+     *
+     * @throws IOException if one cannot be used, with the reason
+     */
+    AccessFiles(AccessSettings access) throws IOException {
+        policy =
+                watch(
+                        "rights",
+                        listOf(access.policyFile()),
+                        previous ->
+                                PolicyReader.parse(
+                                        access.policyFile().toString(),
+                                        Files.readString(access.policyFile())));
+        keySet =
+                watch(
+                        "tokens",
+                        listOf(access.keySetFile()),
+                        previous -> loadKeySet(access.keySetFile(), previous));
+        clientTrust =
+                watch(
+                        "clients",
+                        clientTrustFiles(access),
+                        previous ->
+                                CertificateTrust.load(
+                                        access.clientAuthorities(),
+                                        access.revocationLists(),
+                                        access.deniedCertificates(),
+                                        access.acceptStaleRevocations(),
+                                        previous));
+        identities =
+                watch(
+                        "tls",
+                        certificateFiles(access),
+                        previous -> TlsContexts.loadIdentities(access.certificates()));
+        endpointTrust =
+                watch(
+                        "hosts-tls",
+                        listOf(access.endpointAuthorities()),
+                        previous ->
+                                CertificateTrust.load(
+                                        access.endpointAuthorities(), List.of(), null, true, null));
+    }
+
+    private static KeySet loadKeySet(Path path, KeySet previous) throws Exception {
+        KeySet next = KeySet.parse(Files.readString(path));
+        return previous == null
+                ? next
+                : previous.validateReplacement(next, System.currentTimeMillis());
+    }
+
+    private static List<Path> clientTrustFiles(AccessSettings access) {
+        if (access.clientAuthorities() == null) {
+            return List.of();
+        }
+        List<Path> files = new ArrayList<>(access.revocationLists());
+        files.add(access.clientAuthorities());
+        files.addAll(listOf(access.deniedCertificates()));
+        return files;
+    }
+
+    private static List<Path> certificateFiles(AccessSettings access) {
+        List<Path> files = new ArrayList<>();
+        for (CertificatePair pair : access.certificates()) {
+            files.add(pair.certificate());
+            files.add(pair.key());
+        }
+        return files;
+    }
+
+    private static List<Path> listOf(Path path) {
+        return path == null ? List.of() : List.of(path);
+    }
+
+    private <T> Optional<WatchedFile<T>> watch(
+            String name, List<Path> files, WatchedFile.Loader<T> loader) throws IOException {
+        if (files.isEmpty()) {
+            return Optional.empty();
+        }
+        WatchedFile<T> file =
+                new WatchedFile<>(
+                        name,
+                        files,
+                        loader,
+                        text -> LOG.atWarn().addKeyValue("change", text).log("keys"));
+        watchedFiles.add(file);
+        return Optional.of(file);
+    }
+
+    // ---- What is in force
+
+    /** Returns the policy in force; without a policy file it denies everything. */
+    Policy policy() {
+        return policy.map(WatchedFile::get).orElse(Policy.DENY_ALL);
+    }
+
+    /** Returns the keys in force; empty where tokens are not accepted. */
+    Optional<KeySet> keySet() {
+        return keySet.map(WatchedFile::get);
+    }
+
+    /** Returns the trust in clients' certificates; empty where none are asked for. */
+    Optional<CertificateTrust> clientTrust() {
+        return clientTrust.map(WatchedFile::get);
+    }
+
+    /** Returns the context to listen with; empty for plain connections. */
+    Optional<SSLContext> serverTlsContext() {
+        // Handshakes run on several threads and read the system's clock: it may go back only as
+        // far as a restart would let it.
+        return identities.map(
+                file ->
+                        TlsContexts.serverContext(
+                                file::get,
+                                () -> clientTrust().orElse(null),
+                                System::currentTimeMillis));
+    }
+
+    /** Returns the context for connections to endpoints; empty for plain connections. */
+    Optional<SSLContext> upstreamTlsContext() {
+        return endpointTrust.map(
+                file ->
+                        TlsContexts.clientContext(
+                                identities.map(i -> i.get().get(0)).orElse(null),
+                                file::get,
+                                System::currentTimeMillis));
+    }
+
+    // ---- Polling
+
+    /**
+     * Starts to poll the files. Connections whose certificates are revoked or expired are closed.
+     *
+     * @param listener whose connections are checked
+     * @param name begins the thread's name
+     * @param onPoll runs after each poll
+     */
+    void startPolling(HttpListener listener, String name, Runnable onPoll) {
+        if (watchedFiles.isEmpty()) {
+            return;
+        }
+        Thread thread = new Thread(() -> pollLoop(listener, onPoll), name + "-watch");
+        thread.setDaemon(true);
+        thread.start();
+    }
+
+    private void pollLoop(HttpListener listener, Runnable onPoll) {
+        int polls = 0;
+        while (!closed) {
+            boolean trustChanged = pollFiles();
+            if (clientTrust.isPresent()
+                    && (trustChanged || ++polls % POLLS_PER_EXPIRY_SWEEP == 0)) {
+                CertificateTrust trust = clientTrust.get().get();
+                long nowMs = pollClock.nowMs();
+                listener.closeRevoked(chain -> trust.recheck(chain, nowMs) != null);
+            }
+            onPoll.run();
+            try {
+                Thread.sleep(POLL_INTERVAL_MS);
+            } catch (InterruptedException e) {
+                return;
+            }
+        }
+    }
+
+    private boolean pollFiles() {
+        boolean trustChanged = false;
+        for (WatchedFile<?> file : watchedFiles) {
+            trustChanged |= file.poll() && clientTrust.filter(trust -> trust == file).isPresent();
+        }
+        return trustChanged;
+    }
+
+    /** Stops polling. */
+    @Override
+    public void close() {
+        closed = true;
+    }
+
+    /** Appends the lines of the state page: files that cannot be used, stale lists, keys. */
+    void appendState(StringBuilder page) {
+        for (WatchedFile<?> file : watchedFiles) {
+            if (file.lastError() != null) {
+                page.append("refused ").append(file.lastError().replace('\n', ' ')).append('\n');
+            }
+        }
+        clientTrust()
+                .ifPresent(
+                        trust ->
+                                trust.staleCrlIssuers(System.currentTimeMillis())
+                                        .forEach(
+                                                issuer ->
+                                                        page.append("stale-revocations ")
+                                                                .append(issuer)
+                                                                .append('\n')));
+        keySet().ifPresent(keys -> keys.keys().forEach(key -> appendKey(page, key)));
+    }
+
+    private static void appendKey(StringBuilder page, KeySet.Key key) {
+        page.append("key ").append(key.kid()).append(' ').append(key.state()).append('\n');
+    }
+}
--- a/src/main/java/brooklock/proxy/AccessLog.java
+++ b/src/main/java/brooklock/proxy/AccessLog.java
@@ -3,38 +3,39 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** One line an answer, to the logger "answers". */
+/** One line for each admitted request that has ended, to the logger "answers". */
 final class AccessLog {
     private static final Logger LOG = LoggerFactory.getLogger("answers");
 
     private AccessLog() {}
 
+    /**
+     * Writes a request's line.
+     *
+     * @param exchange a request that has ended
+     * @param nowNs now, on the dispatcher's clock
+     */
     static void writeEntry(ProxyExchange exchange, long nowNs) {
         if (!LOG.isInfoEnabled()) {
             return;
         }
-        String requestId = exchange.client.head().fields().get("X-Request-Id");
+        RoutedRequest request = exchange.request;
+        String requestId = request.client().head().fields().get("X-Request-Id");
         LOG.atInfo()
                 .addKeyValue("id", exchange.id)
                 .addKeyValue("request", requestId == null ? "" : requestId)
-                .addKeyValue(
-                        "tenant",
-                        exchange.authorization == null
-                                ? ""
-                                : exchange.authorization.tenant().name())
+                .addKeyValue("tenant", request.tenantName())
                 .addKeyValue(
                         "line",
-                        exchange.authorization == null
-                                ? 0
-                                : exchange.authorization.decision().line())
-                .addKeyValue("class", exchange.match.requestClass().name())
-                .addKeyValue("object", Long.toHexString(exchange.match.object()))
-                .addKeyValue("part", exchange.match.part())
+                        request.caller().map(AuthorizationResult.Authorized::policyLine).orElse(0))
+                .addKeyValue("class", request.match().requestClass().name())
+                .addKeyValue("object", Long.toHexString(request.match().object()))
+                .addKeyValue("part", request.match().part())
                 .addKeyValue("attempts", exchange.attemptDescriptions())
-                .addKeyValue("final", exchange.completion())
+                .addKeyValue("final", exchange.completion().word())
                 .addKeyValue("status", exchange.status())
-                .addKeyValue("bytes", exchange.responseBytes)
-                .addKeyValue("us", (nowNs - exchange.acceptedAtNs) / 1000)
+                .addKeyValue("bytes", exchange.responseBytes())
+                .addKeyValue("us", (nowNs - request.acceptedAtNs()) / 1000)
                 .log("answer");
     }
 }
--- a/src/main/java/brooklock/proxy/CacheStatusParser.java
+++ b/src/main/java/brooklock/proxy/CacheStatusParser.java
@@ -9,12 +9,13 @@
 import java.util.Set;
 
 /**
- * What a host's answer tells: how the attempt ended and, by Cache-Status and Proxy-Status, where
- * its bytes came from or why there are none. Only an answer that says so in the words of
- * docs/protocol.md proves that the request did not run.
+ * Reads what the head of an endpoint's response says of the attempt.
+ *
+ * <p>Only the words of {@code docs/protocol.md} prove that the request was not executed. A head
+ * that says nothing, or something else, proves nothing: otherwise an order could be placed twice.
  */
-record CacheStatusParser(AttemptOutcome outcome, CacheStatus note, long sourceWaitNs) {
-    // Errors of RFC 9209 after which nothing can have run at the source.
+final class CacheStatusParser {
+    // Errors of RFC 9209 after which nothing can have been executed at the fill source.
     private static final Set<String> SOURCE_NOT_REACHED_ERRORS =
             Set.of(
                     "connection_refused",
@@ -23,7 +24,7 @@
                     "dns_error",
                     "dns_timeout",
                     "destination_not_found");
-    // ... and those after which it may have.
+    // ... and those after which something may have.
     private static final Set<String> SOURCE_ABORTED_ERRORS =
             Set.of(
                     "connection_terminated",
@@ -33,58 +34,54 @@
                     "http_response_timeout",
                     "http_protocol_error");
 
-    static CacheStatusParser parse(ResponseHead head) {
+    private CacheStatusParser() {}
+
+    /** Reads the head of an endpoint's final response. */
+    static UpstreamResult parse(ResponseHead head) {
         Fields fields = head.fields();
         long waitNs = parseSourceWaitNs(fields.get("Brooklock-Waited"));
+        if (head.status() < 500) {
+            return new UpstreamResult(AttemptOutcome.OK, statusOfCopy(fields), waitNs);
+        }
         List<StatusFieldParser.Member> proxies =
                 StatusFieldParser.parse(fields.combinedValue("Proxy-Status"));
         StatusFieldParser.Member nearest =
                 proxies.isEmpty() ? null : proxies.get(proxies.size() - 1);
         String error = nearest == null ? null : nearest.parameters().get("error");
-        if (head.status() < 500) {
-            return new CacheStatusParser(AttemptOutcome.OK, copyNote(fields), waitNs);
-        }
         if (error == null) {
             return head.status() == 504 && fields.get("Cache-Status") != null
-                    ? new CacheStatusParser(AttemptOutcome.CACHE_MISS, missNote(fields), waitNs)
-                    : new CacheStatusParser(AttemptOutcome.ERROR, CacheStatus.NONE, waitNs);
+                    ? new UpstreamResult(AttemptOutcome.CACHE_MISS, statusOfMiss(fields), waitNs)
+                    : new UpstreamResult(AttemptOutcome.ERROR, CacheStatus.NONE, waitNs);
         }
+        // The endpoint names the error of its fill source; a second one is the origin's, behind it.
         boolean originFailed =
                 proxies.stream().filter(proxy -> proxy.parameters().containsKey("error")).count()
                         > 1;
         if (error.equals("connection_limit_reached")) {
             boolean noFillCapacity = "fills".equals(nearest.parameters().get("details"));
-            return new CacheStatusParser(
+            return new UpstreamResult(
                     AttemptOutcome.OVERLOADED,
                     noFillCapacity ? CacheStatus.NO_CAPACITY : CacheStatus.NONE,
                     waitNs);
         }
         if (error.equals("destination_unavailable")) {
-            return new CacheStatusParser(
+            return new UpstreamResult(
                     AttemptOutcome.OVERLOADED,
                     originFailed ? CacheStatus.ORIGIN_FAILED : CacheStatus.FILL_SOURCE_REJECTED,
                     waitNs);
         }
+        CacheStatus lost =
+                originFailed ? CacheStatus.ORIGIN_FAILED : CacheStatus.FILL_SOURCE_CONNECTION_LOST;
         if (SOURCE_NOT_REACHED_ERRORS.contains(error)) {
-            return new CacheStatusParser(
-                    AttemptOutcome.OVERLOADED,
-                    originFailed
-                            ? CacheStatus.ORIGIN_FAILED
-                            : CacheStatus.FILL_SOURCE_CONNECTION_LOST,
-                    waitNs);
+            return new UpstreamResult(AttemptOutcome.OVERLOADED, lost, waitNs);
         }
         if (SOURCE_ABORTED_ERRORS.contains(error)) {
-            return new CacheStatusParser(
-                    AttemptOutcome.ERROR,
-                    originFailed
-                            ? CacheStatus.ORIGIN_FAILED
-                            : CacheStatus.FILL_SOURCE_CONNECTION_LOST,
-                    waitNs);
+            return new UpstreamResult(AttemptOutcome.ERROR, lost, waitNs);
         }
-        return new CacheStatusParser(AttemptOutcome.ERROR, CacheStatus.NONE, waitNs);
+        return new UpstreamResult(AttemptOutcome.ERROR, CacheStatus.NONE, waitNs);
     }
 
-    private static CacheStatus copyNote(Fields fields) {
+    private static CacheStatus statusOfCopy(Fields fields) {
         StatusFieldParser.Member nearest =
                 StatusFieldParser.nearestMember(fields.combinedValue("Cache-Status"));
         if (nearest == null) {
@@ -98,7 +95,7 @@
             return CacheStatus.COLLAPSED;
         }
         if ("neighbour".equals(nearest.parameters().get("detail"))) {
-            // The source that the module named had no part in it.
+            // A peer filled it; the fill source that the router named had no part in it.
             return CacheStatus.COLLAPSED;
         }
         if (!nearest.parameters().containsKey("fwd")) {
@@ -109,16 +106,18 @@
                 : CacheStatus.FILLED_BY_PARENT;
     }
 
-    private static CacheStatus missNote(Fields fields) {
+    private static CacheStatus statusOfMiss(Fields fields) {
         StatusFieldParser.Member nearest =
                 StatusFieldParser.nearestMember(fields.combinedValue("Cache-Status"));
-        return nearest == null
-                ? CacheStatus.NONE
-                : nearest.hasFlag("collapsed")
-                        ? CacheStatus.COLLAPSED
-                        : "source-lacks".equals(nearest.parameters().get("detail"))
-                                ? CacheStatus.FILL_SOURCE_MISS
-                                : CacheStatus.NONE;
+        if (nearest == null) {
+            return CacheStatus.NONE;
+        }
+        if (nearest.hasFlag("collapsed")) {
+            return CacheStatus.COLLAPSED;
+        }
+        return "source-lacks".equals(nearest.parameters().get("detail"))
+                ? CacheStatus.FILL_SOURCE_MISS
+                : CacheStatus.NONE;
     }
 
     private static long parseSourceWaitNs(String microseconds) {
--- a/src/main/java/brooklock/proxy/ControlHandler.java
+++ b/src/main/java/brooklock/proxy/ControlHandler.java
@@ -9,6 +9,7 @@
 import brooklock.net.HttpExchange;
 import brooklock.routing.EndpointListKind;
 import brooklock.routing.EndpointState;
+import brooklock.routing.RouterEvent;
 import brooklock.routing.RouterEvent.PurgeReceived;
 import java.math.BigDecimal;
 import java.net.URI;
@@ -18,23 +19,42 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.function.Consumer;
+import java.util.function.Supplier;
 
 /**
- * The control listener: purges, lists, drains by hand, the state. A notice is answered once the
- * module has it, and may be repeated without harm. docs/operating.md states each.
+ * Handles control requests: purges, endpoint lists, states set by hand, the state page. Any I/O
+ * thread may call.
+ *
+ * <p>A change is acknowledged once the router has it and, where a list is saved, once it is on
+ * disk. All changes are idempotent, so a sender that got no response sends again. {@code
+ * docs/operating.md} has every request.
  */
 final class ControlHandler {
-    private final Dispatcher dispatcher;
+    private static final int NS_PER_MS_SCALE = 6;
+
+    private final ProxyContext context;
+    private final EndpointListUpdater endpointListUpdater;
+    private final Optional<WarmingCoordinator> warming;
+    private final Supplier<String> statePage;
     private final RouteTable routeTable;
-    // The decision thread's own.
+    // The routing thread's.
     private final PurgeTimes purgeTimes = new PurgeTimes();
 
-    ControlHandler(Dispatcher dispatcher) {
-        this.dispatcher = dispatcher;
-        routeTable = new RouteTable(dispatcher.settings);
+    ControlHandler(
+            ProxyContext context,
+            EndpointListUpdater endpointListUpdater,
+            Optional<WarmingCoordinator> warming,
+            Supplier<String> statePage) {
+        this.context = context;
+        this.endpointListUpdater = endpointListUpdater;
+        this.warming = warming;
+        this.statePage = statePage;
+        routeTable = new RouteTable(context.settings());
     }
 
+    /** Handles a request whose head has arrived; on its I/O thread. */
     void handle(HttpExchange exchange) {
         String target = exchange.head().target();
         int queryStart = target.indexOf('?');
@@ -42,91 +62,90 @@
         try {
             Map<String, String> query =
                     parseQuery(queryStart < 0 ? "" : target.substring(queryStart + 1));
-            switch (exchange.head().method() + " " + path) {
-                case "GET /state" -> respond(exchange, 200, dispatcher.statePage());
-                case "GET /hosts" ->
-                        respond(
-                                exchange,
-                                200,
-                                EndpointListCodec.encode(
-                                        WatchEvent.unversioned(
-                                                true,
-                                                List.copyOf(
-                                                        dispatcher
-                                                                .endpointRegistry
-                                                                .endpoints()
-                                                                .values()))));
-                case "POST /hosts" -> exchange.readBody(body -> applyEndpointList(exchange, body));
-                case "POST /drain" ->
-                        exchange.readBody(
-                                body ->
-                                        setManualState(
-                                                exchange,
-                                                query.get("host"),
-                                                EndpointState.DRAINING));
-                case "POST /gone" ->
-                        exchange.readBody(
-                                body ->
-                                        setManualState(
-                                                exchange, query.get("host"), EndpointState.GONE));
-                case "POST /ready" ->
-                        exchange.readBody(
-                                body ->
-                                        setManualState(
-                                                exchange, query.get("host"), EndpointState.READY));
-                case "POST /reset" ->
-                        exchange.readBody(
-                                body ->
-                                        updateSource(
-                                                exchange,
-                                                "reset",
-                                                m -> m.resetSource(query.get("source"))));
-                case "POST /forget" ->
-                        exchange.readBody(
-                                body ->
-                                        updateSource(
-                                                exchange,
-                                                "forget",
-                                                m -> m.forgetSource(query.get("source"))));
-                case "POST /purge" -> exchange.readBody(body -> purge(exchange, query));
-                default ->
-                        respond(
-                                exchange,
-                                404,
-                                "no such question or order: "
-                                        + exchange.head().method()
-                                        + " "
-                                        + path);
+            switch (exchange.head().method()) {
+                case "GET" -> get(exchange, path);
+                case "POST" -> post(exchange, path, query);
+                default -> respondUnknown(exchange, path);
             }
         } catch (IllegalArgumentException e) {
             respond(exchange, 400, e.getMessage());
         }
     }
 
-    private void applyEndpointList(HttpExchange exchange, byte[] body) {
+    private void get(HttpExchange exchange, String path) {
+        switch (path) {
+            case "/state" -> respond(exchange, 200, statePage.get());
+            case "/hosts" -> respond(exchange, 200, encodedList());
+            default -> respondUnknown(exchange, path);
+        }
+    }
+
+    private void post(HttpExchange exchange, String path, Map<String, String> query) {
+        switch (path) {
+            case "/hosts" -> exchange.readBody(body -> applyWatchEvent(exchange, body));
+            case "/drain" -> setByHand(exchange, query, EndpointState.DRAINING);
+            case "/gone" -> setByHand(exchange, query, EndpointState.GONE);
+            case "/ready" -> setByHand(exchange, query, EndpointState.READY);
+            case "/reset" ->
+                    updateSource(exchange, "reset", m -> m.resetSource(query.get("source")));
+            case "/forget" ->
+                    updateSource(exchange, "forget", m -> m.forgetSource(query.get("source")));
+            case "/purge" -> exchange.readBody(body -> purge(exchange, query));
+            default -> respondUnknown(exchange, path);
+        }
+    }
+
+    private static Map<String, String> parseQuery(String text) {
+        Map<String, String> parameters = new HashMap<>();
+        for (String pair : text.split("&")) {
+            int equals = pair.indexOf('=');
+            if (equals > 0) {
+                parameters.put(
+                        pair.substring(0, equals),
+                        URLDecoder.decode(pair.substring(equals + 1), StandardCharsets.UTF_8));
+            }
+        }
+        return parameters;
+    }
+
+    // ---- Endpoint lists
+
+    private String encodedList() {
+        return EndpointListCodec.encode(
+                WatchEvent.unversioned(
+                        true, List.copyOf(context.endpointRegistry().endpoints().values())));
+    }
+
+    private void applyWatchEvent(HttpExchange exchange, byte[] body) {
         try {
-            dispatcher.applyWatchEvent(
+            endpointListUpdater.apply(
                     EndpointListCodec.decode(new String(body, StandardCharsets.UTF_8)),
-                    respond(exchange));
+                    responder(exchange));
         } catch (IllegalArgumentException e) {
             respond(exchange, 400, e.getMessage());
         }
     }
 
-    private void setManualState(HttpExchange exchange, String host, EndpointState state) {
-        dispatcher.updateEndpoints(
-                "by hand: " + host + " " + state,
-                m -> m.setOverride(host, state),
-                EndpointListKind.DELTA,
-                respond(exchange));
+    private void setByHand(HttpExchange exchange, Map<String, String> query, EndpointState state) {
+        String name = query.get("host");
+        exchange.readBody(
+                body ->
+                        endpointListUpdater.update(
+                                "by hand: " + name + " " + state,
+                                membership -> membership.setOverride(name, state),
+                                EndpointListKind.DELTA,
+                                responder(exchange)));
     }
 
     private void updateSource(
             HttpExchange exchange, String description, EndpointRegistry.Change change) {
-        dispatcher.updateEndpoints(description, change, EndpointListKind.FULL, respond(exchange));
+        exchange.readBody(
+                body ->
+                        endpointListUpdater.update(
+                                description, change, EndpointListKind.FULL, responder(exchange)));
     }
 
-    private static Consumer<UpdateResult> respond(HttpExchange exchange) {
+    private static Consumer<UpdateResult> responder(HttpExchange exchange) {
         return result ->
                 exchange.loop()
                         .execute(
@@ -137,86 +156,80 @@
                                                 result.responseBody()));
     }
 
+    // ---- Purges
+
     private void purge(HttpExchange exchange, Map<String, String> query) {
         try {
-            String purgeTime = query.get("at");
-            if (purgeTime == null || !purgeTime.matches("\\d{1,15}(\\.\\d{1,6})?")) {
-                throw new IllegalArgumentException(
+            String issuedAt = query.get("at");
+            if (issuedAt == null || !issuedAt.matches("\\d{1,15}(\\.\\d{1,6})?")) {
+                throw new InvalidControlRequestException(
                         "a purge names its moment: at=MS, in ms since 1970");
             }
-            Instant now = Instant.now();
-            BigDecimal nowMs =
-                    BigDecimal.valueOf(now.getEpochSecond())
-                            .scaleByPowerOfTen(3)
-                            .add(BigDecimal.valueOf(now.getNano(), 6));
-            long ageNs =
-                    Math.max(
-                            0,
-                            nowMs.subtract(new BigDecimal(purgeTime))
-                                    .scaleByPowerOfTen(6)
-                                    .longValue());
+            long ageNs = ageNs(new BigDecimal(issuedAt));
             if (!query.containsKey("group") && !query.containsKey("url")) {
-                throw new IllegalArgumentException("a purge names url=URL or group=NAME");
+                throw new InvalidControlRequestException("a purge names url=URL or group=NAME");
             }
-            int group =
-                    query.containsKey("group") ? RouteTable.purgeGroupId(query.get("group")) : 0;
-            long object = query.containsKey("group") ? 0 : objectOfUrl(query.get("url"));
-            long receivedAtNs = dispatcher.clock.nowNs();
-            dispatcher.routingThread.submitSupplied(
-                    () -> {
-                        PurgeReceived event =
-                                new PurgeReceived(
-                                        object,
-                                        group,
-                                        dispatcher.clock.nowNs()
-                                                - receivedAtNs
-                                                + purgeTimes.ageNs(
-                                                        group + " " + object + " " + purgeTime,
-                                                        receivedAtNs,
-                                                        ageNs));
-                        if (dispatcher.warmingCoordinator() != null) {
-                            dispatcher
-                                    .warmingCoordinator()
-                                    .onPurge(event.object(), event.group(), event.ageNs());
-                        }
-                        return event;
-                    },
-                    () -> exchange.loop().execute(() -> respond(exchange, 200, "purged")));
+            boolean ofGroup = query.containsKey("group");
+            int group = ofGroup ? RouteTable.purgeGroupId(query.get("group")) : 0;
+            long object = ofGroup ? 0 : objectOfUrl(query.get("url"));
+            long receivedAtNs = context.clock().nowNs();
+            context.routingThread()
+                    .submitComputed(
+                            () ->
+                                    Optional.of(
+                                            purgeEvent(
+                                                    object, group, issuedAt, receivedAtNs, ageNs)),
+                            () -> exchange.loop().execute(() -> respond(exchange, 200, "purged")));
         } catch (IllegalArgumentException e) {
             respond(exchange, 400, e.getMessage());
         }
     }
 
+    private static long ageNs(BigDecimal issuedAtMs) {
+        Instant now = Instant.now();
+        BigDecimal nowMs =
+                BigDecimal.valueOf(now.getEpochSecond())
+                        .scaleByPowerOfTen(3)
+                        .add(BigDecimal.valueOf(now.getNano(), NS_PER_MS_SCALE));
+        BigDecimal ageMs = nowMs.subtract(issuedAtMs);
+        return Math.max(0, ageMs.scaleByPowerOfTen(NS_PER_MS_SCALE).longValue());
+    }
+
+    // On the routing thread. The first time that a purge is seen fixes its moment: when it is
+    // repeated after the wall clock was set, the moment must neither move back nor forward.
+    private RouterEvent purgeEvent(
+            long object, int group, String issuedAt, long receivedAtNs, long ageNs) {
+        String key = group + " " + object + " " + issuedAt;
+        long ageAtReceiptNs = purgeTimes.ageNs(key, receivedAtNs, ageNs);
+        PurgeReceived event =
+                new PurgeReceived(
+                        object, group, context.clock().nowNs() - receivedAtNs + ageAtReceiptNs);
+        warming.ifPresent(w -> w.onPurge(event));
+        return event;
+    }
+
     private long objectOfUrl(String url) {
         URI uri = URI.create(url);
         if (uri.getRawAuthority() == null) {
-            throw new IllegalArgumentException("'" + url + "' is not a whole URL");
+            throw new InvalidControlRequestException("'" + url + "' is not a whole URL");
         }
+        String query = uri.getRawQuery() == null ? "" : "?" + uri.getRawQuery();
         try {
             return routeTable
-                    .match(
-                            "GET",
-                            uri.getRawAuthority(),
-                            uri.getRawPath()
-                                    + (uri.getRawQuery() == null ? "" : "?" + uri.getRawQuery()),
-                            true)
+                    .match("GET", uri.getRawAuthority(), uri.getRawPath() + query, true)
                     .object();
         } catch (RouteTable.NoRouteException e) {
-            throw new IllegalArgumentException("'" + url + "': " + e.getMessage());
+            throw new InvalidControlRequestException("'" + url + "': " + e.getMessage(), e);
         }
     }
 
-    private static Map<String, String> parseQuery(String text) {
-        Map<String, String> parameters = new HashMap<>();
-        for (String pair : text.split("&")) {
-            int eq = pair.indexOf('=');
-            if (eq > 0) {
-                parameters.put(
-                        pair.substring(0, eq),
-                        URLDecoder.decode(pair.substring(eq + 1), StandardCharsets.UTF_8));
-            }
-        }
-        return parameters;
+    // ---- Responses
+
+    private static void respondUnknown(HttpExchange exchange, String path) {
+        respond(
+                exchange,
+                404,
+                "no such question or order: " + exchange.head().method() + " " + path);
     }
 
     private static void respond(HttpExchange exchange, int status, String text) {
--- /dev/null
+++ b/src/main/java/brooklock/proxy/EndpointListUpdater.java
@@ -0,0 +1,196 @@
+package brooklock.proxy;
+
+import brooklock.config.Settings;
+import brooklock.membership.EndpointRegistry;
+import brooklock.membership.ListedEndpoint;
+import brooklock.membership.Membership;
+import brooklock.membership.UpdateResult;
+import brooklock.membership.WatchEvent;
+import brooklock.routing.EndpointListKind;
+import brooklock.routing.EndpointState;
+import brooklock.routing.RouterEvent;
+import brooklock.routing.RouterEvent.EndpointListReceived;
+import java.io.IOException;
+import java.util.Collection;
+import java.util.List;
+import java.util.Optional;
+import java.util.concurrent.CountDownLatch;
+import java.util.concurrent.TimeUnit;
+import java.util.function.Consumer;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/**
+ * Changes the endpoint list in force. Any thread may call.
+ *
+ * <p>Each change is made on the routing thread, which owns the list, against what is in force there
+ * and then. It is acknowledged after it is saved: what has been acknowledged holds through a kill.
+ */
+final class EndpointListUpdater {
+    private static final Logger LOG = LoggerFactory.getLogger(EndpointListUpdater.class);
+    private static final long INITIAL_LIST_TIMEOUT_S = 10;
+
+    private final ProxyContext context;
+    private final EndpointListStore store;
+    private final Optional<WarmingCoordinator> warming;
+
+    EndpointListUpdater(
+            ProxyContext context, EndpointListStore store, Optional<WarmingCoordinator> warming) {
+        this.context = context;
+        this.store = store;
+        this.warming = warming;
+    }
+
+    /**
+     * Puts the list that was saved last in force, or else that of the settings, and waits for it: a
+     * request that came earlier would find no endpoint.
+     *
+     * @throws InitialListTimeoutException if it is not in force in time
+     */
+    void applyInitialList() throws InitialListTimeoutException {
+        Optional<Membership.State> saved = loadSaved();
+        List<ListedEndpoint> configured =
+                context.settings().endpoints().stream().map(this::toListedEndpoint).toList();
+        CountDownLatch applied = new CountDownLatch(1);
+        update(
+                "first list",
+                membership ->
+                        saved.isPresent()
+                                ? membership.restore(saved.get())
+                                : membership.applySettings(System.currentTimeMillis(), configured),
+                EndpointListKind.CACHED,
+                result -> applied.countDown());
+        try {
+            if (!applied.await(INITIAL_LIST_TIMEOUT_S, TimeUnit.SECONDS)) {
+                throw new InitialListTimeoutException(INITIAL_LIST_TIMEOUT_S);
+            }
+        } catch (InterruptedException e) {
+            Thread.currentThread().interrupt();
+        }
+    }
+
+    private Optional<Membership.State> loadSaved() {
+        try {
+            return store.load();
+        } catch (IOException e) {
+            LOG.error("the saved list cannot be used, the settings' hosts are taken instead", e);
+            return Optional.empty();
+        }
+    }
+
+    private ListedEndpoint toListedEndpoint(Settings.EndpointSettings endpoint) {
+        return new ListedEndpoint(
+                endpoint.name(),
+                endpoint.id(),
+                endpoint.kind(),
+                context.settings().zones().get(endpoint.zoneIndex()).name(),
+                endpoint.address(),
+                EndpointState.READY,
+                endpoint.weight(),
+                0);
+    }
+
+    /**
+     * Applies a watch event.
+     *
+     * @param onResult gets what came of it once that is saved, on the writing thread, or on the
+     *     routing thread where nothing is to be saved
+     */
+    void apply(WatchEvent event, Consumer<UpdateResult> onResult) {
+        update(
+                event.version() == null ? "unnumbered list" : event.version().toString(),
+                membership -> membership.apply(System.currentTimeMillis(), event),
+                event.full() ? EndpointListKind.FULL : EndpointListKind.DELTA,
+                onResult);
+    }
+
+    /**
+     * Makes a change.
+     *
+     * @param description names the change in the log
+     * @param kind how the router is to read the endpoints that change
+     * @param onResult as for {@link #apply}
+     */
+    void update(
+            String description,
+            EndpointRegistry.Change change,
+            EndpointListKind kind,
+            Consumer<UpdateResult> onResult) {
+        UpdateResult[] result = new UpdateResult[1];
+        context.routingThread()
+                .submitComputed(
+                        () -> {
+                            result[0] = apply(description, change);
+                            closeIdleConnections(result[0].affected());
+                            return forRouter(
+                                    Optional.ofNullable(
+                                            context.endpointRegistry()
+                                                    .toEndpointList(result[0], kind)));
+                        },
+                        () ->
+                                store.save(
+                                        context.endpointRegistry().state(),
+                                        failure ->
+                                                onResult.accept(withFailure(result[0], failure))));
+    }
+
+    /** Submits the whole list in force to the router. */
+    void submitFullList() {
+        context.routingThread()
+                .submitComputed(
+                        () ->
+                                forRouter(
+                                        Optional.of(
+                                                context.endpointRegistry()
+                                                        .fullEndpointList(EndpointListKind.FULL))),
+                        () -> {});
+    }
+
+    // ---- On the routing thread
+
+    private UpdateResult apply(String description, EndpointRegistry.Change change) {
+        UpdateResult result;
+        try {
+            result = context.endpointRegistry().apply(change);
+        } catch (RuntimeException failure) {
+            // One event that can't be applied must not stop the others, nor routing.
+            LOG.error("notice failed: {}", description, failure);
+            result = UpdateResult.internalError(failure);
+        }
+        LOG.atInfo()
+                .addKeyValue("notice", description)
+                .addKeyValue("result", result.status())
+                .addKeyValue(
+                        "news",
+                        result.complete()
+                                ? result.affected().size() + " hosts"
+                                : result.affected().stream()
+                                        .map(e -> e.name() + " " + e.state())
+                                        .toList())
+                .log("list");
+        return result;
+    }
+
+    private void closeIdleConnections(Collection<ListedEndpoint> affected) {
+        for (ListedEndpoint endpoint : affected) {
+            if (endpoint.state() != EndpointState.READY) {
+                context.upstreamClients().closeIdle(endpoint.address());
+            }
+        }
+    }
+
+    // The warming of caches follows every change, also one that is no event for the router.
+    private Optional<RouterEvent> forRouter(Optional<EndpointListReceived> event) {
+        warming.ifPresent(WarmingCoordinator::onEndpointListChanged);
+        return event.map(e -> warming.isPresent() ? warming.get().withWarmingWeights(e) : e);
+    }
+
+    // ---- On the writing thread
+
+    // A list that is in force but not on disk is said to be so.
+    private static UpdateResult withFailure(UpdateResult result, Optional<IOException> failure) {
+        return failure.isPresent() && result.applied()
+                ? result.withSaveError(String.valueOf(failure.get().getMessage()))
+                : result;
+    }
+}
--- a/src/main/java/brooklock/proxy/MonotonicClock.java
+++ b/src/main/java/brooklock/proxy/MonotonicClock.java
@@ -1,26 +1,33 @@
 package brooklock.proxy;
 
-/** The module's time: the process's monotonic clock, ns. */
+/**
+ * The clock of all times in a dispatcher: the monotonic clock of the process, in ns. Immutable; any
+ * thread may read it.
+ *
+ * <p>Wall times are converted where they enter, so that setting the wall clock moves nothing.
+ */
 public final class MonotonicClock {
-    // The module's clock at the start, ns: what happened up to an hour before still has a time
-    // above 0.
+    // Reading at the start: what happened up to an hour before still has a time above 0, which
+    // stands for "never".
     private static final long START_OFFSET_NS = 3600_000_000_000L;
 
     private final long originNs = System.nanoTime() - START_OFFSET_NS;
 
-    /** Now, ns. */
+    /** Returns the present time, ns. */
     public long nowNs() {
         return System.nanoTime() - originNs;
     }
 
-    /** A reading of {@link System#nanoTime} in the module's time. */
+    /** Converts a reading of {@link System#nanoTime}. */
     public long fromNanoTime(long nanoTime) {
         return nanoTime - originNs;
     }
 
     /**
-     * A moment of wall time, ms since 1970, in the module's time; never later than now, 1 for very
-     * long ago.
+     * Converts a wall time.
+     *
+     * @param wallMs ms since 1970
+     * @return the time on this clock, ns; never in the future, and 1 for very long ago
      */
     public long fromWallMs(long wallMs) {
         long ageMs = Math.max(0, System.currentTimeMillis() - wallMs);
--- a/src/main/java/brooklock/proxy/PrefetchRequest.java
+++ b/src/main/java/brooklock/proxy/PrefetchRequest.java
@@ -9,51 +9,84 @@
 import brooklock.net.IoLoop;
 import brooklock.net.ResponseHandler;
 import java.net.InetSocketAddress;
+import java.util.Optional;
+import java.util.function.Consumer;
 
-/** One fetch ahead on its way; ends once, by an answer, a failure or its time. */
+/**
+ * One prefetch in flight: a request to a cache that no client waits for. It belongs to one I/O
+ * thread, and ends once, by a response, a failure or its timeout.
+ */
 final class PrefetchRequest implements ResponseHandler {
-    /** Longest that one may take, ns. */
-    static final long MAX_DURATION_NS = 2_000_000_000L;
+    /** Longest that a prefetch may take, ns. */
+    static final long TIMEOUT_NS = 2_000_000_000L;
 
-    /** Told the status, 0 for none, the answer's fields, and when it was sent. */
-    interface CompletionListener {
-        void onComplete(int status, Fields fields, long sentAtNs);
-    }
+    private static final byte[] NO_BODY = new byte[0];
+
+    /** What came of a prefetch. */
+    sealed interface Result {}
+
+    /**
+     * A whole response.
+     *
+     * @param sentAtNs when the request was sent, on the dispatcher's clock
+     */
+    record Response(int status, Fields fields, long sentAtNs) implements Result {}
 
-    private final Dispatcher dispatcher;
-    private final long host;
-    private final long source;
-    private final CompletionListener listener;
+    /**
+     * No response in time, or none that was whole.
+     *
+     * @param fields of the response's head, if that had come
+     * @param sentAtNs when the request was sent, on the dispatcher's clock
+     */
+    record NoResponse(Optional<Fields> fields, long sentAtNs) implements Result {}
+
+    private final ProxyContext context;
+    private final long endpointId;
+    private final long sourceId;
+    private final Consumer<Result> listener;
     private final long sentAtNs;
+    // Null until it has come.
     private ResponseHead head;
     private boolean completed;
 
-    PrefetchRequest(Dispatcher dispatcher, long host, long source, CompletionListener listener) {
-        this.dispatcher = dispatcher;
-        this.host = host;
-        this.source = source;
+    /**
+     * Makes one that is not sent.
+     *
+     * @param endpointId the cache that is to have the copy
+     * @param sourceId the peer it is filled from
+     * @param listener gets the result, on the I/O thread
+     */
+    PrefetchRequest(
+            ProxyContext context, long endpointId, long sourceId, Consumer<Result> listener) {
+        this.context = context;
+        this.endpointId = endpointId;
+        this.sourceId = sourceId;
         this.listener = listener;
-        sentAtNs = dispatcher.clock.nowNs();
+        sentAtNs = context.clock().nowNs();
     }
 
     /** Sends it; on the loop's thread. */
     void send(IoLoop loop, InetSocketAddress address, RequestHead request) {
-        ClientCall call = dispatcher.clientFor(loop).send(address, request, new byte[0], this);
+        ClientCall call =
+                context.upstreamClients().clientFor(loop).send(address, request, NO_BODY, this);
         loop.schedule(
-                MAX_DURATION_NS,
+                TIMEOUT_NS,
                 () -> {
                     if (!completed) {
                         call.cancel();
-                        complete(0);
+                        complete(noResponse());
                     }
                 });
     }
 
-    /** Rule 3, at the last moment, as for any attempt. */
+    /**
+     * Asked right before the first byte is written, as for any attempt: an endpoint may have left
+     * the list meanwhile.
+     */
     @Override
     public boolean shouldSend() {
-        return dispatcher.endpointRegistry.isReady(host)
-                && dispatcher.endpointRegistry.isReady(source);
+        return context.endpointRegistry().isReady(endpointId)
+                && context.endpointRegistry().isReady(sourceId);
     }
 
     @Override
@@ -63,18 +96,22 @@
 
     @Override
     public void onComplete(Fields trailers) {
-        complete(head.status());
+        complete(new Response(head.status(), head.fields(), sentAtNs));
     }
 
     @Override
     public void onFailure(CallFailure failure, String reason) {
-        complete(0);
+        complete(noResponse());
+    }
+
+    private NoResponse noResponse() {
+        return new NoResponse(Optional.ofNullable(head).map(ResponseHead::fields), sentAtNs);
     }
 
-    private void complete(int status) {
+    private void complete(Result result) {
         if (!completed) {
             completed = true;
-            listener.onComplete(status, head == null ? null : head.fields(), sentAtNs);
+            listener.accept(result);
         }
     }
 }
--- /dev/null
+++ b/src/main/java/brooklock/proxy/PrefetchSender.java
@@ -0,0 +1,84 @@
+package brooklock.proxy;
+
+import brooklock.http.Fields;
+import brooklock.http.RequestHead;
+import brooklock.membership.ListedEndpoint;
+import brooklock.net.IoLoop;
+import brooklock.net.IoThreads;
+import brooklock.warming.CacheWarming.PeerResult;
+import brooklock.warming.CacheWarming.Prefetch;
+import java.util.Optional;
+import java.util.function.Consumer;
+
+/**
+ * Sends prefetches, from the I/O threads in turn. It belongs to the routing thread; listeners are
+ * called on the I/O thread of their prefetch.
+ */
+final class PrefetchSender {
+    private final ProxyContext context;
+    private final IoThreads ioThreads;
+    private int nextLoop;
+
+    PrefetchSender(ProxyContext context, IoThreads ioThreads) {
+        this.context = context;
+        this.ioThreads = ioThreads;
+    }
+
+    /** Sends a prefetch. */
+    void send(Prefetch<PrefetchTarget> prefetch, Consumer<PrefetchRequest.Result> listener) {
+        ListedEndpoint endpoint = context.endpointRegistry().find(prefetch.endpointId());
+        ListedEndpoint source = context.endpointRegistry().find(prefetch.sourceId());
+        RequestHead head = buildHead(prefetch, endpoint, source);
+        IoLoop loop = ioThreads.loop(nextLoop++ % ioThreads.size());
+        loop.execute(
+                () ->
+                        new PrefetchRequest(
+                                        context,
+                                        prefetch.endpointId(),
+                                        prefetch.sourceId(),
+                                        listener)
+                                .send(loop, endpoint.address(), head));
+    }
+
+    private RequestHead buildHead(
+            Prefetch<PrefetchTarget> prefetch, ListedEndpoint endpoint, ListedEndpoint source) {
+        PrefetchTarget target = prefetch.request();
+        long maxAgeNs = target.requestClass().freshnessNs();
+        Fields fields =
+                new Fields()
+                        .add("Via", "1.1 " + context.settings().name())
+                        .add(
+                                "Brooklock-Copy",
+                                "object="
+                                        + Long.toHexString(prefetch.object())
+                                        + ", part="
+                                        + prefetch.part()
+                                        + ", group="
+                                        + target.group()
+                                        + ", class="
+                                        + target.requestClass().name())
+                        .add(
+                                "Brooklock-Get",
+                                "keep=2, source="
+                                        + source.name()
+                                        + ", at="
+                                        + UpstreamRequestBuilder.quotedAddress(source)
+                                        + (maxAgeNs > 0 ? ", oldest=" + maxAgeNs / 1000 : "")
+                                        + ", join, held-only, fetch")
+                        .add(
+                                "Brooklock-Attempt",
+                                "id=0, try=0, left=" + PrefetchRequest.TIMEOUT_NS / 1000);
+        String authority = target.authority().isEmpty() ? endpoint.name() : target.authority();
+        return new RequestHead("GET", target.target(), authority, 1, fields);
+    }
+
+    /** Returns what a response says of the peer; empty if the peer was not asked. */
+    Optional<PeerResult> peerResult(PrefetchRequest.Response response) {
+        return switch (response.status()) {
+            case 204 -> Optional.of(PeerResult.FILLED);
+            case 504 -> Optional.of(PeerResult.MISSED);
+            case 502 -> Optional.of(PeerResult.FAILED);
+            default -> Optional.empty();
+        };
+    }
+}
--- a/src/main/java/brooklock/proxy/ProxyExchange.java
+++ b/src/main/java/brooklock/proxy/ProxyExchange.java
@@ -8,61 +8,68 @@
 import brooklock.net.HttpExchange;
 import brooklock.routing.AttemptOutcome;
 import brooklock.routing.CacheStatus;
-import brooklock.routing.RouterAction.RejectRequest;
 import brooklock.routing.RouterAction.StartAttempt;
 import brooklock.routing.RouterEvent.ClientDisconnected;
 import brooklock.routing.RouterEvent.RequestReceived;
-import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Locale;
+import java.util.Optional;
+import java.util.function.Consumer;
 
 /**
- * One client's request until its final answer and until the last of its attempts has ended. Lives
- * on the client's I/O thread, which is what makes "exactly one answer" a plain field: whatever the
- * module says later finds it closed.
+ * One client's request until its final response and until the last of its attempts has ended.
+ *
+ * <p>All of it but {@link #heldByTenant} belongs to the client's I/O thread. That is what makes
+ * "exactly one final response" a plain field: whichever of the router's action, an endpoint's
+ * response and the client's leaving comes first closes the request, and the others find it closed.
  */
 final class ProxyExchange {
-    final Dispatcher dispatcher;
     final long id;
-    final HttpExchange client;
-    final RouteTable.Match match;
-    final RequestAuthorizer.AuthorizationResult authorization;
+    final RoutedRequest request;
     final byte[] body;
-    final long acceptedAtNs;
-    final long deadlineNs;
-    long responseBytes;
 
-    /** Whether it counts among its tenant's; the decision thread's own. */
-    boolean admitted;
+    /** Whether it holds a place within its tenant's limits; the routing thread's. */
+    boolean heldByTenant;
 
+    private final ProxyContext context;
+    private final Optional<WarmingCoordinator> warming;
+    private final Consumer<ProxyExchange> endListener;
     private final List<UpstreamAttempt> attempts = new ArrayList<>(2);
     private int openAttempts;
     private boolean closed;
     private boolean ended;
     private int status;
-    private String completion;
+    private long responseBytes;
+    // Null until it is complete.
+    private Completion completion;
 
+    /**
+     * Makes one without an attempt.
+     *
+     * @param id not used by another request of this dispatcher
+     * @param body the client's whole body, empty for none
+     * @param endListener called once, on the client's I/O thread, when the final response has been
+     *     sent or the client has left, and no attempt is open
+     */
     ProxyExchange(
-            Dispatcher dispatcher,
+            ProxyContext context,
             long id,
-            HttpExchange client,
-            RouteTable.Match match,
-            RequestAuthorizer.AuthorizationResult authorization,
+            RoutedRequest request,
             byte[] body,
-            long acceptedAtNs,
-            long deadlineNs) {
-        this.dispatcher = dispatcher;
+            Optional<WarmingCoordinator> warming,
+            Consumer<ProxyExchange> endListener) {
+        this.context = context;
         this.id = id;
-        this.client = client;
-        this.match = match;
-        this.authorization = authorization;
+        this.request = request;
         this.body = body;
-        this.acceptedAtNs = acceptedAtNs;
-        this.deadlineNs = deadlineNs;
+        this.warming = warming;
+        this.endListener = endListener;
     }
 
-    /** The event that tells the module of it. */
+    /** Returns the event that brings it to the router. */
     RequestReceived toRequestEvent() {
+        RouteTable.Match match = request.match();
         return new RequestReceived(
                 id,
                 match.classIndex(),
@@ -71,163 +78,155 @@
                 match.group(),
                 0,
                 false,
-                deadlineNs);
+                request.deadlineNs());
     }
 
     /**
-     * Whether its final answer has begun, or the client has left: nothing may be sent for it from
-     * then on.
+     * Returns whether its final response has begun or the client has left: nothing may be sent to
+     * an endpoint for it from then on.
      */
     boolean isClosed() {
         return closed;
     }
 
-    // ---- What the module says
+    // ---- The router's actions
 
     /**
-     * Sends an attempt; {@code first} is the neighbour that a miss is to be filled from first, 0
-     * for none.
+     * Starts an attempt.
+     *
+     * @param peerId the peer that a cache miss is filled from first, or {@link
+     *     UpstreamAttempt#NO_PEER}
      */
     void startAttempt(StartAttempt action, long peerId) {
-        UpstreamAttempt upstreamAttempt =
-                new UpstreamAttempt(this, attempts.size(), action, peerId);
-        attempts.add(upstreamAttempt);
+        UpstreamAttempt attempt =
+                new UpstreamAttempt(context, warming, this, attempts.size(), action, peerId);
+        attempts.add(attempt);
         openAttempts++;
         if (closed) {
-            upstreamAttempt.complete(AttemptOutcome.NOT_STARTED, CacheStatus.NONE, 0);
+            attempt.complete(AttemptOutcome.NOT_STARTED, CacheStatus.NONE, 0);
         } else {
-            upstreamAttempt.send();
+            attempt.send();
         }
     }
 
+    /** Cancels an attempt, unless its response is already on its way to the client. */
     void cancelAttempt(int attemptNumber) {
         if (attemptNumber < attempts.size()) {
             attempts.get(attemptNumber).cancelUnlessCommitted();
         }
     }
 
-    void reject(RejectRequest action) {
-        Fields fields = new Fields();
-        if (action.retryAfterNs() > 0) {
-            fields.add(
-                    "Retry-After",
-                    Long.toString((action.retryAfterNs() + 999_999_999L) / 1_000_000_000L));
-            fields.add("Brooklock-Retry-After", Long.toString(action.retryAfterNs() / 1000));
-        }
-        respondLocally(
-                503,
-                "refused",
-                "destination_unavailable",
-                "not done; trying again is harmless",
-                fields);
+    /**
+     * Rejects it for the router: nothing was done.
+     *
+     * @param retryAfterNs when the client may retry, ns; 0 says nothing
+     */
+    void reject(long retryAfterNs) {
+        respondLocally(ErrorResponse.REJECTED, Completion.REJECTED, retryAfterNs);
     }
 
+    /** Fails it for the router: it may have been executed. */
     void fail() {
-        boolean attemptOpen = openAttempts > 0;
         respondLocally(
-                attemptOpen ? 504 : 502,
-                "failed",
-                attemptOpen ? "http_response_timeout" : "connection_terminated",
-                "failed; it may have been done",
-                new Fields());
-    }
-
-    /** Its tenant has had its part: told apart from what the module refuses. */
-    void rejectByTenantLimit(TenantLimiter.Admission verdict) {
-        Fields fields =
-                new Fields()
-                        .add(
-                                "Retry-After",
-                                Long.toString(
-                                        Math.max(
-                                                1,
-                                                (verdict.retryAfterNs() + 999_999_999L)
-                                                        / 1_000_000_000L)))
-                        .add("Brooklock-Retry-After", Long.toString(verdict.retryAfterNs() / 1000));
+                openAttempts > 0 ? ErrorResponse.FAILED_WITH_OPEN_ATTEMPT : ErrorResponse.FAILED,
+                Completion.FAILED,
+                0);
+    }
+
+    /** Rejects it because its tenant is over a limit; the router has not seen it. */
+    void rejectByTenantLimit(TenantLimiter.Admission admission) {
         respondLocally(
-                verdict.reason().httpStatus,
-                "held back",
-                "http_request_denied; details=\"tenant "
-                        + verdict.reason().name().toLowerCase(java.util.Locale.ROOT)
-                        + "\"",
-                "not done; the tenant's part is used up",
-                fields);
+                ErrorResponse.of(admission.reason()),
+                Completion.RATE_LIMITED,
+                admission.retryAfterNs());
     }
 
     private void respondLocally(
-            int statusCode, String completionWord, String error, String text, Fields fields) {
+            ErrorResponse response, Completion localCompletion, long retryAfterNs) {
         if (closed) {
             return;
         }
-        fields.add("Proxy-Status", dispatcher.settings.name() + "; error=" + error);
-        fields.add("Cache-Control", "no-store").add("Content-Type", "text/plain; charset=utf-8");
-        status = statusCode;
+        status = response.status();
         closed = true;
-        client.send(statusCode, fields, (text + "\n").getBytes(StandardCharsets.UTF_8));
-        complete(completionWord);
+        client().send(
+                        status,
+                        response.fieldsAfterAdmission(context.settings().name(), retryAfterNs),
+                        response.body());
+        complete(localCompletion);
     }
 
-    // ---- The answer of a host
+    // ---- An endpoint's response
 
-    /** The answer of an attempt is the client's from here on. */
-    void startResponse(UpstreamAttempt upstreamAttempt, ResponseHead head, Framing framing) {
+    /** Begins the final response with an endpoint's head. */
+    void startResponse(ResponseHead head, Framing framing) {
         closed = true;
         status = head.status();
         Fields fields = Forwarding.endToEnd(head.fields());
         fields.removeIf(
-                n ->
-                        n.toLowerCase(java.util.Locale.ROOT)
+                name ->
+                        name.toLowerCase(Locale.ROOT)
                                 .startsWith(UpstreamRequestBuilder.INTERNAL_FIELD_PREFIX));
-        Forwarding.appendVia(fields, head.minorVersion(), dispatcher.settings.name());
-        if (!match.requestClass().passThrough()) {
-            // A copy serves many: what was meant for the one it was fetched for goes to none.
+        Forwarding.appendVia(fields, head.minorVersion(), context.settings().name());
+        if (!request.match().requestClass().passThrough()) {
+            // A copy is served to many clients: a cookie for the one it was fetched for goes to
+            // none.
             fields.remove("Set-Cookie");
         }
-        if (authorization != null) {
+        if (request.caller().isPresent()) {
+            // A shared cache between here and the client knows nothing of the policy.
             fields.set("Cache-Control", "private");
         }
         boolean bodiless =
-                client.head().method().equals("HEAD")
+                client().head().method().equals("HEAD")
                         || head.status() == 204
                         || head.status() == 304;
         boolean lengthKnown =
                 framing.kind() == Framing.Kind.NONE || framing.kind() == Framing.Kind.FIXED;
-        client.startResponse(
-                new ResponseHead(head.status(), head.reasonPhrase(), 1, fields),
-                lengthKnown && !bodiless ? framing.length() : -1);
+        client().startResponse(
+                        new ResponseHead(head.status(), head.reasonPhrase(), 1, fields),
+                        lengthKnown && !bodiless ? framing.length() : -1);
     }
 
-    void endResponse(String completionWord) {
-        client.endResponse();
-        complete(completionWord);
+    /** Counts bytes of an endpoint's body that go to the client. */
+    void addResponseBytes(int bytes) {
+        responseBytes += bytes;
     }
 
-    /** The answer cannot be brought to its end; the client is shown so. */
-    void abortResponse(String completionWord) {
-        client.abort();
-        complete(completionWord);
+    /** Ends the final response: the endpoint's body is whole. */
+    void endResponse() {
+        client().endResponse();
+        complete(Completion.SERVED);
     }
 
-    /** The client left before its answer had gone out whole. */
+    /** Aborts the final response, so that the client does not take the body for whole. */
+    void abortResponse(Completion abortedBy) {
+        client().abort();
+        complete(abortedBy);
+    }
+
+    /** The client has left before it had the whole response. */
     void onClientGone() {
         if (completion != null) {
             return;
         }
         closed = true;
-        dispatcher.routingThread.submit(new ClientDisconnected(id));
-        complete("client left");
-        // What the module does not call off, since it was the client's already, is called off here.
+        context.routingThread().submit(new ClientDisconnected(id));
+        complete(Completion.CLIENT_DISCONNECTED);
+        // The router does not cancel the attempt whose response the client was getting.
         List.copyOf(attempts).forEach(UpstreamAttempt::cancel);
     }
 
     // ---- Its end
 
-    private void complete(String completionWord) {
-        completion = completion == null ? completionWord : completion;
+    private void complete(Completion how) {
+        if (completion == null) {
+            completion = how;
+        }
         endIfComplete();
     }
 
-    void onAttemptEnded(UpstreamAttempt upstreamAttempt) {
+    /** One of its attempts has ended. */
+    void onAttemptEnded() {
         openAttempts--;
         endIfComplete();
     }
@@ -235,20 +234,33 @@
     private void endIfComplete() {
         if (completion != null && openAttempts == 0 && !ended) {
             ended = true;
-            dispatcher.onExchangeEnded(this);
+            endListener.accept(this);
         }
     }
 
-    // ---- For the log
+    // ---- What it came to
 
+    /** Returns the exchange with the client. */
+    HttpExchange client() {
+        return request.client();
+    }
+
+    /** Returns the status of the final response; 0 where the client left before it. */
     int status() {
         return status;
     }
 
-    String completion() {
+    /** Returns the bytes of the response's body that went to the client. */
+    long responseBytes() {
+        return responseBytes;
+    }
+
+    /** Returns how it ended; to be called once it has. */
+    Completion completion() {
         return completion;
     }
 
+    /** Returns a description of each attempt, for the access log. */
     List<String> attemptDescriptions() {
         return attempts.stream().map(UpstreamAttempt::describe).toList();
     }
--- a/src/main/java/brooklock/proxy/PurgeGroups.java
+++ b/src/main/java/brooklock/proxy/PurgeGroups.java
@@ -1,10 +1,15 @@
 package brooklock.proxy;
 
-/** The numbers of purge groups, for whoever spreads purges to hosts. */
+/** The identifiers of purge groups, for whoever sends purges to caches. */
 public final class PurgeGroups {
     private PurgeGroups() {}
 
-    /** The number by which a group is named in Brooklock-Copy. */
+    /**
+     * Returns the identifier that Brooklock-Copy has for a group.
+     *
+     * @param name the group's name
+     * @return a number above 0, the same at every dispatcher
+     */
     public static int idOf(String name) {
         return RouteTable.purgeGroupId(name);
     }
--- /dev/null
+++ b/src/main/java/brooklock/proxy/RequestAdmission.java
@@ -0,0 +1,212 @@
+package brooklock.proxy;
+
+import brooklock.http.Fields;
+import brooklock.http.Forwarding;
+import brooklock.http.RequestHead;
+import brooklock.net.HttpExchange;
+import brooklock.routing.RouterEvent.RequestReceived;
+import java.util.Optional;
+import java.util.concurrent.atomic.AtomicLong;
+
+/**
+ * Takes a request from its head to the router's queue, or rejects it.
+ *
+ * <p>A request passes, in this order: the checks of its head, its route, authorization where the
+ * route needs it, the limit of open requests, the limit of body bytes, its whole body, the queue of
+ * the routing thread and, on that thread, its tenant's limits. All but the last run on the client's
+ * I/O thread; several I/O threads are here at once.
+ */
+final class RequestAdmission {
+    private static final byte[] NO_BODY = new byte[0];
+
+    private final ProxyContext context;
+    private final RouteTable routeTable;
+    private final RequestAuthorizer authorizer;
+    private final RequestCapacity capacity;
+    private final DispatcherCounters counters;
+    // The routing thread's.
+    private final TenantAdmission tenantAdmission;
+    private final ActionExecutor actionExecutor;
+    private final Optional<WarmingCoordinator> warming;
+
+    private final AtomicLong lastRequestId = new AtomicLong();
+    private volatile boolean draining;
+
+    RequestAdmission(
+            ProxyContext context,
+            RequestAuthorizer authorizer,
+            RequestCapacity capacity,
+            DispatcherCounters counters,
+            ActionExecutor actionExecutor,
+            Optional<WarmingCoordinator> warming) {
+        this.context = context;
+        this.authorizer = authorizer;
+        this.capacity = capacity;
+        this.counters = counters;
+        this.actionExecutor = actionExecutor;
+        this.warming = warming;
+        routeTable = new RouteTable(context.settings());
+        tenantAdmission = new TenantAdmission(context.clock(), authorizer::policy);
+    }
+
+    /** Rejects every request from now on; those that are open go on. */
+    void drain() {
+        draining = true;
+    }
+
+    /** Admits or rejects a request whose head has arrived; on the client's I/O thread. */
+    void onRequest(HttpExchange client) {
+        long nowNs = context.clock().nowNs();
+        RequestHead head = client.head();
+        if (draining) {
+            reject(client, ErrorResponse.SHUTTING_DOWN);
+        } else if (Forwarding.hasPassedThrough(head.fields(), context.settings().name())) {
+            reject(client, ErrorResponse.FORWARDING_LOOP);
+        } else if (head.fields().get("Expect") != null && !head.expectsContinue()) {
+            reject(client, ErrorResponse.UNKNOWN_EXPECTATION);
+        } else {
+            try {
+                RouteTable.Match match =
+                        routeTable.match(
+                                head.method(),
+                                head.authority(),
+                                head.target(),
+                                head.fields().get("Idempotency-Key") != null);
+                if (match.needsAuthorization()) {
+                    authorizer.authorize(
+                            client, match, result -> onAuthorized(client, nowNs, match, result));
+                } else {
+                    accept(routed(client, nowNs, match, Optional.empty()));
+                }
+            } catch (RouteTable.NoRouteException e) {
+                reject(client, e.response(), "", e.allowedMethods());
+            }
+        }
+    }
+
+    private void onAuthorized(
+            HttpExchange client,
+            long acceptedAtNs,
+            RouteTable.Match match,
+            AuthorizationResult result) {
+        if (client.isEnded()) {
+            // The client left while its token was verified.
+            return;
+        }
+        if (result instanceof AuthorizationResult.Authorized caller) {
+            accept(routed(client, acceptedAtNs, match, Optional.of(caller)));
+        } else if (result instanceof AuthorizationResult.Denied denied) {
+            reject(client, denied.response(), denied.publicDetail(), Optional.empty());
+        }
+    }
+
+    private static RoutedRequest routed(
+            HttpExchange client,
+            long acceptedAtNs,
+            RouteTable.Match match,
+            Optional<AuthorizationResult.Authorized> caller) {
+        long deadlineNs =
+                acceptedAtNs + timeoutNs(client.head().fields(), match.requestClass().deadlineNs());
+        return new RoutedRequest(client, match, caller, acceptedAtNs, deadlineNs);
+    }
+
+    // A client may say that it waits for less than its class allows, in ms; never for more.
+    private static long timeoutNs(Fields fields, long maxNs) {
+        String patienceMs = fields.get("Brooklock-Patience");
+        return patienceMs != null && patienceMs.matches("\\d{1,9}")
+                ? Math.min(maxNs, Math.max(1, Long.parseLong(patienceMs)) * 1_000_000L)
+                : maxNs;
+    }
+
+    private void accept(RoutedRequest request) {
+        HttpExchange client = request.client();
+        if (!capacity.tryOpenRequest()) {
+            reject(client, ErrorResponse.OPEN_REQUEST_LIMIT);
+        } else if (!client.hasBody()) {
+            enqueue(request, NO_BODY);
+        } else if (!capacity.tryReserveBody()) {
+            capacity.closeRequest(0);
+            reject(client, ErrorResponse.BODY_LIMIT);
+        } else {
+            readBody(request);
+        }
+    }
+
+    private void readBody(RoutedRequest request) {
+        boolean[] bodyComplete = new boolean[1];
+        request.client()
+                .onClientGone(
+                        () -> {
+                            if (!bodyComplete[0]) {
+                                capacity.cancelReservation();
+                                capacity.closeRequest(0);
+                            }
+                        });
+        request.client()
+                .readBody(
+                        body -> {
+                            bodyComplete[0] = true;
+                            capacity.keepOnly(body.length);
+                            enqueue(request, body);
+                        });
+    }
+
+    private void enqueue(RoutedRequest request, byte[] body) {
+        ProxyExchange exchange =
+                new ProxyExchange(
+                        context,
+                        lastRequestId.incrementAndGet(),
+                        request,
+                        body,
+                        warming,
+                        this::onExchangeEnded);
+        request.client().onClientGone(exchange::onClientGone);
+        RequestReceived event = exchange.toRequestEvent();
+        if (context.routingThread().offerRequest(event, () -> admit(exchange))) {
+            counters.countAccepted();
+        } else {
+            capacity.closeRequest(body.length);
+            request.client().onClientGone(null);
+            reject(request.client(), ErrorResponse.ROUTING_QUEUE_LIMIT);
+        }
+    }
+
+    // On the routing thread.
+    private boolean admit(ProxyExchange exchange) {
+        if (!tenantAdmission.tryAcquire(exchange)) {
+            return false;
+        }
+        actionExecutor.add(exchange);
+        warming.ifPresent(w -> w.onRequest(exchange.request));
+        return true;
+    }
+
+    // A request has its final response and none of its attempts is open; on its I/O thread.
+    private void onExchangeEnded(ProxyExchange exchange) {
+        counters.countCompletion(exchange.completion());
+        AccessLog.writeEntry(exchange, context.clock().nowNs());
+        capacity.closeRequest(exchange.body.length);
+        // Behind the event of its end: until the router has seen that it may still act on it.
+        context.routingThread()
+                .execute(
+                        () -> {
+                            actionExecutor.remove(exchange);
+                            tenantAdmission.release(exchange);
+                        });
+    }
+
+    private void reject(HttpExchange client, ErrorResponse response) {
+        reject(client, response, "", Optional.empty());
+    }
+
+    private void reject(
+            HttpExchange client,
+            ErrorResponse response,
+            String detail,
+            Optional<String> allowedMethods) {
+        counters.countRejected(response);
+        Fields fields = response.fieldsBeforeAdmission(context.settings().name());
+        allowedMethods.ifPresent(allowed -> fields.add("Allow", allowed));
+        client.send(response.status(), fields, response.body(detail));
+    }
+}
--- a/src/main/java/brooklock/proxy/RouteTable.java
+++ b/src/main/java/brooklock/proxy/RouteTable.java
@@ -7,22 +7,25 @@
 import com.dynatrace.hash4j.hashing.Hashing;
 import java.util.List;
 import java.util.Locale;
+import java.util.Optional;
 import java.util.TreeSet;
 
-/**
- * What a request is about: its class, object, part and purge group, by the first route that fits.
- */
+/** Finds class, object, part and purge group of a request, by the first route that matches. */
 final class RouteTable {
-    // Any good 64-bit hash would do; it must be the same at every dispatcher and in every version.
+    // Any good 64-bit hash would do, but it must be the same at every dispatcher and in every
+    // version: caches name their copies by it.
     private static final Hasher64 HASH = Hashing.komihash5_0();
 
     /**
-     * A request's place.
+     * What a request is for.
      *
-     * @param cls index of its class
-     * @param object well-mixed number of its key; the same for all parts
-     * @param rights the caller's rights are asked for
-     * @param certificate only a client certificate tells who the caller is
+     * @param classIndex index of its class in the settings
+     * @param requestClass that class
+     * @param object hash of host, path without the part, and query; the same for all parts
+     * @param part number of the part, 0 where the route has none
+     * @param group identifier of the purge group, 0 for none
+     * @param needsAuthorization whether the policy is to be asked
+     * @param needsCertificate whether only a client certificate may say who the caller is
      */
     record Match(
             int classIndex,
@@ -33,16 +36,30 @@
             boolean needsAuthorization,
             boolean needsCertificate) {}
 
-    /** Why a request has no place: the status that says so, and in plain words. */
+    /** No route takes the request. It has no stack trace, since clients cause it at will. */
     static final class NoRouteException extends Exception {
         private static final long serialVersionUID = 1L;
-        final int status;
-        final String allow;
+        private final ErrorResponse response;
+        private final String allowedMethods;
 
-        NoRouteException(int status, String reason, String allow) {
-            super(reason, null, false, false);
-            this.status = status;
-            this.allow = allow;
+        NoRouteException(ErrorResponse response) {
+            this(response, null);
+        }
+
+        NoRouteException(ErrorResponse response, String allowedMethods) {
+            super(response.text(), null, false, false);
+            this.response = response;
+            this.allowedMethods = allowedMethods;
+        }
+
+        /** Returns what the client gets. */
+        ErrorResponse response() {
+            return response;
+        }
+
+        /** Returns the value of Allow, where another method would have been taken. */
+        Optional<String> allowedMethods() {
+            return Optional.ofNullable(allowedMethods);
         }
     }
 
@@ -54,41 +71,55 @@
         classes = settings.classes();
     }
 
+    /**
+     * Finds what a request is for.
+     *
+     * @param host the Host of the request, in any case
+     * @param target path and query
+     * @throws NoRouteException if no route takes it
+     */
     Match match(String method, String host, String target, boolean hasIdempotencyKey)
             throws NoRouteException {
         int queryStart = target.indexOf('?');
         String path = queryStart < 0 ? target : target.substring(0, queryStart);
-        TreeSet<String> allowed = new TreeSet<>();
+        String query = queryStart < 0 ? "" : target.substring(queryStart);
+        TreeSet<String> allowedMethods = new TreeSet<>();
         for (Route route : routes) {
             if (!route.pathPattern().matches(path)) {
                 continue;
             }
             if (!route.methods().contains(method)) {
-                allowed.addAll(route.methods());
+                allowedMethods.addAll(route.methods());
                 continue;
             }
-            boolean needsKey =
-                    classes.get(route.classIndex()).effect() == Settings.Effect.KEYED
-                            && !hasIdempotencyKey;
-            if (needsKey && route.unkeyedClassIndex() < 0) {
-                throw new NoRouteException(400, "this needs an Idempotency-Key", null);
-            }
-            int classIndex = needsKey ? route.unkeyedClassIndex() : route.classIndex();
+            int classIndex = classIndex(route, hasIdempotencyKey);
             String group = route.pathPattern().extract(path, "group");
             return new Match(
                     classIndex,
                     classes.get(classIndex),
-                    objectKey(
-                            route, host, path, queryStart < 0 ? "" : target.substring(queryStart)),
+                    objectKey(route, host, path, query),
                     part(route, path),
                     group == null ? 0 : purgeGroupId(group),
                     route.requiresAuthorization(),
                     route.requiresCertificate());
         }
-        throw allowed.isEmpty()
-                ? new NoRouteException(404, "no route fits this path", null)
+        throw allowedMethods.isEmpty()
+                ? new NoRouteException(ErrorResponse.NO_ROUTE)
                 : new NoRouteException(
-                        405, "this path is not asked so", String.join(", ", allowed));
+                        ErrorResponse.METHOD_NOT_ALLOWED, String.join(", ", allowedMethods));
+    }
+
+    private int classIndex(Route route, boolean hasIdempotencyKey) throws NoRouteException {
+        boolean lacksKey =
+                classes.get(route.classIndex()).effect() == Settings.Effect.KEYED
+                        && !hasIdempotencyKey;
+        if (!lacksKey) {
+            return route.classIndex();
+        }
+        if (route.unkeyedClassIndex() < 0) {
+            throw new NoRouteException(ErrorResponse.MISSING_IDEMPOTENCY_KEY);
+        }
+        return route.unkeyedClassIndex();
     }
 
     private static int part(Route route, String path) throws NoRouteException {
@@ -97,7 +128,7 @@
             return 0;
         }
         if (!part.matches("\\d{1,9}")) {
-            throw new NoRouteException(404, "a part is a number", null);
+            throw new NoRouteException(ErrorResponse.INVALID_PART);
         }
         return Integer.parseInt(part);
     }
@@ -108,10 +139,11 @@
                         host.toLowerCase(Locale.ROOT)
                                 + route.pathPattern().withoutPlaceholder(path, "part")
                                 + query);
+        // 0 means "all objects of the group" in a purge.
         return hash == 0 ? 1 : hash;
     }
 
-    /** The number of a purge group's name, above 0. */
+    /** Returns the identifier of a purge group's name, above 0. */
     static int purgeGroupId(String name) {
         return Math.max(1, (int) (HASH.hashCharsToLong(name) >>> 33));
     }
--- a/src/main/java/brooklock/proxy/RouterSettingsMapper.java
+++ b/src/main/java/brooklock/proxy/RouterSettingsMapper.java
@@ -7,11 +7,11 @@
 import brooklock.routing.RouterSettings;
 import java.util.List;
 
-/** The settings as the module is born with them. */
+/** Maps the settings file's model to the router's settings. */
 public final class RouterSettingsMapper {
     private RouterSettingsMapper() {}
 
-    /** Translates; nothing is added. */
+    /** Returns the router's settings; nothing is added to what the file says. */
     public static RouterSettings toRouterSettings(Settings settings) {
         List<RouterSettings.RequestClass> classes =
                 settings.classes().stream()
@@ -27,7 +27,7 @@
                                                 requestClass.passThrough(),
                                                 requestClass.freshnessNs()))
                         .toList();
-        Settings.InvariantSettings guards = settings.invariants();
+        Settings.InvariantSettings invariants = settings.invariants();
         return new RouterSettings(
                 classes,
                 new RouterSettings.Limits(
@@ -38,14 +38,14 @@
                         settings.limits().maxRetryAfterNs(),
                         settings.limits().connectTimeoutNs()),
                 new RouterSettings.SafetyLimits(
-                        guards.coldStartShare(),
-                        guards.warmUpNs(),
-                        guards.overloadMultiple(),
-                        guards.overloadWindowNs(),
-                        guards.parentColdStartShare(),
-                        guards.parentWarmUpNs(),
-                        guards.parentOverloadMultiple(),
-                        guards.purgeCompletionNs()),
+                        invariants.coldStartShare(),
+                        invariants.warmUpNs(),
+                        invariants.overloadMultiple(),
+                        invariants.overloadWindowNs(),
+                        invariants.parentColdStartShare(),
+                        invariants.parentWarmUpNs(),
+                        invariants.parentOverloadMultiple(),
+                        invariants.purgeCompletionNs()),
                 settings.dispatcherCount(),
                 settings.localZone(),
                 settings.zones().stream().map(Settings.Zone::hubIndex).toList(),
--- a/src/main/java/brooklock/proxy/RoutingThread.java
+++ b/src/main/java/brooklock/proxy/RoutingThread.java
@@ -8,6 +8,7 @@
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
+import java.util.Optional;
 import java.util.PriorityQueue;
 import java.util.concurrent.atomic.LongAdder;
 import java.util.concurrent.locks.LockSupport;
@@ -18,86 +19,111 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The decision thread. It alone touches the decider and its timers; other threads hand events over
- * a bounded queue. A new request is taken only while half the queue is free, so that what ends a
- * request always finds room.
+ * The one thread that owns the router, its timers and all state that is said to be the routing
+ * thread's.
+ *
+ * <p>Other threads hand events and tasks over a bounded queue. A new request is accepted only while
+ * half the queue is free, so that what ends a request always finds a free entry: otherwise an
+ * overloaded dispatcher could not even finish what it has accepted.
  */
 final class RoutingThread {
     private static final Logger LOG = LoggerFactory.getLogger(RoutingThread.class);
-    // Events decided before their actions are handed on: bounds how long the first of them waits
-    // for the last.
-    private static final int MAX_BATCH_EVENTS = 64;
-    // Longest sleep while nothing is due, ns: a missed wake-up costs no more than this.
+    // Entries processed before their actions are handed over: bounds how long the first action
+    // waits for the last.
+    private static final int MAX_BATCH_ENTRIES = 64;
+    // A wake-up that is missed costs no more than this.
     private static final long MAX_PARK_NS = 50_000_000L;
+    private static final long STOP_TIMEOUT_MS = 1000;
+    private static final Runnable NOTHING = () -> {};
 
-    /** Carries actions out. Called on the decision thread; must not wait. */
+    /** Carries actions out. Called on the routing thread; must not block. */
     interface ActionHandler {
+        /** Carries out one action, at the end of the batch at the latest. */
         void onAction(RouterAction action);
 
         /**
-         * A request whose coming could not be decided: it must not wait for an answer that never
-         * comes.
+         * Ends a request that could not be routed because the router threw: its client must not
+         * wait for a response that never comes.
          */
         void onRoutingFailure(long requestId);
 
-        /** All of a batch have been given. */
+        /** Hands over what the batch's actions have left to be done on other threads. */
         void onBatchEnd();
     }
 
-    /**
-     * An event, or what makes one on the decision thread, with what is to be done there before and
-     * after.
-     */
-    private record QueueEntry(
-            BooleanSupplier admission,
-            RouterEvent event,
-            Supplier<RouterEvent> eventSupplier,
-            Runnable afterwards) {}
+    /** What other threads hand over. */
+    private sealed interface QueueEntry {}
+
+    private record RequestEntry(RequestReceived event, BooleanSupplier admission)
+            implements QueueEntry {}
+
+    private record EventEntry(RouterEvent event, Runnable afterwards) implements QueueEntry {}
+
+    private record ComputedEventEntry(Supplier<Optional<RouterEvent>> event, Runnable afterwards)
+            implements QueueEntry {}
+
+    private record TaskEntry(Runnable task) implements QueueEntry {}
 
     private final RoutingStrategy strategy;
     private final MonotonicClock clock;
-    private final ActionHandler actionHandler;
     private final TraceWriter trace;
     private final MpscArrayQueue<QueueEntry> queue;
     private final PriorityQueue<SetTimer> timers =
             new PriorityQueue<>(Comparator.comparingLong(SetTimer::atNs));
     private final Thread thread;
     private final List<RouterAction> actions = new ArrayList<>();
-    private final LongAdder rejectedRequests = new LongAdder();
+    private ActionHandler actionHandler;
+
     private volatile boolean parked;
     private volatile boolean stopping;
-    private volatile long busyNs;
+
+    // Written by the routing thread only, read by any.
+    private final LongAdder busyNs = new LongAdder();
+    private final LongAdder processedEntries = new LongAdder();
     private volatile int maxQueueLength;
-    private volatile long processedEntries;
+    // Written by any thread.
+    private final LongAdder rejectedRequests = new LongAdder();
 
+    /**
+     * Makes one that is not started.
+     *
+     * @param name begins the thread's name
+     * @param strategy decides; used on the routing thread only
+     * @param trace gets every event and action
+     * @param capacity entries of the queue
+     */
     RoutingThread(
             String name,
             RoutingStrategy strategy,
             MonotonicClock clock,
-            ActionHandler actionHandler,
             TraceWriter trace,
             int capacity) {
         this.strategy = strategy;
         this.clock = clock;
-        this.actionHandler = actionHandler;
         this.trace = trace;
         queue = new MpscArrayQueue<>(capacity);
         thread = new Thread(this::runLoop, name + "-decisions");
         thread.setDaemon(true);
     }
 
-    void start() {
+    /** Starts the thread. Entries handed over before wait until then. */
+    void start(ActionHandler handler) {
+        actionHandler = handler;
         thread.start();
     }
 
+    // ---- For other threads
+
     /**
-     * Offers a new request, and what the decision thread asks first: if that says no, the request
-     * is no event. False if the queue is too full for it.
+     * Offers a new request.
+     *
+     * @param admission asked on the routing thread first; if it says no there is no event
+     * @return false if the queue is too full for a new request
      */
     boolean offerRequest(RequestReceived request, BooleanSupplier admission) {
         boolean accepted =
                 queue.size() < queue.capacity() / 2
-                        && queue.offer(new QueueEntry(admission, request, null, null));
+                        && queue.offer(new RequestEntry(request, admission));
         if (accepted) {
             wakeIfParked();
         } else {
@@ -107,21 +133,31 @@
     }
 
     /**
-     * Hands in what must not be lost. The half of the queue that requests leave free is there for
-     * it.
+     * Submits an event that must not be lost; the half of the queue closed to requests is for it.
      */
     void submit(RouterEvent event) {
-        enqueue(new QueueEntry(null, event, null, null));
+        enqueue(new EventEntry(event, NOTHING));
     }
 
-    /** The same, and runs something on the decision thread once it is decided. */
+    /** Submits an event and a task that runs on the routing thread once the event is processed. */
     void submit(RouterEvent event, Runnable afterwards) {
-        enqueue(new QueueEntry(null, event, null, afterwards));
+        enqueue(new EventEntry(event, afterwards));
     }
 
-    /** Has an event made on the decision thread and decided there; null makes none. */
-    void submitSupplied(Supplier<RouterEvent> eventSupplier, Runnable afterwards) {
-        enqueue(new QueueEntry(null, null, eventSupplier, afterwards));
+    /**
+     * Submits an event that is computed on the routing thread, from state that only that thread may
+     * read.
+     *
+     * @param event computes the event; empty for none
+     * @param afterwards runs on the routing thread after it, also where there was none
+     */
+    void submitComputed(Supplier<Optional<RouterEvent>> event, Runnable afterwards) {
+        enqueue(new ComputedEventEntry(event, afterwards));
+    }
+
+    /** Runs a task on the routing thread. */
+    void execute(Runnable task) {
+        enqueue(new TaskEntry(task));
     }
 
     private void enqueue(QueueEntry entry) {
@@ -137,6 +173,20 @@
         }
     }
 
+    /** Stops the thread, waits for its end for a bounded time and closes the trace. */
+    void stop() {
+        stopping = true;
+        LockSupport.unpark(thread);
+        try {
+            thread.join(STOP_TIMEOUT_MS);
+        } catch (InterruptedException e) {
+            Thread.currentThread().interrupt();
+        }
+        trace.close();
+    }
+
+    // ---- On the routing thread
+
     private void runLoop() {
         long startNs = clock.nowNs();
         trace.writeStart(startNs);
@@ -152,55 +202,65 @@
 
     private int processBatch() {
         long batchStartNs = System.nanoTime();
-        int processed = 0;
         int queued = queue.size();
         if (queued > maxQueueLength) {
             maxQueueLength = queued;
         }
-        while (processed < MAX_BATCH_EVENTS) {
-            SetTimer due = timers.peek();
-            if (due != null && due.atNs() <= clock.nowNs()) {
-                timers.poll();
-                route(new TimerFired(due.token()));
-                processed++;
-                continue;
-            }
-            QueueEntry entry = queue.poll();
-            if (entry == null) {
-                break;
-            }
+        int processed = 0;
+        while (processed < MAX_BATCH_ENTRIES && processNext()) {
             processed++;
-            if (entry.admission() != null && !entry.admission().getAsBoolean()) {
-                continue;
-            }
-            RouterEvent event =
-                    entry.eventSupplier() == null ? entry.event() : entry.eventSupplier().get();
-            if (event != null) {
-                route(event);
-            }
-            if (entry.afterwards() != null) {
-                entry.afterwards().run();
-            }
         }
         if (processed > 0) {
             actionHandler.onBatchEnd();
-            processedEntries += processed;
-            busyNs += System.nanoTime() - batchStartNs;
+            processedEntries.add(processed);
+            busyNs.add(System.nanoTime() - batchStartNs);
         }
         return processed;
     }
 
+    // A timer that is due, else the oldest entry; false if there is neither.
+    private boolean processNext() {
+        SetTimer due = timers.peek();
+        if (due != null && due.atNs() <= clock.nowNs()) {
+            timers.poll();
+            route(new TimerFired(due.token()));
+            return true;
+        }
+        QueueEntry entry = queue.poll();
+        if (entry == null) {
+            return false;
+        }
+        process(entry);
+        return true;
+    }
+
+    private void process(QueueEntry entry) {
+        if (entry instanceof RequestEntry e) {
+            if (e.admission().getAsBoolean()) {
+                route(e.event());
+            }
+        } else if (entry instanceof EventEntry e) {
+            route(e.event());
+            e.afterwards().run();
+        } else if (entry instanceof ComputedEventEntry e) {
+            e.event().get().ifPresent(this::route);
+            e.afterwards().run();
+        } else if (entry instanceof TaskEntry e) {
+            e.task().run();
+        }
+    }
+
     private void route(RouterEvent event) {
         long nowNs = clock.nowNs();
         trace.writeEvent(nowNs, event);
         try {
             strategy.onEvent(nowNs, event, actions);
         } catch (RuntimeException failure) {
-            // A fault in one decision must not stop all others.
-            LOG.error("decision failed: {}", event, failure);
+            // One event that can't be routed must not stop all others.
+            LOG.error("routing failed: {}", event, failure);
             actions.clear();
-            if (event instanceof RequestReceived r) {
-                actionHandler.onRoutingFailure(r.id());
+            if (event instanceof RequestReceived request) {
+                actionHandler.onRoutingFailure(request.id());
             }
         }
         handOverActions();
@@ -219,6 +279,7 @@
         actions.clear();
     }
 
+    // Whoever enqueues after the flag is set sees it and unparks; whoever did before is seen here.
     private void parkUntilDue() {
         SetTimer next = timers.peek();
         long parkNs =
@@ -230,38 +291,29 @@
         parked = false;
     }
 
-    void stop() {
-        stopping = true;
-        LockSupport.unpark(thread);
-        try {
-            thread.join(1000);
-        } catch (InterruptedException e) {
-            Thread.currentThread().interrupt();
-        }
-        trace.close();
-    }
+    // ---- Figures for the state page
 
-    /** Time spent deciding since the start, ns. */
+    /** Returns the time spent on entries and timers since the start, ns. */
     long busyNs() {
-        return busyNs;
+        return busyNs.sum();
     }
 
-    /** Events decided since the start. */
+    /** Returns the entries and timers processed since the start. */
     long processedEntries() {
-        return processedEntries;
+        return processedEntries.sum();
     }
 
-    /** Longest that the queue has been. */
+    /** Returns the most entries that have waited at the start of a batch. */
     int maxQueueLength() {
         return maxQueueLength;
     }
 
-    /** Entries waiting now. */
+    /** Returns the entries that wait now. */
     int queueLength() {
         return queue.size();
     }
 
-    /** Requests that found the queue too full. */
+    /** Returns the requests rejected since the start because the queue was too full. */
     long rejectedRequests() {
         return rejectedRequests.sum();
     }
--- a/src/main/java/brooklock/proxy/TraceCodec.java
+++ b/src/main/java/brooklock/proxy/TraceCodec.java
@@ -1,6 +1,5 @@
 package brooklock.proxy;
 
-import java.lang.reflect.Constructor;
 import java.lang.reflect.InvocationTargetException;
 import java.lang.reflect.ParameterizedType;
 import java.lang.reflect.RecordComponent;
@@ -9,134 +8,155 @@
 import java.util.List;
 
 /**
- * The records of {@link RouterEvent} as text and back: {@code Name(a,b,[c,d],Inner(e))}. Made from
- * the records themselves, so that a field added there is carried here.
+ * Writes records as text and reads them back: {@code Word(a,b,[c,d],Inner(e))}.
+ *
+ * <p>The values are those of the record's components in their order, so a component that is added
+ * to a record is carried without a change here. The words are those of {@link TraceVocabulary}.
  */
 final class TraceCodec {
     private final String text;
-    private int at;
+    private int position;
 
     private TraceCodec(String text) {
         this.text = text;
     }
 
+    // ---- Writing
+
+    /** Returns a record as text. */
     static String write(Object value) {
-        StringBuilder s = new StringBuilder(96);
-        write(value, s);
-        return s.toString();
+        StringBuilder text = new StringBuilder(96);
+        append(value, text);
+        return text.toString();
     }
 
-    private static void write(Object value, StringBuilder s) {
-        if (value instanceof Record r) {
-            s.append(TraceVocabulary.wordOf(r.getClass())).append('(');
-            RecordComponent[] parts = r.getClass().getRecordComponents();
-            for (int i = 0; i < parts.length; i++) {
-                s.append(i == 0 ? "" : ",");
-                try {
-                    write(parts[i].getAccessor().invoke(r), s);
-                } catch (ReflectiveOperationException e) {
-                    throw new IllegalStateException(e);
-                }
-            }
-            s.append(')');
+    private static void append(Object value, StringBuilder text) {
+        if (value instanceof Record record) {
+            appendRecord(record, text);
         } else if (value instanceof List<?> list) {
-            s.append('[');
+            text.append('[');
             for (int i = 0; i < list.size(); i++) {
-                s.append(i == 0 ? "" : ",");
-                write(list.get(i), s);
+                text.append(i == 0 ? "" : ",");
+                append(list.get(i), text);
             }
-            s.append(']');
-        } else if (value instanceof Enum<?> e) {
-            s.append(TraceVocabulary.wordOf(e));
+            text.append(']');
+        } else if (value instanceof Enum<?> constant) {
+            text.append(TraceVocabulary.wordOf(constant));
         } else {
-            s.append(value);
+            text.append(value);
+        }
+    }
+
+    private static void appendRecord(Record record, StringBuilder text) {
+        text.append(TraceVocabulary.wordOf(record.getClass())).append('(');
+        RecordComponent[] components = record.getClass().getRecordComponents();
+        for (int i = 0; i < components.length; i++) {
+            text.append(i == 0 ? "" : ",");
+            try {
+                append(components[i].getAccessor().invoke(record), text);
+            } catch (ReflectiveOperationException e) {
+                throw new IllegalStateException("cannot read " + components[i], e);
+            }
         }
+        text.append(')');
     }
 
-    /** Reads a record of {@link RouterEvent}. */
+    // ---- Reading
+
+    /**
+     * Reads a record.
+     *
+     * @throws IllegalArgumentException if the text is not one record that traces have
+     */
     static Object read(String text) {
-        TraceCodec c = new TraceCodec(text);
+        TraceCodec codec = new TraceCodec(text);
         int open = text.indexOf('(');
         if (open < 0) {
-            throw new IllegalArgumentException("not a record: " + text);
+            throw new TraceFormatException("not a record: " + text);
         }
-        Object value = c.value(TraceVocabulary.typeOf(text.substring(0, open)));
-        if (c.at != text.length()) {
-            throw new IllegalArgumentException("more than a record: " + text);
+        Object value = codec.readValue(TraceVocabulary.typeOf(text.substring(0, open)));
+        if (codec.position != text.length()) {
+            throw new TraceFormatException("more than a record: " + text);
         }
         return value;
     }
 
-    private Object value(Type type) {
+    private Object readValue(Type type) {
         if (type instanceof ParameterizedType list) {
-            List<Object> all = new ArrayList<>();
-            expect('[');
-            while (text.charAt(at) != ']') {
-                all.add(value(list.getActualTypeArguments()[0]));
-                if (text.charAt(at) == ',') {
-                    at++;
-                }
+            return readList(list.getActualTypeArguments()[0]);
+        }
+        Class<?> valueType = (Class<?>) type;
+        if (valueType.isRecord()) {
+            return readRecord(valueType);
+        }
+        String word = readWord();
+        if (valueType.isEnum()) {
+            return TraceVocabulary.constantOf(valueType, word);
+        }
+        if (valueType == long.class) {
+            return Long.parseLong(word);
+        }
+        if (valueType == int.class || valueType == Integer.class) {
+            return Integer.parseInt(word);
+        }
+        if (valueType == double.class) {
+            return Double.parseDouble(word);
+        }
+        return Boolean.parseBoolean(word);
+    }
+
+    private List<Object> readList(Type elementType) {
+        List<Object> elements = new ArrayList<>();
+        expect('[');
+        while (text.charAt(position) != ']') {
+            elements.add(readValue(elementType));
+            if (text.charAt(position) == ',') {
+                position++;
             }
-            expect(']');
-            return all;
-        }
-        Class<?> c = (Class<?>) type;
-        if (c.isRecord()) {
-            return record(c);
-        }
-        String word = word();
-        if (c.isEnum()) {
-            return TraceVocabulary.constantOf(c, word);
-        }
-        return c == long.class
-                ? (Object) Long.parseLong(word)
-                : c == int.class || c == Integer.class
-                        ? (Object) Integer.parseInt(word)
-                        : c == double.class
-                                ? (Object) Double.parseDouble(word)
-                                : (Object) Boolean.parseBoolean(word);
+        }
+        expect(']');
+        return elements;
     }
 
-    private Object record(Class<?> c) {
-        if (!word().equals(TraceVocabulary.wordOf(c))) {
-            throw new IllegalArgumentException(
-                    "no " + TraceVocabulary.wordOf(c) + " at " + at + " of " + text);
+    private Object readRecord(Class<?> type) {
+        String word = TraceVocabulary.wordOf(type);
+        if (!readWord().equals(word)) {
+            throw new TraceFormatException("no " + word + " at " + position + " of " + text);
         }
+        RecordComponent[] components = type.getRecordComponents();
+        Class<?>[] types = new Class<?>[components.length];
+        Object[] values = new Object[components.length];
         expect('(');
-        RecordComponent[] parts = c.getRecordComponents();
-        Object[] values = new Object[parts.length];
-        Class<?>[] types = new Class<?>[parts.length];
-        for (int i = 0; i < parts.length; i++) {
+        for (int i = 0; i < components.length; i++) {
             if (i > 0) {
                 expect(',');
             }
-            types[i] = parts[i].getType();
-            values[i] = value(parts[i].getGenericType());
+            types[i] = components[i].getType();
+            values[i] = readValue(components[i].getGenericType());
         }
         expect(')');
         try {
-            Constructor<?> make = c.getDeclaredConstructor(types);
-            return make.newInstance(values);
+            return type.getDeclaredConstructor(types).newInstance(values);
         } catch (InvocationTargetException
                 | InstantiationException
                 | IllegalAccessException
                 | NoSuchMethodException e) {
-            throw new IllegalStateException(e);
+            throw new IllegalStateException("cannot make a " + type, e);
         }
     }
 
-    private String word() {
-        int from = at;
-        while (at < text.length() && "(),[]".indexOf(text.charAt(at)) < 0) {
-            at++;
+    private String readWord() {
+        int start = position;
+        while (position < text.length() && "(),[]".indexOf(text.charAt(position)) < 0) {
+            position++;
         }
-        return text.substring(from, at);
+        return text.substring(start, position);
     }
 
-    private void expect(char c) {
-        if (at >= text.length() || text.charAt(at) != c) {
-            throw new IllegalArgumentException("no '" + c + "' at " + at + " of " + text);
+    private void expect(char expected) {
+        if (position >= text.length() || text.charAt(position) != expected) {
+            throw new TraceFormatException("no '" + expected + "' at " + position + " of " + text);
         }
-        at++;
+        position++;
     }
 }
--- a/src/main/java/brooklock/proxy/TraceReplay.java
+++ b/src/main/java/brooklock/proxy/TraceReplay.java
@@ -11,99 +11,112 @@
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Optional;
 
-/** Feeds a trace to a fresh module and compares what it does with what was done. */
+/** Feeds the events of a trace to a new router and compares its actions with the recorded ones. */
 public final class TraceReplay {
     /**
-     * What came of it.
+     * What came of a replay.
      *
-     * @param difference the first action that differs, with its line; null if none does
+     * @param events events that were replayed
+     * @param actions actions that were the same
+     * @param difference the first difference, with its line; empty if there is none
      */
-    public record Result(long events, long actions, String difference) {}
+    public record Result(long events, long actions, Optional<String> difference) {}
 
-    private TraceReplay() {}
+    private final Path path;
+    private final BufferedReader reader;
+    private final List<RouterAction> replayedActions = new ArrayList<>();
+    private Router router;
+    private int compared;
+    private long events;
+    private long actions;
+    private int lineNumber;
+
+    private TraceReplay(Path path, BufferedReader reader) {
+        this.path = path;
+        this.reader = reader;
+    }
 
     /**
-     * Replays a trace.
+     * Replays a trace up to its end or its first difference.
      *
-     * @throws IOException where the file cannot be read or is not a trace
+     * @throws MalformedTraceException if the file is not a trace
+     * @throws IOException if the file cannot be read
      */
     public static Result replay(Path path) throws IOException {
         try (BufferedReader reader = Files.newBufferedReader(path, StandardCharsets.UTF_8)) {
-            return replay(path, reader);
+            return new TraceReplay(path, reader).replay();
         }
     }
 
-    private static Result replay(Path path, BufferedReader reader) throws IOException {
-        Router router = null;
-        List<RouterAction> expectedActions = new ArrayList<>();
-        int matched = 0;
-        long events = 0;
-        long actions = 0;
-        int lineNumber = 0;
+    private Result replay() throws IOException {
         for (String line = reader.readLine(); line != null; line = reader.readLine()) {
             lineNumber++;
             String[] words = line.split(" ", 3);
             try {
-                if (words[0].equals("action")) {
-                    Object recorded = TraceCodec.read(words[1]);
-                    if (matched == expectedActions.size()
-                            || !expectedActions.get(matched).equals(recorded)) {
-                        return new Result(
-                                events,
-                                actions,
-                                path
-                                        + ":"
-                                        + lineNumber
-                                        + ": then "
-                                        + recorded
-                                        + ", now "
-                                        + (matched == expectedActions.size()
-                                                ? "nothing"
-                                                : expectedActions.get(matched)));
-                    }
-                    matched++;
-                    actions++;
-                    continue;
-                }
                 if (words[0].equals("full")) {
-                    return new Result(events, actions, null);
+                    break;
                 }
-                if (matched < expectedActions.size()) {
-                    return new Result(
-                            events,
-                            actions,
-                            path
-                                    + ":"
-                                    + lineNumber
-                                    + ": then nothing, now "
-                                    + expectedActions.get(matched));
-                }
-                expectedActions.clear();
-                matched = 0;
-                switch (words[0]) {
-                    case "settings" ->
-                            router = new Router((RouterSettings) TraceCodec.read(words[1]));
-                    case "start" -> router.start(Long.parseLong(words[1]), expectedActions);
-                    case "event" -> {
-                        router.onEvent(
-                                Long.parseLong(words[1]),
-                                (RouterEvent) TraceCodec.read(words[2]),
-                                expectedActions);
-                        events++;
-                    }
-                    default ->
-                            throw new IllegalArgumentException("unknown word '" + words[0] + "'");
+                Optional<String> difference = replay(words);
+                if (difference.isPresent()) {
+                    return result(difference);
                 }
             } catch (RuntimeException e) {
-                // The last line of a trace whose writer was killed may be cut short.
-                reader.mark(1);
-                if (reader.read() < 0 && lineNumber > 1) {
-                    return new Result(events, actions, null);
+                if (isCutOff()) {
+                    break;
                 }
-                throw new IOException(path + ":" + lineNumber + ": " + e.getMessage());
+                throw new MalformedTraceException(path, lineNumber, e);
             }
         }
-        return new Result(events, actions, null);
+        return result(Optional.empty());
+    }
+
+    private Result result(Optional<String> difference) {
+        return new Result(events, actions, difference);
+    }
+
+    // The last line of a trace whose writer was killed may be cut.
+    private boolean isCutOff() throws IOException {
+        reader.mark(1);
+        return reader.read() < 0 && lineNumber > 1;
+    }
+
+    private Optional<String> replay(String[] words) {
+        if (words[0].equals("action")) {
+            return compare(TraceCodec.read(words[1]));
+        }
+        if (compared < replayedActions.size()) {
+            return difference("nothing", replayedActions.get(compared));
+        }
+        replayedActions.clear();
+        compared = 0;
+        switch (words[0]) {
+            case "settings" -> router = new Router((RouterSettings) TraceCodec.read(words[1]));
+            case "start" -> router.start(Long.parseLong(words[1]), replayedActions);
+            case "event" -> {
+                router.onEvent(
+                        Long.parseLong(words[1]),
+                        (RouterEvent) TraceCodec.read(words[2]),
+                        replayedActions);
+                events++;
+            }
+            default -> throw new IllegalArgumentException("unknown word '" + words[0] + "'");
+        }
+        return Optional.empty();
+    }
+
+    private Optional<String> compare(Object recorded) {
+        boolean more = compared < replayedActions.size();
+        if (!more || !replayedActions.get(compared).equals(recorded)) {
+            return difference(recorded, more ? replayedActions.get(compared) : "nothing");
+        }
+        compared++;
+        actions++;
+        return Optional.empty();
+    }
+
+    private Optional<String> difference(Object recorded, Object replayed) {
+        return Optional.of(path + ":" + lineNumber + ": then " + recorded + ", now " + replayed);
     }
 }
--- a/src/main/java/brooklock/proxy/TraceVocabulary.java
+++ b/src/main/java/brooklock/proxy/TraceVocabulary.java
@@ -88,7 +88,7 @@
     static Class<?> typeOf(String word) {
         Class<?> type = TYPE_BY_WORD.get(word);
         if (type == null) {
-            throw new IllegalArgumentException("no such record: " + word);
+            throw new TraceFormatException("no such record: " + word);
         }
         return type;
     }
@@ -105,6 +105,6 @@
                 return constant;
             }
         }
-        throw new IllegalArgumentException("no such word: " + word);
+        throw new TraceFormatException("no such word: " + word);
     }
 }
--- a/src/main/java/brooklock/proxy/TraceWriter.java
+++ b/src/main/java/brooklock/proxy/TraceWriter.java
@@ -13,16 +13,19 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Every event in and action out, in order, as lines of {@link TraceCodec}; off where there is no
- * path. It ends when its bound is reached, so that what it holds can always be replayed from the
- * beginning.
+ * Writes every event and action in their order, as lines of {@link TraceCodec}. It belongs to the
+ * routing thread.
+ *
+ * <p>A trace ends when it reaches its size, and does not drop its oldest lines: it can only be
+ * replayed from its beginning.
  */
 final class TraceWriter {
     private static final Logger LOG = LoggerFactory.getLogger(TraceWriter.class);
 
-    /** A trace that keeps nothing. */
+    /** Writes nothing. */
     static final TraceWriter OFF = new TraceWriter(null, 0);
 
+    // Null where nothing is written, or no more.
     private BufferedWriter writer;
     private long remainingBytes;
 
@@ -31,6 +34,13 @@
         this.remainingBytes = maxBytes;
     }
 
+    /**
+     * Opens a trace and writes the settings.
+     *
+     * @param path where; null writes nothing
+     * @param maxBytes size at which the trace ends
+     * @throws IOException if the file cannot be written
+     */
     static TraceWriter open(Path path, long maxBytes, RouterSettings settings) throws IOException {
         if (path == null) {
             return OFF;
@@ -41,18 +51,21 @@
         return trace;
     }
 
+    /** Writes that the router starts. */
     void writeStart(long nowNs) {
         if (writer != null) {
             writeLine("start " + nowNs);
         }
     }
 
+    /** Writes an event. */
     void writeEvent(long nowNs, RouterEvent event) {
         if (writer != null) {
             writeLine("event " + nowNs + " " + TraceCodec.write(event));
         }
     }
 
+    /** Writes an action of the last event. */
     void writeAction(RouterAction action) {
         if (writer != null) {
             writeLine("action " + TraceCodec.write(action));
@@ -76,6 +89,7 @@
         }
     }
 
+    /** Closes the file; nothing is written from then on. */
     void close() {
         if (writer != null) {
             try {
--- a/src/main/java/brooklock/proxy/UpstreamAttempt.java
+++ b/src/main/java/brooklock/proxy/UpstreamAttempt.java
@@ -5,6 +5,7 @@
 import brooklock.http.Framing;
 import brooklock.http.RequestHead;
 import brooklock.http.ResponseHead;
+import brooklock.membership.EndpointRegistry;
 import brooklock.membership.ListedEndpoint;
 import brooklock.net.CallFailure;
 import brooklock.net.ClientCall;
@@ -14,27 +15,39 @@
 import brooklock.routing.RouterAction.StartAttempt;
 import brooklock.routing.RouterEvent.AttemptCompleted;
 import brooklock.routing.RouterEvent.ResponseStarted;
+import brooklock.warming.CacheWarming.PeerResult;
 import brooklock.warming.LoadReport;
 import java.nio.ByteBuffer;
+import java.util.Optional;
 import org.xnio.XnioExecutor;
 
 /**
- * One attempt of a request at a host, from the module's Get to its Done. Lives on the client's I/O
- * thread.
+ * One attempt of a request at an endpoint, from the router's StartAttempt to its AttemptCompleted.
+ * All of it belongs to the client's I/O thread.
+ *
+ * <p>An attempt is <em>committed</em> once its response is the client's final response. From then
+ * on the router can't cancel it; only its timeout, the endpoint or the client ends it.
  */
 final class UpstreamAttempt implements ResponseHandler {
-    final int number;
-    final StartAttempt action;
-    private final long peerId;
+    /** Stands for the identifier of a peer where no peer is to fill a miss. */
+    static final long NO_PEER = 0;
+
+    private final ProxyContext context;
+    private final Optional<WarmingCoordinator> warming;
     private final ProxyExchange exchange;
-    private final Dispatcher dispatcher;
+    private final int number;
+    private final StartAttempt action;
+    private final long peerId;
     private final long startedAtNs;
+
+    // Null until it is sent.
     private ClientCall call;
     private XnioExecutor.Key timeoutTimer;
-    private CacheStatusParser responseStatus;
-    private LoadReport hostLoadReport;
-    private LoadReport peerLoadReport;
-    private String peerFillWord;
+    // Null until the head of the response has come.
+    private UpstreamResult result;
+    private Optional<LoadReport> endpointLoad = Optional.empty();
+    private Optional<LoadReport> peerLoad = Optional.empty();
+    private Optional<PeerResult> peerResult = Optional.empty();
     private boolean committed;
     private boolean ended;
     private long clientStalledSinceNs;
@@ -42,113 +55,127 @@
     private AttemptOutcome outcome;
     private long durationNs;
 
-    UpstreamAttempt(ProxyExchange exchange, int number, StartAttempt action, long peerId) {
+    /**
+     * Makes one that is not sent.
+     *
+     * @param number index among the request's attempts
+     * @param action what the router wants
+     * @param peerId the peer that a cache miss is filled from first, or {@link #NO_PEER}
+     */
+    UpstreamAttempt(
+            ProxyContext context,
+            Optional<WarmingCoordinator> warming,
+            ProxyExchange exchange,
+            int number,
+            StartAttempt action,
+            long peerId) {
+        this.context = context;
+        this.warming = warming;
         this.exchange = exchange;
-        this.peerId = peerId;
-        this.dispatcher = exchange.dispatcher;
         this.number = number;
         this.action = action;
-        startedAtNs = dispatcher.clock.nowNs();
+        this.peerId = peerId;
+        startedAtNs = context.clock().nowNs();
     }
 
+    /** Sends it; where the list of endpoints has changed since it was routed it ends at once. */
     void send() {
-        ListedEndpoint host = dispatcher.endpointRegistry.find(action.endpoint());
-        ListedEndpoint source = dispatcher.endpointRegistry.find(action.fillSource());
-        ListedEndpoint peer = peerId == 0 ? null : dispatcher.endpointRegistry.find(peerId);
-        if (host == null || source == null || !shouldSend()) {
+        EndpointRegistry registry = context.endpointRegistry();
+        ListedEndpoint endpoint = registry.find(action.endpoint());
+        ListedEndpoint source = registry.find(action.fillSource());
+        ListedEndpoint peer = peerId == NO_PEER ? null : registry.find(peerId);
+        if (endpoint == null || source == null || !shouldSend()) {
             complete(AttemptOutcome.NOT_STARTED, CacheStatus.NONE, 0);
             return;
         }
-        timeoutTimer = exchange.client.loop().schedule(action.timeoutNs(), this::onTimeout);
+        timeoutTimer = exchange.client().loop().schedule(action.timeoutNs(), this::onTimeout);
         RequestHead head =
                 UpstreamRequestBuilder.buildHead(
-                        exchange, number, action, host, source, peer, dispatcher.settings.name());
-        ClientCall startedCall =
-                dispatcher
-                        .clientFor(exchange.client.loop())
-                        .send(host.address(), head, exchange.body, this);
-        call = startedCall;
+                        exchange,
+                        number,
+                        action,
+                        new UpstreamRequestBuilder.Target(endpoint, source, peer),
+                        context.settings().name());
+        call =
+                context.upstreamClients()
+                        .clientFor(exchange.client().loop())
+                        .send(endpoint.address(), head, exchange.body, this);
     }
 
     /**
-     * At the last moment: a connection may have been waited for while the host or the source left,
-     * or for too long.
+     * Asked right before the first byte is written: while the attempt waited for a connection an
+     * endpoint may have left the list, or the wait may have been too long.
      */
     @Override
     public boolean shouldSend() {
-        return dispatcher.endpointRegistry.isReady(action.endpoint())
-                && dispatcher.endpointRegistry.isReady(action.fillSource())
-                && (peerId == 0 || dispatcher.endpointRegistry.isReady(peerId))
+        EndpointRegistry registry = context.endpointRegistry();
+        return registry.isReady(action.endpoint())
+                && registry.isReady(action.fillSource())
+                && (peerId == NO_PEER || registry.isReady(peerId))
                 && !exchange.isClosed()
-                && dispatcher.clock.nowNs() - startedAtNs <= action.startWithinNs();
+                && context.clock().nowNs() - startedAtNs <= action.startWithinNs();
     }
 
-    // ---- What the host answers
+    // ---- The endpoint's response
 
     @Override
     public void onHead(ResponseHead head, Framing framing, boolean whole) {
-        responseStatus = CacheStatusParser.parse(head);
-        if (dispatcher.warmingCoordinator() != null) {
-            hostLoadReport =
-                    WarmingCoordinator.parseLoadReport(
-                            head.fields(), "Brooklock-Load", startedAtNs, dispatcher.clock.nowNs());
-            peerLoadReport =
-                    WarmingCoordinator.parseLoadReport(
-                            head.fields(),
-                            "Brooklock-First-Load",
-                            startedAtNs,
-                            dispatcher.clock.nowNs());
-            peerFillWord = head.fields().get("Brooklock-First");
+        result = CacheStatusParser.parse(head);
+        if (warming.isPresent()) {
+            readLoad(head.fields());
         }
-        if (responseStatus.outcome() == AttemptOutcome.OK && exchange.isClosed()) {
+        if (result.outcome() == AttemptOutcome.OK && exchange.isClosed()) {
             cancel();
-        } else if (responseStatus.outcome() == AttemptOutcome.OK) {
+        } else if (result.outcome() == AttemptOutcome.OK) {
             committed = true;
             if (!whole) {
-                dispatcher.routingThread.submit(
-                        new ResponseStarted(exchange.id, number, action.endpoint()));
+                context.routingThread()
+                        .submit(new ResponseStarted(exchange.id, number, action.endpoint()));
             }
-            exchange.startResponse(this, head, framing);
+            exchange.startResponse(head, framing);
         } else if (!whole) {
-            // What an error says is read by nobody: it is reported at once and its connection
-            // dropped.
+            // Nobody reads the body of an error: the attempt ends now and its connection is closed.
             ClientCall currentCall = call;
-            complete(
-                    responseStatus.outcome(), responseStatus.note(), responseStatus.sourceWaitNs());
+            completeByResult();
             currentCall.cancel();
         }
     }
 
+    private void readLoad(Fields fields) {
+        long nowNs = context.clock().nowNs();
+        endpointLoad = LoadReportParser.ofEndpoint(fields, startedAtNs, nowNs);
+        peerLoad = LoadReportParser.ofPeer(fields, startedAtNs, nowNs);
+        peerResult = LoadReportParser.peerResult(fields);
+    }
+
     @Override
     public boolean onBody(ByteBuffer chunk) {
         if (!committed) {
             chunk.position(chunk.limit());
             return true;
         }
-        exchange.responseBytes += chunk.remaining();
-        if (exchange.client.writeBody(chunk) || exchange.client.isEnded()) {
+        exchange.addResponseBytes(chunk.remaining());
+        if (exchange.client().writeBody(chunk) || exchange.client().isEnded()) {
             return true;
         }
-        clientStalledSinceNs = dispatcher.clock.nowNs();
-        exchange.client.onWritable(
-                () -> {
-                    if (!ended) {
-                        clientStalledNs += dispatcher.clock.nowNs() - clientStalledSinceNs;
-                        clientStalledSinceNs = 0;
-                        call.resume();
-                    }
-                });
+        clientStalledSinceNs = context.clock().nowNs();
+        exchange.client().onWritable(this::onClientWritable);
         return false;
     }
 
+    private void onClientWritable() {
+        if (!ended) {
+            clientStalledNs += context.clock().nowNs() - clientStalledSinceNs;
+            clientStalledSinceNs = 0;
+            call.resume();
+        }
+    }
+
     @Override
     public void onComplete(Fields trailers) {
+        completeByResult();
         if (committed) {
-            complete(AttemptOutcome.OK, responseStatus.note(), responseStatus.sourceWaitNs());
-            exchange.endResponse("served");
-        } else {
-            complete(
-                    responseStatus.outcome(), responseStatus.note(), responseStatus.sourceWaitNs());
+            exchange.endResponse();
         }
     }
 
@@ -164,112 +191,125 @@
                 CacheStatus.NONE,
                 0);
         if (committed) {
-            exchange.abortResponse("broken by host");
+            exchange.abortResponse(Completion.ABORTED_BY_ENDPOINT);
         }
     }
 
     // ---- What ends it from this side
 
     private void onTimeout() {
-        if (ended || committed && exchange.match.requestClass().streamed()) {
+        if (ended || committed && exchange.request.match().requestClass().streamed()) {
             return;
         }
-        ClientCall currentCall = call;
-        complete(AttemptOutcome.TIMEOUT, CacheStatus.NONE, 0);
-        if (currentCall != null) {
-            currentCall.cancel();
-        }
+        endCall(AttemptOutcome.TIMEOUT);
         if (committed) {
-            exchange.abortResponse("deadline within the answer");
+            exchange.abortResponse(Completion.TIMEOUT_IN_BODY);
         }
     }
 
-    /** The module gives up on it; what the client is being sent already is not stopped. */
+    /** Cancels it for the router, unless its response is already on its way to the client. */
     void cancelUnlessCommitted() {
         if (!committed) {
             cancel();
         }
     }
 
-    /** Called off; its connection is not used again. */
+    /** Cancels it; its connection is closed. */
     void cancel() {
         if (!ended) {
-            ClientCall currentCall = call;
-            complete(AttemptOutcome.CANCELLED, CacheStatus.NONE, 0);
-            if (currentCall != null) {
-                currentCall.cancel();
-            }
+            endCall(AttemptOutcome.CANCELLED);
+        }
+    }
+
+    private void endCall(AttemptOutcome how) {
+        ClientCall currentCall = call;
+        complete(how, CacheStatus.NONE, 0);
+        if (currentCall != null) {
+            currentCall.cancel();
         }
     }
 
-    /** Reports it, once. The time in which the client took nothing is not the host's. */
-    void complete(AttemptOutcome result, CacheStatus note, long sourceWaitNs) {
+    private void completeByResult() {
+        complete(result.outcome(), result.cacheStatus(), result.sourceWaitNs());
+    }
+
+    /**
+     * Ends it and tells the router, once. The time in which the client read nothing does not count:
+     * a slow client must not make an endpoint look slow.
+     *
+     * @param sourceWaitNs how long the endpoint waited for its fill source, ns
+     */
+    void complete(AttemptOutcome how, CacheStatus cacheStatus, long sourceWaitNs) {
         if (ended) {
             return;
         }
         ended = true;
-        outcome = result;
+        outcome = how;
         if (timeoutTimer != null) {
             timeoutTimer.remove();
         }
-        long nowNs = dispatcher.clock.nowNs();
-        durationNs =
-                nowNs
-                        - startedAtNs
-                        - clientStalledNs
-                        - (clientStalledSinceNs > 0 ? nowNs - clientStalledSinceNs : 0);
-        AttemptCompleted done =
+        long nowNs = context.clock().nowNs();
+        long stalledNs =
+                clientStalledNs + (clientStalledSinceNs > 0 ? nowNs - clientStalledSinceNs : 0);
+        durationNs = nowNs - startedAtNs - stalledNs;
+        AttemptCompleted event =
                 new AttemptCompleted(
                         exchange.id,
                         number,
                         action.endpoint(),
-                        result,
-                        note,
+                        how,
+                        cacheStatus,
                         durationNs,
                         sourceWaitNs,
-                        result == AttemptOutcome.OK || committed);
-        if (dispatcher.warmingCoordinator() == null) {
-            dispatcher.routingThread.submit(done);
+                        how == AttemptOutcome.OK || committed);
+        if (warming.isPresent()) {
+            AttemptObservation observation = observe(event);
+            context.routingThread()
+                    .submit(event, () -> warming.get().onAttemptCompleted(observation));
         } else {
-            RequestClassSettings requestClass = exchange.match.requestClass();
-            boolean missedLatencyObjective =
-                    durationNs
-                            > requestClass.latencyObjectiveNs()
-                                    + requestClass.transferStretch()
-                                            * exchange.responseBytes
-                                            / dispatcher.settings.fleet().transferBytesPerS()
-                                            * 1e9;
-            dispatcher.routingThread.submit(
-                    done,
-                    () ->
-                            dispatcher
-                                    .warmingCoordinator()
-                                    .onAttemptEnded(
-                                            done,
-                                            exchange.match,
-                                            action.cachePriority() > 0,
-                                            peerId,
-                                            hostLoadReport,
-                                            peerFillWord,
-                                            peerLoadReport,
-                                            missedLatencyObjective));
+            context.routingThread().submit(event);
         }
-        exchange.onAttemptEnded(this);
+        exchange.onAttemptEnded();
     }
 
-    /** For the log: host, source, outcome, note and ms. */
+    private AttemptObservation observe(AttemptCompleted event) {
+        RequestClassSettings requestClass = exchange.request.match().requestClass();
+        boolean missedLatencyObjective =
+                durationNs
+                        > requestClass.latencyObjectiveNs()
+                                + requestClass.transferStretch()
+                                        * exchange.responseBytes()
+                                        / context.settings().fleet().transferBytesPerS()
+                                        * 1e9;
+        return new AttemptObservation(
+                event,
+                exchange.request.match(),
+                action.cachePriority() > 0,
+                missedLatencyObjective,
+                endpointLoad,
+                peerId,
+                peerResult,
+                peerLoad);
+    }
+
+    /** Returns endpoint, fill source, outcome, cache status and duration, for the access log. */
     String describe() {
-        ListedEndpoint host = dispatcher.endpointRegistry.find(action.endpoint());
-        ListedEndpoint source = dispatcher.endpointRegistry.find(action.fillSource());
-        return (host == null ? action.endpoint() : host.name())
-                + (action.fillSource() == action.endpoint()
-                        ? ""
-                        : "<" + (source == null ? action.fillSource() : source.name()))
+        String source =
+                action.fillSource() == action.endpoint() ? "" : "<" + nameOf(action.fillSource());
+        String cacheStatus =
+                result == null ? "" : "/" + TraceVocabulary.wordOf(result.cacheStatus());
+        return nameOf(action.endpoint())
+                + source
                 + " "
-                + outcome
-                + (responseStatus == null ? "" : "/" + responseStatus.note())
+                + TraceVocabulary.wordOf(outcome)
+                + cacheStatus
                 + " "
                 + durationNs / 1_000_000
                 + "ms";
     }
+
+    private String nameOf(long endpointId) {
+        ListedEndpoint endpoint = context.endpointRegistry().find(endpointId);
+        return endpoint == null ? Long.toString(endpointId) : endpoint.name();
+    }
 }
--- /dev/null
+++ b/src/test/java/brooklock/proxy/AdmissionLimitTest.java
@@ -0,0 +1,99 @@
+package brooklock.proxy;
+
+import static brooklock.proxy.LoopbackFleet.get;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import brooklock.routing.RouterEvent;
+import brooklock.routing.RouterEvent.RequestReceived;
+import java.io.IOException;
+import java.net.Socket;
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.concurrent.CompletableFuture;
+import java.util.concurrent.CountDownLatch;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.io.TempDir;
+
+/** What the dispatcher cannot hold is rejected at once, and nothing hangs. */
+class AdmissionLimitTest {
+    @TempDir Path dir;
+
+    /**
+     * The routing thread stands still. Requests go on arriving; those that find the queue half full
+     * are rejected at once, with Retry-After, in place of a wait that ends in a timeout. Those in
+     * the queue are served when the thread goes on.
+     */
+    @Test
+    void fullRoutingQueueRejectsAtOnceWithRetryAfter() throws Exception {
+        CountDownLatch stuck = new CountDownLatch(1);
+        try (LoopbackFleet fleet =
+                new LoopbackFleet(dir, 1, 1, "limits open 8")
+                        .start(
+                                s ->
+                                        new InterceptingRouter(s) {
+                                            @Override
+                                            protected RouterEvent interceptEvent(
+                                                    RouterEvent event) {
+                                                if (event instanceof RequestReceived) {
+                                                    try {
+                                                        stuck.await();
+                                                    } catch (InterruptedException e) {
+                                                        Thread.currentThread().interrupt();
+                                                    }
+                                                }
+                                                return event;
+                                            }
+                                        })) {
+            List<CompletableFuture<LoopbackFleet.Response>> all = new ArrayList<>();
+            for (int i = 0; i < 40; i++) {
+                all.add(fleet.sendAsync(get("/scans/g/q" + i + "/0", "")));
+            }
+            LoopbackFleet.await(
+                    "most to be rejected",
+                    () -> all.stream().filter(CompletableFuture::isDone).count() >= 32);
+            LoopbackFleet.Response response =
+                    all.stream().filter(CompletableFuture::isDone).findFirst().orElseThrow().get();
+            assertEquals(503, response.status());
+            assertTrue(response.head().contains("Retry-After: "), response.head());
+            stuck.countDown();
+            for (CompletableFuture<LoopbackFleet.Response> f : all) {
+                assertTrue(f.get().status() == 200 || f.get().status() == 503);
+            }
+        }
+    }
+
+    /**
+     * More clients connect than the limit allows. Each one over it gets a 503 in place of a
+     * connection that never answers; when another leaves, there is capacity again.
+     */
+    @Test
+    void clientsOverTheConnectionLimitAreRejected() throws Exception {
+        try (LoopbackFleet fleet = new LoopbackFleet(dir, 1, 1, "limits clients 4").start()) {
+            List<Socket> held = new ArrayList<>();
+            for (int i = 0; i < 4; i++) {
+                held.add(fleet.connect());
+                LoopbackFleet.write(held.get(i), get("/scans/g/o/0", ""));
+                assertEquals(
+                        200, LoopbackFleet.readResponse(held.get(i).getInputStream()).status());
+            }
+            try (Socket fifth = fleet.connect()) {
+                assertEquals(503, LoopbackFleet.readResponse(fifth.getInputStream()).status());
+            }
+            held.get(0).close();
+            LoopbackFleet.await(
+                    "room",
+                    () -> {
+                        try {
+                            return fleet.send(get("/scans/g/o/0", "")).status() == 200;
+                        } catch (IOException e) {
+                            return false;
+                        }
+                    });
+            for (Socket s : held) {
+                s.close();
+            }
+        }
+    }
+}
--- /dev/null
+++ b/src/test/java/brooklock/proxy/CertificateAuthorizationTest.java
@@ -0,0 +1,254 @@
+package brooklock.proxy;
+
+import static brooklock.proxy.LoopbackFleet.get;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertThrows;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import brooklock.credentials.LocalCertificateAuthority;
+import brooklock.credentials.TlsContexts;
+import brooklock.http.Fields;
+import brooklock.net.HttpListener;
+import brooklock.net.IoThreads;
+import brooklock.net.ServerLimits;
+import java.io.IOException;
+import java.net.InetSocketAddress;
+import java.nio.file.Files;
+import java.security.cert.X509Certificate;
+import java.util.ArrayList;
+import java.util.Collections;
+import java.util.List;
+import java.util.function.Function;
+import javax.net.ssl.SSLContext;
+import javax.net.ssl.SSLSocket;
+import org.junit.jupiter.api.Test;
+
+/** Who gets what by a certificate, and when a connection is closed. */
+class CertificateAuthorizationTest extends AuthorizationTestBase {
+    private SSLContext client(LocalCertificateAuthority pki, TlsContexts.TlsIdentity mine)
+            throws Exception {
+        var trust = pki.createTrust(dir);
+        return TlsContexts.clientContext(mine, () -> trust, System::currentTimeMillis);
+    }
+
+    private LoopbackFleet newTlsFleet(LocalCertificateAuthority pki, String more) throws Exception {
+        pki.writeCaCertificate(dir.resolve("ca.pem"));
+        LocalCertificateAuthority.writeCertificate(
+                dir.resolve("server.pem"),
+                dir.resolve("server.key"),
+                pki.issue("edge", "localhost", 3600_000));
+        Files.writeString(dir.resolve("revoked.pem"), pki.createCrl(3600_000));
+        return new LoopbackFleet(
+                dir,
+                2,
+                1,
+                "rights policy\ntls server.pem server.key\nclients ca.pem\nrevoked revoked.pem\n"
+                        + more);
+    }
+
+    private static int sendTls(LoopbackFleet fleet, SSLContext c, String path) throws IOException {
+        try (SSLSocket s = fleet.connectTls(c)) {
+            LoopbackFleet.write(s, get(path, ""));
+            return LoopbackFleet.readResponse(s.getInputStream()).status();
+        }
+    }
+
+    /**
+     * Certificates of the authority map to tenants by their names. One of another authority or past
+     * its time does not get through the handshake; one that maps to no tenant, or none at all, gets
+     * nothing that needs authorization.
+     */
+    @Test
+    void certificatesMapToTenantsAndStrangersAreRejected() throws Exception {
+        LocalCertificateAuthority pki = new LocalCertificateAuthority("authority");
+        LocalCertificateAuthority other = new LocalCertificateAuthority("other");
+        try (LoopbackFleet fleet = newTlsFleet(pki, "").start()) {
+            assertEquals(
+                    200,
+                    sendTls(
+                            fleet,
+                            client(pki, pki.issue("x", "acme.example", 60_000)),
+                            "/own/acme/x/0"));
+            assertEquals(
+                    403,
+                    sendTls(
+                            fleet,
+                            client(pki, pki.issue("x", "acme.example", 60_000)),
+                            "/own/beta/x/0"));
+            assertEquals(
+                    200,
+                    sendTls(fleet, client(pki, pki.issue("beta", null, 60_000)), "/own/beta/x/0"));
+            assertEquals(
+                    403,
+                    sendTls(fleet, client(pki, pki.issue("zeta", null, 60_000)), "/own/beta/x/0"));
+            assertEquals(401, sendTls(fleet, client(pki, null), "/own/acme/x/0"));
+            assertEquals(200, sendTls(fleet, client(pki, null), "/scans/g/x/0"));
+            TlsContexts.TlsIdentity strange = other.issue("x", "acme.example", 60_000);
+            assertThrows(
+                    IOException.class,
+                    () -> {
+                        int status = sendTls(fleet, client(pki, strange), "/own/acme/x/0");
+                        if (status == 0) {
+                            throw new IOException("broken off");
+                        }
+                    });
+            TlsContexts.TlsIdentity ended = pki.issue("x", "acme.example", -1000);
+            assertThrows(
+                    IOException.class,
+                    () -> {
+                        int status = sendTls(fleet, client(pki, ended), "/own/acme/x/0");
+                        if (status == 0) {
+                            throw new IOException("broken off");
+                        }
+                    });
+        }
+    }
+
+    /**
+     * A certificate is revoked while its owner has a transfer in flight and an idle connection.
+     * Both are closed within seconds: a long download would otherwise outlive the revocation. A
+     * resumed TLS session does not help either; others go on.
+     */
+    @Test
+    void revokedCertificateEndsOpenTransfersAndIsNotAcceptedAgain() throws Exception {
+        LocalCertificateAuthority pki = new LocalCertificateAuthority("authority");
+        TlsContexts.TlsIdentity bad = pki.issue("x", "acme.example", 600_000);
+        TlsContexts.TlsIdentity fine = pki.issue("y", "acme.example", 600_000);
+        try (LoopbackFleet fleet = newTlsFleet(pki, "").start()) {
+            SSLContext badContext = client(pki, bad);
+            for (int i = 0; i < 3; i++) {
+                assertEquals(
+                        200, sendTls(fleet, client(pki, fine), "/ownbig/acme/x"), "cached by now");
+            }
+            SSLSocket transfer = fleet.connectTls(badContext);
+            LoopbackFleet.write(transfer, get("/ownbig/acme/x", ""));
+            assertTrue(transfer.getInputStream().read(new byte[1000]) > 0, "under way");
+            SSLSocket idle = fleet.connectTls(badContext);
+            LoopbackFleet.write(idle, get("/own/acme/x/0", ""));
+            assertEquals(200, LoopbackFleet.readResponse(idle.getInputStream()).status());
+            SSLSocket other = fleet.connectTls(client(pki, fine));
+            Files.writeString(
+                    dir.resolve("revoked.pem"),
+                    pki.createCrl(3600_000, new X509Certificate[] {bad.chain()[0]}));
+            long written = System.nanoTime();
+            assertFalse(endsWhole(transfer), "the transfer is broken off");
+            assertFalse(endsWhole(idle));
+            assertTrue(System.nanoTime() - written < 10_000 * LoopbackFleet.NS_PER_MS);
+            assertThrows(
+                    IOException.class,
+                    () -> {
+                        if (sendTls(fleet, badContext, "/own/acme/x/0") != 200) {
+                            throw new IOException("not taken, in a new or in a resumed session");
+                        }
+                    });
+            LoopbackFleet.write(other, get("/own/acme/x/0", ""));
+            assertEquals(
+                    200,
+                    LoopbackFleet.readResponse(other.getInputStream()).status(),
+                    "others go on");
+        }
+    }
+
+    // Reads on to the end: true if that came in the orderly way with everything before it.
+    private static boolean endsWhole(SSLSocket s) {
+        try {
+            long n = 0;
+            byte[] b = new byte[8192];
+            for (int r = s.getInputStream().read(b); r >= 0; r = s.getInputStream().read(b)) {
+                n += r;
+                if (n > 3_900_000) {
+                    return true;
+                }
+                Thread.sleep(20);
+            }
+            return false;
+        } catch (IOException | InterruptedException e) {
+            return false;
+        }
+    }
+
+    /**
+     * The revocation list is not renewed in time. Nobody knows any more who was revoked since, so
+     * the authority's certificates are rejected until a new list comes.
+     */
+    @Test
+    void staleRevocationListClosesItsAuthority() throws Exception {
+        LocalCertificateAuthority pki = new LocalCertificateAuthority("authority");
+        TlsContexts.TlsIdentity mine = pki.issue("x", "acme.example", 600_000);
+        try (LoopbackFleet fleet = newTlsFleet(pki, "").start()) {
+            assertEquals(200, sendTls(fleet, client(pki, mine), "/own/acme/x/0"));
+            Files.writeString(dir.resolve("revoked.pem"), pki.createCrl(-500));
+            LoopbackFleet.await(
+                    "the list to be past its time",
+                    () -> {
+                        try {
+                            return sendTls(fleet, client(pki, mine), "/own/acme/x/0") != 200;
+                        } catch (Exception e) {
+                            return true;
+                        }
+                    });
+            assertTrue(fleet.dispatcher.statePage().contains("stale-revocations CN=authority"));
+        }
+    }
+
+    /**
+     * A stranger listens on a cache's address. Without trust in the certificate it would get the
+     * clients' requests; the dispatcher shows its own certificate and sends requests to the trusted
+     * cache only.
+     */
+    @Test
+    void onlyTrustedEndpointsGetRequestsOverTls() throws Exception {
+        LocalCertificateAuthority pki = new LocalCertificateAuthority("authority");
+        LocalCertificateAuthority stranger = new LocalCertificateAuthority("stranger");
+        var trust = pki.createTrust(dir);
+        List<String> shown = Collections.synchronizedList(new ArrayList<>());
+        try (IoThreads net = IoThreads.start("tls-host", 1);
+                LoopbackFleet fleet = newTlsFleet(pki, "hosts-tls ca.pem\nlimits threads 1")) {
+            Function<TlsContexts.TlsIdentity, HttpListener> host =
+                    leaf -> {
+                        try {
+                            return HttpListener.openTls(
+                                    net,
+                                    new InetSocketAddress("127.0.0.1", 0),
+                                    ServerLimits.STANDARD,
+                                    x -> {
+                                        shown.add(
+                                                String.valueOf(
+                                                        x.certificates()[0]
+                                                                .getSubjectX500Principal()));
+                                        x.send(
+                                                200,
+                                                new Fields().add("Cache-Status", "h; hit"),
+                                                new byte[3]);
+                                    },
+                                    TlsContexts.serverContext(
+                                            () -> List.of(leaf),
+                                            () -> trust,
+                                            System::currentTimeMillis));
+                        } catch (IOException e) {
+                            throw new IllegalStateException(e);
+                        }
+                    };
+            var good = host.apply(pki.issue("c1", "c1", 60_000));
+            var bad = host.apply(stranger.issue("c2", "c2", 60_000));
+            String text =
+                    fleet.settingsText()
+                            .replaceAll(
+                                    "host c1 cache here 127.0.0.1:\\d+",
+                                    "host c1 cache here 127.0.0.1:" + bad.address().getPort())
+                            .replaceAll(
+                                    "host c2 cache here 127.0.0.1:\\d+",
+                                    "host c2 cache here 127.0.0.1:" + good.address().getPort());
+            fleet.start(text);
+            for (int i = 0; i < 8; i++) {
+                assertEquals(
+                        200,
+                        sendTls(fleet, client(pki, null), "/scans/g/o" + i + "/0"),
+                        "the trusted one serves all");
+            }
+            assertEquals(8, shown.size());
+            assertTrue(shown.stream().allMatch("CN=edge"::equals), shown.toString());
+        }
+    }
+}
--- /dev/null
+++ b/src/test/java/brooklock/proxy/ClientFaultTest.java
@@ -0,0 +1,156 @@
+package brooklock.proxy;
+
+import static brooklock.proxy.LoopbackFleet.get;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.lang.management.BufferPoolMXBean;
+import java.lang.management.ManagementFactory;
+import java.net.Socket;
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.List;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.io.TempDir;
+
+/** Clients that read slowly, leave, or send slowly. */
+class ClientFaultTest {
+    @TempDir Path dir;
+
+    /**
+     * Forty clients request 8 MB each and read nothing. If the dispatcher read ahead of them it
+     * would hold 320 MB; if it waited for them in its I/O thread, nobody else would be served.
+     */
+    @Test
+    void slowReadersHoldLittleMemoryAndDelayNobody() throws Exception {
+        try (LoopbackFleet fleet = new LoopbackFleet(dir, 2, 1, "").start()) {
+            for (int i = 0; i < 2; i++) {
+                assertEquals(8_000_000, fleet.send(get("/huge/x", "")).body().length);
+            }
+            List<Socket> readers = new ArrayList<>();
+            for (int i = 0; i < 40; i++) {
+                Socket s = new Socket();
+                s.setReceiveBufferSize(4096);
+                s.connect(fleet.dispatcher.address());
+                LoopbackFleet.write(s, get("/huge/x", ""));
+                readers.add(s);
+            }
+            LoopbackFleet.await("all to be answered", () -> fleet.dispatcher.openRequests() == 40);
+            for (int i = 0; i < 50; i++) {
+                assertEquals(200, fleet.send(get("/scans/g/s" + i + "/0", "")).status());
+            }
+            long direct =
+                    ManagementFactory.getPlatformMXBeans(BufferPoolMXBean.class).stream()
+                            .filter(p -> p.getName().equals("direct"))
+                            .mapToLong(BufferPoolMXBean::getMemoryUsed)
+                            .sum();
+            assertTrue(
+                    direct < 64_000_000,
+                    "buffers hold " + direct + " bytes for 40 answers of 8 MB");
+            for (Socket s : readers) {
+                s.close();
+            }
+            LoopbackFleet.await(
+                    "those who left to be forgotten", () -> fleet.dispatcher.openRequests() == 0);
+        }
+    }
+
+    /**
+     * Clients disconnect within a head, within a body and while they wait. Whatever a request has
+     * reserved until then is released, and nothing more is sent to an endpoint for it.
+     */
+    @Test
+    void clientsThatDisconnectAreForgottenAtEachStage() throws Exception {
+        try (LoopbackFleet fleet = new LoopbackFleet(dir, 2, 1, "").start()) {
+            fleet.servers.get("c1").faults.silent = true;
+            fleet.servers.get("c2").faults.silent = true;
+            Socket midHead = fleet.connect();
+            LoopbackFleet.write(midHead, "GET /scans/g/o/0 HTT");
+            midHead.close();
+            Socket midBody = fleet.connect();
+            LoopbackFleet.write(
+                    midBody,
+                    "POST /notes/x HTTP/1.1\r\nHost: a\r\nX-Request-Id: mb\r\nContent-Length: 9\r\n\r\nabc");
+            LoopbackFleet.await(
+                    "the body's reservation", () -> fleet.dispatcher.openRequests() == 1);
+            midBody.close();
+            Socket waiting = fleet.connect();
+            LoopbackFleet.write(waiting, get("/scans/g/o/0", LoopbackFleet.requestIdField("w")));
+            LoopbackFleet.await("the attempt", () -> fleet.recordedRequests("w").size() == 1);
+            waiting.close();
+            LoopbackFleet.await("all to be forgotten", () -> fleet.dispatcher.openRequests() == 0);
+            int before = fleet.recordedRequests("w").size();
+            fleet.servers.get("c1").faults.silent = false;
+            fleet.servers.get("c2").faults.silent = false;
+            assertEquals(200, fleet.send(get("/scans/g/other/0", "")).status());
+            assertEquals(
+                    before, fleet.recordedRequests("w").size(), "nothing is sent for one who left");
+            assertEquals(0, fleet.recordedRequests("mb").size());
+            assertTrue(
+                    fleet.dispatcher.statePage().contains("body-bytes 0"),
+                    fleet.dispatcher.statePage());
+        }
+    }
+
+    /**
+     * A client sends two requests at once and asks for the connection to be closed after the
+     * second. The close must not overtake the first response.
+     */
+    @Test
+    void clientThatClosesAfterItsLastPipelinedRequestGetsAllResponses() throws Exception {
+        try (LoopbackFleet fleet = new LoopbackFleet(dir, 2, 1, "").start();
+                Socket s = fleet.connect()) {
+            LoopbackFleet.write(
+                    s, get("/scans/g/o/0", "") + get("/scans/g/p/0", "Connection: close\r\n"));
+            assertEquals(200, LoopbackFleet.readResponse(s.getInputStream()).status());
+            assertEquals(200, LoopbackFleet.readResponse(s.getInputStream()).status());
+            assertEquals(-1, s.getInputStream().read(), "closed as requested");
+        }
+    }
+
+    /**
+     * A client sends a byte every now and then, so that its connection is never idle. With enough
+     * of such clients all connections would be in use for ever; the time for a whole head is
+     * therefore bounded.
+     */
+    @Test
+    void requestThatComesByteByByteTimesOutAndOthersAreServed() throws Exception {
+        try (LoopbackFleet fleet = new LoopbackFleet(dir, 1, 1, "limits head 400ms").start();
+                Socket s = fleet.connect()) {
+            long begun = System.nanoTime();
+            String request = get("/scans/g/o/0", "");
+            int sent = 0;
+            while (s.getInputStream().available() == 0 && sent < request.length()) {
+                LoopbackFleet.write(s, request.substring(sent, ++sent));
+                Thread.sleep(50);
+            }
+            assertEquals(408, LoopbackFleet.readResponse(s.getInputStream()).status());
+            assertTrue(System.nanoTime() - begun < 10_000 * LoopbackFleet.NS_PER_MS);
+            assertEquals(200, fleet.send(get("/scans/g/o/0", "")).status());
+        }
+    }
+
+    /**
+     * A body may come after 100-continue, in chunks, or be longer than the limit. Each is read
+     * whole, or rejected before it is read.
+     */
+    @Test
+    void expectedAndChunkedBodiesAreReadWholeAndLongOnesRejected() throws Exception {
+        try (LoopbackFleet fleet = new LoopbackFleet(dir, 1, 1, "").start();
+                Socket s = fleet.connect()) {
+            LoopbackFleet.write(
+                    s,
+                    "POST /notes/x HTTP/1.1\r\nHost: a\r\nExpect: 100-continue\r\nContent-Length: 5\r\n\r\n");
+            assertEquals(100, LoopbackFleet.readResponse(s.getInputStream()).status());
+            LoopbackFleet.write(s, "hello");
+            assertEquals(200, LoopbackFleet.readResponse(s.getInputStream()).status());
+            LoopbackFleet.write(
+                    s,
+                    "POST /notes/x HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n");
+            assertEquals(200, LoopbackFleet.readResponse(s.getInputStream()).status());
+            LoopbackFleet.write(
+                    s, "POST /notes/x HTTP/1.1\r\nHost: a\r\nContent-Length: 2000000\r\n\r\n");
+            assertEquals(413, LoopbackFleet.readResponse(s.getInputStream()).status());
+        }
+    }
+}
--- /dev/null
+++ b/src/test/java/brooklock/proxy/DrainTest.java
@@ -0,0 +1,96 @@
+package brooklock.proxy;
+
+import static brooklock.proxy.LoopbackFleet.get;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.concurrent.CompletableFuture;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.io.TempDir;
+
+/** An endpoint that drains or has left gets no new request. */
+class DrainTest {
+    @TempDir Path dir;
+
+    /**
+     * Ten requests wait for the one connection to a cache. Meanwhile the cache begins to drain. The
+     * decision to send them there was right when it was made; sent now they would hold up its
+     * shutdown. They are routed again.
+     */
+    @Test
+    void requestsThatWaitForAConnectionDoNotReachACacheThatDrainsMeanwhile() throws Exception {
+        try (LoopbackFleet fleet =
+                new LoopbackFleet(dir, 1, 2, "limits host-connections 1 threads 1").start()) {
+            fleet.servers.get("c1").faults.silent = true;
+            CompletableFuture<LoopbackFleet.Response> first =
+                    fleet.sendAsync(get("/scans/g/o/0", LoopbackFleet.requestIdField("first")));
+            LoopbackFleet.await(
+                    "the first at the cache", () -> fleet.recordedRequests("first").size() == 1);
+            List<CompletableFuture<LoopbackFleet.Response>> waiting = new ArrayList<>();
+            for (int i = 0; i < 10; i++) {
+                waiting.add(
+                        fleet.sendAsync(
+                                get("/scans/g/o" + i + "/0", LoopbackFleet.requestIdField("w"))));
+            }
+            LoopbackFleet.await("all taken", () -> fleet.dispatcher.openRequests() == 11);
+            assertEquals(200, fleet.sendControl("POST", "/drain?host=c1", "").status());
+            long acknowledgedAtNs = System.nanoTime();
+            for (CompletableFuture<LoopbackFleet.Response> f : waiting) {
+                assertEquals(200, f.get().status(), "a parent gives it straight");
+            }
+            first.get();
+            assertTrue(
+                    fleet.recorder.requests().stream()
+                            .noneMatch(s -> s.server.equals("c1") && s.atNs > acknowledgedAtNs));
+        }
+    }
+
+    /**
+     * A parent drains. It gets no requests from dispatchers directly, but caches would still fill
+     * their misses from it if dispatchers went on naming it.
+     */
+    @Test
+    void drainingParentIsNoFillSource() throws Exception {
+        try (LoopbackFleet fleet = new LoopbackFleet(dir, 2, 2, "").start()) {
+            fleet.sendControl("POST", "/drain?host=p1", "");
+            long acknowledgedAtNs = System.nanoTime();
+            for (int i = 0; i < 40; i++) {
+                assertEquals(200, fleet.send(get("/scans/g/d" + i + "/0", "")).status());
+            }
+            assertTrue(fleet.recorder.requests().stream().anyMatch(s -> "p2".equals(s.source)));
+            assertTrue(
+                    fleet.recorder.requests().stream()
+                            .noneMatch(
+                                    s ->
+                                            s.atNs > acknowledgedAtNs
+                                                    && ("p1".equals(s.source)
+                                                            || s.server.equals("p1"))));
+        }
+    }
+
+    /**
+     * An operator removes a cache and gets the acknowledgement; right after it the dispatcher is
+     * killed. The settings file still names the cache, but what was acknowledged holds.
+     */
+    @Test
+    void killedDispatcherComesBackWithTheListThatWasAcknowledged() throws Exception {
+        try (LoopbackFleet fleet = new LoopbackFleet(dir, 2, 1, "list hosts.list").start()) {
+            assertEquals(
+                    200,
+                    fleet.sendControl("POST", "/gone?host=c1", "").status(),
+                    "it is saved when it is answered");
+            fleet.dispatcher.close();
+            fleet.start();
+            long acknowledgedAtNs = System.nanoTime();
+            for (int i = 0; i < 30; i++) {
+                assertEquals(200, fleet.send(get("/scans/g/k" + i + "/0", "")).status());
+            }
+            assertTrue(
+                    fleet.recorder.requests().stream()
+                            .noneMatch(s -> s.server.equals("c1") && s.atNs > acknowledgedAtNs));
+        }
+    }
+}
--- a/src/test/java/brooklock/proxy/InterceptingRouter.java
+++ b/src/test/java/brooklock/proxy/InterceptingRouter.java
@@ -6,37 +6,37 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The module, with its events and actions bent on their way. */
+/** The router of service, with its events and actions changed on their way. */
 public abstract class InterceptingRouter implements RoutingStrategy {
     private final RoutingStrategy router;
 
-    protected InterceptingRouter(RouterSettings s) {
-        router = RoutingStrategy.newRouter(s);
+    protected InterceptingRouter(RouterSettings settings) {
+        router = RoutingStrategy.newRouter(settings);
     }
 
     @Override
-    public void start(long now, List<RouterAction> out) {
-        router.start(now, out);
+    public void start(long nowNs, List<RouterAction> actions) {
+        router.start(nowNs, actions);
     }
 
     @Override
-    public void onEvent(long now, RouterEvent e, List<RouterAction> forwarded) {
+    public void onEvent(long nowNs, RouterEvent event, List<RouterAction> forwarded) {
         List<RouterAction> actions = new ArrayList<>();
-        RouterEvent intercepted = interceptEvent(e);
+        RouterEvent intercepted = interceptEvent(event);
         if (intercepted != null) {
-            router.onEvent(now, intercepted, actions);
+            router.onEvent(nowNs, intercepted, actions);
         }
-        for (RouterAction a : actions) {
-            interceptAction(a, forwarded);
+        for (RouterAction action : actions) {
+            interceptAction(action, forwarded);
         }
     }
 
-    /** What the module is told instead; null for nothing. */
-    protected RouterEvent interceptEvent(RouterEvent e) {
-        return e;
+    /** Returns the event that the router gets instead; null for none. */
+    protected RouterEvent interceptEvent(RouterEvent event) {
+        return event;
     }
 
-    /** What it says, to be passed on or not. */
+    /** Forwards an action of the router, another one, or none. */
     protected void interceptAction(RouterAction action, List<RouterAction> forwarded) {
         forwarded.add(action);
     }
--- /dev/null
+++ b/src/test/java/brooklock/proxy/LoadReportParserTest.java
@@ -0,0 +1,53 @@
+package brooklock.proxy;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+
+import brooklock.http.Fields;
+import brooklock.warming.CacheWarming.PeerResult;
+import brooklock.warming.LoadReport;
+import java.util.Optional;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+
+/** What endpoints and their peers say of their load. */
+class LoadReportParserTest {
+    @Test
+    void readsTheLoadOfEndpointAndPeerEachFromItsField() {
+        Fields fields =
+                new Fields()
+                        .add("Brooklock-Load", "util=0.42, inflight=7, x0=0.80")
+                        .add("Brooklock-First-Load", "x0=1,util=2.5");
+        assertEquals(
+                Optional.of(new LoadReport(0.42, 7, 0.8, 5, 9)),
+                LoadReportParser.ofEndpoint(fields, 5, 9));
+        assertEquals(
+                Optional.of(new LoadReport(2.5, -1, 1, 5, 9)),
+                LoadReportParser.ofPeer(fields, 5, 9));
+    }
+
+    /** A newer endpoint adds keys, a faulty one sends nonsense: neither may stop the dispatcher. */
+    @Test
+    void unknownKeysAndValuesThatAreNoNumbersAreLeftOut() {
+        Fields fields =
+                new Fields().add("Brooklock-Load", "util=-1, x0=0.5e3, inflight, new=3, =4");
+        LoadReport report = LoadReportParser.ofEndpoint(fields, 1, 2).orElseThrow();
+        assertEquals(new LoadReport(-1, -1, -1, 1, 2), report);
+        assertFalse(report.isPlausible());
+    }
+
+    @Test
+    void noFieldIsNoReport() {
+        assertEquals(Optional.empty(), LoadReportParser.ofEndpoint(new Fields(), 1, 2));
+        assertEquals(Optional.empty(), LoadReportParser.ofPeer(new Fields(), 1, 2));
+        assertEquals(Optional.empty(), LoadReportParser.peerResult(new Fields()));
+    }
+
+    @ParameterizedTest
+    @CsvSource({"gave, FILLED", "lacked, MISSED", "failed, FAILED", "other, FAILED"})
+    void readsWhatCameOfAskingThePeer(String word, PeerResult expected) {
+        Fields fields = new Fields().add("Brooklock-First", word);
+        assertEquals(Optional.of(expected), LoadReportParser.peerResult(fields));
+    }
+}
--- a/src/test/java/brooklock/proxy/LoopbackFleet.java
+++ b/src/test/java/brooklock/proxy/LoopbackFleet.java
@@ -4,6 +4,7 @@
 import brooklock.config.SettingsReader;
 import brooklock.net.IoThreads;
 import brooklock.routing.RouterSettings;
+import brooklock.testserver.RecordedRequest;
 import brooklock.testserver.ServerModel;
 import brooklock.testserver.TestServer;
 import brooklock.testserver.TrafficRecorder;
@@ -12,30 +13,37 @@
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.Socket;
+import java.net.SocketException;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Path;
-import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
+import java.util.Locale;
 import java.util.Map;
+import java.util.concurrent.CompletableFuture;
 import java.util.function.BooleanSupplier;
 import java.util.function.Function;
+import javax.net.ssl.SSLContext;
+import javax.net.ssl.SSLSocket;
 
-/** A small fleet on loopback with one dispatcher before it, and plain sockets to ask it. */
+/**
+ * A small fleet of test servers on loopback with one dispatcher in front of it, and plain sockets
+ * as its clients. What reaches the servers is recorded.
+ */
 public final class LoopbackFleet implements AutoCloseable {
     public static final long NS_PER_MS = 1_000_000L;
-    public final IoThreads net;
-    public final TrafficRecorder effectLog = new TrafficRecorder();
+    public final IoThreads ioThreads;
+    public final TrafficRecorder recorder = new TrafficRecorder();
     public final Map<String, TestServer> servers = new LinkedHashMap<>();
     public Dispatcher dispatcher;
     private final Path dir;
     private final String extraSettings;
 
-    /** Caches c1.., parents p1.., an origin o1; {@code extra} lines go into the settings. */
+    /** Makes caches c1.., parents p1.., an origin o1; extra lines are added to the settings. */
     public LoopbackFleet(Path dir, int caches, int parents, String extraSettings) throws Exception {
         this.dir = dir;
         this.extraSettings = extraSettings;
-        net = IoThreads.start("bed", 1);
+        ioThreads = IoThreads.start("fleet", 1);
         TestServer origin = addServer("o1", ServerModel.Role.ORIGIN, null);
         for (int i = 1; i <= parents; i++) {
             addServer("p" + i, ServerModel.Role.PARENT, origin.address());
@@ -47,7 +55,7 @@
 
     private TestServer addServer(String name, ServerModel.Role role, InetSocketAddress origin)
             throws IOException {
-        ServerModel m =
+        ServerModel model =
                 new ServerModel(
                         name,
                         role,
@@ -61,25 +69,30 @@
                         1500 * NS_PER_MS,
                         NS_PER_MS,
                         0);
-        TestServer h =
+        TestServer server =
                 new TestServer(
-                        net,
-                        m,
-                        effectLog,
-                        this::bodySize,
+                        ioThreads,
+                        model,
+                        recorder,
+                        LoopbackFleet::bodySize,
                         c -> 10.0 * NS_PER_MS,
                         origin,
                         servers.size());
-        servers.put(name, h);
-        return h;
+        servers.put(name, server);
+        return server;
     }
 
-    private int bodySize(String path, String cls) {
-        return cls.equals("big") ? 4_000_000 : cls.equals("huge") ? 8_000_000 : 2000;
+    private static int bodySize(String path, String requestClass) {
+        return switch (requestClass) {
+            case "big" -> 4_000_000;
+            case "huge" -> 8_000_000;
+            default -> 2000;
+        };
     }
 
+    /** Returns the dispatcher's settings. */
     public String settingsText() {
-        StringBuilder s =
+        StringBuilder settings =
                 new StringBuilder(
                         "name d1\nlisten 127.0.0.1:0\ncontrol 127.0.0.1:0\nzone hub\n"
                                 + "zone here hub hub\nhere here\n"
@@ -96,36 +109,45 @@
                                                 + "route GET /ownbig/{group}/{object} big rights\n"
                                         : ""));
         servers.forEach(
-                (name, h) ->
-                        s.append("host ")
+                (name, server) ->
+                        settings.append("host ")
                                 .append(name)
                                 .append(' ')
-                                .append(h.model().role().name().toLowerCase(java.util.Locale.ROOT))
+                                .append(server.model().role().name().toLowerCase(Locale.ROOT))
                                 .append(' ')
                                 .append(
-                                        h.model().role() == ServerModel.Role.CACHE
+                                        server.model().role() == ServerModel.Role.CACHE
                                                 ? "here "
                                                 : "hub ")
                                 .append("127.0.0.1:")
-                                .append(h.address().getPort())
+                                .append(server.address().getPort())
                                 .append('\n'));
-        return s.append(extraSettings).append('\n').toString();
+        return settings.append(extraSettings).append('\n').toString();
     }
 
+    /** Starts the dispatcher with the router of service. */
     public LoopbackFleet start() throws Exception {
         return start(RoutingStrategy::newRouter);
     }
 
+    /** Starts the dispatcher with another routing strategy. */
     public LoopbackFleet start(Function<RouterSettings, RoutingStrategy> strategyFactory)
             throws Exception {
-        Settings settings = SettingsReader.parse("bed.conf", dir, settingsText());
+        Settings settings = SettingsReader.parse("fleet.conf", dir, settingsText());
         dispatcher = Dispatcher.start(settings, strategyFactory);
         return this;
     }
 
+    /** Starts the dispatcher with other settings. */
+    public void start(String settings) throws Exception {
+        dispatcher = Dispatcher.start(SettingsReader.parse("fleet.conf", dir, settings));
+    }
+
     /**
-     * What came back: the head as text, the body's bytes, and whether the connection ended before
-     * its end.
+     * What came back.
+     *
+     * @param head the head as text, also where it is not whole
+     * @param aborted whether the connection ended before the response
      */
     public record Response(String head, byte[] body, boolean aborted) {
         public int status() {
@@ -133,22 +155,27 @@
         }
     }
 
+    /** Connects to the dispatcher as a client. */
     public Socket connect() throws IOException {
-        Socket s = new Socket(InetAddress.getLoopbackAddress(), dispatcher.address().getPort());
-        s.setSoTimeout(20_000);
-        s.setTcpNoDelay(true);
-        return s;
+        Socket socket =
+                new Socket(InetAddress.getLoopbackAddress(), dispatcher.address().getPort());
+        socket.setSoTimeout(20_000);
+        socket.setTcpNoDelay(true);
+        return socket;
     }
 
-    public static void write(Socket s, String text) throws IOException {
-        s.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
-        s.getOutputStream().flush();
+    /** Writes a text to a socket. */
+    public static void write(Socket socket, String text) throws IOException {
+        socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
+        socket.getOutputStream().flush();
     }
 
+    /** Returns a GET request. */
     public static String get(String path, String fields) {
         return "GET " + path + " HTTP/1.1\r\nHost: a.example\r\n" + fields + "\r\n";
     }
 
+    /** Returns a POST request. */
     public static String post(String path, String fields, String body) {
         return "POST "
                 + path
@@ -161,32 +188,51 @@
     }
 
     /** Connects with TLS as a client with or without a certificate. */
-    public javax.net.ssl.SSLSocket connectTls(javax.net.ssl.SSLContext context) throws IOException {
+    public SSLSocket connectTls(SSLContext context) throws IOException {
         Socket plain = connect();
-        javax.net.ssl.SSLSocket s =
-                (javax.net.ssl.SSLSocket)
+        SSLSocket socket =
+                (SSLSocket)
                         context.getSocketFactory()
                                 .createSocket(
                                         plain, "localhost", dispatcher.address().getPort(), true);
-        s.startHandshake();
-        return s;
+        socket.startHandshake();
+        return socket;
+    }
+
+    /** Sends a request on a thread and a connection of its own; no response counts as aborted. */
+    public CompletableFuture<Response> sendAsync(String request) {
+        return CompletableFuture.supplyAsync(
+                () -> {
+                    try {
+                        return send(request);
+                    } catch (IOException e) {
+                        return new Response("", new byte[0], true);
+                    }
+                },
+                task -> new Thread(task).start());
+    }
+
+    /** Returns the field by which the servers' records name a request. */
+    public static String requestIdField(String name) {
+        return "X-Request-Id: " + name + "\r\n";
     }
 
-    /** Asks once on a connection of its own. */
+    /** Sends a request on a connection of its own. */
     public Response send(String request) throws IOException {
-        try (Socket s = connect()) {
-            write(s, request);
-            return readResponse(s.getInputStream());
+        try (Socket socket = connect()) {
+            write(socket, request);
+            return readResponse(socket.getInputStream());
         }
     }
 
+    /** Sends a control request on a connection of its own. */
     public Response sendControl(String method, String target, String body) throws IOException {
-        try (Socket s =
+        try (Socket socket =
                 new Socket(
                         InetAddress.getLoopbackAddress(), dispatcher.controlAddress().getPort())) {
-            s.setSoTimeout(20_000);
+            socket.setSoTimeout(20_000);
             write(
-                    s,
+                    socket,
                     method
                             + " "
                             + target
@@ -194,11 +240,11 @@
                             + body.length()
                             + "\r\n\r\n"
                             + body);
-            return readResponse(s.getInputStream());
+            return readResponse(socket.getInputStream());
         }
     }
 
-    /** Reads one answer of a stated length or in chunks. */
+    /** Reads one response; its body only where its length is stated. */
     public static Response readResponse(InputStream in) throws IOException {
         StringBuilder head = new StringBuilder();
         try {
@@ -209,33 +255,26 @@
                 }
                 head.append((char) b);
             }
-            String low = head.toString().toLowerCase(java.util.Locale.ROOT);
-            int at = low.indexOf("content-length: ");
+            String lowerCase = head.toString().toLowerCase(Locale.ROOT);
+            int at = lowerCase.indexOf("content-length: ");
             if (at < 0) {
                 return new Response(head.toString(), new byte[0], false);
             }
-            int n = Integer.parseInt(low.substring(at + 16, low.indexOf('\r', at)));
-            byte[] body = in.readNBytes(n);
-            return new Response(head.toString(), body, body.length < n);
-        } catch (java.net.SocketException e) {
+            int length =
+                    Integer.parseInt(lowerCase.substring(at + 16, lowerCase.indexOf('\r', at)));
+            byte[] body = in.readNBytes(length);
+            return new Response(head.toString(), body, body.length < length);
+        } catch (SocketException e) {
             return new Response(head.toString(), new byte[0], true);
         }
     }
 
-    /** What reached hosts for a client's request, in its order. */
-    public List<brooklock.testserver.RecordedRequest> recordedRequests(String request) {
-        List<brooklock.testserver.RecordedRequest> all = new ArrayList<>();
-        effectLog
-                .requests()
-                .forEach(
-                        s -> {
-                            if (request.equals(s.request)) {
-                                all.add(s);
-                            }
-                        });
-        return all;
+    /** Returns what reached the servers for a client's request, in its order. */
+    public List<RecordedRequest> recordedRequests(String request) {
+        return recorder.requests().stream().filter(r -> request.equals(r.request)).toList();
     }
 
+    /** Waits for a condition and fails after twenty seconds. */
     public static void await(String what, BooleanSupplier condition) throws InterruptedException {
         long end = System.nanoTime() + 20_000 * NS_PER_MS;
         while (!condition.getAsBoolean()) {
@@ -251,6 +290,6 @@
         if (dispatcher != null) {
             dispatcher.close();
         }
-        net.close();
+        ioThreads.close();
     }
 }
--- /dev/null
+++ b/src/test/java/brooklock/proxy/RecentPurgesTest.java
@@ -0,0 +1,45 @@
+package brooklock.proxy;
+
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import org.junit.jupiter.api.Test;
+
+/** Nothing that was purged is prefetched until the purge is complete at every cache. */
+class RecentPurgesTest {
+    private static final long SECOND_NS = 1_000_000_000L;
+
+    // Complete two seconds after the purge; a margin of one is added.
+    private final RecentPurges purges = new RecentPurges(2 * SECOND_NS);
+
+    @Test
+    void purgedObjectAndGroupAreBlockedUntilThePurgeIsComplete() {
+        purges.add(7, 3, 10 * SECOND_NS);
+        purges.add(0, 5, 11 * SECOND_NS);
+        assertTrue(purges.allowsPrefetch(13 * SECOND_NS));
+        assertFalse(purges.allows(7, 3), "the object was purged");
+        assertTrue(purges.allows(8, 3), "another object of its group was not");
+        assertFalse(purges.allows(9, 5), "its whole group was purged");
+        assertTrue(purges.allowsPrefetch(13 * SECOND_NS + 1));
+        assertTrue(purges.allows(7, 3));
+        assertFalse(purges.allows(9, 5));
+        assertTrue(purges.allowsPrefetch(14 * SECOND_NS + 1));
+        assertTrue(purges.allows(9, 5));
+    }
+
+    /**
+     * A script purges objects one by one, more than are remembered. If those beyond the bound were
+     * forgotten, a prefetch could bring an old copy back; nothing is prefetched for a while.
+     */
+    @Test
+    void purgeThatFindsNoRoomBlocksAllPrefetches() {
+        for (int object = 1; object <= 4096; object++) {
+            purges.add(object, 0, 10 * SECOND_NS);
+        }
+        assertTrue(purges.allowsPrefetch(10 * SECOND_NS));
+        purges.add(5000, 0, 12 * SECOND_NS);
+        assertFalse(purges.allowsPrefetch(15 * SECOND_NS - 1));
+        assertTrue(purges.allowsPrefetch(15 * SECOND_NS));
+        assertTrue(purges.allows(1, 0), "complete ones are forgotten");
+    }
+}
--- a/src/test/java/brooklock/proxy/RequestForwardingTest.java
+++ b/src/test/java/brooklock/proxy/RequestForwardingTest.java
@@ -11,30 +11,38 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The path of one request through real sockets. */
+/** A request from a client through real sockets to a response. */
 class RequestForwardingTest {
     @TempDir Path dir;
 
+    /**
+     * An object is requested a few times. The first request goes through cache and parent to the
+     * origin, the later ones are hits at the cache; no internal field reaches the client.
+     */
     @Test
-    void aSecondAskingIsKeptAndTheThirdIsAHit() throws Exception {
-        try (LoopbackFleet bed = new LoopbackFleet(dir, 3, 2, "").start()) {
+    void objectThatIsRequestedAgainIsCached() throws Exception {
+        try (LoopbackFleet fleet = new LoopbackFleet(dir, 3, 2, "").start()) {
             for (int i = 0; i < 4; i++) {
-                LoopbackFleet.Response a =
-                        bed.send(get("/scans/g1/o1/0", "X-Request-Id: r" + i + "\r\n"));
-                assertEquals(200, a.status(), a.head());
-                assertEquals(2000, a.body().length);
-                assertTrue(a.head().contains("Via: 1.1 d1"), a.head());
-                assertFalse(a.head().contains("Brooklock-"), a.head());
+                LoopbackFleet.Response response =
+                        fleet.send(get("/scans/g1/o1/0", "X-Request-Id: r" + i + "\r\n"));
+                assertEquals(200, response.status(), response.head());
+                assertEquals(2000, response.body().length);
+                assertTrue(response.head().contains("Via: 1.1 d1"), response.head());
+                assertFalse(response.head().contains("Brooklock-"), response.head());
             }
-            assertEquals(3, bed.recordedRequests("r0").size(), "cache, parent, origin");
-            assertEquals(1, bed.recordedRequests("r3").size(), "a hit at the cache");
+            assertEquals(3, fleet.recordedRequests("r0").size(), "cache, parent, origin");
+            assertEquals(1, fleet.recordedRequests("r3").size(), "a hit at the cache");
         }
     }
 
+    /**
+     * A client sends four requests at once. Their responses come in the order of the requests,
+     * whichever is ready first: the client has nothing else to tell them apart by.
+     */
     @Test
     void pipelinedRequestsAreAnsweredInOrder() throws Exception {
-        try (LoopbackFleet bed = new LoopbackFleet(dir, 2, 1, "").start();
-                Socket s = bed.connect()) {
+        try (LoopbackFleet fleet = new LoopbackFleet(dir, 2, 1, "").start();
+                Socket s = fleet.connect()) {
             LoopbackFleet.write(
                     s,
                     get("/scans/g1/a/0", "")
@@ -48,16 +56,21 @@
         }
     }
 
+    /**
+     * A request fits no route, has another method, has passed through this dispatcher before,
+     * expects something unknown, or has no Host. Each is rejected with the status that says so.
+     */
     @Test
-    void whatCannotBeRoutedIsToldApart() throws Exception {
-        try (LoopbackFleet bed = new LoopbackFleet(dir, 1, 0, "").start()) {
-            assertEquals(404, bed.send(get("/else", "")).status());
-            LoopbackFleet.Response a = bed.send(post("/scans/g/o/1", "", ""));
-            assertEquals(405, a.status());
-            assertTrue(a.head().contains("Allow: GET, HEAD"), a.head());
-            assertEquals(508, bed.send(get("/scans/g/o/1", "Via: 1.1 other, 1.1 d1\r\n")).status());
-            assertEquals(417, bed.send(get("/scans/g/o/1", "Expect: tea\r\n")).status());
-            assertEquals(400, bed.send("GET /a HTTP/1.1\r\n\r\n").status());
+    void requestsWithoutARouteAreRejectedByReason() throws Exception {
+        try (LoopbackFleet fleet = new LoopbackFleet(dir, 1, 0, "").start()) {
+            assertEquals(404, fleet.send(get("/else", "")).status());
+            LoopbackFleet.Response response = fleet.send(post("/scans/g/o/1", "", ""));
+            assertEquals(405, response.status());
+            assertTrue(response.head().contains("Allow: GET, HEAD"), response.head());
+            assertEquals(
+                    508, fleet.send(get("/scans/g/o/1", "Via: 1.1 other, 1.1 d1\r\n")).status());
+            assertEquals(417, fleet.send(get("/scans/g/o/1", "Expect: tea\r\n")).status());
+            assertEquals(400, fleet.send("GET /a HTTP/1.1\r\n\r\n").status());
         }
     }
 }
