--- /dev/null
+++ b/src/test/java/brooklock/proxy/RetrySafetyTest.java
@@ -0,0 +1,153 @@
+package brooklock.proxy;
+
+import static brooklock.proxy.LoopbackFleet.post;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import brooklock.testserver.RecordedRequest;
+import java.io.IOException;
+import java.net.InetAddress;
+import java.net.ServerSocket;
+import java.net.Socket;
+import java.nio.file.Path;
+import java.util.List;
+import java.util.concurrent.atomic.AtomicInteger;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.io.TempDir;
+
+/** A request that may have been executed is sent again only where that has no second effect. */
+class RetrySafetyTest {
+    @TempDir Path dir;
+
+    /**
+     * The origin executes an order and its response is lost. The dispatcher can't know that, and
+     * the client waits. Because of the idempotency key the order may be sent again: the origin
+     * executes it once and answers both.
+     */
+    @Test
+    void keyedRequestIsRetriedAfterALostResponseAndExecutedOnce() throws Exception {
+        try (LoopbackFleet fleet = new LoopbackFleet(dir, 2, 1, "").start()) {
+            fleet.servers.get("o1").faults.lostShare = 1;
+            fleet.servers.get("o1").faults.lostByReset = true;
+            fleet.send(
+                    post(
+                            "/orders/x",
+                            LoopbackFleet.requestIdField("k") + "Idempotency-Key: k1\r\n",
+                            "body"));
+            List<RecordedRequest> seen = fleet.recordedRequests("k");
+            assertTrue(seen.size() > 1, "retried: " + seen);
+            assertEquals(1, seen.stream().filter(s -> s.executed).count());
+        }
+    }
+
+    /**
+     * The origin executes a request without a key and its response is lost. A retry could execute
+     * it twice, and a rejection would invite the client to retry: the dispatcher does neither, and
+     * says that it may have been executed.
+     */
+    @Test
+    void requestThatIsNotIdempotentIsNeitherRetriedNorRejectedAfterALostResponse()
+            throws Exception {
+        try (LoopbackFleet fleet = new LoopbackFleet(dir, 2, 1, "").start()) {
+            fleet.servers.get("o1").faults.lostShare = 1;
+            fleet.servers.get("o1").faults.lostByReset = true;
+            int status =
+                    fleet.send(post("/notes/x", LoopbackFleet.requestIdField("u1"), "body"))
+                            .status();
+            assertTrue(status == 502 || status == 504, "status " + status);
+            assertEquals(1, fleet.recordedRequests("u1").size());
+            fleet.servers.get("o1").faults.lostByReset = false;
+            assertEquals(
+                    504,
+                    fleet.send(post("/notes/x", LoopbackFleet.requestIdField("u2"), "body"))
+                            .status());
+            assertEquals(1, fleet.recordedRequests("u2").size());
+        }
+    }
+
+    /**
+     * The origin is full and rejects a request without a key before any work. That proves that
+     * nothing was executed, so the dispatcher may try elsewhere and, in the end, tell the client
+     * that a retry is harmless.
+     */
+    @Test
+    void requestThatIsNotIdempotentIsRetriedWhileItWasRejectedBeforeExecution() throws Exception {
+        try (LoopbackFleet fleet = new LoopbackFleet(dir, 2, 1, "").start()) {
+            fleet.servers.get("o1").faults.rejectShare = 1;
+            assertEquals(
+                    503,
+                    fleet.send(post("/notes/x", LoopbackFleet.requestIdField("u"), "body"))
+                            .status(),
+                    "rejected: a retry is harmless");
+            assertTrue(
+                    fleet.recordedRequests("u").size() >= 2
+                            && fleet.recordedRequests("u").stream().noneMatch(s -> s.executed));
+        }
+    }
+
+    /**
+     * A server closes an idle connection just as the dispatcher is about to use it. As long as no
+     * byte of the request was written, another connection is used and nobody notices. Once the
+     * server has read the request and then closes, it may have executed it: the request must not be
+     * sent on another connection.
+     */
+    @Test
+    void idleConnectionClosedByTheServerIsReplacedButOneThatReadTheRequestIsNot() throws Exception {
+        AtomicInteger whole = new AtomicInteger();
+        try (ServerSocket origin = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
+                LoopbackFleet fleet = new LoopbackFleet(dir, 1, 0, "limits threads 1")) {
+            Thread peer = new Thread(() -> scripted(origin, whole));
+            peer.setDaemon(true);
+            peer.start();
+            String text =
+                    fleet.settingsText()
+                            .replaceAll(
+                                    "host o1 origin hub 127.0.0.1:\\d+",
+                                    "host o1 origin hub 127.0.0.1:" + origin.getLocalPort());
+            fleet.start(text);
+            assertEquals(200, fleet.send(post("/notes/x", "", "a")).status());
+            // The peer has closed the connection meanwhile: the next request goes out on a fresh
+            // one.
+            assertEquals(200, fleet.send(post("/notes/x", "", "b")).status());
+            assertEquals(2, whole.get());
+            // Now it reads the request on the idle connection and closes: that one may have run.
+            int status = fleet.send(post("/notes/x", "", "c")).status();
+            assertTrue(status == 502 || status == 504, "status " + status);
+            assertEquals(3, whole.get(), "an unsafe request is sent once");
+        }
+    }
+
+    // First connection: one response, then closed. Second: one response, the next request read and
+    // dropped.
+    private static void scripted(ServerSocket server, AtomicInteger whole) {
+        String ok = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
+        try {
+            for (int i = 0; i < 3; i++) {
+                try (Socket s = server.accept()) {
+                    readRequest(s, whole);
+                    if (i < 2) {
+                        LoopbackFleet.write(s, ok);
+                    }
+                    if (i == 1) {
+                        readRequest(s, whole);
+                    }
+                }
+            }
+        } catch (IOException e) {
+            // The test is over.
+        }
+    }
+
+    private static void readRequest(Socket s, AtomicInteger whole) throws IOException {
+        StringBuilder head = new StringBuilder();
+        while (!head.toString().endsWith("\r\n\r\n")) {
+            int b = s.getInputStream().read();
+            if (b < 0) {
+                return;
+            }
+            head.append((char) b);
+        }
+        s.getInputStream().read();
+        whole.incrementAndGet();
+    }
+}
--- /dev/null
+++ b/src/test/java/brooklock/proxy/RoutingThreadTest.java
@@ -0,0 +1,204 @@
+package brooklock.proxy;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import brooklock.routing.RouterAction;
+import brooklock.routing.RouterAction.FailRequest;
+import brooklock.routing.RouterAction.SetTimer;
+import brooklock.routing.RouterEvent;
+import brooklock.routing.RouterEvent.ClientDisconnected;
+import brooklock.routing.RouterEvent.RequestReceived;
+import brooklock.routing.RouterEvent.TimerFired;
+import java.util.ArrayList;
+import java.util.Collections;
+import java.util.List;
+import java.util.Optional;
+import java.util.concurrent.CountDownLatch;
+import java.util.concurrent.TimeUnit;
+import java.util.concurrent.atomic.AtomicInteger;
+import org.junit.jupiter.api.AfterEach;
+import org.junit.jupiter.api.Test;
+
+/** The thread that owns the router: what reaches it, in which order, and what it survives. */
+class RoutingThreadTest {
+    private static final int CAPACITY = 64;
+
+    private final MonotonicClock clock = new MonotonicClock();
+    private final List<RouterEvent> events = Collections.synchronizedList(new ArrayList<>());
+    private final List<RouterAction> actions = Collections.synchronizedList(new ArrayList<>());
+    private final List<Long> failures = Collections.synchronizedList(new ArrayList<>());
+    private final AtomicInteger batches = new AtomicInteger();
+    private final RoutingThread thread =
+            new RoutingThread("test", new Recorder(), clock, TraceWriter.OFF, CAPACITY);
+
+    /** Records events; fails request 13 and throws at request 14. */
+    private final class Recorder implements RoutingStrategy {
+        @Override
+        public void start(long nowNs, List<RouterAction> out) {
+            out.add(new SetTimer(1, nowNs));
+        }
+
+        @Override
+        public void onEvent(long nowNs, RouterEvent event, List<RouterAction> out) {
+            events.add(event);
+            if (event instanceof RequestReceived r && r.id() >= 13) {
+                out.add(new FailRequest(r.id()));
+                if (r.id() == 14) {
+                    throw new IllegalStateException("provoked");
+                }
+            }
+        }
+    }
+
+    private final class Handler implements RoutingThread.ActionHandler {
+        @Override
+        public void onAction(RouterAction action) {
+            actions.add(action);
+        }
+
+        @Override
+        public void onRoutingFailure(long requestId) {
+            failures.add(requestId);
+        }
+
+        @Override
+        public void onBatchEnd() {
+            batches.incrementAndGet();
+        }
+    }
+
+    private static RequestReceived request(long id) {
+        return new RequestReceived(id, 0, 1, 0, 0, 0, false, 1);
+    }
+
+    private void awaitAll() throws InterruptedException {
+        CountDownLatch done = new CountDownLatch(1);
+        thread.execute(done::countDown);
+        assertTrue(done.await(20, TimeUnit.SECONDS));
+    }
+
+    @AfterEach
+    void stop() {
+        thread.stop();
+    }
+
+    @Test
+    void entriesAreProcessedInTheirOrderWithWhatFollowsThem() throws Exception {
+        List<String> order = Collections.synchronizedList(new ArrayList<>());
+        thread.submit(new ClientDisconnected(1), () -> order.add("after 1: " + events.size()));
+        thread.submitComputed(
+                () -> {
+                    order.add("compute");
+                    return Optional.of(new ClientDisconnected(2));
+                },
+                () -> order.add("after 2: " + events.size()));
+        thread.submitComputed(Optional::empty, () -> order.add("after none: " + events.size()));
+        thread.execute(() -> order.add("task"));
+        thread.start(new Handler());
+        awaitAll();
+        List<RouterEvent> withoutTimer =
+                events.stream().filter(e -> !(e instanceof TimerFired)).toList();
+        assertEquals(List.of(new ClientDisconnected(1), new ClientDisconnected(2)), withoutTimer);
+        assertEquals(
+                List.of("after 1: 2", "compute", "after 2: 3", "after none: 3", "task"), order);
+        assertEquals(new TimerFired(1), events.get(0), "the timer set at the start was due first");
+        assertTrue(batches.get() >= 2, "one for the start, one for the entries");
+    }
+
+    @Test
+    void requestThatIsNotAdmittedIsNoEvent() throws Exception {
+        thread.start(new Handler());
+        assertTrue(thread.offerRequest(request(1), () -> false));
+        assertTrue(thread.offerRequest(request(2), () -> true));
+        awaitAll();
+        assertFalse(events.contains(request(1)));
+        assertTrue(events.contains(request(2)));
+    }
+
+    /**
+     * The router throws for one request, after it has already added an action. The action must not
+     * be carried out, the request's client must get its failure, and the thread must go on: it is
+     * the only one, and with it all routing would end.
+     */
+    @Test
+    void routingFailureEndsItsRequestAndNothingElse() throws Exception {
+        thread.start(new Handler());
+        thread.offerRequest(request(13), () -> true);
+        thread.offerRequest(request(14), () -> true);
+        thread.offerRequest(request(15), () -> true);
+        awaitAll();
+        assertEquals(List.of(14L), failures);
+        assertEquals(List.of(new FailRequest(13), new FailRequest(15)), actions);
+    }
+
+    /**
+     * Requests flood the queue while the thread stands still. If they could fill it, the events
+     * that end requests would find no place and their I/O threads would wait; half the queue is
+     * closed to requests.
+     */
+    @Test
+    void halfTheQueueIsClosedToNewRequests() throws Exception {
+        int accepted = 0;
+        for (int i = 1; i <= CAPACITY; i++) {
+            accepted += thread.offerRequest(request(1), () -> true) ? 1 : 0;
+        }
+        assertEquals(CAPACITY / 2, accepted);
+        assertEquals(CAPACITY / 2, thread.rejectedRequests());
+        for (int i = 0; i < CAPACITY / 2; i++) {
+            thread.submit(new ClientDisconnected(1));
+        }
+        assertEquals(CAPACITY, thread.queueLength());
+        thread.start(new Handler());
+        awaitAll();
+        assertTrue(thread.offerRequest(request(2), () -> true));
+    }
+
+    /**
+     * The figures of the state page are written by this thread only and read by any. A reader sees
+     * them grow and, once the thread has stopped, exact: an update that reads and writes a volatile
+     * field is safe with a single writer, and loses counts with a second one.
+     */
+    @Test
+    void figuresAreExactWhileOthersReadThem() throws Exception {
+        thread.start(new Handler());
+        Thread reader =
+                new Thread(
+                        () -> {
+                            long last = 0;
+                            while (last < 2001 && !Thread.currentThread().isInterrupted()) {
+                                long now = thread.processedEntries();
+                                if (now < last) {
+                                    failures.add(now);
+                                }
+                                last = now;
+                            }
+                        });
+        reader.start();
+        List<Thread> writers = new ArrayList<>();
+        for (int t = 0; t < 4; t++) {
+            Thread writer =
+                    new Thread(
+                            () -> {
+                                for (int i = 0; i < 500; i++) {
+                                    thread.submit(new ClientDisconnected(1));
+                                }
+                            });
+            writers.add(writer);
+            writer.start();
+        }
+        for (Thread writer : writers) {
+            writer.join();
+        }
+        awaitAll();
+        thread.stop();
+        reader.interrupt();
+        reader.join();
+        // 2000 events, the timer of the start and the task that was waited for.
+        assertEquals(2002, thread.processedEntries());
+        assertTrue(thread.maxQueueLength() <= CAPACITY);
+        assertTrue(thread.busyNs() > 0);
+        assertEquals(List.of(), failures);
+    }
+}
--- /dev/null
+++ b/src/test/java/brooklock/proxy/StatePageTest.java
@@ -0,0 +1,65 @@
+package brooklock.proxy;
+
+import static brooklock.proxy.LoopbackFleet.get;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.nio.file.Path;
+import java.util.List;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.io.TempDir;
+
+/**
+ * The words of the state page and their order.
+ *
+ * <p>Dashboards read the page line by line. A word that changes shows there as a value that is
+ * missing, which looks like a dispatcher in trouble.
+ */
+class StatePageTest {
+    @TempDir Path dir;
+
+    @Test
+    void wordsAndTheirOrderStay() throws Exception {
+        try (LoopbackFleet fleet =
+                new LoopbackFleet(dir, 1, 1, "warming zone share 0.5\n").start()) {
+            assertEquals(200, fleet.send(get("/scans/g/o/0", "")).status());
+            assertEquals(404, fleet.send(get("/nowhere", "")).status());
+            assertEquals(200, fleet.sendControl("POST", "/drain?host=c1", "").status());
+            LoopbackFleet.await("the end", () -> fleet.dispatcher.openRequests() == 0);
+            String page = new String(fleet.sendControl("GET", "/state", "").body());
+            List<String> words = page.lines().map(line -> line.split(" ")[0]).toList();
+            assertEquals(
+                    List.of(
+                            "name",
+                            "open",
+                            "clients",
+                            "clients-turned-away",
+                            "body-bytes",
+                            "decided",
+                            "decision-busy-us",
+                            "decision-waiting",
+                            "decision-longest",
+                            "decision-overflows",
+                            "taken",
+                            "turned-away",
+                            "full",
+                            "ended",
+                            "token-checks-waiting",
+                            "denied",
+                            "warming-given",
+                            "warming-lacked",
+                            "warming-ahead",
+                            "source",
+                            "by-hand",
+                            "host",
+                            "host",
+                            "host"),
+                    words,
+                    page);
+            assertTrue(page.contains("\ntaken 1\nturned-away 1\nfull 0\nended served 1\n"), page);
+            assertTrue(page.contains("\nby-hand c1 DRAINING\n"), page);
+            assertTrue(page.contains("\nhost c1 DRAINING 0\n"), page);
+            assertTrue(page.contains("\nhost o1 READY 0\n"), page);
+        }
+    }
+}
--- a/src/test/java/brooklock/proxy/StoredTraceTest.java
+++ b/src/test/java/brooklock/proxy/StoredTraceTest.java
@@ -1,13 +1,13 @@
 package brooklock.proxy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
-import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.net.URISyntaxException;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
+import java.util.Optional;
 import org.junit.jupiter.api.Test;
 
 /**
@@ -22,7 +22,7 @@
     @Test
     void replaysWithoutADifference() throws Exception {
         TraceReplay.Result result = TraceReplay.replay(stored());
-        assertNull(result.difference());
+        assertEquals(Optional.empty(), result.difference());
         assertEquals(196, result.events());
         assertEquals(222, result.actions());
     }
--- a/src/test/java/brooklock/proxy/TraceTest.java
+++ b/src/test/java/brooklock/proxy/TraceTest.java
@@ -1,8 +1,6 @@
 package brooklock.proxy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
-import static org.junit.jupiter.api.Assertions.assertNotNull;
-import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -12,57 +10,75 @@
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
+import java.util.Optional;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
+/** What a trace holds is enough to replay the router's decisions without a socket. */
 class TraceTest {
     @TempDir Path dir;
 
     private Path traced(String bound) throws Exception {
-        try (LoopbackFleet bed = new LoopbackFleet(dir, 3, 2, "trace t.log " + bound).start()) {
-            bed.servers.get("c1").faults.errorShare = 0.5;
+        try (LoopbackFleet fleet = new LoopbackFleet(dir, 3, 2, "trace t.log " + bound).start()) {
+            fleet.servers.get("c1").faults.errorShare = 0.5;
             for (int i = 0; i < 60; i++) {
-                bed.send(LoopbackFleet.get("/scans/g/o" + i % 7 + "/0", ""));
+                fleet.send(LoopbackFleet.get("/scans/g/o" + i % 7 + "/0", ""));
             }
-            bed.sendControl("POST", "/purge?group=g&at=" + System.currentTimeMillis(), "");
-            bed.sendControl("POST", "/drain?host=c2", "");
-            bed.send(LoopbackFleet.get("/scans/g/o1/0", ""));
+            fleet.sendControl("POST", "/purge?group=g&at=" + System.currentTimeMillis(), "");
+            fleet.sendControl("POST", "/drain?host=c2", "");
+            fleet.send(LoopbackFleet.get("/scans/g/o1/0", ""));
         }
         return dir.resolve("t.log");
     }
 
+    /**
+     * An incident is over, and only its trace is left. Fed to a new router, its events give the
+     * same actions again, so that the decisions can be looked at one by one.
+     */
     @Test
-    void aDayOnSocketsReplaysAlikeWithoutThem() throws Exception {
+    void traceOfTrafficReplaysWithoutADifference() throws Exception {
         TraceReplay.Result r = TraceReplay.replay(traced("64MB"));
-        assertNull(r.difference());
+        assertEquals(Optional.empty(), r.difference());
         assertTrue(r.events() > 120 && r.actions() > 120, r.toString());
     }
 
+    /**
+     * The router was changed, and the same events give another action. The replay says so, with its
+     * line.
+     */
     @Test
-    void theFirstActionThatDiffersIsNamed() throws Exception {
+    void replayNamesTheFirstActionThatDiffers() throws Exception {
         Path trace = traced("64MB");
         String text = Files.readString(trace);
         int at = text.indexOf("action Get(");
         Files.writeString(
                 trace,
                 text.substring(0, at) + text.substring(at).replaceFirst(",1,0,true", ",3,0,true"));
-        assertNotNull(TraceReplay.replay(trace).difference());
+        assertTrue(TraceReplay.replay(trace).difference().isPresent());
     }
 
+    /**
+     * A trace has reached its size, or its writer was killed within a line. What is there still
+     * replays. A damaged trace does not: it would show decisions that were never made.
+     */
     @Test
-    void aFullTraceEndsAndStillReplaysAndACutOneTooButNotADamagedOne() throws Exception {
+    void fullAndCutTracesReplayAndDamagedOnesAreRejected() throws Exception {
         Path trace = traced("9KB");
         assertTrue(Files.size(trace) < 9_100);
-        assertNull(TraceReplay.replay(trace).difference());
+        assertEquals(Optional.empty(), TraceReplay.replay(trace).difference());
         String text = Files.readString(trace);
         Files.writeString(trace, text.substring(0, text.length() * 2 / 3));
-        assertNull(TraceReplay.replay(trace).difference());
+        assertEquals(Optional.empty(), TraceReplay.replay(trace).difference());
         Files.writeString(trace, text.replaceFirst("event ", "evnt "));
         assertThrows(IOException.class, () -> TraceReplay.replay(trace));
     }
 
+    /**
+     * A record that is not read back as it was written would make the replay differ where nothing
+     * has changed.
+     */
     @Test
-    void recordsReadBack() {
+    void recordsAreReadBackAndOtherTextsRejected() {
         RouterEvent e =
                 new RouterEvent.AttemptCompleted(
                         3,
--- a/src/test/java/brooklock/proxy/WarmingCoordinatorTest.java
+++ b/src/test/java/brooklock/proxy/WarmingCoordinatorTest.java
@@ -3,6 +3,7 @@
 import static brooklock.proxy.LoopbackFleet.get;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertInstanceOf;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import brooklock.config.EndpointId;
@@ -26,32 +27,33 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Cold caches filled by their neighbours, through real sockets. */
+/** Caches that warm up are filled by their peers, through real sockets. */
 class WarmingCoordinatorTest {
     private static final int OBJECTS = 300;
 
     @TempDir Path dir;
 
-    private static void requestAllObjects(LoopbackFleet bed, Socket s, int times)
+    private static void requestAllObjects(LoopbackFleet fleet, Socket s, int times)
             throws IOException {
         for (int t = 0; t < times; t++) {
             for (int i = 0; i < OBJECTS; i++) {
                 String path = "/scans/g" + i % 5 + "/o" + i + "/0";
                 LoopbackFleet.write(s, get(path, ""));
-                LoopbackFleet.Response a = LoopbackFleet.readResponse(s.getInputStream());
-                assertEquals(200, a.status(), a.head());
+                LoopbackFleet.Response response = LoopbackFleet.readResponse(s.getInputStream());
+                assertEquals(200, response.status(), response.head());
                 assertTrue(
-                        new String(a.body()).startsWith(path), "the bytes are those of its path");
+                        new String(response.body()).startsWith(path),
+                        "the bytes are those of its path");
             }
         }
     }
 
-    private static void sendDelta(LoopbackFleet bed, String host, EndpointState state)
+    private static void sendDelta(LoopbackFleet fleet, String host, EndpointState state)
             throws IOException {
-        TestServer h = bed.servers.get(host);
+        TestServer h = fleet.servers.get(host);
         assertEquals(
                 200,
-                bed.sendControl(
+                fleet.sendControl(
                                 "POST",
                                 "/hosts",
                                 EndpointListCodec.encode(
@@ -70,115 +72,126 @@
                         .status());
     }
 
-    /** c1 has died and is back cold; its neighbours took over meanwhile and hold what it held. */
+    /** c1 has died and is back, empty; its peers took over meanwhile and hold what it held. */
     private LoopbackFleet fleetWithOneColdCache(String warming) throws Exception {
-        LoopbackFleet bed =
+        LoopbackFleet fleet =
                 new LoopbackFleet(dir, 3, 1, warming + "guards cold-from 0.2 cold-for 2s\n")
                         .start();
-        try (Socket s = bed.connect()) {
-            requestAllObjects(bed, s, 6);
-            bed.servers.get("c1").kill();
-            sendDelta(bed, "c1", EndpointState.GONE);
-            requestAllObjects(bed, s, 4);
-            bed.servers.get("c1").restart();
-            sendDelta(bed, "c1", EndpointState.READY);
+        try (Socket s = fleet.connect()) {
+            requestAllObjects(fleet, s, 6);
+            fleet.servers.get("c1").kill();
+            sendDelta(fleet, "c1", EndpointState.GONE);
+            requestAllObjects(fleet, s, 4);
+            fleet.servers.get("c1").restart();
+            sendDelta(fleet, "c1", EndpointState.READY);
         }
-        return bed;
+        return fleet;
     }
 
-    private static long peerFillsAfter(LoopbackFleet bed, long after) {
-        return bed.effectLog.requests().stream()
-                .filter(s -> byNeighbour(s) && s.atNs - after > 0 && s.copySerial != 0)
+    private static long peerFillsAfter(LoopbackFleet fleet, long after) {
+        return fleet.recorder.requests().stream()
+                .filter(s -> isFromC1ToAPeer(s) && s.atNs - after > 0 && s.copySerial != 0)
                 .count();
     }
 
-    private static boolean byNeighbour(RecordedRequest s) {
+    private static boolean isFromC1ToAPeer(RecordedRequest s) {
         return s.sender.equals("c1") && s.server.startsWith("c");
     }
 
-    private static void requestUntilPeerFills(LoopbackFleet bed, long after, int least)
+    private static void requestUntilPeerFills(LoopbackFleet fleet, long after, int min)
             throws IOException {
         long end = System.nanoTime() + 20_000 * LoopbackFleet.NS_PER_MS;
-        try (Socket s = bed.connect()) {
-            while (peerFillsAfter(bed, after) < least && System.nanoTime() - end < 0) {
-                requestAllObjects(bed, s, 1);
+        try (Socket s = fleet.connect()) {
+            while (peerFillsAfter(fleet, after) < min && System.nanoTime() - end < 0) {
+                requestAllObjects(fleet, s, 1);
             }
         }
     }
 
+    /**
+     * A cache comes back empty. Its peers hold what it held, so its misses are filled by them and
+     * not by the parent, which would be overloaded. Where the settings do not allow that, no cache
+     * asks another.
+     */
     @Test
-    void aColdCacheIsFilledByItsNeighboursAndNothingOfItWithoutThePermission() throws Exception {
-        try (LoopbackFleet bed = fleetWithOneColdCache("warming zone share 0.5\n")) {
-            requestUntilPeerFills(bed, 0, 3);
-            assertTrue(peerFillsAfter(bed, 0) >= 3, "given " + peerFillsAfter(bed, 0));
-            String state = bed.dispatcher.statePage();
+    void coldCacheIsFilledByPeersOnlyWhereThatIsAllowed() throws Exception {
+        try (LoopbackFleet fleet = fleetWithOneColdCache("warming zone share 0.5\n")) {
+            requestUntilPeerFills(fleet, 0, 3);
+            assertTrue(peerFillsAfter(fleet, 0) >= 3, "given " + peerFillsAfter(fleet, 0));
+            String state = fleet.dispatcher.statePage();
             assertTrue(state.matches("(?s).*warming-given [1-9].*"), state);
         }
-        try (LoopbackFleet bed = fleetWithOneColdCache("")) {
-            try (Socket s = bed.connect()) {
-                requestAllObjects(bed, s, 5);
+        try (LoopbackFleet fleet = fleetWithOneColdCache("")) {
+            try (Socket s = fleet.connect()) {
+                requestAllObjects(fleet, s, 5);
             }
             assertTrue(
-                    bed.effectLog.requests().stream()
-                            .noneMatch(WarmingCoordinatorTest::byNeighbour));
-            assertFalse(bed.dispatcher.statePage().contains("warming"));
+                    fleet.recorder.requests().stream()
+                            .noneMatch(WarmingCoordinatorTest::isFromC1ToAPeer));
+            assertFalse(fleet.dispatcher.statePage().contains("warming"));
         }
     }
 
+    /**
+     * A peer breaks off its transfers and then drains. A transfer that is broken off costs no
+     * client its response, and from the drain on the peer is neither asked nor named.
+     */
     @Test
-    void aNeighbourThatDrainsIsNotNamedAnyMoreAndOneThatBreaksOffCostsNoAnswer() throws Exception {
-        try (LoopbackFleet bed = fleetWithOneColdCache("warming zone share 0.5\n")) {
-            requestUntilPeerFills(bed, 0, 2);
-            bed.servers.get("c3").faults.truncatedShare = 1;
-            try (Socket s = bed.connect()) {
-                // c3 itself may be asked by clients, whose transfers it cuts: only its giving is
-                // looked at.
-                sendDelta(bed, "c3", EndpointState.DRAINING);
-                long told = System.nanoTime();
-                requestAllObjects(bed, s, 4);
+    void drainingPeerFillsNothingAndAbortingPeerCostsNoResponse() throws Exception {
+        try (LoopbackFleet fleet = fleetWithOneColdCache("warming zone share 0.5\n")) {
+            requestUntilPeerFills(fleet, 0, 2);
+            fleet.servers.get("c3").faults.truncatedShare = 1;
+            try (Socket s = fleet.connect()) {
+                // c3 also serves requests, whose transfers it cuts: only its peer fills count here.
+                sendDelta(fleet, "c3", EndpointState.DRAINING);
+                long acknowledgedAtNs = System.nanoTime();
+                requestAllObjects(fleet, s, 4);
                 assertTrue(
-                        bed.effectLog.requests().stream()
+                        fleet.recorder.requests().stream()
                                 .noneMatch(
                                         x ->
                                                 x.server.equals("c3")
-                                                        && x.atNs - told > 0
+                                                        && x.atNs - acknowledgedAtNs > 0
                                                         && x.isDirect()),
-                        "nor asked itself");
+                        "nor is it sent requests");
                 assertTrue(
-                        bed.effectLog.requests().stream()
+                        fleet.recorder.requests().stream()
                                 .noneMatch(
                                         x ->
-                                                byNeighbour(x)
+                                                isFromC1ToAPeer(x)
                                                         && x.server.equals("c3")
-                                                        && x.atNs - told > 0));
+                                                        && x.atNs - acknowledgedAtNs > 0));
             }
         }
     }
 
+    /**
+     * An object is purged, and a peer has not dropped its copy yet. A cold cache that is filled
+     * from that peer would serve the old copy on.
+     */
     @Test
-    void aPurgeWinsOverWhatANeighbourStillHolds() throws Exception {
-        try (LoopbackFleet bed = fleetWithOneColdCache("warming zone share 0.5\n")) {
-            requestUntilPeerFills(bed, 0, 2);
+    void purgeHoldsAgainstCopiesOfPeers() throws Exception {
+        try (LoopbackFleet fleet = fleetWithOneColdCache("warming zone share 0.5\n")) {
+            requestUntilPeerFills(fleet, 0, 2);
             long moment = System.nanoTime();
             for (int g = 0; g < 5; g++) {
-                // Hosts are not told: every copy is older than the purge, and only the dispatcher
-                // knows.
+                // Only the dispatcher gets the purge: every copy in the caches is older.
                 assertEquals(
                         200,
-                        bed.sendControl(
+                        fleet.sendControl(
                                         "POST",
                                         "/purge?group=g" + g + "&at=" + System.currentTimeMillis(),
                                         "")
                                 .status());
             }
-            long told = System.nanoTime();
-            try (Socket s = bed.connect()) {
-                requestAllObjects(bed, s, 3);
+            long acknowledgedAtNs = System.nanoTime();
+            try (Socket s = fleet.connect()) {
+                requestAllObjects(fleet, s, 3);
             }
-            for (RecordedRequest s : bed.effectLog.requests()) {
-                if (s.isDirect() && s.atNs - told > 0 && s.copySerial != 0) {
+            for (RecordedRequest s : fleet.recorder.requests()) {
+                if (s.isDirect() && s.atNs - acknowledgedAtNs > 0 && s.copySerial != 0) {
                     assertTrue(
-                            bed.effectLog.copyBirthNs(s.copySerial) - moment
+                            fleet.recorder.copyBirthNs(s.copySerial) - moment
                                     > -2 * LoopbackFleet.NS_PER_MS,
                             s + ": an old copy");
                 }
@@ -186,49 +199,57 @@
         }
     }
 
+    /**
+     * A cold cache would miss every object once. What is requested most is prefetched from its
+     * peers, without a client that waits for it.
+     */
     @Test
-    void partsAreFetchedAheadFromNeighboursWithoutAClient() throws Exception {
-        try (LoopbackFleet bed = fleetWithOneColdCache("warming zone share 1\n")) {
+    void partsArePrefetchedFromPeers() throws Exception {
+        try (LoopbackFleet fleet = fleetWithOneColdCache("warming zone share 1\n")) {
             long end = System.nanoTime() + 15_000 * LoopbackFleet.NS_PER_MS;
-            try (Socket s = bed.connect()) {
-                // Clients go on asking, so that hosts tell how they are; a fetch ahead names no
-                // client's request.
-                while (System.nanoTime() - end < 0 && !prefetchSeen(bed)) {
-                    requestAllObjects(bed, s, 1);
+            try (Socket s = fleet.connect()) {
+                // Responses to clients carry the load reports that prefetches wait for; a prefetch
+                // names no client's request.
+                while (System.nanoTime() - end < 0 && !prefetchSeen(fleet)) {
+                    requestAllObjects(fleet, s, 1);
                 }
             }
-            assertTrue(prefetchSeen(bed), bed.dispatcher.statePage());
+            assertTrue(prefetchSeen(fleet), fleet.dispatcher.statePage());
         }
     }
 
+    /**
+     * A cache accepts a prefetch and never responds. Without a timeout it would count as in flight
+     * for ever, and the budget of prefetches would be used up.
+     */
     @Test
-    void aFetchAheadThatNobodyAnswersEndsByItsTime() throws Exception {
-        try (LoopbackFleet bed = new LoopbackFleet(dir, 1, 1, "").start()) {
-            bed.servers.get("c1").faults.silent = true;
-            CompletableFuture<Integer> status = new CompletableFuture<>();
-            IoLoop loop = bed.dispatcher.loop(0);
+    void prefetchWithoutAResponseTimesOut() throws Exception {
+        try (LoopbackFleet fleet = new LoopbackFleet(dir, 1, 1, "").start()) {
+            fleet.servers.get("c1").faults.silent = true;
+            CompletableFuture<PrefetchRequest.Result> result = new CompletableFuture<>();
+            IoLoop loop = fleet.dispatcher.ioThreads().loop(0);
             loop.execute(
                     () ->
                             new PrefetchRequest(
-                                            bed.dispatcher,
+                                            fleet.dispatcher.context(),
                                             EndpointId.of("c1"),
                                             EndpointId.of("p1"),
-                                            (s, f, at) -> status.complete(s))
+                                            result::complete)
                                     .send(
                                             loop,
-                                            bed.servers.get("c1").address(),
+                                            fleet.servers.get("c1").address(),
                                             new RequestHead(
                                                     "GET",
                                                     "/scans/g1/x/0",
                                                     "a",
                                                     1,
                                                     new Fields().add("Via", "1.1 d1"))));
-            assertEquals(0, status.get(20, TimeUnit.SECONDS));
+            assertInstanceOf(PrefetchRequest.NoResponse.class, result.get(20, TimeUnit.SECONDS));
         }
     }
 
-    private static boolean prefetchSeen(LoopbackFleet bed) {
-        return bed.effectLog.requests().stream()
+    private static boolean prefetchSeen(LoopbackFleet fleet) {
+        return fleet.recorder.requests().stream()
                 .anyMatch(
                         s ->
                                 s.server.equals("c1")
@@ -238,11 +259,15 @@
                                         && s.source.startsWith("c"));
     }
 
+    /**
+     * The dispatcher was killed while it wrote its snapshot, or the snapshot is of another version.
+     * It starts all the same, without what it had learned.
+     */
     @Test
-    void aDamagedOrOldSnapshotIsToldOfAndNotUsed() throws Exception {
-        try (LoopbackFleet bed = fleetWithOneColdCache("warming zone share 0.5 saved warm\n")) {
+    void damagedOrOldSnapshotIsNotUsed() throws Exception {
+        try (LoopbackFleet fleet = fleetWithOneColdCache("warming zone share 0.5 saved warm\n")) {
             LoopbackFleet.await("the snapshot", () -> Files.exists(dir.resolve("warm")));
-            bed.dispatcher.close();
+            fleet.dispatcher.close();
             String whole = Files.readString(dir.resolve("warm"));
             for (String bad :
                     List.of(
@@ -251,13 +276,13 @@
                             whole.replaceFirst("\n([0-9a-f])", "\nx"),
                             "")) {
                 Files.writeString(dir.resolve("warm"), bad);
-                bed.start();
-                try (Socket s = bed.connect()) {
-                    requestAllObjects(bed, s, 1);
+                fleet.start();
+                try (Socket s = fleet.connect()) {
+                    requestAllObjects(fleet, s, 1);
                 }
-                bed.dispatcher.close();
+                fleet.dispatcher.close();
             }
-            bed.start();
+            fleet.start();
         }
     }
 }
--- a/src/test/java/brooklock/proxy/WatchEventOrderTest.java
+++ b/src/test/java/brooklock/proxy/WatchEventOrderTest.java
@@ -25,14 +25,14 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Notices over several connections: whichever comes first, the newest is in force. */
+/** Endpoint lists over several connections: whichever arrives first, the newest is in force. */
 class WatchEventOrderTest {
     @TempDir Path dir;
 
     private static String list(
-            LoopbackFleet bed, long epoch, long number, long follows, String gone) {
+            LoopbackFleet fleet, long epoch, long number, long follows, String gone) {
         List<ListedEndpoint> all = new ArrayList<>();
-        bed.servers.forEach(
+        fleet.servers.forEach(
                 (name, h) -> {
                     if (follows == 0 || name.equals("c1")) {
                         all.add(
@@ -75,18 +75,18 @@
         return LoopbackFleet.readResponse(s.getInputStream());
     }
 
-    private static Socket control(LoopbackFleet bed) throws IOException {
+    private static Socket control(LoopbackFleet fleet) throws IOException {
         Socket s =
                 new Socket(
                         InetAddress.getLoopbackAddress(),
-                        bed.dispatcher.controlAddress().getPort());
+                        fleet.dispatcher.controlAddress().getPort());
         s.setTcpNoDelay(true);
         s.setSoTimeout(20_000);
         return s;
     }
 
-    private static String state(LoopbackFleet bed, String host) throws IOException {
-        String all = new String(bed.sendControl("GET", "/state", "").body());
+    private static String state(LoopbackFleet fleet, String host) throws IOException {
+        String all = new String(fleet.sendControl("GET", "/state", "").body());
         return all.lines()
                 .filter(l -> l.startsWith("host " + host + " "))
                 .findFirst()
@@ -94,19 +94,24 @@
                 .split(" ")[2];
     }
 
+    /**
+     * A registry sends two lists over two connections, and the older one overtakes the newer. If
+     * arrival decided, a cache that is gone would come back until the next list, and get requests.
+     * Each of a thousand times the newer list is in force after both, whichever came first.
+     */
     @Test
-    void ofTwoListsOnTwoConnectionsTheNewerHoldsThousandTimesOver() throws Exception {
+    void newerOfTwoListsOnTwoConnectionsIsInForce() throws Exception {
         ExecutorService two = Executors.newFixedThreadPool(2);
-        try (LoopbackFleet bed = new LoopbackFleet(dir, 2, 1, "").start();
-                Socket one = control(bed);
-                Socket other = control(bed)) {
+        try (LoopbackFleet fleet = new LoopbackFleet(dir, 2, 1, "").start();
+                Socket one = control(fleet);
+                Socket other = control(fleet)) {
             Random r = new Random(5);
             int overtaken = 0;
             for (int i = 1; i <= 1000; i++) {
                 // The older has c1 gone or back, the newer the other way round.
                 boolean goneLast = r.nextBoolean();
-                String older = list(bed, 1, 2L * i, 0, goneLast ? null : "c1");
-                String newer = list(bed, 1, 2L * i + 1, 0, goneLast ? "c1" : null);
+                String older = list(fleet, 1, 2L * i, 0, goneLast ? null : "c1");
+                String newer = list(fleet, 1, 2L * i + 1, 0, goneLast ? "c1" : null);
                 boolean first = r.nextBoolean();
                 Callable<LoopbackFleet.Response> a =
                         () -> post(one, "/hosts", first ? older : newer);
@@ -123,7 +128,11 @@
                 }
                 assertEquals(
                         goneLast ? EndpointState.GONE : EndpointState.READY,
-                        bed.dispatcher.endpointRegistry.find(EndpointId.of("c1")).state(),
+                        fleet.dispatcher
+                                .context()
+                                .endpointRegistry()
+                                .find(EndpointId.of("c1"))
+                                .state(),
                         "try " + i);
             }
             assertTrue(
@@ -133,14 +142,18 @@
         }
     }
 
+    /**
+     * An operator drains a cache while the registry sends full lists that call it ready. The drain
+     * must hold, whichever comes first, and it must not undo what else the lists say of the cache.
+     */
     @Test
-    void aDrainByHandThatRacesFullListsHoldsAndUndoesNothingOfThem() throws Exception {
+    void drainByHandHoldsAgainstConcurrentFullListsAndChangesNothingElse() throws Exception {
         ExecutorService two = Executors.newFixedThreadPool(2);
-        try (LoopbackFleet bed = new LoopbackFleet(dir, 2, 1, "").start();
-                Socket one = control(bed);
-                Socket other = control(bed)) {
+        try (LoopbackFleet fleet = new LoopbackFleet(dir, 2, 1, "").start();
+                Socket one = control(fleet);
+                Socket other = control(fleet)) {
             for (int i = 1; i <= 200; i++) {
-                String list = list(bed, 1, i, 0, null);
+                String list = list(fleet, 1, i, 0, null);
                 // Each list moves c1: by hand its state is changed, and nothing else of it is put
                 // back.
                 String moved =
@@ -149,57 +162,67 @@
                         List.of(
                                 () -> post(one, "/hosts", moved),
                                 () -> post(other, "/drain?host=c1", "")));
-                ListedEndpoint c1 = bed.dispatcher.endpointRegistry.find(EndpointId.of("c1"));
+                ListedEndpoint c1 =
+                        fleet.dispatcher.context().endpointRegistry().find(EndpointId.of("c1"));
                 assertEquals(EndpointState.DRAINING, c1.state());
                 assertEquals(i, c1.weight());
                 assertEquals(i, c1.startedMs());
                 assertEquals(200, post(one, "/ready?host=c1", "").status());
-                assertTrue(bed.dispatcher.endpointRegistry.isReady(c1.id()));
+                assertTrue(fleet.dispatcher.context().endpointRegistry().isReady(c1.id()));
             }
         } finally {
             two.shutdown();
         }
     }
 
+    /**
+     * A dispatcher restarts. What it had acknowledged is in force again, together with the place of
+     * each source in its order: an older list that arrives late must not take anything back, nor a
+     * gap go unnoticed.
+     */
     @Test
-    void whatWasAnsweredHoldsThroughARestartAndAnOlderListDoesNot() throws Exception {
-        LoopbackFleet bed = new LoopbackFleet(dir, 2, 1, "list saved\n");
-        try (bed) {
-            bed.start();
-            assertEquals(200, bed.sendControl("POST", "/hosts", list(bed, 3, 7, 0, null)).status());
-            assertEquals(200, bed.sendControl("POST", "/hosts", list(bed, 3, 8, 7, "c1")).status());
-            assertEquals(200, bed.sendControl("POST", "/drain?host=c2", "").status());
-            bed.dispatcher.close();
-            bed.start();
-            assertEquals("GONE", state(bed, "c1"));
-            assertEquals("DRAINING", state(bed, "c2"));
+    void acknowledgedListsHoldThroughARestartAndOlderOnesAreRejected() throws Exception {
+        LoopbackFleet fleet = new LoopbackFleet(dir, 2, 1, "list saved\n");
+        try (fleet) {
+            fleet.start();
+            assertEquals(
+                    200, fleet.sendControl("POST", "/hosts", list(fleet, 3, 7, 0, null)).status());
+            assertEquals(
+                    200, fleet.sendControl("POST", "/hosts", list(fleet, 3, 8, 7, "c1")).status());
+            assertEquals(200, fleet.sendControl("POST", "/drain?host=c2", "").status());
+            fleet.dispatcher.close();
+            fleet.start();
+            assertEquals("GONE", state(fleet, "c1"));
+            assertEquals("DRAINING", state(fleet, "c2"));
             assertTrue(
-                    new String(bed.sendControl("GET", "/state", "").body())
+                    new String(fleet.sendControl("GET", "/state", "").body())
                             .contains("source registry epoch 3 number 8 heard-ms-ago "));
-            assertEquals(409, bed.sendControl("POST", "/hosts", list(bed, 3, 7, 0, null)).status());
             assertEquals(
-                    409, bed.sendControl("POST", "/hosts", list(bed, 2, 99, 0, null)).status());
+                    409, fleet.sendControl("POST", "/hosts", list(fleet, 3, 7, 0, null)).status());
+            assertEquals(
+                    409, fleet.sendControl("POST", "/hosts", list(fleet, 2, 99, 0, null)).status());
             assertEquals(
                     409,
-                    bed.sendControl("POST", "/hosts", list(bed, 3, 11, 10, null)).status(),
+                    fleet.sendControl("POST", "/hosts", list(fleet, 3, 11, 10, null)).status(),
                     "a gap");
             assertEquals(
                     409,
-                    bed.sendControl("POST", "/ready?host=c1", "").status(),
+                    fleet.sendControl("POST", "/ready?host=c1", "").status(),
                     "the registry says that it is gone");
-            assertEquals("GONE", state(bed, "c1"));
-            assertEquals(200, bed.sendControl("POST", "/hosts", list(bed, 4, 1, 0, null)).status());
-            assertEquals("READY", state(bed, "c1"));
-            assertEquals("DRAINING", state(bed, "c2"), "by hand, until it is taken back by hand");
+            assertEquals("GONE", state(fleet, "c1"));
+            assertEquals(
+                    200, fleet.sendControl("POST", "/hosts", list(fleet, 4, 1, 0, null)).status());
+            assertEquals("READY", state(fleet, "c1"));
+            assertEquals("DRAINING", state(fleet, "c2"), "by hand, until it is taken back by hand");
             assertEquals(
                     400,
-                    bed.sendControl(
+                    fleet.sendControl(
                                     "POST",
                                     "/hosts",
-                                    list(bed, 4, 2, 0, null).replace("epoch 4", "epoch x"))
+                                    list(fleet, 4, 2, 0, null).replace("epoch 4", "epoch x"))
                             .status());
-            assertEquals(404, bed.sendControl("POST", "/reset?source=nobody", "").status());
-            assertEquals(404, bed.sendControl("POST", "/forget", "").status());
+            assertEquals(404, fleet.sendControl("POST", "/reset?source=nobody", "").status());
+            assertEquals(404, fleet.sendControl("POST", "/forget", "").status());
         }
     }
 }
