--- a/src/main/java/brooklock/proxy/WarmingCoordinator.java
+++ b/src/main/java/brooklock/proxy/WarmingCoordinator.java
@@ -10,7 +10,7 @@
 import brooklock.routing.Endpoint;
 import brooklock.routing.EndpointListKind;
 import brooklock.routing.EndpointState;
-import brooklock.routing.Router;
+import brooklock.routing.RendezvousHash;
 import brooklock.routing.RouterAction.StartAttempt;
 import brooklock.routing.RouterEvent;
 import brooklock.routing.RouterEvent.AttemptCompleted;
@@ -76,7 +76,8 @@
                 new CacheWarming<>(
                         limits(settings),
                         (object, part, endpoint) ->
-                                Router.score(Router.copy(object, part), endpoint, 1),
+                                RendezvousHash.score(
+                                        RendezvousHash.copy(object, part), endpoint, 1),
                         settings.localZone(),
                         settings.name(),
                         context.clock().nowNs());
--- /dev/null
+++ b/src/main/java/brooklock/routing/Attempt.java
@@ -0,0 +1,42 @@
+package brooklock.routing;
+
+/** One attempt of a request, from its start until its outcome. State only. */
+final class Attempt {
+    final RoutedEndpoint endpoint;
+
+    /** Where the endpoint fills a miss from; the endpoint itself if it shall not fill. */
+    final RoutedEndpoint fillSource;
+
+    final FillReach reach;
+    final long sentAtNs;
+
+    /**
+     * Work reserved on the endpoint's link, on the fill link and at the origin, ns; 0 once
+     * released.
+     */
+    double endpointWorkNs;
+
+    double fillWorkNs;
+    double originWorkNs;
+
+    /** Whether its outcome is known. */
+    boolean completed;
+
+    /** Whether its response has begun to go to the client. */
+    boolean responseStarted;
+
+    Attempt(RoutedEndpoint endpoint, RoutedEndpoint fillSource, FillReach reach, long sentAtNs) {
+        this.endpoint = endpoint;
+        this.fillSource = fillSource;
+        this.reach = reach;
+        this.sentAtNs = sentAtNs;
+    }
+
+    /**
+     * Whether its endpoint has responded to others since: the response is missing, not the
+     * endpoint.
+     */
+    boolean isOvertaken() {
+        return !completed && endpoint.health.unansweredSinceNs > sentAtNs;
+    }
+}
--- /dev/null
+++ b/src/main/java/brooklock/routing/CacheSelector.java
@@ -0,0 +1,135 @@
+package brooklock.routing;
+
+import java.util.Comparator;
+import java.util.List;
+
+/**
+ * Bounded-load rendezvous selection of the edge cache of a request.
+ *
+ * <p>The caches of the own zone are tried in the order of {@link RendezvousHash}; one is passed
+ * over that the request has tried, that is ejected, that has no slow-start budget left, or that
+ * carries more than its share. The bound prevents that one popular copy fills a cache's link while
+ * its peers idle, which shows as late hits at one cache; it holds because what a cache may not take
+ * goes on to the next in the order.
+ */
+final class CacheSelector {
+    /** A cache is passed over above this multiple of its peers' mean work in flight ... */
+    private static final double LOAD_BOUND = 1.1;
+
+    /** ... and this many mean requests more, so that small numbers move nothing. */
+    private static final double LOAD_SLACK_REQUESTS = 2;
+
+    /** Caches selected one by one before the rest is sorted, which costs about as many passes. */
+    private static final int SELECTION_PASSES = 8;
+
+    private static final double TRIED_PENALTY = 1e15;
+    private static final double EJECTED_PENALTY = 1e12;
+
+    private static final Comparator<RoutedEndpoint> BY_SCORE =
+            Comparator.comparingDouble(endpoint -> -endpoint.rendezvousScore);
+
+    private final boolean weighted;
+    private final List<RoutedEndpoint> caches;
+    private final OutlierDetector outliers;
+    private final SlowStart slowStart;
+    private final WorkEstimator workEstimator;
+
+    CacheSelector(
+            RouterSettings settings,
+            EndpointTable endpoints,
+            OutlierDetector outliers,
+            SlowStart slowStart,
+            WorkEstimator workEstimator) {
+        weighted = settings.weighted();
+        caches = endpoints.localCaches();
+        this.outliers = outliers;
+        this.slowStart = slowStart;
+        this.workEstimator = workEstimator;
+    }
+
+    /** The cache for the request, or null where the rules allow none. */
+    RoutedEndpoint select(PendingRequest request, long now) {
+        double bound = scoreAll(RendezvousHash.copy(request.event.object(), request.event.part()));
+        RoutedEndpoint best = null;
+        int left = HotList.copies(request.demand);
+        for (int i = 0; i < caches.size(); i++) {
+            RoutedEndpoint cache = bringNearest(i);
+            double load = loadOf(cache);
+            if (request.hasTried(cache)
+                    || !outliers.isUsable(cache, now)
+                    || load > bound
+                    || !slowStart.canAfford(cache, request, now)) {
+                continue;
+            }
+            best = best == null || load < loadOf(best) ? cache : best;
+            if (--left == 0) {
+                break;
+            }
+        }
+        return best != null ? best : leastLoaded(request, now);
+    }
+
+    /**
+     * Scores all caches for a copy; returns the work in flight by weight that none should exceed.
+     */
+    private double scoreAll(long copy) {
+        double load = 0;
+        double weight = 0;
+        for (int i = 0; i < caches.size(); i++) {
+            RoutedEndpoint cache = caches.get(i);
+            cache.rendezvousScore =
+                    weighted
+                            ? RendezvousHash.score(copy, cache.id(), cache.weight)
+                            : RendezvousHash.uniform(copy, cache.id());
+            load += cache.limit.inFlightNs();
+            weight += cache.weight;
+        }
+        return LOAD_BOUND * load / weight
+                + LOAD_SLACK_REQUESTS * workEstimator.meanNs() / weight * caches.size();
+    }
+
+    /**
+     * Puts the best of the caches from a place on at that place. Few are looked at, so only those
+     * are ordered, in the list itself: its order is the next request's start.
+     */
+    private RoutedEndpoint bringNearest(int place) {
+        if (place == SELECTION_PASSES) {
+            caches.subList(place, caches.size()).sort(BY_SCORE);
+        } else if (place < SELECTION_PASSES) {
+            int best = place;
+            for (int i = place + 1; i < caches.size(); i++) {
+                best = caches.get(i).rendezvousScore > caches.get(best).rendezvousScore ? i : best;
+            }
+            caches.set(place, caches.set(best, caches.get(place)));
+        }
+        return caches.get(place);
+    }
+
+    /** Where all are passed over: the least loaded that the slow start allows, tried ones last. */
+    private RoutedEndpoint leastLoaded(PendingRequest request, long now) {
+        RoutedEndpoint best = null;
+        for (int i = 0; i < caches.size(); i++) {
+            RoutedEndpoint cache = caches.get(i);
+            if (slowStart.canAfford(cache, request, now)
+                    && (best == null || compare(request, best, cache, now) > 0)) {
+                best = cache;
+            }
+        }
+        return best;
+    }
+
+    private int compare(PendingRequest request, RoutedEndpoint a, RoutedEndpoint b, long now) {
+        int order = Double.compare(penalizedLoad(request, a, now), penalizedLoad(request, b, now));
+        return order != 0 ? order : BY_SCORE.compare(a, b);
+    }
+
+    private double penalizedLoad(PendingRequest request, RoutedEndpoint cache, long now) {
+        return loadOf(cache)
+                + (request.hasTried(cache) ? TRIED_PENALTY : 0)
+                + (outliers.isEjected(cache, now) ? EJECTED_PENALTY : 0);
+    }
+
+    private static double loadOf(RoutedEndpoint cache) {
+        return cache.limit.inFlightNs() / cache.weight;
+    }
+}
--- a/src/main/java/brooklock/routing/CacheStatus.java
+++ b/src/main/java/brooklock/routing/CacheStatus.java
@@ -23,5 +23,19 @@
     /** The endpoint has no capacity for a fill. */
     NO_CAPACITY,
     /** The origin failed behind the fill source. */
-    ORIGIN_FAILED
+    ORIGIN_FAILED;
+
+    /** Returns true if the copy was filled for this response. */
+    public boolean isFilled() {
+        return this == FILLED_BY_PARENT || this == FILLED_BY_ORIGIN;
+    }
+
+    /**
+     * Returns true if the fill failed behind the endpoint, so that the endpoint is not to blame.
+     */
+    public boolean isFillSourceFailure() {
+        return this == FILL_SOURCE_REJECTED
+                || this == FILL_SOURCE_CONNECTION_LOST
+                || this == ORIGIN_FAILED;
+    }
 }
--- /dev/null
+++ b/src/main/java/brooklock/routing/ConcurrencyLimit.java
@@ -0,0 +1,126 @@
+package brooklock.routing;
+
+/**
+ * Adaptive limit (AIMD) on the work in flight on one shared link, in ns of transfer.
+ *
+ * <p>It prevents a jam: once responses come late, more work makes all of it late, which shows as
+ * latencies that grow together while throughput stands still. There is no limit until responses are
+ * late. Then it grows by a part of the work answered in time and shrinks by the rest of what was
+ * late, so that it settles at a tolerated share of late responses; links that are late by their own
+ * slowness get a higher one.
+ */
+final class ConcurrencyLimit {
+    /**
+     * Share of late responses at which a limit settles: of a cache's link, of the fill link, of the
+     * origin.
+     */
+    private static final double CACHE_LATE_SHARE = 0.1;
+
+    private static final double FILL_LATE_SHARE = 0.2;
+    private static final double ORIGIN_LATE_SHARE = 0.3;
+
+    /**
+     * Mean requests for which a limit stays open: here, and at the origin for all dispatchers
+     * together.
+     */
+    private static final double MIN_REQUESTS = 2;
+
+    private static final double MIN_ORIGIN_REQUESTS = 4;
+
+    /** Part of a limit that one late response may take: a large one must not shut it for all. */
+    private static final double MAX_BACKOFF = 0.25;
+
+    /** Running share of late responses that starts a limit. */
+    private static final double LATE_SHARE_TO_LIMIT = 0.15;
+
+    /**
+     * Weight of one response in that share, and of one of unknown size, which may be late for its
+     * size alone.
+     */
+    private static final double LATE_WEIGHT = 0.1;
+
+    private static final double UNSIZED_LATE_WEIGHT = 0.05;
+
+    private final double toleratedLateShare;
+    private final double minRequests;
+    private double inFlightNs;
+    private double limitNs = Double.POSITIVE_INFINITY;
+    private double lateShare;
+    private long pausedUntilNs;
+
+    private ConcurrencyLimit(double toleratedLateShare, double minRequests) {
+        this.toleratedLateShare = toleratedLateShare;
+        this.minRequests = minRequests;
+    }
+
+    static ConcurrencyLimit forCache() {
+        return new ConcurrencyLimit(CACHE_LATE_SHARE, MIN_REQUESTS);
+    }
+
+    static ConcurrencyLimit forFills() {
+        return new ConcurrencyLimit(FILL_LATE_SHARE, MIN_REQUESTS);
+    }
+
+    /** This dispatcher's part of the origin: their floors add up at the one origin. */
+    static ConcurrencyLimit forOrigin(int dispatchers) {
+        return new ConcurrencyLimit(
+                ORIGIN_LATE_SHARE, MIN_ORIGIN_REQUESTS / Math.max(1, dispatchers));
+    }
+
+    /** Work in flight. */
+    double inFlightNs() {
+        return inFlightNs;
+    }
+
+    /** Whether responses come late lately, so that the link had better be spared. */
+    boolean isLate() {
+        return lateShare >= LATE_SHARE_TO_LIMIT;
+    }
+
+    /** Whether the limit is at least so much work; else such a request passes only alone. */
+    boolean isWiderThan(double workNs) {
+        return limitNs >= workNs;
+    }
+
+    /**
+     * Whether work may start. A limit narrower than one request admits one, then pauses to the same
+     * mean.
+     */
+    boolean admits(double workNs, long now) {
+        return inFlightNs + workNs <= limitNs || inFlightNs <= 0 && now >= pausedUntilNs;
+    }
+
+    void acquire(double workNs) {
+        inFlightNs += workNs;
+    }
+
+    void release(double workNs, long now) {
+        inFlightNs = Math.max(0, inFlightNs - workNs);
+        if (workNs > limitNs) {
+            pausedUntilNs = now + (long) (workNs * (workNs / limitNs - 1));
+        }
+    }
+
+    /** Learns from a response of unknown size, which moves no limit. */
+    void onUnsizedResponse(boolean onTime) {
+        updateLateShare(onTime, UNSIZED_LATE_WEIGHT);
+    }
+
+    /** Adapts to one response. A limit moves only while at least half of it is used. */
+    void onResponse(boolean onTime, double workNs, double meanWorkNs) {
+        updateLateShare(onTime, LATE_WEIGHT);
+        double min = minRequests * meanWorkNs;
+        if (limitNs == Double.POSITIVE_INFINITY) {
+            limitNs =
+                    lateShare > LATE_SHARE_TO_LIMIT ? Math.max(min, inFlightNs + workNs) : limitNs;
+        } else if (inFlightNs + workNs > limitNs / 2) {
+            double decrease = Math.min((1 - toleratedLateShare) * workNs, MAX_BACKOFF * limitNs);
+            double increase = Math.min(toleratedLateShare * workNs, limitNs);
+            limitNs = Math.max(min, limitNs + (onTime ? increase : -decrease));
+        }
+    }
+
+    private void updateLateShare(boolean onTime, double weight) {
+        lateShare += weight * ((onTime ? 0 : 1) - lateShare);
+    }
+}
--- /dev/null
+++ b/src/main/java/brooklock/routing/FillSourceSelector.java
@@ -0,0 +1,70 @@
+package brooklock.routing;
+
+import java.util.List;
+
+/**
+ * Parent or origin as the fill source of a miss: a parent of the own hub by {@link RendezvousHash},
+ * else of another.
+ *
+ * <p>Parents that are ejected, or that this request has named before, come last, yet before the
+ * origin: when all parents fail, the origin behind them is the cause, and a direct fill would push
+ * it further. Only where no parent may be used, as one that warms up after its connections were
+ * lost, the origin is named.
+ */
+final class FillSourceSelector {
+    /** Far above any score, so that the order by score holds only between parents alike. */
+    private static final double PENALTY_WEIGHT = 1e6;
+
+    private static final int ALREADY_USED = 2;
+    private static final int EJECTED = 1;
+
+    private final EndpointTable endpoints;
+    private final OutlierDetector outliers;
+    private final SlowStart slowStart;
+
+    FillSourceSelector(EndpointTable endpoints, OutlierDetector outliers, SlowStart slowStart) {
+        this.endpoints = endpoints;
+        this.outliers = outliers;
+        this.slowStart = slowStart;
+    }
+
+    /** The fill source; null where there is neither parent nor origin. */
+    RoutedEndpoint select(PendingRequest request, long now) {
+        RoutedEndpoint near = bestOf(endpoints.nearParents(), request, now);
+        RoutedEndpoint far =
+                near == null || penalty(near, request, now) > 0
+                        ? bestOf(endpoints.farParents(), request, now)
+                        : null;
+        RoutedEndpoint best =
+                near == null
+                                || far != null
+                                        && penalty(far, request, now) < penalty(near, request, now)
+                        ? far
+                        : near;
+        return best != null ? best : endpoints.origin();
+    }
+
+    private RoutedEndpoint bestOf(List<RoutedEndpoint> parents, PendingRequest request, long now) {
+        long copy = RendezvousHash.copy(request.event.object(), request.event.part());
+        RoutedEndpoint best = null;
+        double bestScore = 0;
+        for (int i = 0; i < parents.size(); i++) {
+            RoutedEndpoint parent = parents.get(i);
+            if (slowStart.canAfford(parent, request, now)) {
+                double score =
+                        RendezvousHash.score(copy, parent.id(), parent.weight)
+                                - PENALTY_WEIGHT * penalty(parent, request, now);
+                if (best == null || Double.compare(bestScore, score) < 0) {
+                    best = parent;
+                    bestScore = score;
+                }
+            }
+        }
+        return best;
+    }
+
+    private int penalty(RoutedEndpoint parent, PendingRequest request, long now) {
+        return (request.hasUsedFillSource(parent) ? ALREADY_USED : 0)
+                + (outliers.isUsable(parent, now) ? 0 : EJECTED);
+    }
+}
--- /dev/null
+++ b/src/main/java/brooklock/routing/RetryPolicy.java
@@ -0,0 +1,69 @@
+package brooklock.routing;
+
+import brooklock.routing.RouterSettings.RequestClass;
+
+/**
+ * Retries: whether a request may be sent again, and whether it may be rejected.
+ *
+ * <p>It prevents that a request is executed twice, which shows as a doubled effect at the origin. A
+ * request that is not idempotent goes again only if no attempt can have been executed; one with an
+ * idempotency key also within the window of its first attempt, where all endpoints drop repeats of
+ * the key.
+ */
+final class RetryPolicy {
+    /** Errors after which the request is taken to be at fault itself. */
+    private static final int MAX_ERRORS = 3;
+
+    private final int maxAttempts;
+
+    RetryPolicy(RouterSettings settings) {
+        maxAttempts = Math.max(1, settings.limits().maxAttempts());
+    }
+
+    boolean hasAttemptLeft(PendingRequest request) {
+        return request.attempts.size() < maxAttempts;
+    }
+
+    /**
+     * Whether a request without open attempts may be sent again; a late response is not worth one.
+     */
+    boolean mayRetry(PendingRequest request, long now) {
+        return now < request.latencyObjectiveNs
+                && request.failedEndpoints.size() < MAX_ERRORS
+                && mayRepeat(request, now);
+    }
+
+    private static boolean mayRepeat(PendingRequest request, long now) {
+        return switch (request.requestClass.idempotency()) {
+            case IDEMPOTENT -> true;
+            case IDEMPOTENCY_KEY ->
+                    !request.mayHaveExecuted
+                            || request.requestClass.idempotencyScope() == IdempotencyScope.ALL
+                                    && keyWindowLeftNs(request, now) > 0;
+            case NOT_IDEMPOTENT -> !request.mayHaveExecuted;
+        };
+    }
+
+    /** How long an attempt may wait to start: a repeat with a key only until its window ends. */
+    static long startWithinNs(PendingRequest request, long timeoutNs, long now) {
+        return request.mayHaveExecuted
+                        && request.requestClass.idempotency() == Idempotency.IDEMPOTENCY_KEY
+                ? Math.min(timeoutNs, keyWindowLeftNs(request, now))
+                : timeoutNs;
+    }
+
+    /**
+     * Whether a rejection is true, as the client's retry would be harmless; else the request fails.
+     */
+    static boolean mayReject(PendingRequest request) {
+        RequestClass requestClass = request.requestClass;
+        return requestClass.idempotency() == Idempotency.IDEMPOTENT
+                || !request.mayHaveExecuted && request.openAttempts == 0
+                || requestClass.idempotency() == Idempotency.IDEMPOTENCY_KEY
+                        && requestClass.idempotencyScope() == IdempotencyScope.ALL;
+    }
+
+    private static long keyWindowLeftNs(PendingRequest request, long now) {
+        return request.firstSentAtNs + request.requestClass.idempotencyWindowNs() - now;
+    }
+}
--- /dev/null
+++ b/src/test/java/brooklock/routing/EndpointTableTest.java
@@ -0,0 +1,61 @@
+package brooklock.routing;
+
+import static brooklock.routing.RouterFixture.PAGE;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNotEquals;
+import static org.junit.jupiter.api.Assertions.assertNotNull;
+
+import brooklock.routing.RouterAction.StartAttempt;
+import brooklock.routing.RouterAction.WatchEndpoints;
+import brooklock.routing.RouterEvent.EndpointListReceived;
+import java.util.List;
+import org.junit.jupiter.api.Test;
+
+/** Which endpoints are used after a change of the list. */
+class EndpointTableTest {
+    /**
+     * A cache and a parent drain. From that event on neither gets a request or is named for a fill.
+     */
+    @Test
+    void aDrainingEndpointIsLeftAtOnceAsTargetAndAsFillSource() {
+        RouterFixture fixture = new RouterFixture().withEndpoints();
+        fixture.changeEndpoints(
+                RouterFixture.cache(12, EndpointState.DRAINING, 0),
+                RouterFixture.parent(801, EndpointState.DRAINING, 0));
+        for (long object = 1; object <= 200; object++) {
+            StartAttempt attempt = fixture.requestServed(PAGE, object);
+            assertNotEquals(12, attempt.endpoint());
+            assertEquals(802, attempt.fillSource());
+        }
+    }
+
+    /** A full list no longer names an endpoint: it is gone, though no change ever said so. */
+    @Test
+    void anEndpointMissingFromAFullListIsGone() {
+        RouterFixture fixture = new RouterFixture().withEndpoints();
+        fixture.onEvent(
+                new EndpointListReceived(
+                        EndpointListKind.FULL,
+                        List.of(
+                                RouterFixture.cache(11, EndpointState.READY, 0),
+                                RouterFixture.parent(802, EndpointState.READY, 0))));
+        for (long object = 1; object <= 50; object++) {
+            StartAttempt attempt = fixture.requestServed(PAGE, object);
+            assertEquals(11, attempt.endpoint());
+            assertEquals(802, attempt.fillSource());
+        }
+    }
+
+    /**
+     * The subscription to the list failed. The last list stays in force, and a new subscription is
+     * asked for.
+     */
+    @Test
+    void aFailedSubscriptionIsRenewedAndTheListStays() {
+        RouterFixture fixture = new RouterFixture().withEndpoints();
+        assertEquals(
+                List.of(new WatchEndpoints()),
+                fixture.onEvent(new EndpointListReceived(EndpointListKind.FAILED, List.of())));
+        assertNotNull(fixture.request(PAGE, 42));
+    }
+}
--- /dev/null
+++ b/src/test/java/brooklock/routing/FillSourceSelectorTest.java
@@ -0,0 +1,60 @@
+package brooklock.routing;
+
+import static brooklock.routing.RouterFixture.MS;
+import static brooklock.routing.RouterFixture.ORIGIN_ID;
+import static brooklock.routing.RouterFixture.PAGE;
+import static brooklock.routing.RouterFixture.attemptIn;
+import static org.junit.jupiter.api.Assertions.assertNotEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import brooklock.routing.RouterAction.StartAttempt;
+import org.junit.jupiter.api.Test;
+
+/** Where a miss is filled from. */
+class FillSourceSelectorTest {
+    /**
+     * All parents reject fills, because the origin behind them is overloaded. Direct fills would
+     * push the origin further, so the parents are still named.
+     */
+    @Test
+    void ejectedParentsAreNamedBeforeTheOrigin() {
+        RouterFixture fixture = new RouterFixture().withEndpoints();
+        for (int i = 0; i < 40; i++) {
+            fixture.now += 5 * MS;
+            StartAttempt attempt = fixture.request(PAGE, i);
+            if (attempt != null) {
+                assertNotEquals(ORIGIN_ID, attempt.fillSource());
+                fixture.complete(
+                        attempt, AttemptOutcome.OVERLOADED, CacheStatus.FILL_SOURCE_REJECTED, 5);
+            }
+        }
+    }
+
+    /**
+     * The parents are dead: fills fail within the time of a connection. Here the origin is not the
+     * cause, and without it nothing would be served.
+     */
+    @Test
+    void parentsThatAreNotReachedMakeWayForTheOrigin() {
+        RouterFixture fixture = new RouterFixture().withEndpoints();
+        boolean fromOrigin = false;
+        for (int i = 0; i < 40 && !fromOrigin; i++) {
+            fixture.now += 5 * MS;
+            StartAttempt attempt = fixture.request(PAGE, i);
+            fromOrigin = attempt.fillSource() == ORIGIN_ID;
+            StartAttempt next =
+                    attemptIn(
+                            fixture.complete(
+                                    attempt,
+                                    fromOrigin ? AttemptOutcome.OK : AttemptOutcome.OVERLOADED,
+                                    fromOrigin
+                                            ? CacheStatus.FILLED_BY_PARENT
+                                            : CacheStatus.FILL_SOURCE_CONNECTION_LOST,
+                                    5));
+            if (next != null) {
+                fixture.complete(next, AttemptOutcome.OK, CacheStatus.HIT, 5);
+            }
+        }
+        assertTrue(fromOrigin);
+    }
+}
--- /dev/null
+++ b/src/test/java/brooklock/routing/HedgingPolicyTest.java
@@ -0,0 +1,108 @@
+package brooklock.routing;
+
+import static brooklock.routing.RouterFixture.MS;
+import static brooklock.routing.RouterFixture.PAGE;
+import static brooklock.routing.RouterFixture.allOf;
+import static brooklock.routing.RouterFixture.attemptIn;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNotNull;
+import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import brooklock.routing.RouterAction.SetTimer;
+import brooklock.routing.RouterAction.StartAttempt;
+import brooklock.routing.RouterEvent.AttemptCompleted;
+import brooklock.routing.RouterEvent.RequestReceived;
+import brooklock.routing.RouterEvent.TimerFired;
+import java.util.ArrayList;
+import java.util.List;
+import org.junit.jupiter.api.Test;
+
+/** When a second attempt goes out beside the first. */
+class HedgingPolicyTest {
+    @Test
+    void nothingIsHedgedWhereItIsNotAllowed() {
+        RouterFixture fixture =
+                new RouterFixture(RouterFixture.settings(false, IdempotencyScope.ALL))
+                        .withEndpoints();
+        List<RouterAction> actions = fixture.onEvent(fixture.newRequest(PAGE, 42));
+        assertEquals(1, allOf(actions, SetTimer.class).size(), "the deadline's alone");
+    }
+
+    /**
+     * Endpoints fall silent: requests pile up there without a word. Those are hedged. A single late
+     * request is not, as its second attempt would load a jammed link twice.
+     */
+    @Test
+    void aRequestAtASilentEndpointIsHedgedAndAMerelyLateOneIsNot() {
+        RouterFixture fixture = new RouterFixture().withEndpoints();
+        List<RouterAction> actions = fixture.onEvent(fixture.newRequest(PAGE, 42));
+        StartAttempt first = attemptIn(actions);
+        SetTimer hedge = allOf(actions, SetTimer.class).get(1);
+        fixture.now = hedge.atNs();
+        assertNull(
+                attemptIn(fixture.onEvent(new TimerFired(hedge.token()))),
+                "late, but not at a silent endpoint");
+        List<SetTimer> timers = new ArrayList<>();
+        for (int i = 0; i < 30; i++) {
+            timers.addAll(allOf(fixture.onEvent(fixture.newRequest(PAGE, i)), SetTimer.class));
+        }
+        fixture.now += 1200 * MS;
+        int hedged = 0;
+        for (SetTimer timer : timers) {
+            if (timer.atNs() <= fixture.now) {
+                List<RouterAction> fired = fixture.onEvent(new TimerFired(timer.token()));
+                hedged += allOf(fired, StartAttempt.class).size();
+            }
+        }
+        assertTrue(hedged > 0, "first endpoint " + first.endpoint());
+    }
+
+    /**
+     * Responses get lost on the network while their caches respond to others. Once that is seen,
+     * such requests are sent again to the same cache, which has the copy; and no limit shuts, for
+     * no link was late.
+     */
+    @Test
+    void lostResponsesAreHedgedAtTheSameCacheOnceTheyAreSeenToGetLost() {
+        RouterFixture fixture = new RouterFixture().withEndpoints();
+        assertNull(hedgeOf(fixture, 500), "nothing has been lost so far");
+        for (int i = 0; i < 8; i++) {
+            RequestReceived lost = fixture.newRequest(PAGE, 100 + i);
+            List<RouterAction> actions = fixture.onEvent(lost);
+            long endpoint = attemptIn(actions).endpoint();
+            fixture.now += 20 * MS;
+            assertEquals(endpoint, fixture.requestServed(PAGE, 100 + i).endpoint());
+            SetTimer last = allOf(actions, SetTimer.class).get(0);
+            fixture.now = last.atNs();
+            fixture.onEvent(new TimerFired(last.token()));
+            fixture.onEvent(
+                    new AttemptCompleted(
+                            lost.id(),
+                            0,
+                            endpoint,
+                            AttemptOutcome.CANCELLED,
+                            CacheStatus.NONE,
+                            2900 * MS,
+                            0,
+                            true));
+        }
+        assertNotNull(hedgeOf(fixture, 600));
+        assertNotNull(fixture.request(PAGE, 700), "what is lost shuts no limit");
+    }
+
+    /**
+     * Sends a request, has its cache respond to another, and returns the hedged attempt that
+     * follows, or null.
+     */
+    private static StartAttempt hedgeOf(RouterFixture fixture, long object) {
+        List<RouterAction> actions = fixture.onEvent(fixture.newRequest(PAGE, object));
+        fixture.now += 20 * MS;
+        fixture.requestServed(PAGE, object);
+        SetTimer hedge = allOf(actions, SetTimer.class).get(1);
+        fixture.now = hedge.atNs();
+        StartAttempt second = attemptIn(fixture.onEvent(new TimerFired(hedge.token())));
+        assertTrue(second == null || second.endpoint() == attemptIn(actions).endpoint());
+        return second;
+    }
+}
--- /dev/null
+++ b/src/test/java/brooklock/routing/OutlierDetectorTest.java
@@ -0,0 +1,164 @@
+package brooklock.routing;
+
+import static brooklock.routing.RouterFixture.MS;
+import static brooklock.routing.RouterFixture.PAGE;
+import static brooklock.routing.RouterFixture.attemptIn;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNotEquals;
+import static org.junit.jupiter.api.Assertions.assertNotNull;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import brooklock.routing.RouterAction.StartAttempt;
+import brooklock.routing.RouterEvent.AttemptCompleted;
+import java.util.HashMap;
+import java.util.Map;
+import org.junit.jupiter.api.Test;
+
+/** When endpoints are ejected, and whom errors are attributed to. */
+class OutlierDetectorTest {
+    /**
+     * One cache responds with errors at once, so it looks less loaded than all others and would
+     * draw requests.
+     */
+    @Test
+    void aCacheThatFailsFastIsEjectedAfterAFewErrors() {
+        RouterFixture fixture = new RouterFixture().withEndpoints();
+        int errors = 0;
+        for (int i = 0; i < 200; i++) {
+            fixture.now += 10 * MS;
+            StartAttempt attempt = fixture.request(PAGE, i);
+            if (attempt.endpoint() == 12) {
+                errors++;
+                attempt =
+                        attemptIn(
+                                fixture.complete(
+                                        attempt, AttemptOutcome.ERROR, CacheStatus.NONE, 1));
+            }
+            if (attempt != null) {
+                fixture.complete(attempt, AttemptOutcome.OK, CacheStatus.HIT, 10);
+            }
+        }
+        assertTrue(errors >= 2 && errors < 8, "of some 50 due: " + errors);
+    }
+
+    /**
+     * Clients send requests that every endpoint answers with an error. The endpoints are healthy:
+     * none may be ejected, no object may move, and each such request ends after three endpoints.
+     */
+    @Test
+    void requestsThatNoEndpointCanServeEjectNone() {
+        RouterFixture fixture = new RouterFixture().withEndpoints();
+        Map<Long, Long> homes = new HashMap<>();
+        int moved = 0;
+        for (int i = 0; i < 400; i++) {
+            fixture.now += 20 * MS;
+            long object = i % 40;
+            StartAttempt good = fixture.requestServed(PAGE, object);
+            moved += homes.computeIfAbsent(object, k -> good.endpoint()) == good.endpoint() ? 0 : 1;
+            if (i % 8 == 0) {
+                int attempts = 0;
+                StartAttempt bad = fixture.request(PAGE, 1000 + i);
+                for (; bad != null; attempts++) {
+                    bad =
+                            attemptIn(
+                                    fixture.complete(
+                                            bad, AttemptOutcome.ERROR, CacheStatus.NONE, 1));
+                }
+                assertTrue(attempts <= 3, attempts + " endpoints tried");
+            }
+        }
+        assertEquals(0, moved);
+    }
+
+    /** A fill source rejects a fill. The next attempt names another: the cache is not at fault. */
+    @Test
+    void aFailedFillIsAttributedToItsSource() {
+        RouterFixture fixture = new RouterFixture().withEndpoints();
+        StartAttempt first = fixture.request(PAGE, 42);
+        StartAttempt next =
+                attemptIn(
+                        fixture.complete(
+                                first,
+                                AttemptOutcome.OVERLOADED,
+                                CacheStatus.FILL_SOURCE_REJECTED,
+                                5));
+        assertNotNull(next);
+        assertNotEquals(first.fillSource(), next.fillSource());
+    }
+
+    /**
+     * The origin fails behind the parent for the objects of one cache. That cache is healthy and
+     * keeps its share.
+     */
+    @Test
+    void anOriginThatFailsBehindTheParentDoesNotEjectTheCache() {
+        RouterFixture fixture = new RouterFixture().withEndpoints();
+        int sent = 0;
+        for (int i = 0; i < 60; i++) {
+            fixture.now += 5 * MS;
+            StartAttempt attempt = fixture.request(PAGE, i);
+            boolean failing = attempt.endpoint() == 12;
+            sent += failing ? 1 : 0;
+            StartAttempt next =
+                    attemptIn(
+                            fixture.complete(
+                                    attempt,
+                                    failing ? AttemptOutcome.ERROR : AttemptOutcome.OK,
+                                    failing ? CacheStatus.ORIGIN_FAILED : CacheStatus.HIT,
+                                    5));
+            if (next != null) {
+                fixture.complete(next, AttemptOutcome.OK, CacheStatus.HIT, 5);
+            }
+        }
+        assertTrue(sent > 8, "of some 15 due: " + sent);
+    }
+
+    /**
+     * A parent fails for minutes. With a health check a second it would get most of this
+     * dispatcher's fills, so the pause between checks grows.
+     */
+    @Test
+    void aParentThatKeepsFailingIsCheckedMoreAndMoreSeldom() {
+        RouterFixture fixture = new RouterFixture().withEndpoints();
+        int late = 0;
+        for (int i = 0; i < 120; i++) {
+            fixture.now += 500 * MS;
+            StartAttempt attempt = fixture.request(PAGE, 2000 + i);
+            if (attempt.fillSource() == 801) {
+                late += i >= 40 ? 1 : 0;
+                attempt =
+                        attemptIn(
+                                fixture.onEvent(
+                                        new AttemptCompleted(
+                                                attempt.id(),
+                                                0,
+                                                attempt.endpoint(),
+                                                AttemptOutcome.ERROR,
+                                                CacheStatus.FILL_SOURCE_CONNECTION_LOST,
+                                                600 * MS,
+                                                600 * MS,
+                                                false)));
+            }
+            if (attempt != null) {
+                fixture.complete(attempt, AttemptOutcome.OK, CacheStatus.FILLED_BY_PARENT, 20);
+            }
+        }
+        assertTrue(late >= 1 && late <= 6, "health checks in 40 s: " + late);
+    }
+
+    /** A parent's link ages: its fills come, but late. It is ejected before it breaks off. */
+    @Test
+    void aParentThatGrowsSlowIsEjectedBeforeItFails() {
+        RouterFixture fixture = new RouterFixture().withEndpoints();
+        int late = 0;
+        for (int i = 0; i < 60; i++) {
+            fixture.now += 500 * MS;
+            StartAttempt attempt = fixture.request(PAGE, 2000 + i);
+            boolean slow = attempt.fillSource() == 801;
+            late += i >= 20 && slow ? 1 : 0;
+            fixture.complete(
+                    attempt, AttemptOutcome.OK, CacheStatus.FILLED_BY_PARENT, slow ? 2000 : 20);
+        }
+        assertTrue(late <= 6, "fills from the slow one in 20 s: " + late);
+    }
+}
--- a/src/test/java/brooklock/routing/RandomTraffic.java
+++ b/src/test/java/brooklock/routing/RandomTraffic.java
@@ -22,16 +22,16 @@
 import java.util.Set;
 import java.util.TreeMap;
 
-/** A seeded random sequence of events, checked against what the rules ask of one router alone. */
+/** A seeded random sequence of events, checked against the rules that hold for one router alone. */
 final class RandomTraffic {
     private final Random random;
-    private final RouterFixture rig = new RouterFixture().withFleet();
+    private final RouterFixture fixture = new RouterFixture().withEndpoints();
     private final TreeMap<Long, List<RouterEvent>> due = new TreeMap<>();
     private final Map<Long, RequestReceived> open = new HashMap<>();
-    private final Set<Long> ended = new HashSet<>();
+    private final Set<Long> finished = new HashSet<>();
     private final Map<Long, Integer> attempts = new HashMap<>();
-    private final Map<Long, Integer> out = new HashMap<>();
-    private final Map<Long, Long> mayHaveRunSince = new HashMap<>();
+    private final Map<Long, Integer> openAttempts = new HashMap<>();
+    private final Map<Long, Long> mayHaveExecutedSince = new HashMap<>();
     private final Map<Long, Long> firstSent = new HashMap<>();
     private final Set<Long> leaving = new HashSet<>();
     private final Map<Long, Long> purged = new HashMap<>();
@@ -42,34 +42,34 @@
 
     void play() {
         for (int step = 0; step < 1500; step++) {
-            rig.now += 4 * RouterFixture.MS;
+            fixture.now += 4 * RouterFixture.MS;
             deliver();
-            int what = random.nextInt(40);
-            if (what == 0) {
-                turnHost();
-            } else if (what == 1) {
+            int choice = random.nextInt(40);
+            if (choice == 0) {
+                changeEndpoint();
+            } else if (choice == 1) {
                 long object = 1 + random.nextInt(30);
                 feed(new PurgeReceived(object, 3, 50 * RouterFixture.MS));
-                purged.put(object, rig.now - 50 * RouterFixture.MS);
-            } else if (what < 32) {
-                RequestReceived r =
-                        rig.request(
+                purged.put(object, fixture.now - 50 * RouterFixture.MS);
+            } else if (choice < 32) {
+                RequestReceived request =
+                        fixture.newRequest(
                                 random.nextInt(10) == 0 ? 1 + random.nextInt(2) : 0,
                                 1 + random.nextInt(30));
-                open.put(r.id(), r);
-                feed(r);
+                open.put(request.id(), request);
+                feed(request);
             }
         }
         for (int step = 0; step < 1000; step++) {
-            rig.now += 4 * RouterFixture.MS;
+            fixture.now += 4 * RouterFixture.MS;
             deliver();
         }
-        assertTrue(open.isEmpty(), "requests without an answer: " + open.keySet());
+        assertTrue(open.isEmpty(), "requests without a final response: " + open.keySet());
     }
 
-    private void turnHost() {
+    private void changeEndpoint() {
         long id = random.nextBoolean() ? 11 + random.nextInt(4) : 801 + random.nextInt(2);
-        int kind = id > 800 ? RouterFixture.PARENT : RouterFixture.CACHE;
+        boolean isParent = id > 800;
         boolean back = leaving.remove(id);
         if (!back) {
             leaving.add(id);
@@ -78,108 +78,134 @@
                 back
                         ? EndpointState.READY
                         : random.nextBoolean() ? EndpointState.DRAINING : EndpointState.GONE;
-        rig.change(
-                RouterFixture.host(
-                        id, kind == RouterFixture.PARENT ? 0 : 1, kind, state, back ? rig.now : 0));
+        long startedAt = back ? fixture.now : 0;
+        fixture.changeEndpoints(
+                isParent
+                        ? RouterFixture.parent(id, state, startedAt)
+                        : RouterFixture.cache(id, state, startedAt));
     }
 
     private void deliver() {
-        while (!due.isEmpty() && due.firstKey() <= rig.now) {
-            for (RouterEvent e : due.pollFirstEntry().getValue()) {
-                feed(e);
+        while (!due.isEmpty() && due.firstKey() <= fixture.now) {
+            for (RouterEvent event : due.pollFirstEntry().getValue()) {
+                feed(event);
             }
         }
     }
 
-    private void feed(RouterEvent e) {
-        if (e instanceof AttemptCompleted d) {
-            out.merge(d.id(), -1, Integer::sum);
-            boolean closed = !open.containsKey(d.id());
-            if (!closed && d.outcome() == AttemptOutcome.OK) {
-                end(d.id());
-                closed = true;
-            }
-            if (!d.outcome().provesNotExecuted) {
-                mayHaveRunSince.putIfAbsent(d.id(), rig.now);
-            }
-            e =
-                    new AttemptCompleted(
-                            d.id(),
-                            d.attempt(),
-                            d.endpoint(),
-                            d.outcome(),
-                            d.cacheStatus(),
-                            d.durationNs(),
-                            0,
-                            closed);
-        } else if (e instanceof ClientDisconnected l) {
-            if (!open.containsKey(l.id())) {
+    private void feed(RouterEvent event) {
+        RouterEvent delivered = event;
+        if (event instanceof AttemptCompleted completed) {
+            delivered = complete(completed);
+        } else if (event instanceof ClientDisconnected disconnected) {
+            if (!open.containsKey(disconnected.id())) {
                 return;
             }
-            end(l.id());
+            finish(disconnected.id());
         }
-        rig.on(e).forEach(this::check);
+        fixture.onEvent(delivered).forEach(this::check);
     }
 
-    private void check(RouterAction a) {
-        if (a instanceof StartAttempt g) {
-            send(g);
-        } else if (a instanceof RejectRequest r) {
-            RequestReceived q = open.get(r.id());
-            assertTrue(q != null && rig.now <= q.deadlineNs());
+    private AttemptCompleted complete(AttemptCompleted completed) {
+        long id = completed.id();
+        openAttempts.merge(id, -1, Integer::sum);
+        boolean requestFinished = !open.containsKey(id);
+        if (!requestFinished && completed.outcome() == AttemptOutcome.OK) {
+            finish(id);
+            requestFinished = true;
+        }
+        if (!completed.outcome().provesNotExecuted) {
+            mayHaveExecutedSince.putIfAbsent(id, fixture.now);
+        }
+        return new AttemptCompleted(
+                id,
+                completed.attempt(),
+                completed.endpoint(),
+                completed.outcome(),
+                completed.cacheStatus(),
+                completed.durationNs(),
+                0,
+                requestFinished);
+    }
+
+    private void check(RouterAction action) {
+        if (action instanceof StartAttempt attempt) {
+            start(attempt);
+        } else if (action instanceof RejectRequest rejected) {
+            RequestReceived request = open.get(rejected.id());
+            assertTrue(request != null && fixture.now <= request.deadlineNs());
             assertTrue(
-                    q.classIndex() != RouterFixture.UNSAFE
-                            || !mayHaveRunSince.containsKey(r.id())
-                                    && out.getOrDefault(r.id(), 0) == 0);
-            end(r.id());
-        } else if (a instanceof FailRequest f) {
-            assertTrue(open.containsKey(f.id()));
-            end(f.id());
-        } else if (a instanceof SetTimer t) {
-            assertTrue(t.atNs() > rig.now);
-            due.computeIfAbsent(t.atNs(), k -> new ArrayList<>()).add(new TimerFired(t.token()));
+                    request.classIndex() != RouterFixture.NOT_IDEMPOTENT
+                            || !mayHaveExecutedSince.containsKey(rejected.id())
+                                    && openAttempts.getOrDefault(rejected.id(), 0) == 0);
+            finish(rejected.id());
+        } else if (action instanceof FailRequest failed) {
+            assertTrue(open.containsKey(failed.id()));
+            finish(failed.id());
+        } else if (action instanceof SetTimer timer) {
+            assertTrue(timer.atNs() > fixture.now);
+            schedule(timer.atNs(), new TimerFired(timer.token()));
         }
     }
 
-    private void send(StartAttempt g) {
-        RequestReceived q = open.get(g.id());
-        assertTrue(q != null, "a send for a request that has ended");
+    private void start(StartAttempt attempt) {
+        RequestReceived request = open.get(attempt.id());
+        assertTrue(request != null, "an attempt for a request that has ended");
         assertFalse(
-                leaving.contains(g.endpoint()) || leaving.contains(g.fillSource()),
-                "sent to a host that leaves");
-        int n = attempts.merge(g.id(), 1, Integer::sum);
-        assertTrue(n <= 6);
-        firstSent.putIfAbsent(g.id(), rig.now);
-        if (q.classIndex() == RouterFixture.UNSAFE) {
-            assertTrue(out.getOrDefault(g.id(), 0) == 0 && !mayHaveRunSince.containsKey(g.id()));
-        } else if (q.classIndex() == RouterFixture.KEYED && mayHaveRunSince.containsKey(g.id())) {
-            assertTrue(rig.now - firstSent.get(g.id()) <= 2000 * RouterFixture.MS);
+                leaving.contains(attempt.endpoint()) || leaving.contains(attempt.fillSource()),
+                "sent to an endpoint that leaves");
+        int number = attempts.merge(attempt.id(), 1, Integer::sum);
+        assertTrue(number <= 6);
+        firstSent.putIfAbsent(attempt.id(), fixture.now);
+        checkIdempotency(request);
+        Long purgedAt = purged.get(request.object());
+        if (purgedAt != null && fixture.now < purgedAt + 6000 * RouterFixture.MS) {
+            assertTrue(attempt.maxAgeNs() > 0 && attempt.maxAgeNs() <= fixture.now - purgedAt);
+        }
+        openAttempts.merge(attempt.id(), 1, Integer::sum);
+        scheduleOutcome(attempt, number - 1);
+        if (number == 1) {
+            schedule(request.deadlineNs(), new ClientDisconnected(attempt.id()));
         }
-        Long since = purged.get(q.object());
-        if (since != null && rig.now < since + 6000 * RouterFixture.MS) {
-            assertTrue(g.maxAgeNs() > 0 && g.maxAgeNs() <= rig.now - since);
+    }
+
+    private void checkIdempotency(RequestReceived request) {
+        boolean mayHaveExecuted = mayHaveExecutedSince.containsKey(request.id());
+        if (request.classIndex() == RouterFixture.NOT_IDEMPOTENT) {
+            assertTrue(openAttempts.getOrDefault(request.id(), 0) == 0 && !mayHaveExecuted);
+        } else if (request.classIndex() == RouterFixture.KEYED && mayHaveExecuted) {
+            assertTrue(fixture.now - firstSent.get(request.id()) <= 2000 * RouterFixture.MS);
         }
-        out.merge(g.id(), 1, Integer::sum);
+    }
+
+    private void scheduleOutcome(StartAttempt attempt, int index) {
         AttemptOutcome[] outcomes = AttemptOutcome.values();
-        boolean well = random.nextInt(3) > 0;
-        AttemptOutcome outcome =
-                well ? AttemptOutcome.OK : outcomes[random.nextInt(outcomes.length)];
-        CacheStatus note =
+        CacheStatus[] statuses = CacheStatus.values();
+        boolean ok = random.nextInt(3) > 0;
+        AttemptOutcome outcome = ok ? AttemptOutcome.OK : outcomes[random.nextInt(outcomes.length)];
+        CacheStatus status =
                 outcome == AttemptOutcome.OK
                         ? CacheStatus.HIT
-                        : CacheStatus.values()[random.nextInt(CacheStatus.values().length)];
-        long took = Math.min(g.timeoutNs(), (1 + random.nextInt(800)) * RouterFixture.MS);
-        due.computeIfAbsent(rig.now + took, k -> new ArrayList<>())
-                .add(
-                        new AttemptCompleted(
-                                g.id(), n - 1, g.endpoint(), outcome, note, took, 0, false));
-        if (n == 1) {
-            due.computeIfAbsent(q.deadlineNs(), k -> new ArrayList<>())
-                    .add(new ClientDisconnected(g.id()));
-        }
+                        : statuses[random.nextInt(statuses.length)];
+        long duration = Math.min(attempt.timeoutNs(), (1 + random.nextInt(800)) * RouterFixture.MS);
+        schedule(
+                fixture.now + duration,
+                new AttemptCompleted(
+                        attempt.id(),
+                        index,
+                        attempt.endpoint(),
+                        outcome,
+                        status,
+                        duration,
+                        0,
+                        false));
+    }
+
+    private void schedule(long at, RouterEvent event) {
+        due.computeIfAbsent(at, k -> new ArrayList<>()).add(event);
     }
 
-    private void end(long id) {
-        assertEquals(true, open.remove(id) != null && ended.add(id), "a second final answer");
+    private void finish(long id) {
+        assertEquals(true, open.remove(id) != null && finished.add(id), "a second final response");
     }
 }
--- a/src/test/java/brooklock/routing/RouterFixture.java
+++ b/src/test/java/brooklock/routing/RouterFixture.java
@@ -1,6 +1,7 @@
 package brooklock.routing;
 
 import brooklock.routing.RouterAction.StartAttempt;
+import brooklock.routing.RouterEvent.AttemptCompleted;
 import brooklock.routing.RouterEvent.EndpointListReceived;
 import brooklock.routing.RouterEvent.RequestReceived;
 import brooklock.routing.RouterSettings.Limits;
@@ -11,7 +12,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** Drives one {@link Router} by hand: a clock, a list of hosts, requests and outcomes. */
+/** Drives one {@link Router} by hand: a clock, an endpoint list, requests and outcomes. */
 final class RouterFixture {
     static final long MS = 1_000_000L;
     static final int CACHE = 0;
@@ -19,30 +20,30 @@
     static final int ORIGIN = 2;
     static final int PAGE = 0;
     static final int KEYED = 1;
-    static final int UNSAFE = 2;
-    static final long ORIGIN_HOST = 900;
+    static final int NOT_IDEMPOTENT = 2;
+    static final long ORIGIN_ID = 900;
 
-    final Router rules;
-    final Map<Long, Integer> sends = new HashMap<>();
+    final Router router;
+    final Map<Long, Integer> attemptsByRequest = new HashMap<>();
     long now = 1_000_000 * MS;
-    private long lastId;
+    private long lastRequestId;
 
     RouterFixture() {
         this(settings(true, IdempotencyScope.ALL));
     }
 
     RouterFixture(RouterSettings settings) {
-        rules = new Router(settings);
-        List<RouterAction> out = new ArrayList<>();
-        rules.start(now, out);
+        router = new Router(settings);
+        router.start(now, new ArrayList<>());
         now += 20_000 * MS;
     }
 
-    static RouterSettings settings(boolean duplicates, IdempotencyScope group) {
-        return settings(duplicates, group, 4);
+    static RouterSettings settings(boolean hedgingAllowed, IdempotencyScope scope) {
+        return settings(hedgingAllowed, scope, 4);
     }
 
-    static RouterSettings settings(boolean duplicates, IdempotencyScope group, int routers) {
+    static RouterSettings settings(
+            boolean hedgingAllowed, IdempotencyScope scope, int dispatchers) {
         List<RequestClass> classes =
                 List.of(
                         new RequestClass(
@@ -57,7 +58,7 @@
                                 500 * MS,
                                 0,
                                 Idempotency.IDEMPOTENCY_KEY,
-                                group,
+                                scope,
                                 2000 * MS,
                                 true,
                                 0),
@@ -71,9 +72,9 @@
                                 0));
         return new RouterSettings(
                 classes,
-                new Limits(true, duplicates, true, 6, 500 * MS, 400 * MS),
+                new Limits(true, hedgingAllowed, true, 6, 500 * MS, 400 * MS),
                 new SafetyLimits(0.2, 15_000 * MS, 2, 2000 * MS, 0.06, 20_000 * MS, 2, 6000 * MS),
-                routers,
+                dispatchers,
                 1,
                 List.of(0, 0, 0),
                 PARENT,
@@ -86,80 +87,92 @@
                 2 * MS);
     }
 
-    /** Four caches 11..14 in zone 1, one in zone 2, parents 801 and 802 in the hub, the origin. */
-    RouterFixture withFleet() {
-        List<Endpoint> all = new ArrayList<>();
-        for (long h = 11; h <= 14; h++) {
-            all.add(host(h, 1, CACHE, EndpointState.READY, 0));
+    /**
+     * Four caches 11 to 14 in zone 1, one in zone 2, parents 801 and 802 in the hub, the origin.
+     */
+    RouterFixture withEndpoints() {
+        List<Endpoint> endpoints = new ArrayList<>();
+        for (long id = 11; id <= 14; id++) {
+            endpoints.add(cache(id, EndpointState.READY, 0));
         }
-        all.add(host(21, 2, CACHE, EndpointState.READY, 0));
-        all.add(host(801, 0, PARENT, EndpointState.READY, 0));
-        all.add(host(802, 0, PARENT, EndpointState.READY, 0));
-        all.add(host(ORIGIN_HOST, 0, ORIGIN, EndpointState.READY, 0));
-        on(new EndpointListReceived(EndpointListKind.CACHED, all));
+        endpoints.add(new Endpoint(21, 2, CACHE, EndpointState.READY, 1, 0));
+        endpoints.add(parent(801, EndpointState.READY, 0));
+        endpoints.add(parent(802, EndpointState.READY, 0));
+        endpoints.add(origin());
+        onEvent(new EndpointListReceived(EndpointListKind.CACHED, endpoints));
         return this;
     }
 
-    static Endpoint host(long id, int zone, int kind, EndpointState state, long startedAt) {
-        return new Endpoint(id, zone, kind, state, 1, startedAt);
+    /** A cache of the router's own zone. */
+    static Endpoint cache(long id, EndpointState state, long startedAtNs) {
+        return new Endpoint(id, 1, CACHE, state, 1, startedAtNs);
     }
 
-    void change(Endpoint... entries) {
-        on(new EndpointListReceived(EndpointListKind.DELTA, List.of(entries)));
+    static Endpoint parent(long id, EndpointState state, long startedAtNs) {
+        return new Endpoint(id, 0, PARENT, state, 1, startedAtNs);
     }
 
-    List<RouterAction> on(RouterEvent e) {
-        List<RouterAction> out = new ArrayList<>();
-        rules.onEvent(now, e, out);
-        for (RouterAction a : out) {
-            if (a instanceof StartAttempt g) {
-                sends.merge(g.id(), 1, Integer::sum);
-            }
-        }
-        return out;
+    static Endpoint origin() {
+        return new Endpoint(ORIGIN_ID, 0, ORIGIN, EndpointState.READY, 1, 0);
     }
 
-    RequestReceived request(int cls, long object) {
-        return new RequestReceived(++lastId, cls, object, 0, 3, 50, false, now + 3000 * MS);
+    void changeEndpoints(Endpoint... endpoints) {
+        onEvent(new EndpointListReceived(EndpointListKind.DELTA, List.of(endpoints)));
     }
 
-    /** Sends a request in and returns its attempt. */
-    StartAttempt ask(int cls, long object) {
-        return get(on(request(cls, object)));
+    List<RouterAction> onEvent(RouterEvent event) {
+        List<RouterAction> actions = new ArrayList<>();
+        router.onEvent(now, event, actions);
+        for (RouterAction action : actions) {
+            if (action instanceof StartAttempt attempt) {
+                attemptsByRequest.merge(attempt.id(), 1, Integer::sum);
+            }
+        }
+        return actions;
     }
 
-    static StartAttempt get(List<RouterAction> actions) {
-        return actions.stream()
-                .filter(StartAttempt.class::isInstance)
-                .map(StartAttempt.class::cast)
-                .findFirst()
-                .orElse(null);
+    RequestReceived newRequest(int classIndex, long object) {
+        return new RequestReceived(
+                ++lastRequestId, classIndex, object, 0, 3, 50, false, now + 3000 * MS);
     }
 
-    static <T> List<T> all(List<RouterAction> actions, Class<T> type) {
-        return actions.stream().filter(type::isInstance).map(type::cast).toList();
+    /** Sends a request in and returns its attempt, or null. */
+    StartAttempt request(int classIndex, long object) {
+        return attemptIn(onEvent(newRequest(classIndex, object)));
+    }
+
+    /** Sends a request in and has it served at once, in time. */
+    StartAttempt requestServed(int classIndex, long object) {
+        StartAttempt attempt = request(classIndex, object);
+        if (attempt != null) {
+            complete(attempt, AttemptOutcome.OK, CacheStatus.HIT, 10);
+        }
+        return attempt;
     }
 
     /** Ends the newest attempt of a request. */
-    List<RouterAction> done(StartAttempt g, AttemptOutcome outcome, CacheStatus note, long tookMs) {
-        return on(
-                new RouterEvent.AttemptCompleted(
-                        g.id(),
-                        sends.get(g.id()) - 1,
-                        g.endpoint(),
+    List<RouterAction> complete(
+            StartAttempt attempt, AttemptOutcome outcome, CacheStatus status, long durationMs) {
+        return onEvent(
+                new AttemptCompleted(
+                        attempt.id(),
+                        attemptsByRequest.get(attempt.id()) - 1,
+                        attempt.endpoint(),
                         outcome,
-                        note,
-                        tookMs * MS,
+                        status,
+                        durationMs * MS,
                         0,
                         outcome == AttemptOutcome.OK));
     }
 
-    /** Asks and answers at once, in time. */
-    StartAttempt hit(int cls, long object) {
-        StartAttempt g = ask(cls, object);
-        if (g != null) {
-            done(g, AttemptOutcome.OK, CacheStatus.HIT, 10);
-        }
-        return g;
+    /** The first attempt among actions, or null. */
+    static StartAttempt attemptIn(List<RouterAction> actions) {
+        List<StartAttempt> attempts = allOf(actions, StartAttempt.class);
+        return attempts.isEmpty() ? null : attempts.get(0);
+    }
+
+    /** The actions of one type, in order. */
+    static <T> List<T> allOf(List<RouterAction> actions, Class<T> type) {
+        return actions.stream().filter(type::isInstance).map(type::cast).toList();
     }
 }
