--- a/src/main/java/brooklock/routing/Attempt.java
+++ b/src/main/java/brooklock/routing/Attempt.java
@@ -10,13 +10,13 @@
     final FillReach reach;
     final long sentAtNs;
 
-    /**
-     * Work reserved on the endpoint's link, on the fill link and at the origin, ns; 0 once
-     * released.
-     */
+    /** Work reserved on the endpoint's link, ns; 0 once released. */
     double endpointWorkNs;
 
+    /** Work reserved on the fill link of the zone, ns; 0 once released. */
     double fillWorkNs;
+
+    /** Work reserved at the origin, ns; 0 once released. */
     double originWorkNs;
 
     /** Whether its outcome is known. */
--- a/src/main/java/brooklock/routing/CacheSelector.java
+++ b/src/main/java/brooklock/routing/CacheSelector.java
@@ -6,11 +6,14 @@
 /**
  * Bounded-load rendezvous selection of the edge cache of a request.
  *
- * <p>The caches of the own zone are tried in the order of {@link RendezvousHash}; one is passed
- * over that the request has tried, that is ejected, that has no slow-start budget left, or that
- * carries more than its share. The bound prevents that one popular copy fills a cache's link while
- * its peers idle, which shows as late hits at one cache; it holds because what a cache may not take
- * goes on to the next in the order.
+ * <p>Inputs: the caches of the own zone, the work in flight at each, {@link OutlierDetector},
+ * {@link SlowStart} and how often the object is requested.
+ *
+ * <p>The caches are tried in the order of {@link RendezvousHash}. One is passed over that the
+ * request has tried, that is ejected, that carries more than its share, or whose slow-start budget
+ * does not cover the request. The bound on the share prevents that one popular copy fills a cache's
+ * link while its peers idle, which shows as late hits at one cache. It holds because what a cache
+ * may not take goes on to the next in the order.
  */
 final class CacheSelector {
     /** A cache is passed over above this multiple of its peers' mean work in flight ... */
@@ -19,11 +22,14 @@
     /** ... and this many mean requests more, so that small numbers move nothing. */
     private static final double LOAD_SLACK_REQUESTS = 2;
 
-    /** Caches selected one by one before the rest is sorted, which costs about as many passes. */
+    /** Caches picked one by one before the rest is sorted, which costs about as many passes. */
     private static final int SELECTION_PASSES = 8;
 
-    private static final double TRIED_PENALTY = 1e15;
-    private static final double EJECTED_PENALTY = 1e12;
+    /** Added to the load, ns, of a cache that the request has tried: far above any load. */
+    private static final double TRIED_PENALTY_NS = 1e15;
+
+    /** Added to the load, ns, of an ejected cache: above any load, below the other penalty. */
+    private static final double EJECTED_PENALTY_NS = 1e12;
 
     private static final Comparator<RoutedEndpoint> BY_SCORE =
             Comparator.comparingDouble(endpoint -> -endpoint.rendezvousScore);
@@ -125,8 +131,8 @@
 
     private double penalizedLoad(PendingRequest request, RoutedEndpoint cache, long now) {
         return loadOf(cache)
-                + (request.hasTried(cache) ? TRIED_PENALTY : 0)
-                + (outliers.isEjected(cache, now) ? EJECTED_PENALTY : 0);
+                + (request.hasTried(cache) ? TRIED_PENALTY_NS : 0)
+                + (outliers.isEjected(cache, now) ? EJECTED_PENALTY_NS : 0);
     }
 
     private static double loadOf(RoutedEndpoint cache) {
--- a/src/main/java/brooklock/routing/ConcurrencyLimit.java
+++ b/src/main/java/brooklock/routing/ConcurrencyLimit.java
@@ -1,44 +1,47 @@
 package brooklock.routing;
 
 /**
- * Adaptive limit (AIMD) on the work in flight on one shared link, in ns of transfer.
+ * Adaptive limit on the work in flight on one shared link, by additive increase and multiplicative
+ * decrease.
  *
- * <p>It prevents a jam: once responses come late, more work makes all of it late, which shows as
- * latencies that grow together while throughput stands still. There is no limit until responses are
- * late. Then it grows by a part of the work answered in time and shrinks by the rest of what was
- * late, so that it settles at a tolerated share of late responses; links that are late by their own
- * slowness get a higher one.
+ * <p>Inputs: work in nanoseconds of transfer, as attempts start and end, and whether responses met
+ * their objective.
+ *
+ * <p>There is no limit until responses come late. Then it grows by a part of the work that was
+ * answered in time and shrinks by the rest of the work that was late, so that it settles at a
+ * tolerated share of late responses. That share is higher where responses are late for other
+ * reasons too.
+ *
+ * <p>This prevents a jam: on a full link more work makes all of it late, which shows as latencies
+ * that grow together while throughput stands still. It holds because work over the limit is sent
+ * elsewhere or rejected at once.
  */
 final class ConcurrencyLimit {
-    /**
-     * Share of late responses at which a limit settles: of a cache's link, of the fill link, of the
-     * origin.
-     */
+    /** Tolerated share of late responses on a cache's own link. */
     private static final double CACHE_LATE_SHARE = 0.1;
 
+    /** Tolerated share of late responses on the fill link of the zone. */
     private static final double FILL_LATE_SHARE = 0.2;
+
+    /** Tolerated share of late responses at the origin. */
     private static final double ORIGIN_LATE_SHARE = 0.3;
 
-    /**
-     * Mean requests for which a limit stays open: here, and at the origin for all dispatchers
-     * together.
-     */
+    /** Mean requests for which a limit of the own zone always stays open. */
     private static final double MIN_REQUESTS = 2;
 
+    /** Mean requests for which the limits of all dispatchers together stay open at the origin. */
     private static final double MIN_ORIGIN_REQUESTS = 4;
 
     /** Part of a limit that one late response may take: a large one must not shut it for all. */
-    private static final double MAX_BACKOFF = 0.25;
+    private static final double MAX_DECREASE = 0.25;
 
-    /** Running share of late responses that starts a limit. */
+    /** Running share of late responses from which on a link is late and gets a limit. */
     private static final double LATE_SHARE_TO_LIMIT = 0.15;
 
-    /**
-     * Weight of one response in that share, and of one of unknown size, which may be late for its
-     * size alone.
-     */
+    /** Weight of one response in the running share. */
     private static final double LATE_WEIGHT = 0.1;
 
+    /** Weight of one of unknown size, which may be late for its size alone. */
     private static final double UNSIZED_LATE_WEIGHT = 0.05;
 
     private final double toleratedLateShare;
@@ -114,7 +117,7 @@
             limitNs =
                     lateShare > LATE_SHARE_TO_LIMIT ? Math.max(min, inFlightNs + workNs) : limitNs;
         } else if (inFlightNs + workNs > limitNs / 2) {
-            double decrease = Math.min((1 - toleratedLateShare) * workNs, MAX_BACKOFF * limitNs);
+            double decrease = Math.min((1 - toleratedLateShare) * workNs, MAX_DECREASE * limitNs);
             double increase = Math.min(toleratedLateShare * workNs, limitNs);
             limitNs = Math.max(min, limitNs + (onTime ? increase : -decrease));
         }
--- a/src/main/java/brooklock/routing/EndpointTable.java
+++ b/src/main/java/brooklock/routing/EndpointTable.java
@@ -7,11 +7,14 @@
 import java.util.TreeMap;
 
 /**
- * The endpoint list and each endpoint's state, sorted by what this dispatcher uses it for.
+ * The endpoint list and each endpoint's state, sorted by what this dispatcher uses them for.
  *
- * <p>Only endpoints that are ready are in the lists that selection reads: one that drains or is
- * gone gets neither requests nor fills from the event on that says so. Its state is kept until its
- * last attempt has ended, so that outcomes find their endpoint.
+ * <p>Inputs: endpoint lists and changes of them, in the order of their events.
+ *
+ * <p>Only endpoints that are ready stand in the lists that selection reads, so one that drains or
+ * is gone gets neither requests nor fills from the event on that says so. This prevents errors from
+ * endpoints that shut down, which show during each deployment. The state of an endpoint is kept
+ * until its last attempt has ended, so that its load is still known if it returns before.
  */
 final class EndpointTable {
     private final RouterSettings settings;
--- a/src/main/java/brooklock/routing/FillAdmission.java
+++ b/src/main/java/brooklock/routing/FillAdmission.java
@@ -3,22 +3,25 @@
 import brooklock.routing.RouterEvent.AttemptCompleted;
 
 /**
- * How far a request may reach: to its cache's copy only, to a parent, to the origin.
+ * Admission: how far a request may reach, to its cache's copy only, to a parent, to the origin, or
+ * not at all.
+ *
+ * <p>Inputs: the work of the request, the limits of the links, the hot list, and the miss ratios
+ * learned from outcomes.
  *
  * <p>Each attempt reserves work on its endpoint's link, on the zone's fill link and at the origin,
- * the latter two by the share of requests that get so far. Where a link has no room the request
- * goes only as far as there is, and further on a miss if there is room by then. It prevents that
- * misses which cannot be filled hold up hits, which shows as late responses from caches that have
- * the object; it holds because a cached copy needs only the cache's own link.
+ * on the latter two by the share of requests that get so far. Where a link has no capacity left the
+ * request goes only as far as there is, and further on a miss if there is by then. Where it would
+ * reach nothing new, the load is shed: the {@link Router} rejects the request or fails it at once.
+ *
+ * <p>This prevents that misses which cannot be filled hold up hits, which shows as late responses
+ * from caches that have the object. It holds because a cached copy needs only the cache's own link.
  */
 final class FillAdmission {
-    /**
-     * Share of requests taken to need a fill, and of fills to need the origin, before any is
-     * measured.
-     */
+    /** Miss ratio of caches and of parents until they are measured. */
     private static final double INITIAL_MISS_RATIO = 0.3;
 
-    /** Weight of a new sample in both. */
+    /** Weight of a new sample in a miss ratio. */
     private static final double MISS_RATIO_WEIGHT = 0.05;
 
     private final OutlierDetector outliers;
@@ -100,7 +103,7 @@
             boolean responseLost,
             double meanWorkNs,
             long now) {
-        boolean early = now < request.latencyObjectiveNs;
+        boolean early = now < request.objectiveAtNs;
         if (completed.outcome().neverStarted()
                 || completed.outcome() == AttemptOutcome.CANCELLED && early) {
             return;
--- a/src/main/java/brooklock/routing/FillSourceSelector.java
+++ b/src/main/java/brooklock/routing/FillSourceSelector.java
@@ -3,19 +3,24 @@
 import java.util.List;
 
 /**
- * Parent or origin as the fill source of a miss: a parent of the own hub by {@link RendezvousHash},
- * else of another.
+ * Parent or origin as the fill source of a miss.
  *
- * <p>Parents that are ejected, or that this request has named before, come last, yet before the
- * origin: when all parents fail, the origin behind them is the cause, and a direct fill would push
- * it further. Only where no parent may be used, as one that warms up after its connections were
- * lost, the origin is named.
+ * <p>Inputs: the parents in the order of {@link RendezvousHash}, those of the own hub first, {@link
+ * OutlierDetector}, {@link SlowStart}, and the fill sources that the request has named before.
+ *
+ * <p>Parents that are ejected or were named before come last, yet before the origin: when all
+ * parents fail, the origin behind them is the cause, and direct fills would push it further, which
+ * shows as an origin that does not recover while its parents are rejected. The origin is named only
+ * where no parent may be used, as when those left have lost their connections and are warming up.
  */
 final class FillSourceSelector {
-    /** Far above any score, so that the order by score holds only between parents alike. */
+    /** Far above any score, so that scores decide only between parents with the same penalty. */
     private static final double PENALTY_WEIGHT = 1e6;
 
+    /** Penalty of a parent that the request has named before. */
     private static final int ALREADY_USED = 2;
+
+    /** Penalty of an ejected parent. */
     private static final int EJECTED = 1;
 
     private final EndpointTable endpoints;
--- a/src/main/java/brooklock/routing/HedgingPolicy.java
+++ b/src/main/java/brooklock/routing/HedgingPolicy.java
@@ -5,19 +5,24 @@
 /**
  * Hedged requests: a second attempt beside the first, where the first response was lost.
  *
- * <p>It prevents that requests wait for their deadline when responses get lost, which shows as
- * timeouts at endpoints that answer others. Until then a large response looks like a lost one, so
- * the rate of lost ones is learned from deadlines and from hedged requests that win, and none is
- * sent for what is merely late: it would load a jammed link twice.
+ * <p>Inputs: outcomes, whether their endpoints have responded to others since, and whether links
+ * are late.
+ *
+ * <p>This prevents that requests wait for their deadline when responses get lost, which shows as
+ * timeouts at endpoints that respond to others. Until its deadline a large response looks like a
+ * lost one, so the rate of lost responses is learned first, from deadlines and from hedged requests
+ * that win. What is merely late is not hedged: that would load a jammed link twice.
  */
 final class HedgingPolicy {
-    /** Share of the time to its objective after which an unanswered request is looked at again. */
+    /**
+     * Share of the time to its latency objective after which an open request is looked at again.
+     */
     private static final double HEDGE_AT_OBJECTIVE_SHARE = 0.6;
 
     /** Rate of lost responses above which requests are hedged. */
     private static final double MIN_LOST_RATE = 0.05;
 
-    /** Weight of a new sample in that rate. */
+    /** Weight of a new sample in the rate of lost responses. */
     private static final double LOST_RATE_WEIGHT = 0.05;
 
     private final boolean allowed;
@@ -33,7 +38,7 @@
 
     /** When the request is looked at again. */
     static long hedgeAtNs(PendingRequest request, long now) {
-        return now + (long) ((request.latencyObjectiveNs - now) * HEDGE_AT_OBJECTIVE_SHARE);
+        return now + (long) ((request.objectiveAtNs - now) * HEDGE_AT_OBJECTIVE_SHARE);
     }
 
     /**
--- a/src/main/java/brooklock/routing/HotList.java
+++ b/src/main/java/brooklock/routing/HotList.java
@@ -8,33 +8,34 @@
 /**
  * Cache admission: whether an edge cache keeps a copy, with which priority, and on how many caches.
  *
- * <p>An object is hot if it was requested in the previous interval, or twice in this one. The list
- * prevents that objects requested once push out those requested again, which shows as a falling hit
- * ratio at an even load. It uses requests alone, so no response, late or lost, can empty it.
+ * <p>Inputs: requests and the time. No response is used, so none that is late or lost can empty the
+ * list.
+ *
+ * <p>An object is hot if it was requested in the previous interval, or twice in this one. After the
+ * first interval only hot objects are cached at the edge. This prevents that objects requested once
+ * push out those requested again, which shows as a falling hit ratio at an even load. It holds
+ * because one request never makes an object hot, nor does the retry of one that was rejected.
  */
 final class HotList {
     /** Length of an interval, ns: about as long as edge caches keep what is not requested again. */
     private static final long INTERVAL_NS = 10_000_000_000L;
 
-    /** Objects counted in one interval, the oldest is dropped first: bounds the memory. */
+    /** Objects counted in one interval; the oldest is dropped first, which bounds the memory. */
     private static final int MAX_COUNTED_OBJECTS = 50_000;
 
-    /**
-     * Requests in this interval above which an object is spread over two caches, and over three.
-     */
+    /** Requests in this interval above which an object is spread over two caches. */
     private static final int REQUESTS_FOR_TWO_CACHES = 20;
 
+    /** Requests in this interval above which an object is spread over three caches. */
     private static final int REQUESTS_FOR_THREE_CACHES = 60;
 
-    /**
-     * Priority of a hot copy: the middle one, which replaces unused copies and none of higher
-     * priority.
-     */
+    /** Priority of a hot copy: the middle one, it replaces unused copies and none above it. */
     private static final int HOT_PRIORITY = 2;
 
     /** Priority of other copies in the first interval, while there is no list: the lowest. */
     private static final int UNKNOWN_PRIORITY = 1;
 
+    /** Priority of a copy that is not cached. */
     private static final int NOT_CACHED = 0;
 
     private Map<Long, ObjectDemand> previous = new HashMap<>();
--- a/src/main/java/brooklock/routing/OutlierDetector.java
+++ b/src/main/java/brooklock/routing/OutlierDetector.java
@@ -3,43 +3,49 @@
 import brooklock.routing.RouterEvent.AttemptCompleted;
 
 /**
- * Outlier detection: ejects endpoints that fail or are silent, and lets them back by health checks.
+ * Outlier detection: when an endpoint is ejected and let back, and whom an error is attributed to.
  *
- * <p>An endpoint is ejected while its error rate is high, or while several attempts have had no
- * response for long, which finds it before the endpoint list does. It then gets one real request as
- * a health check now and then, with a pause that doubles with each that fails; a good one ends the
- * pause, and the error rate falls with each good response until the endpoint is let back. This
- * prevents that a failing endpoint takes its share of every request, which shows as a steady share
- * of errors or timeouts. An error is attributed to its endpoint only once another endpoint has
- * served the request, or where no other was tried: requests that no endpoint can serve must not
- * eject healthy ones.
+ * <p>Inputs: outcomes of attempts and the cache statuses that name a fill source; nothing from the
+ * endpoint list.
+ *
+ * <p>An endpoint is ejected while its error rate is above {@link #MAX_ERROR_RATE}, or while it is
+ * silent, which finds a dead endpoint before the list says so. An ejected endpoint gets one real
+ * request as its health check, after a pause that doubles with each check that fails. A good
+ * response ends the pause; with each one the error rate falls, and the endpoint is let back once it
+ * is under the bound. This prevents that a failing endpoint takes its share of all requests, which
+ * shows as a steady share of errors or timeouts.
+ *
+ * <p>An error is attributed to its endpoint only once another endpoint has served the request, or
+ * where no other was tried. This prevents that requests which no endpoint can serve eject healthy
+ * ones, which shows as endpoints ejected one after the other by a single client. It holds because
+ * such a request is served by none.
  */
 final class OutlierDetector {
-    /** Weights of one failure and of one success in the error rate, and the rate that ejects. */
+    /** Weight of one failure in the error rate. */
     private static final double FAILURE_WEIGHT = 0.25;
 
+    /** Weight of one success in the error rate. */
     private static final double SUCCESS_WEIGHT = 0.1;
+
+    /** Error rate above which an endpoint is ejected. */
     private static final double MAX_ERROR_RATE = 0.4;
 
-    /** Pause before the first health check, ns, and how often it is doubled at most. */
+    /** Pause before the first health check, ns. */
     private static final long HEALTH_CHECK_PAUSE_NS = 1_000_000_000L;
 
+    /** How often the pause is doubled at most. */
     private static final int MAX_PAUSE_DOUBLINGS = 4;
 
-    /**
-     * An endpoint is silent with so many open attempts and no response for this multiple of the
-     * longest objective.
-     */
+    /** Open attempts from which on an endpoint can be silent. */
     private static final int MIN_SILENT_ATTEMPTS = 3;
 
+    /** Multiple of the longest latency objective without a response after which it is silent. */
     private static final double SILENT_OBJECTIVES = 2;
 
     /** Connections lost one after the other that mean a restart. */
     private static final int CONNECTION_FAILURES_OF_RESTART = 3;
 
-    /**
-     * A fill source was not reached if the fill failed within this multiple of the connect timeout.
-     */
+    /** A fill that fails within this multiple of the connect timeout did not reach its source. */
     private static final double UNREACHED_CONNECT_TIMEOUTS = 1.25;
 
     private final double silentAfterNs;
--- a/src/main/java/brooklock/routing/PendingRequest.java
+++ b/src/main/java/brooklock/routing/PendingRequest.java
@@ -8,8 +8,12 @@
 
 /** One request, from its acceptance until its final response and its last outcome. State only. */
 final class PendingRequest {
+    /** The event that brought it. */
     final RequestReceived event;
+
     final RequestClass requestClass;
+
+    /** The count of its object. */
     final ObjectDemand demand;
 
     /** Whether its object is on the hot list. */
@@ -23,8 +27,8 @@
 
     final long acceptedAtNs;
 
-    /** Until when a response is worth its full price. */
-    final long latencyObjectiveNs;
+    /** Until when a response meets the latency objective. */
+    final long objectiveAtNs;
 
     /** When it gets its final response at the latest. */
     final long finalResponseAtNs;
@@ -32,8 +36,13 @@
     /** Endpoints that responded with an error and are not yet blamed for it. */
     final List<RoutedEndpoint> failedEndpoints = new ArrayList<>(1);
 
+    /** All its attempts, by their number. */
     final List<Attempt> attempts = new ArrayList<>();
+
+    /** Attempts whose outcome is not known yet. */
     int openAttempts;
+
+    /** When its first attempt was sent: the start of the window of its idempotency key. */
     long firstSentAtNs;
 
     /** Whether it has its final response, or its client has left. */
@@ -42,9 +51,10 @@
     /** Whether an attempt may have been executed. */
     boolean mayHaveExecuted;
 
-    /** Whether its cache, and whether a parent too, is known to lack the object. */
+    /** Whether its cache is known to lack the object, so that a fill is certain. */
     boolean missed;
 
+    /** Whether a parent is known to lack it too, so that the origin is certain. */
     boolean parentMissed;
 
     PendingRequest(
@@ -63,7 +73,7 @@
         this.finalResponseAtNs = finalResponseAtNs;
         sizeKnown = event.sizeKb() > 0 || demand.workNs > 0;
         acceptedAtNs = now;
-        latencyObjectiveNs =
+        objectiveAtNs =
                 now
                         + requestClass.latencyObjectiveNs()
                         + (long) (requestClass.latencyObjectiveWorkFactor() * workNs);
@@ -79,7 +89,7 @@
 
     /** Whether an outcome met the latency objective. */
     boolean isOnTime(AttemptCompleted completed) {
-        return completed.durationNs() < latencyObjectiveNs - acceptedAtNs;
+        return completed.durationNs() < objectiveAtNs - acceptedAtNs;
     }
 
     /**
--- a/src/main/java/brooklock/routing/PurgeLog.java
+++ b/src/main/java/brooklock/routing/PurgeLog.java
@@ -7,16 +7,16 @@
 /**
  * The oldest copy that may be served.
  *
- * <p>Caches apply a purge in their own time, so each purge is remembered until no older copy can be
- * left, and every attempt asks for a younger copy until then. It prevents a purged copy from being
- * served, which shows as old content after a purge; it holds because a copy's age only grows on its
- * way.
+ * <p>Inputs: purges of objects and groups, the time within which caches have applied them, and the
+ * freshness lifetime of the request's class.
+ *
+ * <p>Caches apply a purge in their own time. Until the last one has, each attempt for a purged
+ * object demands a copy that is younger than the purge. This prevents that a purged copy is served,
+ * which shows as old content after a purge. It holds because every attempt that starts after the
+ * purge event demands it, and a copy's age only grows on its way.
  */
 final class PurgeLog {
-    /**
-     * Purges are kept this much longer, and copies demanded this much younger, ns: clocks are read
-     * in steps.
-     */
+    /** How much longer purges are kept, and how much younger copies are demanded, ns. */
     private static final long MARGIN_NS = 1_000_000L;
 
     private final long purgeWindowNs;
--- a/src/main/java/brooklock/routing/RequestTimers.java
+++ b/src/main/java/brooklock/routing/RequestTimers.java
@@ -7,7 +7,7 @@
 
 /** The timers that a router has set, by token. State only. */
 final class RequestTimers {
-    /** Timer tokens have 32 bits on the simulator's wire. */
+    /** Tokens are unsigned numbers of 32 bits. */
     private static final long TOKEN_MASK = 0xffffffffL;
 
     /** What a timer is for. */
--- a/src/main/java/brooklock/routing/RetryBudget.java
+++ b/src/main/java/brooklock/routing/RetryBudget.java
@@ -1,15 +1,18 @@
 package brooklock.routing;
 
 /**
- * The share of extra attempts, retries and hedged requests alike. It prevents that failures
- * multiply the load on the endpoints that are left, which shows as attempts that grow while
- * responses fall.
+ * The budget of extra attempts, for retries and hedged requests alike.
+ *
+ * <p>Each request earns a part of an extra attempt. This prevents that failures multiply the load
+ * on the endpoints that are left, which shows as attempts that rise while responses fall. It holds
+ * because extra attempts can never be more than the earned share of requests, and the few saved
+ * before.
  */
 final class RetryBudget {
     /** Extra attempts that one request earns. */
     private static final double EARNED_PER_REQUEST = 0.2;
 
-    /** Extra attempts saved at most, also at the start. */
+    /** Extra attempts saved at most, and at the start. */
     private static final double MAX_SAVED = 20;
 
     private double saved = MAX_SAVED;
--- a/src/main/java/brooklock/routing/RetryPolicy.java
+++ b/src/main/java/brooklock/routing/RetryPolicy.java
@@ -5,13 +5,18 @@
 /**
  * Retries: whether a request may be sent again, and whether it may be rejected.
  *
- * <p>It prevents that a request is executed twice, which shows as a doubled effect at the origin. A
- * request that is not idempotent goes again only if no attempt can have been executed; one with an
- * idempotency key also within the window of its first attempt, where all endpoints drop repeats of
- * the key.
+ * <p>Inputs: the idempotency of the request's class, what its attempts prove of their execution,
+ * and the time.
+ *
+ * <p>An idempotent request may always be sent again. One with an idempotency key may, once an
+ * attempt may have been executed, only within the key's window from its first attempt on, and only
+ * if all endpoints share keys. Any other only if each attempt is proved not to have been executed.
+ * This prevents that a request is executed twice, which shows as a doubled effect behind the
+ * origin. It holds because the endpoints drop repeats of a key within its window, and a repeat that
+ * waits for its connection may not start after it.
  */
 final class RetryPolicy {
-    /** Errors after which the request is taken to be at fault itself. */
+    /** Endpoints that respond with an error before the request itself is taken to be at fault. */
     private static final int MAX_ERRORS = 3;
 
     private final int maxAttempts;
@@ -28,7 +33,7 @@
      * Whether a request without open attempts may be sent again; a late response is not worth one.
      */
     boolean mayRetry(PendingRequest request, long now) {
-        return now < request.latencyObjectiveNs
+        return now < request.objectiveAtNs
                 && request.failedEndpoints.size() < MAX_ERRORS
                 && mayRepeat(request, now);
     }
--- a/src/main/java/brooklock/routing/RoutedEndpoint.java
+++ b/src/main/java/brooklock/routing/RoutedEndpoint.java
@@ -13,9 +13,10 @@
     /** What the list says of it now; an entry missing from a full list is gone. */
     EndpointState state;
 
-    /** Whether it is a parent; neither cache nor parent is the origin. */
+    /** Whether it is a parent. */
     boolean isParent;
 
+    /** Whether it is a cache; what is neither cache nor parent is the origin. */
     boolean isCache;
 
     /** Its size relative to others, 1 where weights are not used. */
@@ -30,6 +31,7 @@
     /** Work that it may still get while it warms up, ns; see {@link SlowStart}. */
     double slowStartBudgetNs;
 
+    /** When that budget was updated last. */
     long slowStartUpdatedAtNs;
 
     /** Takes over a new entry; a new start forgets the health and the budget of the one before. */
--- a/src/main/java/brooklock/routing/SlowStart.java
+++ b/src/main/java/brooklock/routing/SlowStart.java
@@ -6,14 +6,21 @@
 /**
  * Slow start: the budget of a cache or parent that is warming up, and its recovery ramp.
  *
- * <p>Its capacity is taken to rise in a line from the stated share at its start. Its budget grows
- * with that share times the work that this dispatcher gives a warm peer of its size, times a part
- * of the stated overload multiple. It prevents that an endpoint collapses under full load right
- * after its start, which shows as one that starts again and again. It holds without a message
- * between dispatchers: together they cannot give a warm peer more than its capacity, so the sum of
- * their budgets stays under the limit.
+ * <p>Inputs: start times from the endpoint list or from lost connections, the stated capacities,
+ * and what warm peers served through this dispatcher.
+ *
+ * <p>The capacity of an endpoint is taken to rise in a line, from the stated share at its start to
+ * all of it after the stated time. Its budget grows with that capacity times the work that this
+ * dispatcher gives a warm peer of its size, times a part of the stated overload multiple. Each
+ * request or fill that names it is taken from the budget; where the budget does not cover one, the
+ * endpoint is passed over.
+ *
+ * <p>This prevents that an endpoint collapses under its full share right after its start, which
+ * shows as an endpoint that starts again and again. It holds without a message between dispatchers:
+ * together they cannot give a warm peer more than its capacity, so the sum of their budgets stays
+ * under the overload multiple.
  */
-final class SlowStart {
+public final class SlowStart {
     /** Part of the overload multiple that all dispatchers together plan to use. */
     private static final double PLANNED_OVERLOAD_SHARE = 0.6;
 
@@ -46,6 +53,19 @@
         this.workEstimator = workEstimator;
     }
 
+    /**
+     * Share of its capacity that an endpoint surely has.
+     *
+     * @param ageNs time since its start, ns
+     * @param initialCapacity share of its capacity at its start
+     * @param warmUpNs time after which it has all of it, ns
+     */
+    public static double capacityAt(long ageNs, double initialCapacity, long warmUpNs) {
+        return ageNs >= warmUpNs
+                ? 1
+                : initialCapacity + (1 - initialCapacity) * Math.max(0, ageNs) / warmUpNs;
+    }
+
     /** The endpoints that are warm have changed with the list. */
     void onListChanged() {
         caches.warmUntilNs = Long.MIN_VALUE;
@@ -135,10 +155,9 @@
 
         /** Share of its capacity that an endpoint surely has by now. */
         double capacityOf(RoutedEndpoint endpoint, long now) {
-            long age = now - endpoint.startedAtNs;
-            return endpoint.startedAtNs == 0 || age >= warmUpNs
+            return endpoint.startedAtNs == 0
                     ? 1
-                    : initialCapacity + (1 - initialCapacity) * Math.max(0, age) / warmUpNs;
+                    : capacityAt(now - endpoint.startedAtNs, initialCapacity, warmUpNs);
         }
 
         /** Weight of all that are warm, kept until the list, a restart or time changes it. */
