--- a/src/main/java/brooklock/routing/OutlierDetector.java
+++ b/src/main/java/brooklock/routing/OutlierDetector.java
@@ -82,6 +82,11 @@
         }
     }
 
+    /** The outcome of one of the endpoint's attempts is known. */
+    void onAttemptEnded(RoutedEndpoint endpoint) {
+        endpoint.health.openAttempts--;
+    }
+
     /** An endpoint is used as target or fill source: if it is ejected, that is its health check. */
     void onUsed(RoutedEndpoint endpoint, long now) {
         if (isEjected(endpoint, now)) {
--- a/src/main/java/brooklock/routing/Router.java
+++ b/src/main/java/brooklock/routing/Router.java
@@ -257,7 +257,7 @@
         boolean responseLost = hedging.onCompleted(request, attempt, completed, now);
         attempt.completed = true;
         request.openAttempts--;
-        endpoint.health.openAttempts--;
+        outliers.onAttemptEnded(endpoint);
         admission.release(attempt, now);
         learnConnection(
                 endpoint,
