--- a/src/main/java/brooklock/platform/RequestExecutor.java
+++ b/src/main/java/brooklock/platform/RequestExecutor.java
@@ -182,7 +182,7 @@
         } catch (RuntimeException fault) {
             // Without this guard a fault in one decision would end the I/O thread's work for all
             // other requests, and its own request would wait for a response until its deadline.
-            LOG.error("decision failed: {}", event, fault);
+            LOG.error("routing failed: {}", event, fault);
             actions.clear();
             if (event instanceof RouterEvent.RequestReceived received) {
                 actions.add(new RouterAction.FailRequest(received.id()));
--- a/src/test/java/brooklock/platform/DispatcherFixture.java
+++ b/src/test/java/brooklock/platform/DispatcherFixture.java
@@ -29,8 +29,8 @@
 import java.util.zip.CRC32;
 
 /**
- * The parts of a dispatcher with a decider that the test writes, a front on a real socket, and
- * connections to hosts that come up when the test lets them: what crosses is forced.
+ * The parts of a dispatcher with decisions that the test makes, clients on a real socket, and
+ * connections to endpoints that come up when the test lets them, so that it can force what crosses.
  */
 final class DispatcherFixture implements Closeable {
     /** A connection on its way to an endpoint; the test opens it or lets it fail. */
