--- a/src/main/java/brooklock/membership/EndpointListCodec.java
+++ b/src/main/java/brooklock/membership/EndpointListCodec.java
@@ -3,6 +3,7 @@
 import brooklock.config.EndpointId;
 import brooklock.config.Settings.EndpointKind;
 import brooklock.routing.EndpointState;
+import java.math.BigDecimal;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -11,77 +12,101 @@
 import java.util.Set;
 
 /**
- * A list of hosts as text: a first line "list full" or "list delta" with the list's place in its
- * source's order, if it has one ("source NAME epoch E number N", a delta "follows M" too), a line a
- * host, and a last line "end N" with their number, so that a list cut short is seen to be. A list
- * is taken whole or not at all.
+ * The text form of an endpoint list, as the control listener receives and sends it:
+ *
+ * <pre>
+ * list full [source NAME epoch E number N]
+ * list delta [source NAME epoch E number N follows M]
+ * NAME KIND ZONE ADDRESS:PORT STATE WEIGHT STARTED-MS
+ * end COUNT
+ * </pre>
+ *
+ * <p>The last line counts the endpoints, so that a list that was cut short is detected. A list is
+ * accepted whole or not at all.
  */
 public final class EndpointListCodec {
-    /** Most hosts in one list. */
+    /** Endpoints in one list at most. */
     public static final int MAX_ENDPOINTS = 4096;
 
+    private static final String FULL = "full";
+    private static final String DELTA = "delta";
+    private static final int ENDPOINT_FIELDS = 7;
+    private static final int MAX_PORT = 65535;
+
     private EndpointListCodec() {}
 
-    /** Reads a list; a wrong one throws with line and reason. */
+    /**
+     * Decodes a list.
+     *
+     * @throws MalformedEndpointListException with the line and the reason
+     */
     public static WatchEvent decode(String text) {
-        String[] rows = text.split("\n");
-        String[] first = rows[0].trim().split("[ \t]+");
-        if (first.length < 2
-                || !first[0].equals("list")
-                || !first[1].equals("full") && !first[1].equals("delta")) {
-            throw new IllegalArgumentException(
-                    "line 1: a list begins with 'list full' or 'list delta'");
+        String[] lines = text.split("\n");
+        String[] header = splitWords(lines[0]);
+        if (header.length < 2
+                || !header[0].equals("list")
+                || !header[1].equals(FULL) && !header[1].equals(DELTA)) {
+            throw new MalformedEndpointListException(
+                    1, "a list begins with 'list full' or 'list delta'");
         }
-        String last = rows[rows.length - 1];
-        if (!last.equals("end " + (rows.length - 2)) || !text.endsWith("\n")) {
-            throw new IllegalArgumentException(
-                    "line "
-                            + rows.length
-                            + ": the list does not end with 'end "
-                            + (rows.length - 2)
+        int count = lines.length - 2;
+        if (!lines[lines.length - 1].equals("end " + count) || !text.endsWith("\n")) {
+            throw new MalformedEndpointListException(
+                    lines.length,
+                    "the list does not end with 'end "
+                            + count
                             + "': it was cut short or its hosts were miscounted");
         }
-        if (rows.length - 2 > MAX_ENDPOINTS) {
-            throw new IllegalArgumentException("a list holds " + MAX_ENDPOINTS + " hosts at most");
+        if (count > MAX_ENDPOINTS) {
+            throw new MalformedEndpointListException(
+                    "a list holds " + MAX_ENDPOINTS + " hosts at most");
         }
-        List<ListedEndpoint> all = new ArrayList<>();
-        Set<Long> seen = new HashSet<>();
-        for (int i = 1; i < rows.length - 1; i++) {
+        List<ListedEndpoint> endpoints = decodeEndpoints(lines);
+        try {
+            return new WatchEvent(decodeVersion(header), header[1].equals(FULL), endpoints);
+        } catch (IllegalArgumentException e) {
+            throw new MalformedEndpointListException(1, e);
+        }
+    }
+
+    private static List<ListedEndpoint> decodeEndpoints(String[] lines) {
+        List<ListedEndpoint> endpoints = new ArrayList<>();
+        Set<Long> ids = new HashSet<>();
+        for (int i = 1; i < lines.length - 1; i++) {
             try {
-                ListedEndpoint m = decodeEndpoint(rows[i]);
-                if (!seen.add(m.id())) {
-                    throw new IllegalArgumentException(
-                            "the host '" + m.name() + "' stands here twice");
+                ListedEndpoint endpoint = decodeEndpoint(lines[i]);
+                if (!ids.add(endpoint.id())) {
+                    throw new MalformedEndpointListException(
+                            "the host '" + endpoint.name() + "' stands here twice");
                 }
-                all.add(m);
+                endpoints.add(endpoint);
             } catch (IllegalArgumentException e) {
-                throw new IllegalArgumentException("line " + (i + 1) + ": " + e.getMessage());
+                throw new MalformedEndpointListException(i + 1, e);
             }
         }
-        try {
-            return new WatchEvent(decodeVersion(first, 2), first[1].equals("full"), all);
-        } catch (IllegalArgumentException e) {
-            throw new IllegalArgumentException("line 1: " + e.getMessage());
-        }
+        return endpoints;
     }
 
-    // From a word on: source NAME epoch E number N [follows M], or nothing.
-    private static EventVersion decodeVersion(String[] w, int from) {
-        if (w.length == from) {
+    /**
+     * Decodes the version in a header, after the two words that every header begins with; null if
+     * there is none.
+     */
+    private static EventVersion decodeVersion(String[] header) {
+        int start = 2;
+        if (header.length == start) {
             return null;
         }
         String[] keys = {"source", "epoch", "number", "follows"};
         String[] values = {null, "0", "0", "0"};
-        for (int i = from; i < w.length; i += 2) {
-            int k = (i - from) / 2;
-            if (k >= keys.length || !w[i].equals(keys[k]) || i + 1 == w.length) {
-                throw new IllegalArgumentException(
-                        "a list's place is: source NAME epoch E number N, and for a delta "
-                                + "follows M");
+        for (int i = start; i < header.length; i += 2) {
+            int k = (i - start) / 2;
+            if (k >= keys.length || !header[i].equals(keys[k]) || i + 1 == header.length) {
+                throw new MalformedEndpointListException(
+                        "a list's place is: source NAME epoch E number N, and for a delta follows M");
             }
-            values[k] = w[i + 1];
+            values[k] = header[i + 1];
             if (k > 0 && !values[k].matches("\\d{1,15}")) {
-                throw new IllegalArgumentException(
+                throw new MalformedEndpointListException(
                         "'" + values[k] + "' is not a whole number of up to 15 digits");
             }
         }
@@ -92,85 +117,99 @@
                 Long.parseLong(values[3]));
     }
 
-    /** Reads one host's line; a wrong one throws with the reason. */
-    static ListedEndpoint decodeEndpoint(String row) {
-        String[] w = row.trim().split("[ \t]+");
-        if (w.length != 7) {
-            throw new IllegalArgumentException(
+    /**
+     * Decodes the line of one endpoint.
+     *
+     * @throws IllegalArgumentException with the reason, without the line's number
+     */
+    static ListedEndpoint decodeEndpoint(String line) {
+        String[] fields = splitWords(line);
+        if (fields.length != ENDPOINT_FIELDS) {
+            throw new MalformedEndpointListException(
                     "a host is: name kind zone address state weight started-ms");
         }
-        int colon = w[3].lastIndexOf(':');
-        if (colon < 0
-                || !w[3].substring(colon + 1).matches("\\d{1,5}")
-                || Integer.parseInt(w[3].substring(colon + 1)) > 65535
-                || !w[3].substring(0, colon).matches("[0-9a-fA-F:.]+")) {
-            throw new IllegalArgumentException("'" + w[3] + "' is not an address and a port");
-        }
-        double weight = w[5].matches("\\d{1,9}(\\.\\d{1,9})?") ? Double.parseDouble(w[5]) : 0;
-        if (weight <= 0 || !w[6].matches("\\d{1,15}")) {
-            throw new IllegalArgumentException(
+        InetSocketAddress address = decodeAddress(fields[3]);
+        double weight =
+                fields[5].matches("\\d{1,9}(\\.\\d{1,9})?") ? Double.parseDouble(fields[5]) : 0;
+        if (weight <= 0 || !fields[6].matches("\\d{1,15}")) {
+            throw new MalformedEndpointListException(
                     "a weight is above 0, a start is ms since 1970 or 0");
         }
         return new ListedEndpoint(
-                w[0],
-                EndpointId.of(w[0]),
-                parseConstant(EndpointKind.class, w[1]),
-                w[2],
-                new InetSocketAddress(
-                        w[3].substring(0, colon), Integer.parseInt(w[3].substring(colon + 1))),
-                parseConstant(EndpointState.class, w[4]),
+                fields[0],
+                EndpointId.of(fields[0]),
+                parseConstant(EndpointKind.class, fields[1]),
+                fields[2],
+                address,
+                parseConstant(EndpointState.class, fields[4]),
                 weight,
-                Long.parseLong(w[6]));
+                Long.parseLong(fields[6]));
     }
 
-    static <E extends Enum<E>> E parseConstant(Class<E> type, String text) {
-        for (E e : type.getEnumConstants()) {
-            if (e.name().toLowerCase(Locale.ROOT).equals(text)) {
-                return e;
+    // Numeric addresses only: a name would have to be resolved, which blocks.
+    private static InetSocketAddress decodeAddress(String text) {
+        int colon = text.lastIndexOf(':');
+        if (colon < 0
+                || !text.substring(colon + 1).matches("\\d{1,5}")
+                || Integer.parseInt(text.substring(colon + 1)) > MAX_PORT
+                || !text.substring(0, colon).matches("[0-9a-fA-F:.]+")) {
+            throw new MalformedEndpointListException("'" + text + "' is not an address and a port");
+        }
+        return new InetSocketAddress(
+                text.substring(0, colon), Integer.parseInt(text.substring(colon + 1)));
+    }
+
+    private static String[] splitWords(String line) {
+        return line.trim().split("[ \t]+");
+    }
+
+    /** Returns the constant whose name, in lower case, is the given word. */
+    static <E extends Enum<E>> E parseConstant(Class<E> type, String word) {
+        for (E constant : type.getEnumConstants()) {
+            if (lowerCaseName(constant).equals(word)) {
+                return constant;
             }
         }
-        throw new IllegalArgumentException(
+        throw new MalformedEndpointListException(
                 "'"
-                        + text
+                        + word
                         + "' is not one of "
                         + List.of(type.getEnumConstants()).toString().toLowerCase(Locale.ROOT));
     }
 
-    /** A list as text. */
-    public static String encode(WatchEvent n) {
-        StringBuilder s =
-                new StringBuilder(n.full() ? "list full" : "list delta")
-                        .append(n.version() == null ? "" : " " + n.version())
-                        .append('\n');
-        n.endpoints().forEach(m -> s.append(encode(m)).append('\n'));
-        return s.append("end ").append(n.endpoints().size()).append('\n').toString();
+    /** Encodes a list. */
+    public static String encode(WatchEvent event) {
+        StringBuilder text = new StringBuilder("list ").append(event.full() ? FULL : DELTA);
+        if (event.version() != null) {
+            text.append(' ').append(event.version());
+        }
+        text.append('\n');
+        event.endpoints().forEach(endpoint -> text.append(encode(endpoint)).append('\n'));
+        return text.append("end ").append(event.endpoints().size()).append('\n').toString();
     }
 
-    /** One host's line. */
-    static String encode(ListedEndpoint m) {
-        return m.name()
-                + ' '
-                + lowerCaseName(m.kind())
-                + ' '
-                + m.zone()
-                + ' '
-                + m.address().getAddress().getHostAddress()
-                + ':'
-                + m.address().getPort()
-                + ' '
-                + lowerCaseName(m.state())
-                + ' '
-                + plainDecimal(m.weight())
-                + ' '
-                + m.startedMs();
+    /** Encodes one endpoint as a line, without its end. */
+    static String encode(ListedEndpoint endpoint) {
+        return String.join(
+                " ",
+                endpoint.name(),
+                lowerCaseName(endpoint.kind()),
+                endpoint.zone(),
+                endpoint.address().getAddress().getHostAddress()
+                        + ':'
+                        + endpoint.address().getPort(),
+                lowerCaseName(endpoint.state()),
+                plainDecimal(endpoint.weight()),
+                Long.toString(endpoint.startedMs()));
     }
 
-    // As it is read: no exponent.
+    // The decoder reads no exponent.
     private static String plainDecimal(double weight) {
-        return new java.math.BigDecimal(Double.toString(weight)).toPlainString();
+        return new BigDecimal(Double.toString(weight)).toPlainString();
     }
 
-    private static String lowerCaseName(Enum<?> e) {
-        return e.name().toLowerCase(Locale.ROOT);
+    /** Returns a constant's name in lower case, as lists spell it. */
+    static String lowerCaseName(Enum<?> constant) {
+        return constant.name().toLowerCase(Locale.ROOT);
     }
 }
--- a/src/main/java/brooklock/membership/EndpointListFile.java
+++ b/src/main/java/brooklock/membership/EndpointListFile.java
@@ -8,58 +8,75 @@
 import java.nio.file.Path;
 import java.nio.file.StandardCopyOption;
 import java.nio.file.StandardOpenOption;
+import java.util.Optional;
 
-/** The last list, on disk: all that a dispatcher that was killed has when it is back. */
+/**
+ * The saved endpoint list. It is all that a dispatcher knows when it restarts after a crash, so a
+ * file is replaced whole and a damaged one is rejected whole. Blocks on file I/O: not for the
+ * routing thread nor for I/O threads.
+ */
 public final class EndpointListFile {
     private final Path path;
 
-    /** At a path. */
+    /** Creates an accessor for the file at a path; the file need not exist. */
     public EndpointListFile(Path path) {
         this.path = path;
     }
 
     /**
-     * What was in force when it was saved last, or null where nothing was.
+     * Reads the state that was saved last, for {@link Membership#restore}; empty if there is no
+     * file.
      *
-     * @throws IOException where the file cannot be read or is not a whole list
+     * @throws IOException if the file cannot be read, or is not a whole list
      */
-    public Membership.State load() throws IOException {
+    public Optional<Membership.State> load() throws IOException {
         if (!Files.exists(path)) {
-            return null;
+            return Optional.empty();
         }
         try {
-            return EndpointRegistryCodec.decode(Files.readString(path, StandardCharsets.UTF_8));
+            return Optional.of(
+                    EndpointRegistryCodec.decode(Files.readString(path, StandardCharsets.UTF_8)));
         } catch (IllegalArgumentException e) {
-            throw new IOException(path + ": " + e.getMessage());
+            throw new IOException(path + ": " + e.getMessage(), e);
         }
     }
 
-    /** Saves it whole, forced out to disk. */
+    /**
+     * Replaces the file; when this returns the state is on the disk.
+     *
+     * @throws IOException if it cannot be written; the file is then as it was
+     */
     public void save(Membership.State state) throws IOException {
         replaceAtomically(path, EndpointRegistryCodec.encode(state), true);
     }
 
     /**
-     * Puts a text in place of a file, whole: written beside, forced out if that is asked for, then
-     * moved there.
+     * Replaces a file's content in one step: a reader, or a restart after a crash, finds the old
+     * content or the new one and never a part. The text is first written to a file beside it, with
+     * the suffix {@code .new}.
+     *
+     * @param force whether to force the text to the disk before the old content goes
      */
     public static void replaceAtomically(Path path, String text, boolean force) throws IOException {
-        Path beside = path.resolveSibling(path.getFileName() + ".new");
-        try (FileChannel out =
+        Path temporary = path.resolveSibling(path.getFileName() + ".new");
+        try (FileChannel channel =
                 FileChannel.open(
-                        beside,
+                        temporary,
                         StandardOpenOption.CREATE,
                         StandardOpenOption.WRITE,
                         StandardOpenOption.TRUNCATE_EXISTING)) {
-            ByteBuffer b = StandardCharsets.UTF_8.encode(text);
-            while (b.hasRemaining()) {
-                out.write(b);
+            ByteBuffer bytes = StandardCharsets.UTF_8.encode(text);
+            while (bytes.hasRemaining()) {
+                channel.write(bytes);
             }
             if (force) {
-                out.force(true);
+                channel.force(true);
             }
         }
         Files.move(
-                beside, path, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+                temporary,
+                path,
+                StandardCopyOption.ATOMIC_MOVE,
+                StandardCopyOption.REPLACE_EXISTING);
     }
 }
--- a/src/main/java/brooklock/membership/EndpointRegistry.java
+++ b/src/main/java/brooklock/membership/EndpointRegistry.java
@@ -8,25 +8,32 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.function.LongUnaryOperator;
 
 /**
- * The list in force and what the module is told of it. Written by one thread; readers take an
- * immutable snapshot. A host once named stays known, as gone, until room is needed, since attempts
- * to it may still be out.
+ * The endpoint list in force, shared between threads, and its translation into events of the
+ * router.
+ *
+ * <p>{@link #apply} and the translations are called on the routing thread only, which owns the
+ * {@link Membership}. Any thread may call the other methods: they read the snapshot that the last
+ * change published.
  */
 public final class EndpointRegistry {
+    /** The start of one endpoint, as the list states it. */
+    private record Start(long endpointId, long startedMs) {}
+
     private final List<String> zones;
     private final LongUnaryOperator wallMsToRoutingNs;
-    private final Map<String, Long> startTimesNs = new HashMap<>();
+    private final Map<Start, Long> startTimesNs = new HashMap<>();
     private final Membership membership;
     private volatile Membership.State state = Membership.State.EMPTY;
 
     /**
-     * An empty book.
+     * Creates an empty registry.
      *
-     * @param zones names of the locations, in the module's order
-     * @param moduleTime turns wall time, ms since 1970, into the module's clock, ns
+     * @param zones names of the zones, in the order of the router's zone numbers
+     * @param wallMsToRoutingNs converts wall time, in ms since 1970, to the router's clock, in ns
      */
     public EndpointRegistry(List<String> zones, LongUnaryOperator wallMsToRoutingNs) {
         this.zones = zones;
@@ -34,83 +41,88 @@
         membership = new Membership(zones);
     }
 
-    /** An order or a word for the core, given on the thread that writes. */
+    /** A change of the list. */
     public interface Change {
-        /** What came of it. */
+        /** Makes the change, on the routing thread. */
         UpdateResult apply(Membership membership);
     }
 
-    /** Makes a change; the snapshot is the new one when this returns. */
-    public UpdateResult apply(Change c) {
-        UpdateResult a = c.apply(membership);
+    /** Makes a change and publishes the new snapshot before it returns. */
+    public UpdateResult apply(Change change) {
+        UpdateResult result = change.apply(membership);
         state = membership.state();
-        return a;
+        return result;
     }
 
-    /** What the module is told of an answer; null where there is no news. */
-    public EndpointListReceived toEndpointList(UpdateResult a, EndpointListKind kind) {
-        if (a.affected().isEmpty() && !a.complete()) {
-            return null;
-        }
-        startTimesNs.keySet().removeIf(s -> !isCurrentStart(s));
-        List<Endpoint> entries = new ArrayList<>();
-        for (ListedEndpoint m : a.affected()) {
-            int zone = zones.indexOf(m.zone());
+    /**
+     * Returns the event that tells the router of an update; empty if the update has changed
+     * nothing.
+     */
+    public Optional<EndpointListReceived> toEndpointList(
+            UpdateResult result, EndpointListKind kind) {
+        return result.affected().isEmpty() && !result.complete()
+                ? Optional.empty()
+                : Optional.of(translate(result.affected(), kind));
+    }
+
+    /** Returns an event with every endpoint in force. */
+    public EndpointListReceived fullEndpointList(EndpointListKind kind) {
+        return translate(endpoints().values(), kind);
+    }
+
+    private EndpointListReceived translate(Iterable<ListedEndpoint> listed, EndpointListKind kind) {
+        startTimesNs.keySet().removeIf(start -> !isCurrent(start));
+        List<Endpoint> translated = new ArrayList<>();
+        for (ListedEndpoint endpoint : listed) {
+            int zone = zones.indexOf(endpoint.zone());
             if (zone >= 0) {
-                entries.add(
+                translated.add(
                         new Endpoint(
-                                m.id(),
+                                endpoint.id(),
                                 zone,
-                                m.kind().ordinal(),
-                                m.state(),
-                                m.weight(),
-                                startedAtNs(m)));
+                                endpoint.kind().ordinal(),
+                                endpoint.state(),
+                                endpoint.weight(),
+                                startedAtNs(endpoint)));
             }
         }
-        return new EndpointListReceived(kind, entries);
-    }
-
-    /** All that is in force, as the module is told of it. */
-    public EndpointListReceived fullEndpointList(EndpointListKind kind) {
-        return toEndpointList(
-                new UpdateResult(
-                        UpdateResult.Status.TAKEN, "", List.copyOf(endpoints().values()), true),
-                kind);
+        return new EndpointListReceived(kind, translated);
     }
 
-    // A start is turned into the module's time once: if the wall clock is set meanwhile, the same
-    // start stays the same.
-    private long startedAtNs(ListedEndpoint m) {
-        return m.startedMs() == 0
-                ? 0
-                : startTimesNs.computeIfAbsent(
-                        m.id() + "@" + m.startedMs(),
-                        k -> wallMsToRoutingNs.applyAsLong(m.startedMs()));
+    // Each start is converted once: if the wall clock is set between two events, a second
+    // conversion would give another time, and the router would take it for a restart.
+    private long startedAtNs(ListedEndpoint endpoint) {
+        if (endpoint.startedMs() == 0) {
+            return 0;
+        }
+        return startTimesNs.computeIfAbsent(
+                new Start(endpoint.id(), endpoint.startedMs()),
+                start -> wallMsToRoutingNs.applyAsLong(start.startedMs()));
     }
 
-    private boolean isCurrentStart(String start) {
-        ListedEndpoint m = find(Long.parseLong(start.substring(0, start.indexOf('@'))));
-        return m != null && start.endsWith("@" + m.startedMs());
+    private boolean isCurrent(Start start) {
+        ListedEndpoint endpoint = find(start.endpointId());
+        return endpoint != null && endpoint.startedMs() == start.startedMs();
     }
 
-    /** All of it now; does not change any more. */
+    /** The state in force; immutable. */
     public Membership.State state() {
         return state;
     }
 
-    /** The list now; does not change any more. */
+    /** The endpoints in force by id, with those that are gone; immutable. */
     public Map<Long, ListedEndpoint> endpoints() {
         return state.endpoints();
     }
 
-    /** A host by its number, or null. */
+    /** Returns an endpoint by its id, or null if it is not known. */
     public ListedEndpoint find(long id) {
         return state.endpoints().get(id);
     }
 
-    /** Whether a host may be sent requests and be named as a source. */
+    /** Whether an endpoint may get requests and be named as a fill source. */
     public boolean isReady(long id) {
-        ListedEndpoint m = find(id);
-        return m != null && m.state() == EndpointState.READY;
+        ListedEndpoint endpoint = find(id);
+        return endpoint != null && endpoint.state() == EndpointState.READY;
     }
 }
--- a/src/main/java/brooklock/membership/EndpointRegistryCodec.java
+++ b/src/main/java/brooklock/membership/EndpointRegistryCodec.java
@@ -3,90 +3,103 @@
 import brooklock.config.ChecksummedText;
 import brooklock.config.EndpointId;
 import brooklock.routing.EndpointState;
-import java.util.Locale;
 import org.pcollections.HashTreePMap;
 import org.pcollections.PMap;
 
 /**
- * What is in force, as it is saved: a first line with the version, for each source a line with its
- * order and the hosts as it named them, a line for each word by hand. Sealed, so that one that is
- * cut or damaged is refused whole.
+ * The text form of a {@link Membership.State} in the saved endpoint list:
+ *
+ * <pre>
+ * members 2
+ * source NAME EPOCH NUMBER LAST-HEARD-MS      (then the source's endpoints, a line each)
+ * hand NAME STATE                             (an operator's override)
+ * end LINES CHECKSUM
+ * </pre>
+ *
+ * <p>The last line makes a file that was cut short or damaged unreadable as a whole. Lists that
+ * were saved before events had versions (in the form of {@link EndpointListCodec}) are read too.
  */
 final class EndpointRegistryCodec {
     private static final String HEADER = "members 2";
+    private static final String SOURCE = "source";
+    private static final int SOURCE_FIELDS = 5;
+    private static final String OVERRIDE = "hand";
+    private static final int OVERRIDE_FIELDS = 3;
 
     private EndpointRegistryCodec() {}
 
     static String encode(Membership.State state) {
-        StringBuilder s = new StringBuilder(HEADER).append('\n');
+        StringBuilder text = new StringBuilder(HEADER).append('\n');
         for (EventSource source : state.sources().values()) {
-            s.append("source ")
-                    .append(source.name())
-                    .append(' ')
-                    .append(source.epoch())
-                    .append(' ')
-                    .append(source.sequence())
-                    .append(' ')
-                    .append(source.lastHeardMs())
-                    .append('\n');
-            source.endpoints()
-                    .values()
-                    .forEach(m -> s.append(EndpointListCodec.encode(m)).append('\n'));
+            text.append(SOURCE).append(' ').append(source.name());
+            text.append(' ').append(source.epoch());
+            text.append(' ').append(source.sequence());
+            text.append(' ').append(source.lastHeardMs()).append('\n');
+            for (ListedEndpoint endpoint : source.endpoints().values()) {
+                text.append(EndpointListCodec.encode(endpoint)).append('\n');
+            }
         }
         state.overrides()
                 .forEach(
-                        (id, word) ->
-                                s.append("hand ")
-                                        .append(state.endpoints().get(id).name())
-                                        .append(' ')
-                                        .append(word.name().toLowerCase(Locale.ROOT))
-                                        .append('\n'));
-        return ChecksummedText.withChecksum(s.toString());
+                        (id, override) -> {
+                            String name = state.endpoints().get(id).name();
+                            text.append(OVERRIDE).append(' ').append(name).append(' ');
+                            text.append(EndpointListCodec.lowerCaseName(override)).append('\n');
+                        });
+        return ChecksummedText.withChecksum(text.toString());
     }
 
-    /** Reads it back; a list as it was saved before there was an order is read as one without. */
+    /**
+     * Decodes a saved list. The result has sources and overrides only; {@link Membership#restore}
+     * merges them.
+     *
+     * @throws IllegalArgumentException with the reason
+     */
     static Membership.State decode(String text) {
         if (!text.startsWith(HEADER + "\n")) {
-            WatchEvent old = EndpointListCodec.decode(text);
-            EventSource s = EventSource.initial(EventSource.UNVERSIONED).withEvent(old, 0);
-            return new Membership.State(
-                    HashTreePMap.singleton(s.name(), s), HashTreePMap.empty(), s.endpoints());
+            return decodeUnversioned(text);
         }
-        String[] rows = ChecksummedText.verifiedLines(text);
+        String[] lines = ChecksummedText.verifiedLines(text);
         PMap<String, EventSource> sources = HashTreePMap.empty();
-        PMap<Long, EndpointState> byHand = HashTreePMap.empty();
-        EventSource now = null;
-        for (int i = 1; i < rows.length; i++) {
-            String[] w = rows[i].split(" ");
-            if (w[0].equals("source") && w.length == 5) {
-                now =
-                        new EventSource(
-                                w[1],
-                                Long.parseLong(w[2]),
-                                Long.parseLong(w[3]),
-                                Long.parseLong(w[4]),
-                                EventSource.initial(w[1]).endpoints());
-            } else if (w[0].equals("hand") && w.length == 3) {
-                byHand =
-                        byHand.plus(
-                                EndpointId.of(w[1]),
-                                EndpointListCodec.parseConstant(EndpointState.class, w[2]));
+        PMap<Long, EndpointState> overrides = HashTreePMap.empty();
+        EventSource source = null;
+        for (int i = 1; i < lines.length; i++) {
+            String[] fields = lines[i].split(" ");
+            if (fields[0].equals(OVERRIDE) && fields.length == OVERRIDE_FIELDS) {
+                EndpointState state =
+                        EndpointListCodec.parseConstant(EndpointState.class, fields[2]);
+                overrides = overrides.plus(EndpointId.of(fields[1]), state);
                 continue;
-            } else if (now != null) {
-                ListedEndpoint m = EndpointListCodec.decodeEndpoint(rows[i]);
-                now =
-                        new EventSource(
-                                now.name(),
-                                now.epoch(),
-                                now.sequence(),
-                                now.lastHeardMs(),
-                                now.endpoints().plus(m.id(), m));
+            }
+            if (fields[0].equals(SOURCE) && fields.length == SOURCE_FIELDS) {
+                source = decodeSource(fields);
+            } else if (source != null) {
+                ListedEndpoint endpoint = EndpointListCodec.decodeEndpoint(lines[i]);
+                source = source.withEndpoints(source.endpoints().plus(endpoint.id(), endpoint));
             } else {
-                throw new IllegalArgumentException(
-                        "line " + (i + 1) + ": a host before any source");
+                throw new MalformedEndpointListException(i + 1, "a host before any source");
             }
-            sources = sources.plus(now.name(), now);
+            sources = sources.plus(source.name(), source);
         }
-        return new Membership.State(sources, byHand, Membership.State.EMPTY.endpoints());
+        return new Membership.State(sources, overrides, Membership.State.EMPTY.endpoints());
+    }
+
+    private static EventSource decodeSource(String[] fields) {
+        return new EventSource(
+                fields[1],
+                Long.parseLong(fields[2]),
+                Long.parseLong(fields[3]),
+                Long.parseLong(fields[4]),
+                EventSource.initial(fields[1]).endpoints());
+    }
+
+    private static Membership.State decodeUnversioned(String text) {
+        EventSource source =
+                EventSource.initial(EventSource.UNVERSIONED)
+                        .withEvent(EndpointListCodec.decode(text), 0);
+        return new Membership.State(
+                HashTreePMap.singleton(source.name(), source),
+                HashTreePMap.empty(),
+                source.endpoints());
     }
 }
--- a/src/main/java/brooklock/membership/EventVersion.java
+++ b/src/main/java/brooklock/membership/EventVersion.java
@@ -1,20 +1,26 @@
 package brooklock.membership;
 
 /**
- * The place of a notice in the order of its source. Epochs grow with each start of the source,
- * numbers with each change inside an epoch.
+ * The place of a watch event in the order of its source. Versions of one source compare by epoch,
+ * then by sequence number; versions of different sources do not compare.
  *
  * @param source name of the source
- * @param epoch from 1; wall time of the source's start, ms, will do
- * @param number from 1; the number that the list is current as of
- * @param follows for a delta, the number it was made from, which must be in force; 0 for a full
- *     list
+ * @param epoch the source's incarnation, 1 or more; grows with each start of the source (its start
+ *     time in ms will do)
+ * @param sequence 1 or more; grows with each change inside an epoch; the list is current as of this
+ *     number
+ * @param baseSequence for a delta, the sequence number that it was made from and that must be in
+ *     force; 0 for a full list
  */
 public record EventVersion(String source, long epoch, long sequence, long baseSequence) {
-    /** Longest name of a source. */
+    /** Length limit of a source's name, in characters. */
     public static final int MAX_SOURCE_NAME_LENGTH = 63;
 
-    /** Checks it; what is wrong is told in plain words. */
+    /**
+     * Checks the fields.
+     *
+     * @throws IllegalArgumentException with a reason for the sender
+     */
     public EventVersion {
         if (!source.matches("[A-Za-z0-9][A-Za-z0-9._-]{0," + (MAX_SOURCE_NAME_LENGTH - 1) + "}")) {
             throw new IllegalArgumentException(
@@ -32,6 +38,7 @@
         }
     }
 
+    /** Returns the version in the words of the control protocol. */
     @Override
     public String toString() {
         return "source "
--- a/src/main/java/brooklock/membership/ListedEndpoint.java
+++ b/src/main/java/brooklock/membership/ListedEndpoint.java
@@ -5,10 +5,16 @@
 import java.net.InetSocketAddress;
 
 /**
- * One host as a list names it.
+ * One endpoint as an endpoint list describes it.
  *
- * @param id its number, made of its name
- * @param startedMs wall time of its last start, ms since 1970; 0 for long ago
+ * @param name its name, unique in the deployment
+ * @param id its identifier, derived from the name
+ * @param kind cache, parent or origin
+ * @param zone name of its zone
+ * @param address where it accepts connections
+ * @param state whether it may get requests
+ * @param weight its capacity relative to its peers, above 0
+ * @param startedMs wall time of its last start, in ms since 1970; 0 means long ago
  */
 public record ListedEndpoint(
         String name,
@@ -19,8 +25,8 @@
         EndpointState state,
         double weight,
         long startedMs) {
-    /** The same host in another state. */
-    public ListedEndpoint withState(EndpointState other) {
-        return new ListedEndpoint(name, id, kind, zone, address, other, weight, startedMs);
+    /** Returns the same endpoint in another state. */
+    public ListedEndpoint withState(EndpointState newState) {
+        return new ListedEndpoint(name, id, kind, zone, address, newState, weight, startedMs);
     }
 }
--- a/src/main/java/brooklock/membership/PurgeTimes.java
+++ b/src/main/java/brooklock/membership/PurgeTimes.java
@@ -4,14 +4,14 @@
 import java.util.Map;
 
 /**
- * Moments of purges in the module's time. A purge told again, or told late by another way, is the
- * same moment whatever the wall clock has done between, so that a repeat neither takes back nor
- * widens what the first one did. Pure.
+ * The time of each purge on the router's clock. A purge that is repeated, or arrives late on
+ * another connection, gets the time of its first arrival. Without this, a wall clock that was set
+ * in between would make the repeat purge more or fewer copies than the first one did. Pure; owned
+ * by the routing thread.
  */
 public final class PurgeTimes {
     /**
-     * Purges remembered; the one told longest ago is forgotten first, and taken as new if it comes
-     * again.
+     * Purges remembered at most; the oldest is forgotten first and counts as new if it is repeated.
      */
     public static final int MAX_PURGES = 4096;
 
@@ -26,13 +26,13 @@
             };
 
     /**
-     * How long ago a purge was.
+     * Returns how long ago a purge was, in ns.
      *
-     * @param what what is purged, with the moment as the notice names it
-     * @param now the module's time, ns
-     * @param agoNs how long ago it was by the wall clock as it is now
+     * @param purge what is purged and at which time, as the request states both
+     * @param nowNs the router's clock
+     * @param wallAgeNs how long ago it was by the wall clock now; used on its first arrival only
      */
-    public long ageNs(String what, long now, long agoNs) {
-        return now - purgedAtNs.computeIfAbsent(what, k -> now - agoNs);
+    public long ageNs(String purge, long nowNs, long wallAgeNs) {
+        return nowNs - purgedAtNs.computeIfAbsent(purge, first -> nowNs - wallAgeNs);
     }
 }
--- a/src/main/java/brooklock/membership/UpdateResult.java
+++ b/src/main/java/brooklock/membership/UpdateResult.java
@@ -3,73 +3,87 @@
 import java.util.List;
 
 /**
- * What became of a notice.
+ * What became of a watch event or of an operator's command.
  *
- * @param why in words, with what is in force
- * @param told the hosts that it was about, as they are in force now; empty where nothing was taken
- * @param full every host in force is among them
+ * @param status whether it was applied, or why not
+ * @param detail what is in force now, for the sender
+ * @param affected the endpoints it was about, as they are in force now; empty if nothing was
+ *     applied
+ * @param complete whether {@code affected} holds every endpoint in force
  */
 public record UpdateResult(
         Status status, String detail, List<ListedEndpoint> affected, boolean complete) {
-    /** What a notice came to. */
+    /** The outcome, with the word and the HTTP status that the control listener answers. */
     public enum Status {
-        /** In force now. */
-        TAKEN(200),
-        /** In force already; nothing has changed. */
-        REPEATED(200),
-        /** A newer one is in force. */
-        OLDER(409),
-        /** It is of an epoch that has ended. */
-        OLD_EPOCH(409),
-        /** Something before it is missing: a full list is needed. */
-        GAP(409),
+        /** It is in force now. */
+        APPLIED("taken", 200),
+        /** It was in force already; nothing has changed. */
+        DUPLICATE("repeated", 200),
+        /** A newer event of the source is in force. */
+        STALE_SEQUENCE("older", 409),
+        /** It belongs to an earlier epoch of the source. */
+        STALE_EPOCH("old-epoch", 409),
+        /** An event before it is missing: a full list is needed. */
+        GAP("gap", 409),
         /**
-         * Another list is in force under the same number: two sources go by one name, or one counts
-         * wrongly.
+         * Another list is in force under the same version: two senders use one name, or one
+         * miscounts.
          */
-        CONFLICT(409),
-        /** Taken, but something else holds the host where it is. */
-        HELD(409),
-        /** It cannot be taken whole. */
-        REFUSED(400),
-        /** No such host or source. */
-        UNKNOWN(404);
+        CONFLICT("conflict", 409),
+        /** The override was withdrawn, but a source keeps the endpoint out of service. */
+        STILL_RESTRICTED("held", 409),
+        /** It is invalid, or exceeds a limit. */
+        REJECTED("refused", 400),
+        /** There is no such endpoint or source. */
+        UNKNOWN("unknown", 404);
 
-        /** Its status on the control listener. */
-        public final int httpStatus;
+        private final String word;
+        private final int httpStatus;
 
-        Status(int status) {
-            this.httpStatus = status;
+        Status(String word, int httpStatus) {
+            this.word = word;
+            this.httpStatus = httpStatus;
+        }
+
+        /** The word in the first line of the response body. */
+        public String word() {
+            return word;
+        }
+
+        /** The HTTP status of the response. */
+        public int httpStatus() {
+            return httpStatus;
         }
     }
 
-    static UpdateResult unchanged(Status r, String why) {
-        return new UpdateResult(r, why, List.of(), false);
+    /** Returns a result that has changed nothing. */
+    static UpdateResult unchanged(Status status, String detail) {
+        return new UpdateResult(status, detail, List.of(), false);
     }
 
     /**
-     * The same where it could not be written to disk: it is in force, but a killed dispatcher would
-     * not know of it.
+     * Returns this result with the reason why the new state could not be saved. The state is in
+     * force, but a dispatcher that is killed restarts without it.
      */
     public UpdateResult withSaveError(String problem) {
         return new UpdateResult(status, detail + "\nnot saved: " + problem, affected, complete);
     }
 
-    /** One that could not be looked at for a fault of ours; nothing has changed. */
-    public static UpdateResult internalError(RuntimeException fault) {
-        return unchanged(Status.REFUSED, "a fault, see the log: " + fault);
+    /**
+     * Returns the result of an update that failed because of a defect of this program; nothing has
+     * changed.
+     */
+    public static UpdateResult internalError(RuntimeException defect) {
+        return unchanged(Status.REJECTED, "a fault, see the log: " + defect);
     }
 
-    /** Whether the list in force may have changed. */
+    /** Whether the endpoint list may have changed. */
     public boolean applied() {
-        return status == Status.TAKEN || status == Status.HELD;
+        return status == Status.APPLIED || status == Status.STILL_RESTRICTED;
     }
 
-    /** The answer as it is sent: its word, then what is in force. */
+    /** The response body: the word of the status, then what is in force. */
     public String responseBody() {
-        return status.name().toLowerCase(java.util.Locale.ROOT).replace('_', '-')
-                + "\n"
-                + detail
-                + "\n";
+        return status.word() + "\n" + detail + "\n";
     }
 }
--- a/src/main/java/brooklock/membership/WatchEvent.java
+++ b/src/main/java/brooklock/membership/WatchEvent.java
@@ -3,14 +3,20 @@
 import java.util.List;
 
 /**
- * A list of hosts as a source sends it.
+ * An endpoint list, or a change of one, as a source sends it.
  *
- * @param stamp its place in the source's order; null for one without, which is taken in the order
- *     of arrival
- * @param full what it leaves out is gone; else it holds changes only
+ * @param version its place in the source's order; null for an event without one, which counts as
+ *     newer than whatever arrived before it
+ * @param full whether endpoints that it does not name are gone; otherwise it names the changes only
+ * @param endpoints the endpoints that it names
  */
 public record WatchEvent(EventVersion version, boolean full, List<ListedEndpoint> endpoints) {
-    /** Checks that the stamp fits. */
+    /**
+     * Copies the endpoints.
+     *
+     * @throws IllegalArgumentException if a full list has a base version, or a versioned delta has
+     *     none
+     */
     public WatchEvent {
         if (version != null && full != (version.baseSequence() == 0)) {
             throw new IllegalArgumentException(
@@ -21,8 +27,8 @@
         endpoints = List.copyOf(endpoints);
     }
 
-    /** One without a place in an order. */
-    public static WatchEvent unversioned(boolean full, List<ListedEndpoint> members) {
-        return new WatchEvent(null, full, members);
+    /** Returns an event without a version. */
+    public static WatchEvent unversioned(boolean full, List<ListedEndpoint> endpoints) {
+        return new WatchEvent(null, full, endpoints);
     }
 }
--- a/src/main/java/brooklock/proxy/ControlHandler.java
+++ b/src/main/java/brooklock/proxy/ControlHandler.java
@@ -152,7 +152,7 @@
                                 () ->
                                         respond(
                                                 exchange,
-                                                result.status().httpStatus,
+                                                result.status().httpStatus(),
                                                 result.responseBody()));
     }
 
--- a/src/main/java/brooklock/proxy/EndpointListStore.java
+++ b/src/main/java/brooklock/proxy/EndpointListStore.java
@@ -70,7 +70,7 @@
      * @throws IOException if the file cannot be read or is damaged
      */
     Optional<Membership.State> load() throws IOException {
-        return file.isPresent() ? Optional.ofNullable(file.get().load()) : Optional.empty();
+        return file.isPresent() ? file.get().load() : Optional.empty();
     }
 
     /** Saves a list; called by the routing thread only, so that the newest is the last saved. */
--- a/src/main/java/brooklock/proxy/EndpointListUpdater.java
+++ b/src/main/java/brooklock/proxy/EndpointListUpdater.java
@@ -123,9 +123,7 @@
                             result[0] = apply(description, change);
                             closeIdleConnections(result[0].affected());
                             return forRouter(
-                                    Optional.ofNullable(
-                                            context.endpointRegistry()
-                                                    .toEndpointList(result[0], kind)));
+                                    context.endpointRegistry().toEndpointList(result[0], kind));
                         },
                         () ->
                                 store.save(
