--- a/src/main/java/brooklock/warming/DecayingRate.java
+++ b/src/main/java/brooklock/warming/DecayingRate.java
@@ -1,28 +1,25 @@
 package brooklock.warming;
 
-/**
- * A running rate, forgotten over a span: what this dispatcher itself has sent hosts of a kind
- * lately.
- */
+/** A rate of events in which older events count exponentially less. */
 final class DecayingRate {
-    /** The span, ns: longer than a burst, shorter than a start. */
+    /** The time constant, in ns: longer than a burst, shorter than a cache's start. */
     static final double DECAY_NS = 8e9;
 
     private double sum;
     private long updatedAtNs;
 
-    void add(double amount, long now) {
-        sum = sum(now) + amount;
-        updatedAtNs = now;
+    void add(double amount, long nowNs) {
+        sum = sum(nowNs) + amount;
+        updatedAtNs = nowNs;
     }
 
-    /** What is left of all that was added. */
-    double sum(long now) {
-        return sum * Math.exp((updatedAtNs - now) / DECAY_NS);
+    /** The decayed sum of everything that was added. */
+    double sum(long nowNs) {
+        return sum * Math.exp((updatedAtNs - nowNs) / DECAY_NS);
     }
 
-    /** Mean a ns over the span. */
-    double ratePerNs(long now) {
-        return sum(now) / DECAY_NS;
+    /** The mean rate, in units per ns. */
+    double ratePerNs(long nowNs) {
+        return sum(nowNs) / DECAY_NS;
     }
 }
--- /dev/null
+++ b/src/main/java/brooklock/warming/HitRatio.java
@@ -0,0 +1,17 @@
+package brooklock.warming;
+
+/** How often peers of one kind recently held what they were asked for. */
+final class HitRatio {
+    private final DecayingRate requests = new DecayingRate();
+    private final DecayingRate hits = new DecayingRate();
+
+    void recordOutcome(boolean hit, long nowNs) {
+        requests.add(1, nowNs);
+        hits.add(hit ? 1 : 0, nowNs);
+    }
+
+    /** The estimated share of hits by the rule of succession: one half while nothing is known. */
+    double estimate(long nowNs) {
+        return (hits.sum(nowNs) + 1) / (requests.sum(nowNs) + 2);
+    }
+}
--- a/src/main/java/brooklock/warming/HotParts.java
+++ b/src/main/java/brooklock/warming/HotParts.java
@@ -7,72 +7,94 @@
 import java.util.Map;
 
 /**
- * The parts asked for in the last interval and in this one, with what is needed to ask for them
- * again: what fetching ahead chooses from. As the hot list is, but of copies, and of those that
- * were listed.
+ * The parts that clients asked for in the previous interval and in this one, as candidates for
+ * prefetching. The rule is that of the router's hot list, applied to parts of objects.
  *
- * @param <T> what is needed to ask for one
+ * @param <T> what is needed to request a part
  */
 final class HotParts<T> {
-    /** The interval, ns: that of the module's hot list. */
+    /** The interval, in ns: that of the router's hot list. */
     static final long INTERVAL_NS = 10_000_000_000L;
 
     /**
-     * Parts remembered of one interval; the one that came first goes first. Bounds the sorting to a
-     * few milliseconds.
+     * Parts remembered of one interval at most; the oldest is forgotten first. Bounds the time of a
+     * sort.
      */
     static final int MAX_PARTS = 8_000;
 
-    /** A part of an object. */
+    /** Identifies a part of an object. */
     record PartKey(long object, int part) {}
 
-    /** A part that was asked for. */
+    /** A part that clients asked for. */
     static final class HotPart<T> {
-        final PartKey key;
-        final T request;
-        final long tieBreak;
-        int requestCount;
-        // The cache that it belongs to, and in which list of caches that is so.
-        long ownerId;
-        int ownerListVersion = -1;
-
-        HotPart(PartKey key, T how, long order) {
+        private final PartKey key;
+        private final T request;
+        private final long tieBreak;
+        private int requestCount;
+        // The cache that the part belongs to, and the version of the endpoint list for which that
+        // was found.
+        private long ownerId;
+        private int ownerListVersion = -1;
+
+        HotPart(PartKey key, T request, long tieBreak) {
             this.key = key;
-            this.request = how;
-            this.tieBreak = order;
+            this.request = request;
+            this.tieBreak = tieBreak;
+        }
+
+        PartKey key() {
+            return key;
+        }
+
+        T request() {
+            return request;
+        }
+
+        long ownerId() {
+            return ownerId;
+        }
+
+        boolean hasOwnerOf(int listVersion) {
+            return ownerListVersion == listVersion;
+        }
+
+        void setOwner(long cacheId, int listVersion) {
+            ownerId = cacheId;
+            ownerListVersion = listVersion;
         }
     }
 
+    private final long seed;
     private Map<PartKey, HotPart<T>> previousInterval = Map.of();
     private LinkedHashMap<PartKey, HotPart<T>> currentInterval = new LinkedHashMap<>();
     private long intervalEndNs;
 
-    private final long seed;
-
-    /** {@code seed} draws the order of those alike, another at each dispatcher. */
+    /**
+     * Creates an empty list.
+     *
+     * @param seed orders equally hot parts; another one at each dispatcher, so that they begin with
+     *     different parts
+     */
     HotParts(long seed, long nowNs) {
         this.seed = seed;
         intervalEndNs = nowNs + INTERVAL_NS;
     }
 
-    void recordRequest(PartKey key, T how, long nowNs) {
+    /** Counts a client's request. */
+    void recordRequest(PartKey key, T request, long nowNs) {
         rotateInterval(nowNs);
-        HotPart<T> h = currentInterval.get(key);
-        if (h == null) {
-            HotPart<T> old = previousInterval.get(key);
-            h =
-                    new HotPart<>(
-                            key,
-                            how,
-                            StableHash.hash(
-                                    seed ^ StableHash.hash(key.object() * 31 + key.part())));
-            h.requestCount = old == null ? 0 : old.requestCount / 2;
-            currentInterval.put(key, h);
+        HotPart<T> part = currentInterval.get(key);
+        if (part == null) {
+            HotPart<T> previous = previousInterval.get(key);
+            long keyHash = StableHash.hash(key.object() * 31 + key.part());
+            part = new HotPart<>(key, request, StableHash.hash(seed ^ keyHash));
+            part.requestCount = previous == null ? 0 : previous.requestCount / 2;
+            currentInterval.put(key, part);
             if (currentInterval.size() > MAX_PARTS) {
                 currentInterval.remove(currentInterval.keySet().iterator().next());
             }
         }
-        h.requestCount++;
+        part.requestCount++;
     }
 
     private void rotateInterval(long nowNs) {
@@ -85,24 +107,23 @@
     }
 
     /**
-     * Those listed, as the module lists objects: asked for in the last interval, or twice in this
-     * one. Hottest first by doublings, in each by an order of this dispatcher's own.
+     * Returns the parts that were asked for in the previous interval, or at least twice in this
+     * one; the hottest first by powers of two of their requests, equally hot ones in this
+     * dispatcher's own order.
      */
     List<HotPart<T>> hottest(long nowNs) {
         rotateInterval(nowNs);
         Map<PartKey, HotPart<T>> all = new LinkedHashMap<>(previousInterval);
         all.putAll(currentInterval);
         List<HotPart<T>> hot = new ArrayList<>();
-        all.values()
-                .forEach(
-                        h -> {
-                            if (h.requestCount > 1 || previousInterval.containsKey(h.key)) {
-                                hot.add(h);
-                            }
-                        });
+        for (HotPart<T> part : all.values()) {
+            if (part.requestCount > 1 || previousInterval.containsKey(part.key)) {
+                hot.add(part);
+            }
+        }
         Comparator<HotPart<T>> byHeat =
-                Comparator.comparingInt(h -> Integer.numberOfLeadingZeros(h.requestCount));
-        hot.sort(byHeat.thenComparingLong(h -> h.tieBreak));
+                Comparator.comparingInt(part -> Integer.numberOfLeadingZeros(part.requestCount));
+        hot.sort(byHeat.thenComparingLong(part -> part.tieBreak));
         return hot;
     }
 }
--- a/src/main/java/brooklock/warming/LoadReport.java
+++ b/src/main/java/brooklock/warming/LoadReport.java
@@ -1,22 +1,24 @@
 package brooklock.warming;
 
 /**
- * What a host said of itself in an answer.
+ * What an endpoint reports of its own load in a response.
  *
- * @param util share of its link in use
- * @param inflight requests that it holds
- * @param hits share of hits lately
- * @param sentNs when the request was sent to which it was the answer: what a host said before that
- *     it may have said before its last start
- * @param atNs when it was heard
+ * @param utilization share of its link in use
+ * @param inFlight requests in flight there
+ * @param hitRatio its recent share of cache hits, 0 to 1
+ * @param requestSentNs when the request was sent that the report answers; what an endpoint reported
+ *     to an earlier request may date from before its last start
+ * @param receivedNs when the report was received
  */
 public record LoadReport(
         double utilization, int inFlight, double hitRatio, long requestSentNs, long receivedNs) {
-    // A link may be told as fuller than full while transfers share it; beyond this it is no share
-    // at all.
+    // A link that transfers share may be reported as more than full; beyond this the figure is no
+    // share.
     private static final double MAX_UTILIZATION = 100;
 
-    /** Whether the figures can be. */
+    /**
+     * Whether every figure is in its range; a report with a missing figure or NaN is not plausible.
+     */
     public boolean isPlausible() {
         return utilization >= 0
                 && utilization <= MAX_UTILIZATION
--- a/src/main/java/brooklock/warming/PacedBudget.java
+++ b/src/main/java/brooklock/warming/PacedBudget.java
@@ -1,43 +1,48 @@
 package brooklock.warming;
 
 /**
- * Permission for one thing after the other, at a rate. Each begins at a phase of its own and a
- * permission that is not used lapses, so that many dispatchers that all want something at the same
- * moment do not all spend what they saved up: within a span S all together do no more than their
- * summed rate permits in S and the time of lapsing.
+ * Permits that are issued one after the other at a given rate. Each budget starts at a phase of its
+ * own, and an unused permit expires. Without this, many dispatchers that all become active at the
+ * same moment would all spend what they have saved up and overload a cache together. Within a
+ * window W all of them spend no more than their summed rate issues in W plus one permit lifetime.
  */
 final class PacedBudget {
     private final long permitLifetimeNs;
-    // Things permitted: the whole ones came one after the other, the rest is on its way.
+    // The integral part counts permits, the fraction is the next one's progress.
     private double permits;
     private long updatedAtNs;
 
     /**
-     * With nothing permitted yet.
+     * Creates a budget without a permit.
      *
-     * @param phase from 0 up to 1: how far the first thing is on its way
-     * @param lapseNs how long a permission lasts
+     * @param phase progress of the first permit, from 0 (inclusive) to 1 (exclusive)
+     * @param permitLifetimeNs how long an unused permit lasts
      */
-    PacedBudget(double phase, long lapseNs, long now) {
+    PacedBudget(double phase, long permitLifetimeNs, long nowNs) {
         if (!(phase >= 0 && phase < 1)) {
-            throw new IllegalArgumentException("a phase lies from 0 up to 1");
+            throw new IllegalArgumentException("phase out of range: " + phase);
         }
-        this.permitLifetimeNs = lapseNs;
+        this.permitLifetimeNs = permitLifetimeNs;
         permits = phase;
-        updatedAtNs = now;
+        updatedAtNs = nowNs;
     }
 
-    /** Whether one is permitted now at a rate a ns; {@link #acquire} is to follow if it is done. */
-    boolean canAcquire(double perNs, long now) {
-        double rate = Math.max(0, perNs);
-        permits += rate * Math.max(0, now - updatedAtNs);
-        updatedAtNs = Math.max(updatedAtNs, now);
-        double since = permits - 1;
-        if (since >= 1 || since > rate * permitLifetimeNs) {
-            // Older than it may be: of the permissions since, the newest is there or has lapsed as
-            // well.
-            since -= Math.floor(since);
-            permits = since <= rate * permitLifetimeNs ? 1 + since : since;
+    /**
+     * Issues permits up to now and returns whether there is one; {@link #acquire} takes it.
+     *
+     * @param ratePerNs permits per ns since the last call
+     */
+    boolean canAcquire(double ratePerNs, long nowNs) {
+        double rate = Math.max(0, ratePerNs);
+        permits += rate * Math.max(0, nowNs - updatedAtNs);
+        updatedAtNs = Math.max(updatedAtNs, nowNs);
+        double excess = permits - 1;
+        double issuedPerLifetime = rate * permitLifetimeNs;
+        if (excess >= 1 || excess > issuedPerLifetime) {
+            // The oldest permit has expired. Of those issued since, the newest is kept unless it
+            // has expired as well.
+            excess -= Math.floor(excess);
+            permits = excess <= issuedPerLifetime ? 1 + excess : excess;
         }
         return permits >= 1;
     }
@@ -46,7 +51,7 @@
         permits--;
     }
 
-    /** What was spent was not used after all. */
+    /** Returns a permit that was acquired and not used. */
     void refund() {
         permits++;
     }
--- a/src/main/java/brooklock/warming/PeerLoadLimit.java
+++ b/src/main/java/brooklock/warming/PeerLoadLimit.java
@@ -1,127 +1,134 @@
 package brooklock.warming;
 
 /**
- * How much warming may ask of one neighbour: a share of this dispatcher's part of what it bears, of
- * which as much counts as it says is free. All dispatchers together so ask no more than that share
- * of what it bears on top, however many they are and whatever it says. The share grows while the
- * neighbour has room and is cut, to nothing at last, as its own clients need it.
+ * How much load warming may put on one peer. The limit is this dispatcher's part of the share of
+ * the peer's free capacity that the settings allow, times a fraction that adapts: it grows while
+ * the peer reports free capacity and is cut, in the end to nothing, when the peer's own clients
+ * need it. So all dispatchers together stay below that share, however many they are and whatever
+ * the peer reports.
  */
 final class PeerLoadLimit {
-    private static final double GROWTH_STEP = 0.1;
-    private static final long GROWTH_INTERVAL_NS = 500_000_000L;
-    // Half at first: a neighbour that is well can be asked as soon as it is needed.
+    /** A peer whose last report is older than this counts as one without a report. */
+    static final long STALE_REPORT_NS = 3_000_000_000L;
+
+    // Enough for a healthy peer to be used at once, and room to adapt both ways.
     private static final double INITIAL_FRACTION = 0.5;
-    private static final long MIN_CUT_INTERVAL_NS = 250_000_000L;
-    // Its part while it has told nothing lately: one of another location tells only when it is
-    // asked.
+    // A peer in another zone reports only when it is asked for something, so without a report it
+    // still gets a little.
     private static final double UNREPORTED_FRACTION = 0.1;
     private static final double LOW_UTILIZATION = 0.6;
     private static final double HIGH_UTILIZATION = 0.75;
     private static final double CRITICAL_UTILIZATION = 0.9;
-    // A neighbour that failed or refused as a source rests so long, twice as long with each that
-    // follows, so often.
+    private static final double CUT_FACTOR = 0.5;
     private static final long BASE_BACKOFF_NS = 1_000_000_000L;
     private static final int MAX_BACKOFF_DOUBLINGS = 5;
-    // It lacked so many in a row: it does not hold what is looked for.
+    // Misses in a row that show that the peer does not hold what is wanted.
     private static final int MAX_CONSECUTIVE_MISSES = 20;
 
     private final PacedBudget budget;
-    // Of the share that the settings allow.
-    private double fraction = INITIAL_FRACTION;
-    private long lastGrowthNs;
-    private long lastCutNs;
+    private final AdaptiveShare fraction;
     private long backoffUntilNs;
     private int consecutiveFailures;
     private int consecutiveMisses;
+    // Negative before the first report.
     private double utilization = -1;
     private long reportedAtNs;
 
-    PeerLoadLimit(double phase, long lapseNs, long now) {
-        budget = new PacedBudget(phase, lapseNs, now);
-        lastGrowthNs = now;
-        lastCutNs = now - MIN_CUT_INTERVAL_NS;
+    /**
+     * Creates a limit for a peer that has reported nothing.
+     *
+     * @param phase see {@link PacedBudget}
+     * @param permitLifetimeNs see {@link PacedBudget}
+     */
+    PeerLoadLimit(double phase, long permitLifetimeNs, long nowNs) {
+        budget = new PacedBudget(phase, permitLifetimeNs, nowNs);
+        fraction = new AdaptiveShare(INITIAL_FRACTION, nowNs);
     }
 
-    void onReport(LoadReport r) {
-        if (!r.isPlausible()) {
+    /** Takes in a report of the peer's load; an implausible one is ignored. */
+    void onReport(LoadReport report) {
+        if (!report.isPlausible()) {
             return;
         }
-        utilization = r.utilization();
-        reportedAtNs = r.receivedNs();
-        if (utilization > HIGH_UTILIZATION && reportedAtNs - lastCutNs >= MIN_CUT_INTERVAL_NS) {
-            fraction = utilization > CRITICAL_UTILIZATION ? 0 : fraction / 2;
-            lastCutNs = reportedAtNs;
-            lastGrowthNs = reportedAtNs;
+        utilization = report.utilization();
+        reportedAtNs = report.receivedNs();
+        if (utilization > HIGH_UTILIZATION) {
+            double factor = utilization > CRITICAL_UTILIZATION ? 0 : CUT_FACTOR;
+            fraction.cut(factor, 0, reportedAtNs);
         }
     }
 
-    /** It gave. */
+    /** The peer filled a request. */
     void onFilled() {
         consecutiveFailures = 0;
         consecutiveMisses = 0;
     }
 
-    /** It did not hold what was asked for; where that is so again and again it is asked less. */
-    void onMiss(long now) {
+    /** The peer did not hold what it was asked for. */
+    void onMiss(long nowNs) {
         consecutiveFailures = 0;
-        if (++consecutiveMisses >= MAX_CONSECUTIVE_MISSES) {
+        consecutiveMisses++;
+        if (consecutiveMisses >= MAX_CONSECUTIVE_MISSES) {
             consecutiveMisses = 0;
-            backOff(now);
+            backOff(nowNs);
         }
     }
 
-    /** It refused, or broke off. */
-    void onFailure(long now) {
-        fraction = 0;
-        lastGrowthNs = now;
-        backOff(now);
+    /** The peer rejected a request, or its connection was lost. */
+    void onFailure(long nowNs) {
+        fraction.set(0);
+        fraction.restartGrowth(nowNs);
+        backOff(nowNs);
         consecutiveFailures = Math.min(MAX_BACKOFF_DOUBLINGS, consecutiveFailures + 1);
     }
 
-    private void backOff(long now) {
-        backoffUntilNs = now + (BASE_BACKOFF_NS << consecutiveFailures);
+    private void backOff(long nowNs) {
+        backoffUntilNs = nowNs + (BASE_BACKOFF_NS << consecutiveFailures);
     }
 
     /**
-     * Whether it may be asked for one more now.
+     * Returns whether the peer may be asked for one more part; {@link #acquire} takes the permit.
      *
-     * @param partPerNs this dispatcher's part of what a warm cache bears, requests a ns
-     * @param share the most that the settings allow, of 1
+     * @param dispatcherSharePerNs this dispatcher's part of a warm cache's capacity, in requests
+     *     per ns
+     * @param peerShare share of the free capacity that the settings allow, 0 to 1
      */
-    boolean canAcquire(double partPerNs, double share, long now) {
-        boolean known = utilization >= 0 && now - reportedAtNs < PrefetchBudget.STALE_REPORT_NS;
-        long steps = (now - lastGrowthNs) / GROWTH_INTERVAL_NS;
-        if (steps > 0) {
-            // One that tells nothing comes back to the trickle: it tells something only once it is
-            // asked.
-            double most =
-                    !known
-                            ? Math.max(fraction, UNREPORTED_FRACTION)
-                            : utilization < LOW_UTILIZATION ? 1 : fraction;
-            fraction = Math.min(most, fraction + GROWTH_STEP * steps);
-            lastGrowthNs += steps * GROWTH_INTERVAL_NS;
+    boolean canAcquire(double dispatcherSharePerNs, double peerShare, long nowNs) {
+        boolean reported = utilization >= 0 && nowNs - reportedAtNs < STALE_REPORT_NS;
+        fraction.grow(maxFraction(reported), nowNs);
+        double available =
+                reported
+                        ? Math.max(0, 1 - utilization) * fraction.value()
+                        : Math.min(fraction.value(), UNREPORTED_FRACTION);
+        return nowNs >= backoffUntilNs
+                && budget.canAcquire(dispatcherSharePerNs * peerShare * available, nowNs);
+    }
+
+    private double maxFraction(boolean reported) {
+        if (!reported) {
+            return Math.max(fraction.value(), UNREPORTED_FRACTION);
         }
-        double spare =
-                known
-                        ? Math.max(0, 1 - utilization) * fraction
-                        : Math.min(fraction, UNREPORTED_FRACTION);
-        return now >= backoffUntilNs && budget.canAcquire(partPerNs * share * spare, now);
+        return utilization < LOW_UTILIZATION ? 1 : fraction.value();
     }
 
     void acquire() {
         budget.acquire();
     }
 
-    /** It was named and not asked: the cold cache had it. */
+    /**
+     * Returns the permit of a peer that was named and then not asked, because the cache had a copy.
+     */
     void refund() {
         budget.refund();
     }
 
+    /** The adaptive fraction, 0 to 1. */
     double fraction() {
-        return fraction;
+        return fraction.value();
     }
 
-    void restore(double before) {
-        fraction = Math.min(1, Math.max(0, before));
+    /** Continues at the fraction of before a restart of this dispatcher. */
+    void restore(double previousFraction) {
+        fraction.set(Math.min(1, Math.max(0, previousFraction)));
     }
 }
--- a/src/main/java/brooklock/warming/PrefetchBudget.java
+++ b/src/main/java/brooklock/warming/PrefetchBudget.java
@@ -1,80 +1,93 @@
 package brooklock.warming;
 
 /**
- * How many parts may be fetched ahead at one cold cache. The rule's figures leave the module 0.6 of
- * the multiple that pushes a cold cache over, and it plans no more than 1.3 of what the cache can
- * do; fetching ahead takes at most a part of what is left between, and of this dispatcher's part of
- * what a warm cache bears, and all parts together are no more than a cache's capacity. So all
- * together stay under the multiple: {@code min(1.3, 0.6 m) + SHARE * (m - min(1.3, 0.6 m)) < m} for
- * every multiple m.
+ * How many parts may be prefetched at one cache that is warming up. With m the overload multiple,
+ * the router plans up to {@code min(1.3, 0.6 m)} of the cache's capacity for clients; prefetching
+ * gets half of what is left up to m, and never more than half of the capacity. Clients and
+ * prefetching together so stay below m for every m.
  */
 final class PrefetchBudget {
-    /** A host that has told nothing for so long gives and gets nothing ahead. */
-    static final long STALE_REPORT_NS = 3_000_000_000L;
-
-    private static final double ROUTING_SHARE = 0.6;
-    private static final double MAX_ROUTING_LOAD = 1.3;
-    // Of what the module leaves: half, since what was permitted just before the span, and chance,
-    // come on top.
-    private static final double PREFETCH_SHARE = 0.5;
-    // Never above this of what it can do itself, however large the multiple: clients come first.
+    // What the router's slow start plans with: a share of the overload multiple, up to a multiple
+    // of the capacity.
+    private static final double ROUTER_SHARE_OF_MULTIPLE = 0.6;
+    private static final double MAX_ROUTER_LOAD = 1.3;
+    // Not all that the router leaves: permits from just before the window, and chance, come on top.
+    private static final double SHARE_OF_REST = 0.5;
+    // However large the multiple: clients come first.
     private static final double MAX_CAPACITY_SHARE = 0.5;
-    // Use of its link above which nothing is fetched ahead.
     private static final double HIGH_UTILIZATION = 0.5;
-    // The first sign of lateness stops it for so long.
     private static final long PAUSE_NS = 2_000_000_000L;
-    // Fetches under way at one cache from this dispatcher.
     private static final int MAX_IN_FLIGHT = 4;
 
     private final PacedBudget budget;
     private long pausedUntilNs;
+    // Negative before the first report.
     private double utilization = -1;
     private long reportedAtNs;
-    int inFlight;
+    private int inFlight;
 
-    PrefetchBudget(double phase, long lapseNs, long now) {
-        budget = new PacedBudget(phase, lapseNs, now);
+    /**
+     * Creates a budget for a cache that has reported nothing, which allows nothing.
+     *
+     * @param phase see {@link PacedBudget}
+     * @param permitLifetimeNs see {@link PacedBudget}
+     */
+    PrefetchBudget(double phase, long permitLifetimeNs, long nowNs) {
+        budget = new PacedBudget(phase, permitLifetimeNs, nowNs);
     }
 
-    void onReport(LoadReport r) {
-        utilization = r.utilization();
-        reportedAtNs = r.receivedNs();
+    /** Takes in a plausible report of the cache's load. */
+    void onReport(LoadReport report) {
+        utilization = report.utilization();
+        reportedAtNs = report.receivedNs();
     }
 
-    /** Something there was late, refused or broken. */
-    void pause(long now) {
-        pausedUntilNs = now + PAUSE_NS;
+    /**
+     * Pauses prefetching after the first sign of overload: a late response, a rejection, a lost
+     * connection.
+     */
+    void pause(long nowNs) {
+        pausedUntilNs = nowNs + PAUSE_NS;
     }
 
     /**
-     * Share of its capacity that all dispatchers together may fetch ahead at a cache of a warmth.
+     * Share of its full capacity that all dispatchers together may prefetch at a cache of a current
+     * capacity.
      */
-    static double maxPrefetchShare(WarmingLimits law, double warmth) {
-        double module = Math.min(MAX_ROUTING_LOAD, ROUTING_SHARE * law.overloadMultiple());
-        return warmth
-                * Math.min(
-                        MAX_CAPACITY_SHARE,
-                        PREFETCH_SHARE * Math.max(0, law.overloadMultiple() - module));
+    static double maxPrefetchShare(WarmingLimits limits, double capacity) {
+        double multiple = limits.overloadMultiple();
+        double router = Math.min(MAX_ROUTER_LOAD, ROUTER_SHARE_OF_MULTIPLE * multiple);
+        double share = Math.min(MAX_CAPACITY_SHARE, SHARE_OF_REST * Math.max(0, multiple - router));
+        return capacity * share;
     }
 
-    /** Whether one may be fetched now; {@link #acquire} is to follow. */
-    boolean canAcquire(WarmingLimits law, double warmth, double partPerNs, long now) {
-        boolean roomy =
+    /**
+     * Returns whether one part may be prefetched; {@link #acquire} takes the permit.
+     *
+     * @param capacity share of its capacity that the cache has now
+     * @param dispatcherSharePerNs this dispatcher's part of a warm cache's capacity, in requests
+     *     per ns
+     */
+    boolean canAcquire(
+            WarmingLimits limits, double capacity, double dispatcherSharePerNs, long nowNs) {
+        boolean allowed =
                 utilization >= 0
                         && utilization < HIGH_UTILIZATION
-                        && now - reportedAtNs < STALE_REPORT_NS;
-        // Time in which nothing may be fetched saves nothing up.
-        boolean permitted =
-                budget.canAcquire(
-                        roomy && now >= pausedUntilNs
-                                ? partPerNs * maxPrefetchShare(law, warmth)
-                                : 0,
-                        now);
-        return roomy && now >= pausedUntilNs && inFlight < MAX_IN_FLIGHT && permitted;
+                        && nowNs - reportedAtNs < PeerLoadLimit.STALE_REPORT_NS
+                        && nowNs >= pausedUntilNs;
+        // While nothing is allowed no permits are issued, so that a pause saves nothing up.
+        double rate = allowed ? dispatcherSharePerNs * maxPrefetchShare(limits, capacity) : 0;
+        boolean permitted = budget.canAcquire(rate, nowNs);
+        return allowed && inFlight < MAX_IN_FLIGHT && permitted;
     }
 
     void acquire() {
         budget.acquire();
         inFlight++;
     }
+
+    /** A prefetch has ended. */
+    void release() {
+        inFlight = Math.max(0, inFlight - 1);
+    }
 }
--- /dev/null
+++ b/src/main/java/brooklock/warming/PrefetchPlanner.java
@@ -0,0 +1,159 @@
+package brooklock.warming;
+
+import brooklock.warming.CacheWarming.EndpointScore;
+import brooklock.warming.CacheWarming.Prefetch;
+import brooklock.warming.HotParts.HotPart;
+import brooklock.warming.HotParts.PartKey;
+import java.util.ArrayDeque;
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.function.BiPredicate;
+
+/**
+ * Plans prefetches: the hottest parts that belong by hash to a cache that lacks its copies, each
+ * from a peer that holds it, within the cache's {@link PrefetchBudget} and the peer's {@link
+ * PeerLoadLimit}.
+ *
+ * @param <T> what is needed to request a part
+ */
+final class PrefetchPlanner<T> {
+    // Bounds of the work of one call, and of the parts queued for one cache.
+    private static final int MAX_PARTS_EXAMINED = 64;
+    private static final int MAX_PARTS_SKIPPED = 8;
+    private static final int MAX_QUEUED_PARTS = 256;
+    private static final long HOT_PARTS_REFRESH_NS = 1_000_000_000L;
+
+    private final WarmingLimits limits;
+    private final CacheTable caches;
+    private final PeerSelector peers;
+    private final EndpointScore score;
+    private final HotParts<T> hotParts;
+    private List<HotPart<T>> hottest = List.of();
+    private long hottestRefreshNs;
+    private int nextHottest;
+    private final Map<CacheState, ArrayDeque<HotPart<T>>> queues = new LinkedHashMap<>();
+
+    PrefetchPlanner(
+            WarmingLimits limits,
+            CacheTable caches,
+            PeerSelector peers,
+            EndpointScore score,
+            HotParts<T> hotParts) {
+        this.limits = limits;
+        this.caches = caches;
+        this.peers = peers;
+        this.score = score;
+        this.hotParts = hotParts;
+    }
+
+    /** A client asked for a part that a cache will keep. */
+    void onRequest(PartKey key, T request, long nowNs) {
+        hotParts.recordRequest(key, request, nowNs);
+    }
+
+    /** Returns the prefetches to send now and counts them as in flight. */
+    List<Prefetch<T>> next(long nowNs, BiPredicate<Long, T> allowed) {
+        List<CacheState> targets =
+                caches.all().stream().filter(cache -> isTarget(cache, nowNs)).toList();
+        if (targets.isEmpty()) {
+            return List.of();
+        }
+        fillQueues(targets, nowNs);
+        List<Prefetch<T>> prefetches = new ArrayList<>();
+        for (CacheState target : targets) {
+            ArrayDeque<HotPart<T>> queue = queues.get(target);
+            if (queue != null) {
+                addPrefetches(target, queue, allowed, prefetches, nowNs);
+            }
+        }
+        return prefetches;
+    }
+
+    private boolean isTarget(CacheState cache, long nowNs) {
+        return cache.prefetchBudget() != null
+                && cache.isReady()
+                && caches.isLocal(cache)
+                && caches.needsRefill(cache, nowNs);
+    }
+
+    private void addPrefetches(
+            CacheState target,
+            ArrayDeque<HotPart<T>> queue,
+            BiPredicate<Long, T> allowed,
+            List<Prefetch<T>> prefetches,
+            long nowNs) {
+        double dispatcherSharePerNs = caches.dispatcherSharePerNs(nowNs);
+        int skipped = 0;
+        while (!queue.isEmpty()
+                && skipped < MAX_PARTS_SKIPPED
+                && target.prefetchBudget()
+                        .canAcquire(limits, target.capacity(nowNs), dispatcherSharePerNs, nowNs)) {
+            HotPart<T> part = queue.poll();
+            PartKey key = part.key();
+            if (target.hasCached(key)) {
+                continue;
+            }
+            Optional<CacheState> peer =
+                    allowed.test(key.object(), part.request())
+                            ? peers.select(target, key, nowNs)
+                            : Optional.empty();
+            if (peer.isEmpty()) {
+                queue.add(part);
+                skipped++;
+                continue;
+            }
+            target.prefetchBudget().acquire();
+            peer.get().loadLimit().acquire();
+            target.markCached(key);
+            prefetches.add(
+                    new Prefetch<>(
+                            target.id(),
+                            peer.get().id(),
+                            key.object(),
+                            key.part(),
+                            part.request()));
+        }
+    }
+
+    /**
+     * Queues the hottest parts at the caches they belong to: some more at each call, all anew at
+     * each refresh.
+     */
+    private void fillQueues(List<CacheState> targets, long nowNs) {
+        if (nowNs >= hottestRefreshNs) {
+            hottest = hotParts.hottest(nowNs);
+            hottestRefreshNs = nowNs + HOT_PARTS_REFRESH_NS;
+            nextHottest = 0;
+            queues.clear();
+            targets.forEach(target -> queues.put(target, new ArrayDeque<>()));
+        }
+        int examined = 0;
+        while (examined < MAX_PARTS_EXAMINED && nextHottest < hottest.size()) {
+            HotPart<T> part = hottest.get(nextHottest++);
+            if (!part.hasOwnerOf(caches.listVersion())) {
+                part.setOwner(owningCache(part.key()), caches.listVersion());
+                examined++;
+            }
+            CacheState owner = caches.find(part.ownerId());
+            ArrayDeque<HotPart<T>> queue = owner == null ? null : queues.get(owner);
+            if (queue != null && queue.size() < MAX_QUEUED_PARTS && !owner.hasCached(part.key())) {
+                queue.add(part);
+            }
+        }
+    }
+
+    /** Returns the id of the local cache that a part belongs to by hash; 0 if there is none. */
+    private long owningCache(PartKey key) {
+        return caches.all().stream()
+                .filter(cache -> cache.isReady() && caches.isLocal(cache))
+                .max(
+                        Comparator.comparingDouble(
+                                cache -> score.score(key.object(), key.part(), cache.id())))
+                .map(CacheState::id)
+                .orElse(0L);
+    }
+}
--- a/src/main/java/brooklock/warming/SlowStartRamp.java
+++ b/src/main/java/brooklock/warming/SlowStartRamp.java
@@ -1,120 +1,94 @@
 package brooklock.warming;
 
 /**
- * The share of its own that one cold cache is given, of 1. It begins with all that the module's
- * budget allows, which is reckoned from the stated warmth; if the cache says that it has less to
- * spare than that, or answers late, the share is halved, and grows again by steps while there is
- * room. Growth is added and cuts are multiplied, so that dispatchers which share nothing but the
- * cache's own word come to alike shares (Chiu and Jain, 1989). A report only ever makes it smaller
- * than the module's budget, so nonsense can slow a start and push nobody over.
+ * The share of its load that one cache gets while it warms up, from {@link #MIN_SHARE} to 1.
+ *
+ * <p>It begins at 1, which means all that the router's own slow start allows. Inputs: the cache's
+ * load reports and signs of overload seen by this dispatcher. An overload halves the share, reports
+ * of free capacity let it grow again. Because the share only lowers the router's bound, an
+ * implausible report can slow a start down and overload nothing.
  */
 final class SlowStartRamp {
-    /** Least share: some requests must go there, else nothing more is heard. */
+    /** Least share: without any request no further report would arrive. */
     static final double MIN_SHARE = 0.1;
 
-    // Growth a step, and the time of a step.
-    private static final double GROWTH_STEP = 0.1;
-    private static final long GROWTH_INTERVAL_NS = 500_000_000L;
-    // One crowding is one cut: answers that were on their way when it was cut tell of before.
-    private static final long MIN_CUT_INTERVAL_NS = 250_000_000L;
     private static final double CUT_FACTOR = 0.5;
-    // Uses of its link above which it is crowded, and below which it has room.
     private static final double HIGH_UTILIZATION = 0.9;
     private static final double LOW_UTILIZATION = 0.7;
-    // A report older than this says nothing: growth waits, and after the other time the share is
-    // the module's alone.
+    // A report older than this no longer lets the share grow; after a longer silence the share
+    // grows without any.
     private static final long STALE_REPORT_NS = 2_000_000_000L;
     private static final long SILENCE_NS = 6_000_000_000L;
+    // Reports in a row with the same utilization to the digit, but other requests in flight, that
+    // show a stuck figure.
+    private static final int STUCK_REPORTS = 20;
 
-    final long startedNs;
-    private double share = 1;
-    private long lastCutNs;
-    private long lastGrowthNs;
+    private final long startedNs;
+    private final AdaptiveShare share;
     private LoadReport lastReport;
     private int unchangedReports;
 
-    SlowStartRamp(long startedNs, long now) {
+    /**
+     * Creates a ramp at its full share.
+     *
+     * @param startedNs when the cache started
+     */
+    SlowStartRamp(long startedNs, long nowNs) {
         this.startedNs = startedNs;
-        lastCutNs = now - MIN_CUT_INTERVAL_NS;
-        lastGrowthNs = now;
+        share = new AdaptiveShare(1, nowNs);
     }
 
-    /** Goes on from what was written down before a restart of this dispatcher. */
-    void restore(double before, long now) {
-        share = Math.min(1, Math.max(MIN_SHARE, before));
-        lastGrowthNs = now;
+    /** Continues at the share of before a restart of this dispatcher. */
+    void restore(double previousShare, long nowNs) {
+        share.set(Math.min(1, Math.max(MIN_SHARE, previousShare)));
+        share.restartGrowth(nowNs);
     }
 
-    /** The cache has said something of itself. */
-    void onReport(LoadReport r) {
-        // What was said before its start, or cannot be, or is a figure that stands still while
-        // others move, is nothing.
-        if (!r.isPlausible()
-                || r.requestSentNs() < startedNs
-                || lastReport != null && r.receivedNs() < lastReport.receivedNs()) {
+    /** Takes in a report; one from before the start, out of order or out of range is ignored. */
+    void onReport(LoadReport report) {
+        if (!report.isPlausible()
+                || report.requestSentNs() < startedNs
+                || lastReport != null && report.receivedNs() < lastReport.receivedNs()) {
             return;
         }
-        unchangedReports =
-                lastReport != null
-                                && r.utilization() == lastReport.utilization()
-                                && r.inFlight() != lastReport.inFlight()
-                        ? unchangedReports + 1
-                        : lastReport != null && r.utilization() == lastReport.utilization()
-                                ? unchangedReports
-                                : 0;
-        lastReport = r;
-        if (r.utilization() > HIGH_UTILIZATION && !isStuck()) {
-            cut(r.receivedNs());
+        countUnchanged(report);
+        lastReport = report;
+        if (report.utilization() > HIGH_UTILIZATION && !isStuck()) {
+            onOverload(report.receivedNs());
         }
     }
 
-    // So often the same share of the link, to the digit, with other numbers of requests: the figure
-    // is stuck.
-    private boolean isStuck() {
-        return unchangedReports >= 20;
+    private void countUnchanged(LoadReport report) {
+        if (lastReport == null || report.utilization() != lastReport.utilization()) {
+            unchangedReports = 0;
+        } else if (report.inFlight() != lastReport.inFlight()) {
+            unchangedReports++;
+        }
     }
 
-    /**
-     * It refused for want of room, or answered later than the class aims at, what it had itself.
-     */
-    void onOverload(long now) {
-        cut(now);
+    private boolean isStuck() {
+        return unchangedReports >= STUCK_REPORTS;
     }
 
-    private void cut(long now) {
-        if (now - lastCutNs >= MIN_CUT_INTERVAL_NS) {
-            share = Math.max(MIN_SHARE, share * CUT_FACTOR);
-            lastCutNs = now;
-            lastGrowthNs = now;
-        }
+    /** The cache rejected a request, or answered late what it had cached. */
+    void onOverload(long nowNs) {
+        share.cut(CUT_FACTOR, MIN_SHARE, nowNs);
     }
 
-    /** The share now. */
-    double share(long now) {
-        if (lastReport == null || now - lastReport.receivedNs() > SILENCE_NS || isStuck()) {
-            // Nothing worth believing is heard: the module's budget alone, which the share is 1 of.
-            // A cut still holds for
-            // as long as growth would take.
-            grow(now);
+    /** Returns the share now. */
+    double share(long nowNs) {
+        boolean credible =
+                lastReport != null && nowNs - lastReport.receivedNs() <= SILENCE_NS && !isStuck();
+        if (!credible) {
+            // Only the router's bound is left, which is a share of 1; a cut still lasts for the
+            // time of its growth.
+            share.grow(1, nowNs);
         } else if (lastReport.utilization() < LOW_UTILIZATION
-                && now - lastReport.receivedNs() <= STALE_REPORT_NS) {
-            grow(now);
+                && nowNs - lastReport.receivedNs() <= STALE_REPORT_NS) {
+            share.grow(1, nowNs);
         } else {
-            lastGrowthNs = now;
-        }
-        return share;
-    }
-
-    private void grow(long now) {
-        long steps = (now - lastGrowthNs) / GROWTH_INTERVAL_NS;
-        if (steps > 0) {
-            share = Math.min(1, share + GROWTH_STEP * steps);
-            lastGrowthNs += steps * GROWTH_INTERVAL_NS;
+            share.restartGrowth(nowNs);
         }
-    }
-
-    /** Share of hits that it told last, or -1. */
-    double hitRatio() {
-        return lastReport == null ? -1 : lastReport.hitRatio();
+        return share.value();
     }
 }
--- a/src/main/java/brooklock/warming/StableHash.java
+++ b/src/main/java/brooklock/warming/StableHash.java
@@ -2,20 +2,25 @@
 
 import com.dynatrace.hash4j.hashing.Hashing;
 
-/** Numbers that look like chance and are the same each time. */
+/** Hashes that look random and are the same at each run. */
 final class StableHash {
     private StableHash() {}
 
-    static long hash(long x) {
-        return Hashing.komihash5_0().hashStream().putLong(x).getAsLong();
+    static long hash(long value) {
+        return Hashing.komihash5_0().hashStream().putLong(value).getAsLong();
     }
 
-    static long hash(String name, long x, long y) {
-        return Hashing.komihash5_0().hashStream().putString(name).putLong(x).putLong(y).getAsLong();
+    static long hash(String name, long first, long second) {
+        return Hashing.komihash5_0()
+                .hashStream()
+                .putString(name)
+                .putLong(first)
+                .putLong(second)
+                .getAsLong();
     }
 
-    /** From 0 up to 1. */
-    static double toUnitInterval(long x) {
-        return (x >>> 11) * 0x1p-53;
+    /** Maps a hash to a number from 0 (inclusive) to 1 (exclusive). */
+    static double toUnitInterval(long hash) {
+        return (hash >>> 11) * 0x1p-53;
     }
 }
--- a/src/main/java/brooklock/warming/WarmingLimits.java
+++ b/src/main/java/brooklock/warming/WarmingLimits.java
@@ -1,18 +1,19 @@
 package brooklock.warming;
 
 /**
- * What an installation allows, and the figures that the rule on cold hosts goes by.
+ * What the settings allow, and the capacity of caches that are warming up.
  *
- * @param anyZone neighbours of all locations may give, else those of the own location only
- * @param neighbourShare share of what a neighbour has to spare that all dispatchers together may
- *     ask of it
- * @param bearsPerNs requests a ns, of mean size, that a warm cache bears; 0 where it is not known,
- *     then what this dispatcher sends a warm cache itself stands for its part of that
- * @param dispatchers how many may send
- * @param coldFrom share of its capacity that a cache has right after its start
- * @param coldNs time until it has all of it
- * @param fallMultiple multiple of what it can do that pushes it over
- * @param overloadNs the span over which that is reckoned
+ * @param crossZone whether caches of all zones may fill one another, not only those of the own zone
+ * @param peerShare share of a peer's free capacity that all dispatchers together may use, above 0
+ *     and up to 1
+ * @param warmCapacityPerNs requests per ns, of mean size, that a warm cache can serve; 0 if not
+ *     known, then this dispatcher's own traffic to a warm cache stands for its part
+ * @param dispatcherCount dispatchers that may send requests
+ * @param initialCapacity share of its capacity that a cache has right after its start, above 0 and
+ *     up to 1
+ * @param warmUpNs time from a cache's start until it has its whole capacity
+ * @param overloadMultiple multiple of its current capacity that overloads a cache
+ * @param overloadWindowNs the window over which that load is measured
  */
 public record WarmingLimits(
         boolean crossZone,
@@ -23,7 +24,11 @@
         long warmUpNs,
         double overloadMultiple,
         long overloadWindowNs) {
-    /** Checks the figures. */
+    /**
+     * Checks the ranges.
+     *
+     * @throws IllegalArgumentException if a value is out of its range
+     */
     public WarmingLimits {
         if (!(peerShare > 0 && peerShare <= 1)
                 || !(warmCapacityPerNs >= 0)
@@ -32,27 +37,29 @@
                 || warmUpNs <= 0
                 || overloadMultiple < 0
                 || overloadWindowNs <= 0) {
-            throw new IllegalArgumentException("figures of warming that cannot be");
+            throw new IllegalArgumentException("warming limits out of range");
         }
     }
 
     /**
-     * This dispatcher's part of what a warm cache bears: all parts together are no more than that.
+     * This dispatcher's part of a warm cache's capacity, in requests per ns; the parts of all
+     * dispatchers together are no more than the capacity.
      *
-     * @param ownPerNs requests a ns that this dispatcher sends a warm cache itself
+     * @param ownRatePerNs requests per ns that this dispatcher itself sends to a warm cache
      */
-    public double dispatcherSharePerNs(double ownPerNs) {
-        return warmCapacityPerNs > 0 ? warmCapacityPerNs / dispatcherCount : ownPerNs;
+    public double dispatcherSharePerNs(double ownRatePerNs) {
+        return warmCapacityPerNs > 0 ? warmCapacityPerNs / dispatcherCount : ownRatePerNs;
     }
 
     /**
-     * How long a permission lasts that is not used: half the span over which too much is reckoned.
+     * How long an unused permit lasts, in ns: half the window, so that permits of two windows do
+     * not add up in one.
      */
     long permitLifetimeNs() {
         return overloadWindowNs / 2;
     }
 
-    /** Share of its capacity that a cache surely has at an age. */
+    /** Share of its capacity that a cache has for certain at an age, given in ns. */
     public double capacityAt(long ageNs) {
         return ageNs >= warmUpNs
                 ? 1
--- /dev/null
+++ b/src/test/java/brooklock/warming/WarmingSnapshotTest.java
@@ -0,0 +1,54 @@
+package brooklock.warming;
+
+import static brooklock.warming.WarmingFixture.LIMITS;
+import static brooklock.warming.WarmingFixture.S;
+import static brooklock.warming.WarmingFixture.cold;
+import static brooklock.warming.WarmingFixture.fleet;
+import static brooklock.warming.WarmingFixture.report;
+import static brooklock.warming.WarmingFixture.warm;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import brooklock.warming.CacheWarming.SnapshotEntry;
+import java.util.List;
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.DisplayName;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+
+/**
+ * A dispatcher restarts while a cache warms up. Without a snapshot it would send the cache its full
+ * share again, though that has just proved too much.
+ */
+class WarmingSnapshotTest {
+    private static final long START = 100 * S;
+    private List<SnapshotEntry> snapshot;
+
+    @BeforeEach
+    void overloadAndSave() {
+        CacheWarming<String> warming = fleet(LIMITS, START);
+        warming.onReport(1, report(0.95, 0.1, START + S));
+        assertEquals(0.5, warming.changedShares(START + S).get(1L));
+        snapshot = warming.snapshot(START + S);
+    }
+
+    @ParameterizedTest
+    @CsvSource({"2, 0.55", "10, 0.75", "40, 1"})
+    @DisplayName("a snapshot counts less the older it is")
+    void age(long ageSeconds, double share) {
+        CacheWarming<String> restarted = fleet(LIMITS, START);
+        restarted.restore(snapshot, ageSeconds * S, START + S);
+        assertEquals(share, restarted.changedShares(START + S).getOrDefault(1L, 1.0), 0.01);
+    }
+
+    @Test
+    @DisplayName("a snapshot counts for nothing if the cache has started since")
+    void startedSince() {
+        CacheWarming<String> restarted = fleet(LIMITS, START);
+        restarted.onEndpointList(List.of(cold(1, START + S / 2), warm(2)), START + S);
+        restarted.restore(snapshot, S, START + S);
+        assertEquals(1, restarted.loadShare(1));
+        assertTrue(restarted.changedShares(START + S).isEmpty());
+    }
+}
