--- a/src/main/java/brooklock/net/CallFailure.java
+++ b/src/main/java/brooklock/net/CallFailure.java
@@ -1,17 +1,17 @@
 package brooklock.net;
 
-/** How a call to a host failed. */
+/** How a call to an endpoint failed. */
 public enum CallFailure {
-    /** No connection could be had in time: the host has seen nothing of the request. */
+    /** No connection was established in time: the endpoint has seen nothing of the request. */
     NOT_CONNECTED(true),
-    /** Called off before a byte of it was written. */
+    /** Given up by {@link ResponseHandler#shouldSend} before a byte was written. */
     NOT_SENT(true),
-    /** The connection broke after some of the request was written; it may have run. */
+    /** The connection broke after some of the request was written; it may have been executed. */
     CONNECTION_LOST(false),
-    /** What came back is not HTTP, or breaks a bound; the request may have run. */
+    /** The response is not HTTP, or exceeds a limit; the request may have been executed. */
     MALFORMED_RESPONSE(false);
 
-    /** Whether the host surely did not run the request. */
+    /** Whether the endpoint cannot have executed the request. */
     public final boolean provesNotExecuted;
 
     CallFailure(boolean provesNotExecuted) {
--- a/src/main/java/brooklock/net/ClientCall.java
+++ b/src/main/java/brooklock/net/ClientCall.java
@@ -3,7 +3,7 @@
 import brooklock.http.RequestHead;
 import org.xnio.XnioExecutor;
 
-/** One request to a host, and what became of it. Used only on its I/O thread. */
+/** One request to an endpoint and its progress. Used on the client's I/O thread only. */
 public final class ClientCall {
     final RequestHead head;
     final byte[] body;
@@ -21,10 +21,12 @@
         this.handler = handler;
     }
 
-    void onQueued(XnioExecutor.Key key) {
-        waitTimeout = key;
+    /** The call waits for a connection; {@code timeout} ends the wait. */
+    void onQueued(XnioExecutor.Key timeout) {
+        waitTimeout = timeout;
     }
 
+    /** The call no longer waits for a connection. */
     void onDequeued() {
         if (waitTimeout != null) {
             waitTimeout.remove();
@@ -32,6 +34,7 @@
         }
     }
 
+    /** The connection that carries the call now; null while there is none. */
     void attach(HttpClientConnection assigned) {
         connection = assigned;
     }
@@ -51,7 +54,7 @@
         }
     }
 
-    /** Goes on reading after a piece that was not taken at once. */
+    /** Resumes reading after {@link ResponseHandler#onBody} returned false. */
     public void resume() {
         if (!ended && connection != null) {
             connection.resume();
@@ -59,8 +62,8 @@
     }
 
     /**
-     * Calls the request off: its connection is closed, not used again, and the taker hears nothing
-     * more.
+     * Cancels the call. Its connection is closed, since the rest of the response would have to be
+     * read before the connection could be reused; the handler is not called any more.
      */
     public void cancel() {
         if (ended || cancelled) {
--- a/src/main/java/brooklock/net/ClientLimits.java
+++ b/src/main/java/brooklock/net/ClientLimits.java
@@ -3,17 +3,20 @@
 import brooklock.http.HttpLimits;
 
 /**
- * The bounds of calls to hosts, each per host and I/O thread.
+ * The limits of an {@link HttpClient}, each per endpoint and I/O thread. Times in nanoseconds.
  *
- * @param http bounds of answers; a host that breaks them has answered badly
- * @param connections connections open at once; further calls wait in line
- * @param openings connections on their way at once; further calls wait for one of them or for one
- *     that becomes free
- * @param waiting calls in line; further ones fail at once as not connected
- * @param idle connections kept for use again
- * @param connectNs time for a connection, or for a place in line to come up
- * @param idleNs time after which an unused connection is closed; shorter than any host's own
- * @param stallNs time in which a host sends not one byte of a body that was begun; broken
+ * @param http limits of a response; exceeding one is {@link CallFailure#MALFORMED_RESPONSE}
+ * @param maxConnections connections open at once; further calls wait
+ * @param maxConnecting connections being established at once; further calls wait for one of them,
+ *     or for a connection that becomes free
+ * @param maxWaitingCalls waiting calls; further ones fail at once as {@link
+ *     CallFailure#NOT_CONNECTED}
+ * @param maxIdleConnections connections kept for reuse
+ * @param connectTimeoutNs time for a connection to be established, and for a call to wait for one
+ * @param idleTimeoutNs time until an unused connection is closed; shorter than any endpoint's own,
+ *     so that a request is rarely written to a connection that the endpoint is closing
+ * @param stallTimeoutNs time without a byte of a body that has begun; the call then fails as {@link
+ *     CallFailure#CONNECTION_LOST}
  */
 public record ClientLimits(
         HttpLimits http,
@@ -26,7 +29,7 @@
         long stallTimeoutNs) {
     private static final long SECOND_NS = 1_000_000_000L;
 
-    /** Bounds for a client that has none of its own. */
+    /** Limits for a client that states none of its own. */
     public static final ClientLimits STANDARD =
             new ClientLimits(
                     HttpLimits.STANDARD,
@@ -38,7 +41,7 @@
                     15 * SECOND_NS,
                     30 * SECOND_NS);
 
-    /** The same with another time for a connection, ns. */
+    /** Returns these limits with another connect timeout, ns. */
     public ClientLimits withConnectTimeoutNs(long timeoutNs) {
         return new ClientLimits(
                 http,
@@ -51,7 +54,7 @@
                 stallTimeoutNs);
     }
 
-    /** The same with other bounds on connections, calls in line and idle connections. */
+    /** Returns these limits with others on connections, waiting calls and idle connections. */
     public ClientLimits withConnections(int max, int maxWaiting, int maxIdle) {
         return new ClientLimits(
                 http,
@@ -64,7 +67,7 @@
                 stallTimeoutNs);
     }
 
-    /** The same with another bound on connections on their way. */
+    /** Returns these limits with another on connections being established. */
     public ClientLimits withMaxConnecting(int max) {
         return new ClientLimits(
                 http,
--- a/src/main/java/brooklock/net/ConnectAttempt.java
+++ b/src/main/java/brooklock/net/ConnectAttempt.java
@@ -1,38 +1,37 @@
 package brooklock.net;
 
-import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.function.Consumer;
+import org.xnio.ChannelListener;
 import org.xnio.IoFuture;
 import org.xnio.IoUtils;
 import org.xnio.OptionMap;
 import org.xnio.Options;
 import org.xnio.StreamConnection;
-import org.xnio.XnioExecutor;
 
-/**
- * One connection on its way to a peer that speaks a protocol other than HTTP. Ends once: opened,
- * failed or given up.
- */
-public final class ConnectAttempt {
-    private final IoLoop loop;
+/** A {@link RawConnection} that is being established. */
+public final class ConnectAttempt extends PendingConnect {
+    private final InetSocketAddress address;
     private final Consumer<RawConnection> onOpened;
     private final Consumer<String> onFailed;
-    private IoFuture<StreamConnection> future;
-    private XnioExecutor.Key timer;
-    private boolean settled;
 
     private ConnectAttempt(
-            IoLoop loop, Consumer<RawConnection> onOpened, Consumer<String> onFailed) {
-        this.loop = loop;
+            IoLoop loop,
+            InetSocketAddress address,
+            Consumer<RawConnection> onOpened,
+            Consumer<String> onFailed) {
+        super(loop);
+        this.address = address;
         this.onOpened = onOpened;
         this.onFailed = onFailed;
     }
 
     /**
-     * Begins to connect; called on the loop's thread, on which either of the two is called later.
+     * Begins to connect. Called on the loop's thread, on which exactly one of the two callbacks is
+     * called later, never from within this call; none after {@link #cancel}.
      *
-     * @param limitNs time for the connection to come up, ns
+     * @param timeoutNs time for the connection to be established, ns
+     * @param onFailed receives the reason in plain words
      */
     public static ConnectAttempt connect(
             IoLoop loop,
@@ -40,61 +39,44 @@
             long timeoutNs,
             Consumer<RawConnection> onOpened,
             Consumer<String> onFailed) {
-        ConnectAttempt attempt = new ConnectAttempt(loop, onOpened, onFailed);
-        attempt.start(address, timeoutNs);
+        ConnectAttempt attempt = new ConnectAttempt(loop, address, onOpened, onFailed);
+        attempt.start(timeoutNs);
         return attempt;
     }
 
-    private void start(InetSocketAddress address, long timeoutNs) {
-        future =
-                loop.thread.openStreamConnection(
-                        address,
-                        c -> loop.execute(() -> onConnected(c)),
-                        OptionMap.create(Options.TCP_NODELAY, true));
-        timer =
-                loop.schedule(
-                        timeoutNs,
-                        () -> {
-                            future.cancel();
-                            onFailure("no connection in time");
-                        });
-        future.addNotifier(
-                new IoFuture.HandlingNotifier<StreamConnection, Void>() {
-                    @Override
-                    public void handleFailed(IOException e, Void nothing) {
-                        loop.execute(() -> onFailure(String.valueOf(e.getMessage())));
-                    }
-                },
-                null);
+    @Override
+    IoFuture<? extends StreamConnection> openChannel(ChannelListener<StreamConnection> whenOpen) {
+        return loop.thread.openStreamConnection(
+                address, whenOpen, OptionMap.create(Options.TCP_NODELAY, true));
     }
 
-    private void onConnected(StreamConnection established) {
+    // Later even on the loop's own thread: the caller must hold the attempt before it is called
+    // back.
+    @Override
+    void dispatch(Runnable callback) {
+        loop.execute(callback);
+    }
+
+    @Override
+    void onChannelOpen(StreamConnection channel) {
         if (settle()) {
-            onOpened.accept(new RawConnection(loop, established));
+            onOpened.accept(new RawConnection(loop, channel));
         } else {
-            IoUtils.safeClose(established);
+            IoUtils.safeClose(channel);
         }
     }
 
-    private void onFailure(String reason) {
+    @Override
+    void fail(String reason) {
         if (settle()) {
             onFailed.accept(reason);
         }
     }
 
-    private boolean settle() {
-        if (settled) {
-            return false;
-        }
-        settled = true;
-        timer.remove();
-        return true;
-    }
-
-    /** Gives it up; nothing is called any more. */
+    /** Cancels the attempt; neither callback is called any more. */
     public void cancel() {
         if (settle()) {
-            future.cancel();
+            cancelChannel();
         }
     }
 }
--- a/src/main/java/brooklock/net/Connection.java
+++ b/src/main/java/brooklock/net/Connection.java
@@ -9,9 +9,8 @@
 import org.xnio.ssl.SslConnection;
 
 /**
- * What both sides of a connection share: the bytes that have come and were not taken yet, what is
- * still to be written, one moving deadline, and an end that happens once. Belongs to one I/O
- * thread.
+ * What every kind of connection shares: the input that has not been consumed, the queue of output,
+ * one movable deadline, and a close that happens once. Belongs to one I/O thread.
  */
 abstract class Connection {
     final IoLoop loop;
@@ -21,14 +20,14 @@
     final DeadlineTimer deadline;
 
     /**
-     * A record of TLS may have been read from the socket and not been opened yet, so readiness
-     * alone does not do.
+     * Whether the connection is encrypted. A TLS record may have been read from the socket and not
+     * been decrypted yet, so waiting for socket readiness alone would stall.
      */
     final boolean tls;
 
     /**
-     * Bytes not taken yet, ready to be added to; null while there are none, so that an idle
-     * connection holds none.
+     * Input that has not been consumed, in a buffer that is ready to be added to; null while there
+     * is none, so that an idle connection holds no buffer.
      */
     ByteBuffer input;
 
@@ -43,12 +42,25 @@
         deadline = new DeadlineTimer(loop, this::onTimeout);
     }
 
+    /** Asks for the readiness callbacks; reads and writes must still be resumed. */
+    final void listenForReadiness() {
+        source.setReadListener(ready -> onReadable());
+        channel.getSinkChannel().setWriteListener(ready -> onWritable());
+    }
+
     /** The deadline has passed. */
     abstract void onTimeout();
 
+    /** The socket has input, or its input has ended. */
+    abstract void onReadable();
+
+    /** The socket takes output again. */
+    abstract void onWritable();
+
     /**
-     * Reads into the buffer, which is taken from the pool where there is none: bytes, or -1 at the
-     * end.
+     * Reads into the input buffer, which is taken from the pool where there is none.
+     *
+     * @return the bytes read, or -1 at the end of input
      */
     final int readInput() throws IOException {
         if (input == null) {
@@ -58,8 +70,9 @@
     }
 
     /**
-     * Writes what waits, and asks to be called again while something does; true once nothing does
-     * after such a call.
+     * Writes what waits, and asks for {@link #onWritable} while something still does.
+     *
+     * @return true once everything is written that had been waiting for {@code onWritable}
      */
     final boolean flushOutput() throws IOException {
         ConduitStreamSinkChannel sink = channel.getSinkChannel();
@@ -75,9 +88,15 @@
     }
 
     /**
-     * Keeps what was not taken of a buffer that was flipped for reading; gives it back where
-     * nothing was left.
+     * Ends the sending side. The peer reads everything that was written, then the end; closing
+     * instead over unread input would reset the connection and discard what was written.
      */
+    final void shutDownOutput() throws IOException {
+        channel.getSinkChannel().shutdownWrites();
+        channel.getSinkChannel().flush();
+    }
+
+    /** Keeps what was not consumed of an input buffer that was flipped for reading. */
     final void keepUnconsumed() {
         if (input != null) {
             input.compact();
@@ -94,7 +113,11 @@
         }
     }
 
-    /** Ends the connection; false where it has ended already. */
+    /**
+     * Closes the connection.
+     *
+     * @return false where it had been closed before
+     */
     final boolean closeOnce() {
         if (closed) {
             return false;
--- a/src/main/java/brooklock/net/HttpClientConnection.java
+++ b/src/main/java/brooklock/net/HttpClientConnection.java
@@ -11,37 +11,42 @@
 import java.nio.ByteBuffer;
 import org.xnio.StreamConnection;
 
-/** The client's side of one connection to a host; one call at a time. */
+/** The client's side of one connection to an endpoint; it carries one call at a time. */
 final class HttpClientConnection extends Connection {
-    // Interim answers before a final one; a host that sends more is not sane.
+    /**
+     * Interim responses before a final one; without a bound an endpoint could hold a call for ever.
+     */
     private static final int MAX_INTERIM_RESPONSES = 8;
 
     private final HttpConnectionPool pool;
     private final ClientLimits limits;
-    private ResponseParser parser;
+    private final ResponseParser parser;
+
+    /** The call that the connection carries; null while it is idle or closed. */
     private ClientCall call;
+
     private ResponseHead head;
     private BodyDecoder body;
     private long writtenBeforeCall;
     private int interimResponses;
     private int callsStarted;
+
+    /** The handler has asked to stop reading, and still uses the input buffer. */
     private boolean paused;
 
     HttpClientConnection(
-            HttpConnectionPool pool,
-            IoLoop loop,
-            StreamConnection connection,
-            ClientLimits limits) {
-        super(loop, connection);
+            HttpConnectionPool pool, IoLoop loop, StreamConnection channel, ClientLimits limits) {
+        super(loop, channel);
         this.pool = pool;
         this.limits = limits;
         parser = new ResponseParser(limits.http());
-        source.setReadListener(c -> onReadable());
-        connection.getSinkChannel().setWriteListener(c -> onWritable());
-        connection.setCloseListener(c -> onConnectionLost("connection closed"));
+        listenForReadiness();
+        channel.setCloseListener(gone -> onConnectionLost("connection closed"));
     }
 
-    /** Looks whether the host has closed an idle connection, or sent what nobody asked for. */
+    /**
+     * Whether an idle connection is usable: neither closed by the endpoint nor sent unasked data.
+     */
     boolean isAlive() {
         if (closed) {
             return false;
@@ -79,7 +84,8 @@
         onWritable();
     }
 
-    private void onWritable() {
+    @Override
+    void onWritable() {
         if (closed) {
             return;
         }
@@ -90,16 +96,19 @@
         }
     }
 
-    private void onReadable() {
+    // ---- Reading the response
+
+    @Override
+    void onReadable() {
         if (closed || paused) {
             return;
         }
         try {
-            // One buffer at a time is enough: readiness is told again while there is more. Not so
-            // with TLS, where a
-            // record may have been read from the socket and not been opened yet.
-            while (readOnce() && tls && !closed && !paused) {
-                continue;
+            // One buffer at a time is enough, since the socket stays ready while there is more. Not
+            // so with TLS, where a record may have been read from the socket but not decrypted.
+            boolean more = readOnce();
+            while (more && tls && !closed && !paused) {
+                more = readOnce();
             }
         } catch (HttpProtocolException e) {
             fail(CallFailure.MALFORMED_RESPONSE, e.getMessage());
@@ -108,7 +117,11 @@
         }
     }
 
-    // True if something came.
+    /**
+     * Reads and processes one buffer.
+     *
+     * @return whether any input arrived
+     */
     private boolean readOnce() throws IOException, HttpProtocolException {
         int bytesRead = readInput();
         if (closed) {
@@ -189,6 +202,7 @@
         }
     }
 
+    /** The handler can take more of the body. */
     void resume() {
         if (!paused || closed) {
             return;
@@ -206,10 +220,12 @@
         }
     }
 
+    // ---- Ends
+
     private void completeCall() {
         ClientCall finishedCall = call;
         boolean reusable = head.isPersistent() && !input.hasRemaining() && writeQueue.isEmpty();
-        // Read first: a call that waits in line begins on this connection as soon as it is free.
+        // Read first: a waiting call starts on this connection as soon as it is released.
         Fields trailers = body.trailers();
         call = null;
         finishedCall.markEnded();
@@ -224,20 +240,19 @@
     }
 
     private void onEndOfInput() {
-        if (call != null && body != null) {
-            try {
-                body.onEndOfInput();
-                completeAtClose();
-                return;
-            } catch (HttpProtocolException e) {
-                onConnectionLost(e.getMessage());
-                return;
-            }
+        if (call == null || body == null) {
+            onConnectionLost("closed by the host");
+            return;
+        }
+        try {
+            body.onEndOfInput();
+            completeAtClose();
+        } catch (HttpProtocolException e) {
+            onConnectionLost(e.getMessage());
         }
-        onConnectionLost("closed by the host");
     }
 
-    // A body that lasts until the connection is closed is whole now.
+    // A body that lasts until the connection is closed is complete now.
     private void completeAtClose() {
         ClientCall finishedCall = call;
         call = null;
@@ -246,10 +261,8 @@
         finishedCall.handler.onComplete(body.trailers());
     }
 
-    // A kept connection that turns out closed before a byte was written is no attempt: another one
-    // is used. Once a
-    // byte was written the host may have run the request, whatever it had meant to do with the
-    // connection.
+    // A reused connection that turns out closed before a byte was written is no attempt: the call
+    // moves to another. Once a byte was written the endpoint may have executed the request.
     private void onConnectionLost(String reason) {
         ClientCall affectedCall = call;
         if (affectedCall == null || writeQueue.writtenBytes() > writtenBeforeCall) {
@@ -282,11 +295,13 @@
         }
     }
 
+    /** The connection waits in the pool; reading shows when the endpoint closes it. */
     void becomeIdle() {
         deadline.startTimeout(limits.idleTimeoutNs());
         source.resumeReads();
     }
 
+    /** Closes the connection at once; a call that it carries fails. */
     void closeNow() {
         if (!closeOnce()) {
             return;
--- a/src/main/java/brooklock/net/HttpExchange.java
+++ b/src/main/java/brooklock/net/HttpExchange.java
@@ -10,9 +10,13 @@
 import java.security.cert.X509Certificate;
 import java.util.function.Consumer;
 
-/** One request on a connection and its answer. Used only on the connection's I/O thread. */
+/**
+ * One request that a server has received, and the response to it. Used on the connection's I/O
+ * thread only.
+ */
 public final class HttpExchange {
     private static final byte[] NO_BYTES = new byte[0];
+    private static final long UNKNOWN_LENGTH = Long.MAX_VALUE;
 
     private final HttpServerConnection connection;
     private final RequestHead head;
@@ -22,11 +26,13 @@
     private Runnable clientGoneAction;
     private Runnable writableAction;
     private boolean responseStarted;
+    private boolean responseEnding;
     private boolean ended;
     private boolean chunked;
     private boolean noResponseBody;
     private boolean keepAlive;
-    private boolean responseEnding;
+
+    /** Bytes of the response body still to come, or {@link #UNKNOWN_LENGTH}. */
     private long remainingBytes;
 
     HttpExchange(HttpServerConnection connection, RequestHead head, boolean hasBody) {
@@ -40,7 +46,7 @@
         return head;
     }
 
-    /** The I/O thread all of this happens on. */
+    /** The I/O thread of the exchange. */
     public IoLoop loop() {
         return connection.loop;
     }
@@ -50,7 +56,7 @@
         return connection.peerAddress();
     }
 
-    /** The client's certificates, its own first; null where it showed none. */
+    /** The client's certificate chain, its own first; null where it sent none. */
     public X509Certificate[] certificates() {
         return connection.certificates();
     }
@@ -60,7 +66,7 @@
         return hasBody;
     }
 
-    /** Called once if the client leaves before its answer has gone out whole. */
+    /** Sets what is called, once, if the client leaves before its response has been written. */
     public void onClientGone(Runnable action) {
         clientGoneAction = action;
     }
@@ -68,8 +74,9 @@
     // ---- The request's body
 
     /**
-     * Asks for the whole body, which the listener's limits bound; called at once where there is
-     * none.
+     * Reads the whole body, which the listener's limits bound.
+     *
+     * @param consumer receives it; called before this returns where there is no body
      */
     public void readBody(Consumer<byte[]> consumer) {
         if (!hasBody) {
@@ -79,7 +86,7 @@
         bodyConsumer = consumer;
         requestBody = new ByteArrayOutputStream();
         if (head.expectsContinue()) {
-            connection.sendContinue();
+            connection.write(HttpEncoder.encodeResponse(new ResponseHead(100, new Fields())));
         }
         connection.resumeReading();
     }
@@ -100,18 +107,18 @@
         bodyConsumer.accept(complete);
     }
 
-    // ---- The answer
+    // ---- The response
 
     boolean isResponseStarted() {
         return responseStarted;
     }
 
-    /** Whether the exchange has ended, by an answer or by the client's leaving. */
+    /** Whether the exchange has ended: by its response, or because the client has left. */
     public boolean isEnded() {
         return ended;
     }
 
-    /** Sends a whole answer of our own. */
+    /** Sends a whole response. */
     public void send(int status, Fields fields, byte[] content) {
         startResponse(new ResponseHead(status, fields), content.length);
         if (content.length > 0) {
@@ -121,8 +128,8 @@
     }
 
     /**
-     * Begins the answer. Fields about the connection and the framing are set here; of those given,
-     * any are replaced.
+     * Starts the response. The fields about framing and the connection are set here, in place of
+     * any that are given; {@code response} is changed by that.
      *
      * @param length bytes of the body, or -1 where that is not known
      * @return false where the socket is full already
@@ -132,22 +139,20 @@
             return true;
         }
         responseStarted = true;
-        Fields fields = response.fields();
-        fields.remove("Transfer-Encoding").remove("Connection");
-        noResponseBody =
-                head.method().equals("HEAD")
-                        || response.status() == 204
-                        || response.status() == 304;
+        boolean statusWithoutBody = response.status() == 204 || response.status() == 304;
+        noResponseBody = head.method().equals("HEAD") || statusWithoutBody;
         chunked = length < 0 && head.minorVersion() >= 1 && !noResponseBody;
-        remainingBytes = noResponseBody ? 0 : length < 0 ? Long.MAX_VALUE : length;
+        remainingBytes = noResponseBody ? 0 : length < 0 ? UNKNOWN_LENGTH : length;
         keepAlive =
                 head.isPersistent()
                         && connection.isReusable()
                         && (length >= 0 || chunked || noResponseBody)
                         && (!hasBody || bodyConsumer != null && requestBody == null);
+        Fields fields = response.fields();
+        fields.remove("Transfer-Encoding").remove("Connection");
         if (chunked) {
             fields.remove("Content-Length").add("Transfer-Encoding", "chunked");
-        } else if (length >= 0 && response.status() != 204 && response.status() != 304) {
+        } else if (length >= 0 && !statusWithoutBody) {
             fields.set("Content-Length", Long.toString(length));
         }
         if (!keepAlive) {
@@ -159,10 +164,12 @@
     }
 
     /**
-     * Sends a piece of the body, which must be left alone until all is written.
+     * Writes a piece of the body.
      *
-     * @return true if the socket took it; else the action given to {@link #onWritable} is run when
-     *     it has
+     * @param piece must be left alone until all is written
+     * @return true if the socket took it; else the action given to {@link #onWritable} is called
+     *     once it has
+     * @throws IllegalStateException if the body gets longer than its stated length
      */
     public boolean writeBody(ByteBuffer piece) {
         if (ended || noResponseBody) {
@@ -179,11 +186,11 @@
             return connection.write(
                     HttpEncoder.chunkHeader(piece.remaining()), piece, HttpEncoder.chunkEnd());
         }
-        remainingBytes -= remainingBytes == Long.MAX_VALUE ? 0 : piece.remaining();
+        remainingBytes -= remainingBytes == UNKNOWN_LENGTH ? 0 : piece.remaining();
         return connection.write(piece);
     }
 
-    /** What to do when the socket has taken all it was given, after a call that returned false. */
+    /** Sets what is called when the socket has taken all, after a call that returned false. */
     public void onWritable(Runnable action) {
         writableAction = action;
     }
@@ -196,12 +203,12 @@
         }
     }
 
-    /** Ends the body. One that is short of its stated length is broken off instead. */
+    /** Ends the body. A body that is shorter than its stated length is aborted instead. */
     public void endResponse() {
         if (ended || responseEnding) {
             return;
         }
-        if (!noResponseBody && remainingBytes > 0 && remainingBytes != Long.MAX_VALUE) {
+        if (!noResponseBody && remainingBytes > 0 && remainingBytes != UNKNOWN_LENGTH) {
             abort();
             return;
         }
@@ -220,8 +227,8 @@
     }
 
     /**
-     * Breaks the answer off so that the client sees it: no last chunk, a short body, a reset
-     * connection.
+     * Ends the exchange so that the client sees an incomplete response: no last chunk, a short
+     * body, a connection reset.
      */
     public void abort() {
         if (!ended) {
@@ -230,6 +237,7 @@
         }
     }
 
+    /** The client has left, or its request cannot be completed. */
     void clientGone() {
         if (!ended) {
             ended = true;
--- a/src/main/java/brooklock/net/HttpListener.java
+++ b/src/main/java/brooklock/net/HttpListener.java
@@ -21,11 +21,14 @@
 import org.xnio.ssl.JsseXnioSsl;
 import org.xnio.ssl.SslConnection;
 
-/** A listening socket and the connections that came in by it. */
+/**
+ * A listening HTTP/1.1 socket and its open connections. Its public methods may be called from any
+ * thread.
+ */
 public final class HttpListener implements Closeable {
     final ServerLimits limits;
     final RequestHandler requestHandler;
-    private final IoThreads net;
+    private final IoThreads ioThreads;
     private final AcceptingChannel<? extends StreamConnection> channel;
     private final AtomicInteger openCount = new AtomicInteger();
     private final LongAdder rejectedCount = new LongAdder();
@@ -33,13 +36,13 @@
     private volatile boolean draining;
 
     private HttpListener(
-            IoThreads net,
+            IoThreads ioThreads,
             InetSocketAddress address,
             ServerLimits limits,
             RequestHandler requestHandler,
             SSLContext tlsContext)
             throws IOException {
-        this.net = net;
+        this.ioThreads = ioThreads;
         this.limits = limits;
         this.requestHandler = requestHandler;
         OptionMap.Builder options =
@@ -47,56 +50,68 @@
                         .set(Options.TCP_NODELAY, true)
                         .set(Options.REUSE_ADDRESSES, true)
                         .set(Options.BACKLOG, limits.backlog());
-        if (tlsContext == null) {
-            ChannelListener<AcceptingChannel<StreamConnection>> accept = this::accept;
-            channel = net.worker.createStreamConnectionServer(address, accept, options.getMap());
-        } else {
-            // Asked of every client, needed of none here: whether a request needs one is said by
-            // its route.
-            options.set(Options.SSL_CLIENT_AUTH_MODE, SslClientAuthMode.REQUESTED)
-                    .set(Options.SSL_ENABLED_PROTOCOLS, Sequence.of("TLSv1.3", "TLSv1.2"));
-            ChannelListener<AcceptingChannel<SslConnection>> accept = this::accept;
-            channel =
-                    new JsseXnioSsl(net.worker.getXnio(), OptionMap.EMPTY, tlsContext)
-                            .createSslConnectionServer(
-                                    net.worker, address, accept, options.getMap());
-        }
+        channel =
+                tlsContext == null
+                        ? openPlain(address, options)
+                        : openEncrypted(address, options, tlsContext);
         channel.resumeAccepts();
     }
 
+    private AcceptingChannel<StreamConnection> openPlain(
+            InetSocketAddress address, OptionMap.Builder options) throws IOException {
+        ChannelListener<AcceptingChannel<StreamConnection>> whenReady = this::accept;
+        return ioThreads.worker.createStreamConnectionServer(address, whenReady, options.getMap());
+    }
+
+    private AcceptingChannel<SslConnection> openEncrypted(
+            InetSocketAddress address, OptionMap.Builder options, SSLContext tlsContext)
+            throws IOException {
+        // Requested from every client, required of none: the route says whether a request needs
+        // one.
+        options.set(Options.SSL_CLIENT_AUTH_MODE, SslClientAuthMode.REQUESTED)
+                .set(Options.SSL_ENABLED_PROTOCOLS, Sequence.of("TLSv1.3", "TLSv1.2"));
+        ChannelListener<AcceptingChannel<SslConnection>> whenReady = this::accept;
+        return new JsseXnioSsl(ioThreads.worker.getXnio(), OptionMap.EMPTY, tlsContext)
+                .createSslConnectionServer(ioThreads.worker, address, whenReady, options.getMap());
+    }
+
     /**
-     * Listens.
+     * Starts listening.
      *
-     * @param at where; port 0 lets the system choose
-     * @throws IOException where the address is taken or not this machine's
+     * @param address where to listen; port 0 lets the system choose
+     * @throws IOException where the address is in use or not one of this machine
      */
     public static HttpListener open(
-            IoThreads net,
+            IoThreads ioThreads,
             InetSocketAddress address,
             ServerLimits limits,
             RequestHandler requestHandler)
             throws IOException {
-        return new HttpListener(net, address, limits, requestHandler, null);
+        return new HttpListener(ioThreads, address, limits, requestHandler, null);
     }
 
     /**
-     * Listens with TLS 1.3 and 1.2; a client's certificate is asked for and checked by the
-     * context's trust.
+     * Starts listening with TLS 1.3 and 1.2. A client certificate is requested, and checked by the
+     * context's trust manager where one is sent.
+     *
+     * @param address where to listen; port 0 lets the system choose
+     * @throws IOException where the address is in use or not one of this machine
      */
     public static HttpListener openTls(
-            IoThreads net,
+            IoThreads ioThreads,
             InetSocketAddress address,
             ServerLimits limits,
             RequestHandler requestHandler,
             SSLContext tlsContext)
             throws IOException {
-        return new HttpListener(net, address, limits, requestHandler, tlsContext);
+        return new HttpListener(ioThreads, address, limits, requestHandler, tlsContext);
     }
 
     /**
-     * Breaks off every connection whose client certificate is not good any more, whatever it is at.
+     * Resets every connection whose client certificate is no longer trusted, whatever the
+     * connection is doing.
      *
-     * @param revoked tells so of a chain
+     * @param isRevoked tests a certificate chain; called on the I/O threads
      */
     public void closeRevoked(Predicate<X509Certificate[]> isRevoked) {
         connections.forEach(c -> c.loop.execute(() -> c.closeIfRevoked(isRevoked)));
@@ -107,29 +122,33 @@
         return channel.getLocalAddress(InetSocketAddress.class);
     }
 
-    /** Connections open now. */
+    /** Number of connections open now. */
     public int openConnections() {
         return openCount.get();
     }
 
-    /** Connections that were over the bound since the start. */
+    /** Number of connections rejected since the start because the limit was reached. */
     public long rejectedConnections() {
         return rejectedCount.sum();
     }
 
+    // Unlike RawListener this accepts all that is ready in one turn and does not pause after a
+    // failed accept; the two loops stay apart since one for both would change either.
     private void accept(AcceptingChannel<? extends StreamConnection> channelReady) {
         try {
-            for (StreamConnection c = channelReady.accept(); c != null; c = channelReady.accept()) {
-                register(c);
+            StreamConnection accepted = channelReady.accept();
+            while (accepted != null) {
+                register(accepted);
+                accepted = channelReady.accept();
             }
         } catch (IOException e) {
-            // The one connection is lost, or descriptors have run out; the next readiness tries
-            // again.
+            // This one connection is lost, or descriptors have run out; tried again when next
+            // ready.
         }
     }
 
     private void register(StreamConnection accepted) {
-        IoLoop loop = net.loop(accepted.getIoThread().getNumber());
+        IoLoop loop = ioThreads.loop(accepted.getIoThread().getNumber());
         boolean withinLimit = openCount.incrementAndGet() <= limits.maxConnections();
         if (!withinLimit) {
             rejectedCount.increment();
@@ -150,7 +169,7 @@
         return draining;
     }
 
-    /** Stops listening; connections end after the request they are at, idle ones at once. */
+    /** Stops listening; each connection closes after its present request, an idle one at once. */
     public void drain() {
         draining = true;
         IoUtils.safeClose(channel);
--- a/src/main/java/brooklock/net/HttpServerConnection.java
+++ b/src/main/java/brooklock/net/HttpServerConnection.java
@@ -1,55 +1,54 @@
 package brooklock.net;
 
 import brooklock.http.BodyDecoder;
-import brooklock.http.Fields;
 import brooklock.http.Framing;
-import brooklock.http.HttpEncoder;
 import brooklock.http.HttpProtocolException;
 import brooklock.http.RequestHead;
 import brooklock.http.RequestParser;
-import brooklock.http.ResponseHead;
 import java.io.IOException;
+import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
-import java.security.cert.Certificate;
 import java.security.cert.X509Certificate;
-import java.util.Arrays;
 import java.util.function.Predicate;
-import javax.net.ssl.SSLPeerUnverifiedException;
 import org.xnio.Options;
 import org.xnio.StreamConnection;
-import org.xnio.ssl.SslConnection;
 
 /**
- * The server's side of one connection. Requests are taken one at a time, in order: a pipelined one
- * waits unread, at most a buffer of it, until the answer before it has gone out.
+ * The server's side of one connection. Requests are processed one at a time, in order: a pipelined
+ * request waits unread, at most one buffer of it, until the response before it has been written.
  */
 final class HttpServerConnection extends Connection {
-    // Once an answer to a bad request has gone out, what the client still sends is read away for so
-    // long, so that
-    // the system does not throw the answer away with a reset (RFC 9112, section 9.6).
+    /**
+     * After a last response the client's further input is read and discarded for so long: closing
+     * over unread input would make the system discard the response too (RFC 9112, section 9.6).
+     */
     private static final long LINGER_TIMEOUT_NS = 500_000_000L;
 
     final HttpListener listener;
     private final RequestParser parser;
     private final boolean overLimit;
     private BodyDecoder body;
+
+    /** The request being processed; null between requests. */
     private HttpExchange exchange;
+
     private int requestCount;
+    private boolean headTimerStarted;
     private boolean lingering;
     private boolean inputEnded;
 
+    /** Creates a connection; one that is {@code overLimit} only gets 503. */
     HttpServerConnection(
-            HttpListener listener, IoLoop loop, StreamConnection connection, boolean overLimit) {
-        super(loop, connection);
+            HttpListener listener, IoLoop loop, StreamConnection channel, boolean overLimit) {
+        super(loop, channel);
         this.listener = listener;
         this.overLimit = overLimit;
         parser = new RequestParser(listener.limits.http());
     }
 
     void start() {
-        source.setReadListener(c -> onReadable());
-        channel.getSinkChannel().setWriteListener(c -> onWritable());
-        channel.setCloseListener(c -> closeNow());
+        listenForReadiness();
+        channel.setCloseListener(gone -> closeNow());
         deadline.startTimeout(listener.limits.headTimeoutNs());
         if (overLimit) {
             reject(503, "connections are full");
@@ -61,12 +60,13 @@
 
     // ---- Reading
 
-    private void onReadable() {
+    @Override
+    void onReadable() {
         if (closed) {
             return;
         }
         try {
-            read();
+            readWhileReady();
         } catch (HttpProtocolException e) {
             onInvalidRequest(e);
         } catch (IOException e) {
@@ -74,7 +74,7 @@
         }
     }
 
-    private void read() throws IOException, HttpProtocolException {
+    private void readWhileReady() throws IOException, HttpProtocolException {
         while (!closed) {
             int bytesRead = readInput();
             if (closed) {
@@ -82,10 +82,7 @@
                 return;
             }
             if (lingering) {
-                input.clear();
-                if (bytesRead < 0) {
-                    closeNow();
-                }
+                discard(bytesRead);
                 if (bytesRead <= 0) {
                     return;
                 }
@@ -103,18 +100,25 @@
             }
             keepUnconsumed();
             if (input != null && !input.hasRemaining()) {
-                // A pipelined request fills the buffer while the one before it is at work.
+                // A pipelined request fills the buffer while the one before it is being processed.
                 source.suspendReads();
                 return;
             }
-            // Readiness is told again while there is more, but not for a record of TLS that was
-            // read and not opened yet.
+            // The socket stays ready while there is more, but not for a TLS record that was read
+            // from it and has not been decrypted.
             if (bytesRead == 0 || !full && !tls) {
                 return;
             }
         }
     }
 
+    private void discard(int bytesRead) {
+        input.clear();
+        if (bytesRead < 0) {
+            closeNow();
+        }
+    }
+
     private void parse() throws HttpProtocolException {
         while (!closed && !lingering && input.hasRemaining()) {
             if (exchange == null) {
@@ -123,14 +127,7 @@
                     startHeadTimer();
                     return;
                 }
-                body = BodyDecoder.ofRequest(Framing.of(head), listener.limits.http());
-                exchange = new HttpExchange(this, head, !body.isComplete());
-                requestCount++;
-                deadline.startTimeout(listener.limits.bodyTimeoutNs());
-                if (body.isComplete()) {
-                    deadline.clear();
-                }
-                listener.requestHandler.onRequest(exchange);
+                startExchange(head);
             } else if (!body.isComplete() && exchange.isReadingBody()) {
                 ByteBuffer piece = body.next(input);
                 if (piece != null) {
@@ -148,7 +145,16 @@
         }
     }
 
-    private boolean headTimerStarted;
+    private void startExchange(RequestHead head) throws HttpProtocolException {
+        body = BodyDecoder.ofRequest(Framing.of(head), listener.limits.http());
+        exchange = new HttpExchange(this, head, !body.isComplete());
+        requestCount++;
+        deadline.startTimeout(listener.limits.bodyTimeoutNs());
+        if (body.isComplete()) {
+            deadline.clear();
+        }
+        listener.requestHandler.onRequest(exchange);
+    }
 
     private void startHeadTimer() {
         if (parser.isMidMessage() && !headTimerStarted) {
@@ -157,8 +163,8 @@
         }
     }
 
-    // The client's side has ended: between requests that is the end, within one it has left or
-    // waits on.
+    // Between requests the end of input ends the connection; within one the client has left, or has
+    // only ended its side and waits for the response.
     private void onEndOfInput() {
         inputEnded = true;
         releaseInput();
@@ -171,8 +177,8 @@
         }
     }
 
+    /** The handler wants the request's body, some of which may have come along with the head. */
     void resumeReading() {
-        // The request's body may have come along with its head.
         loop.execute(
                 () -> {
                     if (!closed) {
@@ -202,15 +208,17 @@
     // ---- Writing
 
     /**
-     * Hands buffers to the socket; true if it took all, else {@link HttpExchange#onWritable} is
-     * called later.
+     * Writes buffers, which must be left alone until all are written.
+     *
+     * @return true if the socket took them all; else {@link HttpExchange#socketWritable} is called
+     *     once it has
      */
     boolean write(ByteBuffer... buffers) {
         if (closed) {
             return true;
         }
-        for (ByteBuffer b : buffers) {
-            writeQueue.add(b);
+        for (ByteBuffer buffer : buffers) {
+            writeQueue.add(buffer);
         }
         return flush();
     }
@@ -239,7 +247,8 @@
         }
     }
 
-    private void onWritable() {
+    @Override
+    void onWritable() {
         if (!closed && flush() && !closed) {
             if (exchange != null) {
                 exchange.socketWritable();
@@ -249,22 +258,13 @@
         }
     }
 
-    boolean sendContinue() {
-        return write(HttpEncoder.encodeResponse(new ResponseHead(100, new Fields())));
-    }
-
-    /** The answer has gone out whole. */
+    /** The response has been written. */
     void responseComplete(boolean keepAlive) {
         boolean bodyComplete = body == null || body.isComplete();
+        boolean continues = keepAlive && bodyComplete && isReusable();
         exchange = null;
         body = null;
         headTimerStarted = false;
-        boolean continues =
-                keepAlive
-                        && bodyComplete
-                        && !inputEnded
-                        && !listener.isDraining()
-                        && requestCount < listener.limits.maxRequestsPerConnection();
         if (!continues) {
             lingering = true;
             if (writeQueue.isEmpty()) {
@@ -281,11 +281,9 @@
                 });
     }
 
-    // What the client still sends is read away for a moment before the connection is closed.
     private void startLingering() {
         try {
-            channel.getSinkChannel().shutdownWrites();
-            channel.getSinkChannel().flush();
+            shutDownOutput();
         } catch (IOException e) {
             closeNow();
             return;
@@ -298,12 +296,9 @@
         }
     }
 
-    // What came is not a request, or not a whole one: one that had begun has lapsed.
+    // What came is not a request, or not a whole one; an exchange that has begun is lost.
     private void onInvalidRequest(HttpProtocolException error) {
-        if (exchange != null) {
-            exchange.clientGone();
-            exchange = null;
-        }
+        loseExchange();
         reject(error.status, error.getMessage());
     }
 
@@ -311,20 +306,8 @@
         if (closed) {
             return;
         }
-        byte[] bodyBytes = (reason + "\n").getBytes(java.nio.charset.StandardCharsets.UTF_8);
-        Fields fields =
-                new Fields()
-                        .add("Content-Type", "text/plain; charset=utf-8")
-                        .add("Content-Length", Integer.toString(bodyBytes.length))
-                        .add("Connection", "close");
-        if (status == 503) {
-            fields.add("Retry-After", "1");
-        }
         lingering = true;
-        if (write(
-                        HttpEncoder.encodeResponse(new ResponseHead(status, fields)),
-                        ByteBuffer.wrap(bodyBytes))
-                && !closed) {
+        if (write(ErrorResponse.encode(status, reason)) && !closed) {
             startLingering();
         }
     }
@@ -339,18 +322,24 @@
                 && body != null
                 && !body.isComplete()
                 && !exchange.isResponseStarted()) {
-            exchange.clientGone();
-            exchange = null;
+            loseExchange();
             reject(408, "the request's body took too long to come");
         } else if (exchange != null) {
-            HttpExchange lapsed = exchange;
-            lapsed.clientGone();
+            exchange.clientGone();
             abort();
         } else {
             closeNow();
         }
     }
 
+    private void loseExchange() {
+        if (exchange != null) {
+            exchange.clientGone();
+            exchange = null;
+        }
+    }
+
+    /** Whether the connection may carry another request after this one. */
     boolean isReusable() {
         return !listener.isDraining()
                 && requestCount < listener.limits.maxRequestsPerConnection()
@@ -363,56 +352,47 @@
         }
     }
 
-    /** Closes with a reset, so that a body that has no length is not taken for whole. */
+    /** Closes with a reset, so that a client does not take a body without a length for complete. */
     void abort() {
         try {
             channel.setOption(Options.CLOSE_ABORT, true);
         } catch (IOException e) {
-            // Closed then in the ordinary way: a body with a length or chunks is seen to be short
-            // all the same.
+            // Closed in the ordinary way then: a body with a length or chunks still shows as short.
         }
         closeNow();
     }
 
+    /** Closes the connection at once; an exchange that it carries is lost. */
     void closeNow() {
         if (!closeOnce()) {
             return;
         }
         listener.onClosed(this);
-        HttpExchange lapsed = exchange;
+        HttpExchange lost = exchange;
         exchange = null;
-        if (lapsed != null) {
-            lapsed.clientGone();
-        }
-    }
-
-    /**
-     * The client's certificates, its own first; null where it showed none or the way is not TLS.
-     */
-    X509Certificate[] certificates() {
-        if (!(channel instanceof SslConnection tls) || tls.getSslSession() == null) {
-            return null;
-        }
-        try {
-            Certificate[] chain = tls.getSslSession().getPeerCertificates();
-            return Arrays.copyOf(chain, chain.length, X509Certificate[].class);
-        } catch (SSLPeerUnverifiedException e) {
-            return null;
+        if (lost != null) {
+            lost.clientGone();
         }
     }
 
     void closeIfRevoked(Predicate<X509Certificate[]> isRevoked) {
         X509Certificate[] chain = closed ? null : certificates();
         if (chain != null && isRevoked.test(chain)) {
-            HttpExchange lapsed = exchange;
-            if (lapsed != null) {
-                lapsed.clientGone();
+            if (exchange != null) {
+                exchange.clientGone();
             }
             abort();
         }
     }
 
-    java.net.InetSocketAddress peerAddress() {
-        return channel.getPeerAddress(java.net.InetSocketAddress.class);
+    /**
+     * The client's certificate chain, its own first; null where it sent none or TLS is not used.
+     */
+    X509Certificate[] certificates() {
+        return PeerCertificates.of(channel);
+    }
+
+    InetSocketAddress peerAddress() {
+        return channel.getPeerAddress(InetSocketAddress.class);
     }
 }
--- a/src/main/java/brooklock/net/IoLoop.java
+++ b/src/main/java/brooklock/net/IoLoop.java
@@ -6,7 +6,8 @@
 import org.xnio.XnioIoThread;
 
 /**
- * One I/O thread with what its connections share: buffers, timers, the way in for other threads.
+ * One I/O thread and what its connections share: the buffer pool, the timers and the queue of tasks
+ * from other threads. {@link #execute} and {@link #run} may be called from any thread.
  */
 public final class IoLoop {
     private static final XnioExecutor.Key NO_TIMER = () -> false;
@@ -20,21 +21,24 @@
         this.number = thread.getNumber();
     }
 
-    /** Its number, from 0. */
+    /** The thread's number among its {@link IoThreads}, from 0. */
     public int number() {
         return number;
     }
 
-    /** Runs work on this thread soon; dropped if the net is closed. */
+    /**
+     * Runs a task on this thread, never from within this call. Dropped once the threads have been
+     * closed.
+     */
     public void execute(Runnable task) {
         try {
             thread.execute(task);
         } catch (RejectedExecutionException closed) {
-            // The thread has ended, and with it every connection the work could be about.
+            // The thread has ended, and with it every connection that the task could be about.
         }
     }
 
-    /** Runs work at once where the caller is this thread, else soon. */
+    /** Runs a task at once where the caller is this thread, else as {@link #execute} does. */
     public void run(Runnable task) {
         if (Thread.currentThread() == thread) {
             task.run();
@@ -44,9 +48,12 @@
     }
 
     /**
-     * Runs work on this thread after so many nanoseconds, not before; removing the key calls it
-     * off. The selector counts in milliseconds: what is left over is rounded up, since it takes
-     * less than one for none and would run the work at once, before any socket is looked at again.
+     * Runs a task on this thread once the delay has passed, never earlier. XNIO counts in
+     * milliseconds, so the delay is rounded up: a delay of 0 would run the task before any socket
+     * is looked at again, and a task that schedules itself would starve them.
+     *
+     * @param delayNs delay in nanoseconds
+     * @return the timer; removing it cancels the task
      */
     public XnioExecutor.Key schedule(long delayNs, Runnable task) {
         try {
@@ -57,6 +64,12 @@
         }
     }
 
+    /**
+     * Checks that the caller is this thread.
+     *
+     * @throws IllegalStateException on any other thread, where the unlocked state of a connection
+     *     would be corrupted silently
+     */
     void checkThread() {
         if (Thread.currentThread() != thread) {
             throw new IllegalStateException(
--- a/src/main/java/brooklock/net/IoThreads.java
+++ b/src/main/java/brooklock/net/IoThreads.java
@@ -8,9 +8,8 @@
 import org.xnio.Xnio;
 import org.xnio.XnioWorker;
 
-/** The I/O threads of a program. */
+/** The I/O threads of a program, or of one part of it. */
 public final class IoThreads implements Closeable {
-    // Time for the I/O threads to end when the net is closed, seconds.
     private static final long SHUTDOWN_TIMEOUT_S = 5;
 
     final XnioWorker worker;
@@ -25,11 +24,10 @@
     }
 
     /**
-     * Starts I/O threads.
+     * Starts daemon I/O threads.
      *
-     * @param name begins their names
-     * @param threads how many
-     * @throws IOException where the platform gives no selectors
+     * @param name prefix of the threads' names
+     * @throws IOException where the system gives no selectors
      */
     public static IoThreads start(String name, int threadCount) throws IOException {
         OptionMap options =
@@ -50,12 +48,12 @@
         return loops.length;
     }
 
-    /** I/O thread {@code i}. */
+    /** The I/O thread with a number, from 0. */
     public IoLoop loop(int index) {
         return loops[index];
     }
 
-    /** Ends the I/O threads and closes every connection. */
+    /** Ends the threads and closes every connection; waits for them a few seconds at most. */
     @Override
     public void close() {
         worker.shutdownNow();
--- a/src/main/java/brooklock/net/RawConnection.java
+++ b/src/main/java/brooklock/net/RawConnection.java
@@ -8,52 +8,61 @@
 import org.xnio.StreamConnection;
 
 /**
- * A connection that carries a protocol other than HTTP: bytes in, bytes out, one moving deadline,
- * one end. Belongs to one I/O thread, on which everything here is called. Reads one buffer a
- * readiness, so that a peer at full speed leaves the others their turns.
+ * A connection that carries a protocol other than HTTP: bytes in, bytes out, one movable timeout,
+ * one close. All methods are called on its I/O thread. It reads one buffer each time the socket is
+ * ready, so that a peer at full speed leaves the other connections their turns.
  */
 public final class RawConnection extends Connection {
-    /** Whoever speaks the protocol. */
+    /**
+     * Implements the protocol of a connection. All methods are called on the connection's I/O
+     * thread, after {@link RawConnection#start}; none is called after {@link #onClose}, after
+     * {@link RawConnection#close} or after {@link RawConnection#closeGracefully}.
+     */
     public interface EventListener {
         /**
-         * Takes bytes. What is left in the buffer is offered again with what follows; leaving a
-         * whole buffer of {@value BufferPool#SIZE} bytes ends the connection.
+         * Consumes input. What is left in the buffer is offered again together with what follows;
+         * leaving a whole buffer of {@value BufferPool#BUFFER_BYTES} bytes closes the connection.
          */
         void onBytes(ByteBuffer in);
 
-        /** All that waited to be written has been taken by the system. */
+        /** The system has taken everything that had waited to be written. */
         default void onAllWritten() {}
 
-        /** The deadline has passed. */
+        /** The timeout set with {@link RawConnection#setTimeout} has passed. */
         default void onTimeout() {}
 
         /**
-         * The connection has ended by itself; not called after {@link
-         * RawConnection#completeRequest}.
+         * The connection has ended by itself. Called once.
+         *
+         * @param reason plain words for a log line
          */
         void onClose(String reason);
     }
 
-    // Bytes read and left after the sending side was shut; a peer that sends more is not waited
-    // for.
+    /**
+     * Input read and discarded after the sending side was shut down; the close does not wait for a
+     * peer that sends more.
+     */
     private static final long MAX_DISCARDED_BYTES = 256 * 1024;
 
     private static final Logger LOG = LoggerFactory.getLogger(RawConnection.class);
 
     private EventListener listener;
     private boolean reading;
+
+    /** Set while the connection closes gracefully; called when it is closed. */
     private Runnable gracefulCloseDone;
+
     private boolean writesShut;
     private long discardedBytes;
 
-    RawConnection(IoLoop loop, StreamConnection connection) {
-        super(loop, connection);
-        source.setReadListener(c -> onReadable());
-        connection.getSinkChannel().setWriteListener(c -> onWritable());
+    RawConnection(IoLoop loop, StreamConnection channel) {
+        super(loop, channel);
+        listenForReadiness();
     }
 
     /**
-     * Two ends within the program, without a socket.
+     * Creates two connected ends within the program, without a socket.
      *
      * @throws IOException where descriptors have run out
      */
@@ -66,13 +75,16 @@
         };
     }
 
-    /** Begins to read for a taker. */
+    /** Begins to read for a listener. Called once, before anything else. */
     public void start(EventListener newListener) {
         listener = newListener;
         setReading(true);
     }
 
-    /** Goes on or stops reading; what the peer sends meanwhile waits in the system's buffers. */
+    /**
+     * Resumes or suspends reading. While reading is suspended, what the peer sends waits in the
+     * system's buffers, which holds the peer back.
+     */
     public void setReading(boolean enabled) {
         if (closed || reading == enabled) {
             return;
@@ -85,19 +97,23 @@
         }
     }
 
-    /** Reads once what the system holds now and hands it to the taker; whether there was any. */
+    /**
+     * Reads once what the system holds now and passes it to the listener.
+     *
+     * @return whether there was any
+     */
     public boolean readNow() {
-        return !isClosed() && reading && onReadable();
+        return !isClosed() && reading && readAvailable();
     }
 
-    /** Writes; what the system does not take at once waits. */
+    /** Writes; what the system does not take at once waits, and must not change until written. */
     public void write(ByteBuffer... parts) {
         if (isClosed()) {
             return;
         }
         boolean first = writeQueue.isEmpty();
-        for (ByteBuffer b : parts) {
-            writeQueue.add(b);
+        for (ByteBuffer part : parts) {
+            writeQueue.add(part);
         }
         if (first) {
             onWritable();
@@ -109,40 +125,39 @@
         return writeQueue.pendingBytes();
     }
 
-    /** Bytes the system has taken since the connection began. */
+    /** Bytes that the system has taken since the connection began. */
     public long writtenBytes() {
         return writeQueue.writtenBytes();
     }
 
-    /**
-     * Calls {@link EventListener#onTimeout} after so many nanoseconds, in place of any time set
-     * before.
-     */
+    /** Sets the timeout to so many nanoseconds from now, in place of any set before. */
     public void setTimeout(long timeoutNs) {
         if (!isClosed()) {
             deadline.startTimeout(timeoutNs);
         }
     }
 
-    /** Takes the deadline away. */
+    /** Takes the timeout away. */
     public void clearTimeout() {
         if (!isClosed()) {
             deadline.clear();
         }
     }
 
-    /** Whether it has ended, or is ending in order: no byte goes to its taker any more. */
+    /**
+     * Whether the connection is closed or closes gracefully: its listener is not called any more.
+     */
     public boolean isClosed() {
         return closed || gracefulCloseDone != null;
     }
 
     /**
-     * Ends it in order: what waits is written, then the sending side is shut, and what still comes
-     * is read and left until the peer has closed too. A close over unread bytes would reset the
-     * connection and take written answers with it.
+     * Closes the connection after what waits has been written. The sending side is then shut down,
+     * and what still comes is read and discarded until the peer closes too: closing over unread
+     * input would reset the connection and discard what was written.
      *
-     * @param limitNs longest that it may take, ns
-     * @param ended called once its descriptor is free
+     * @param timeoutNs longest time until the connection is closed all the same, ns
+     * @param onClosed called once its descriptor is free
      */
     public void closeGracefully(long timeoutNs, Runnable onClosed) {
         if (isClosed()) {
@@ -162,12 +177,11 @@
     private void shutWritesWhenDrained() throws IOException {
         if (!writesShut && writeQueue.isEmpty()) {
             writesShut = true;
-            channel.getSinkChannel().shutdownWrites();
-            channel.getSinkChannel().flush();
+            shutDownOutput();
         }
     }
 
-    /** Ends it, whatever it is at. */
+    /** Closes the connection at once; what waits to be written is lost. */
     public void close() {
         if (closeOnce() && gracefulCloseDone != null) {
             gracefulCloseDone.run();
@@ -183,7 +197,13 @@
         }
     }
 
-    private boolean onReadable() {
+    @Override
+    void onReadable() {
+        readAvailable();
+    }
+
+    // Whether there was any input.
+    private boolean readAvailable() {
         if (closed || !reading) {
             return false;
         }
@@ -198,27 +218,31 @@
                 discard(bytesRead);
                 return false;
             }
-            input.flip();
-            if (bytesRead > 0) {
-                listener.onBytes(input);
-            }
-            if (!isClosed()) {
-                keepUnconsumed();
-                if (input != null && !input.hasRemaining()) {
-                    onConnectionLost("a whole buffer was left");
-                }
-            }
+            consume(bytesRead);
         } catch (IOException e) {
             onConnectionLost(String.valueOf(e.getMessage()));
-        } catch (RuntimeException fault) {
-            // A fault of whoever speaks the protocol costs this connection, not the thread: its
-            // bytes would be ready for ever.
-            LOG.error("a connection's bytes could not be taken", fault);
+        } catch (RuntimeException e) {
+            // A bug in the listener costs this connection, not the thread: the unconsumed bytes
+            // would make the socket ready for ever.
+            LOG.error("a connection's input could not be processed", e);
             onConnectionLost("a fault here");
         }
         return bytesRead > 0;
     }
 
+    private void consume(int bytesRead) {
+        input.flip();
+        if (bytesRead > 0) {
+            listener.onBytes(input);
+        }
+        if (!isClosed()) {
+            keepUnconsumed();
+            if (input != null && !input.hasRemaining()) {
+                onConnectionLost("a whole buffer was left");
+            }
+        }
+    }
+
     private void discard(int count) {
         releaseInput();
         discardedBytes += count;
@@ -227,7 +251,8 @@
         }
     }
 
-    private void onWritable() {
+    @Override
+    void onWritable() {
         if (closed) {
             return;
         }
@@ -239,7 +264,7 @@
                 listener.onAllWritten();
             }
         } catch (IOException e) {
-            // Told later: whoever wrote is in the middle of something.
+            // Later: the caller of write is in the middle of something.
             String reason = String.valueOf(e.getMessage());
             loop.execute(() -> onConnectionLost(reason));
         }
--- a/src/main/java/brooklock/net/RawListener.java
+++ b/src/main/java/brooklock/net/RawListener.java
@@ -11,31 +11,34 @@
 import org.xnio.StreamConnection;
 import org.xnio.channels.AcceptingChannel;
 
-/** A listening socket whose connections carry a protocol other than HTTP. */
+/** A listening socket whose connections speak a protocol other than HTTP. */
 public final class RawListener implements Closeable {
-    // Connections taken before other sockets have their turn.
+    /** Connections accepted before other sockets get their turn. */
     private static final int MAX_ACCEPTS_PER_TURN = 64;
-    // Rest after an accept that failed, ns: with no descriptor left the socket stays ready, and
-    // trying at once would spin.
+
+    /**
+     * Pause after a failed accept. With no descriptor left the socket stays ready, so that
+     * accepting again at once would keep the thread busy with nothing else.
+     */
     private static final long ACCEPT_BACKOFF_NS = 50_000_000L;
 
-    private final IoThreads net;
+    private final IoThreads ioThreads;
     private final Consumer<RawConnection> onConnection;
     private final AcceptingChannel<? extends StreamConnection> channel;
 
     private RawListener(
-            IoThreads net,
+            IoThreads ioThreads,
             InetSocketAddress address,
             int backlog,
             Consumer<RawConnection> onConnection)
             throws IOException {
-        this.net = net;
+        this.ioThreads = ioThreads;
         this.onConnection = onConnection;
-        ChannelListener<AcceptingChannel<StreamConnection>> accept = this::accept;
+        ChannelListener<AcceptingChannel<StreamConnection>> whenReady = this::accept;
         channel =
-                net.worker.createStreamConnectionServer(
+                ioThreads.worker.createStreamConnectionServer(
                         address,
-                        accept,
+                        whenReady,
                         OptionMap.builder()
                                 .set(Options.TCP_NODELAY, true)
                                 .set(Options.REUSE_ADDRESSES, true)
@@ -45,20 +48,20 @@
     }
 
     /**
-     * Listens.
+     * Starts listening.
      *
-     * @param at where; port 0 lets the system choose
-     * @param backlog connections the system may hold before they are accepted
-     * @param taker is given each connection on its I/O thread
-     * @throws IOException where the address is taken or not this machine's
+     * @param address where to listen; port 0 lets the system choose
+     * @param backlog connections that the system may hold before they are accepted
+     * @param onConnection receives each connection on its I/O thread, and must start it
+     * @throws IOException where the address is in use or not one of this machine
      */
     public static RawListener open(
-            IoThreads net,
+            IoThreads ioThreads,
             InetSocketAddress address,
             int backlog,
             Consumer<RawConnection> onConnection)
             throws IOException {
-        return new RawListener(net, address, backlog, onConnection);
+        return new RawListener(ioThreads, address, backlog, onConnection);
     }
 
     /** The address that is listened on. */
@@ -71,26 +74,28 @@
             StreamConnection accepted = channelReady.accept();
             for (int count = 1; accepted != null; count++) {
                 RawConnection connection =
-                        new RawConnection(net.loop(accepted.getIoThread().getNumber()), accepted);
+                        new RawConnection(
+                                ioThreads.loop(accepted.getIoThread().getNumber()), accepted);
                 connection.loop.run(() -> onConnection.accept(connection));
                 accepted = count < MAX_ACCEPTS_PER_TURN ? channelReady.accept() : null;
             }
         } catch (IOException e) {
-            // The one connection is lost, or descriptors have run out.
+            // This one connection is lost, or descriptors have run out.
             channelReady.suspendAccepts();
-            net.loop(0).schedule(ACCEPT_BACKOFF_NS, channelReady::resumeAccepts);
+            ioThreads.loop(0).schedule(ACCEPT_BACKOFF_NS, channelReady::resumeAccepts);
         }
     }
 
     /**
-     * Takes what the system has accepted already, then stops listening; called on an I/O thread.
+     * Accepts what the system has already connected, then stops listening: those peers would
+     * otherwise be reset. Called on an I/O thread.
      */
     public void acceptRemainingAndClose() {
         accept(channel);
         close();
     }
 
-    /** Stops listening; its connections go on. */
+    /** Stops listening; open connections continue. */
     @Override
     public void close() {
         IoUtils.safeClose(channel);
--- a/src/main/java/brooklock/net/ServerLimits.java
+++ b/src/main/java/brooklock/net/ServerLimits.java
@@ -3,19 +3,21 @@
 import brooklock.http.HttpLimits;
 
 /**
- * The bounds of a listener, each with what happens when it is hit.
+ * The limits of an {@link HttpListener}, each with what happens when it is exceeded. Times in
+ * nanoseconds.
  *
- * @param http bounds of messages; the sender is told by status and the connection closed
- * @param connections connections open at once on the listener; further ones are answered 503 and
+ * @param http limits of a request; the sender gets a status and the connection is closed
+ * @param maxConnections connections open at once on the listener; a further one gets 503 and is
  *     closed
- * @param backlog connections the system may hold before they are accepted; it refuses further ones
- * @param headNs time for a whole head from its first byte; 408 and closed
- * @param bodyNs time for a whole request body; 408 and closed
- * @param idleNs time between requests; closed
- * @param stallNs time in which a client takes not one byte of an answer; broken off
- * @param requests requests on one connection before it is closed in an orderly way
- * @param halfCloseLeaves a client that ends its side while it waits has left; else it is still
- *     answered
+ * @param backlog connections that the system may hold before they are accepted; it refuses further
+ *     ones
+ * @param headTimeoutNs time for a whole head from its first byte; 408 and closed
+ * @param bodyTimeoutNs time for a whole request body; 408 and closed
+ * @param idleTimeoutNs time between requests; closed
+ * @param stallTimeoutNs time in which a client takes not one byte of a response; reset
+ * @param maxRequestsPerConnection requests on one connection before it is closed in order
+ * @param halfCloseEndsExchange whether a client that ends its side while it waits for a response
+ *     has left; else it still gets the response
  */
 public record ServerLimits(
         HttpLimits http,
@@ -29,7 +31,7 @@
         boolean halfCloseEndsExchange) {
     private static final long SECOND_NS = 1_000_000_000L;
 
-    /** Bounds for a listener that has none of its own. */
+    /** Limits for a listener that states none of its own. */
     public static final ServerLimits STANDARD =
             new ServerLimits(
                     HttpLimits.STANDARD.withMaxBodyBytes(1 << 20),
@@ -42,7 +44,7 @@
                     100_000,
                     true);
 
-    /** The same with another bound on connections. */
+    /** Returns these limits with another on connections. */
     public ServerLimits withMaxConnections(int max) {
         return new ServerLimits(
                 http,
@@ -56,7 +58,9 @@
                 halfCloseEndsExchange);
     }
 
-    /** The same with other times for heads, bodies and stalls, ns. */
+    /**
+     * Returns these limits with other timeouts for heads, bodies, idle connections and stalls, ns.
+     */
     public ServerLimits withTimeouts(long headNs, long bodyNs, long idleNs, long stallNs) {
         return new ServerLimits(
                 http,
--- a/src/main/java/brooklock/net/WriteQueue.java
+++ b/src/main/java/brooklock/net/WriteQueue.java
@@ -6,14 +6,15 @@
 import org.xnio.conduits.ConduitStreamSinkChannel;
 
 /**
- * What a connection has still to write. It holds the buffers themselves, not copies: whoever hands
- * one in leaves it alone until all is written, so a slow reader costs no memory beyond what its
- * sender holds already. How much may wait is bounded by whoever adds.
+ * The buffers that a connection has still to write. It holds the buffers themselves, not copies, so
+ * a slow reader costs no memory beyond what the sender holds already; the sender must leave them
+ * alone until all are written. The queue is unbounded: whoever adds bounds it.
  */
 final class WriteQueue {
-    // A head, a chunk's start, its bytes, its end, and a last chunk.
+    /** Buffers of one usual response: a head, a chunk header, a chunk, its end, the last chunk. */
     private static final int INITIAL_CAPACITY = 8;
-    // Buffers written in one call: more gains nothing, and the system takes no more than 1,024.
+
+    /** Buffers of one gathering write; the system takes no more than 1,024. */
     private static final int MAX_BUFFERS_PER_WRITE = 64;
 
     private final ConduitStreamSinkChannel sink;
@@ -40,7 +41,11 @@
         addedBytes += buffer.remaining();
     }
 
-    /** Writes what the socket takes; true once nothing waits. */
+    /**
+     * Writes what the socket takes without blocking.
+     *
+     * @return true once nothing waits, here or in a layer below
+     */
     boolean flush() throws IOException {
         while (head < tail) {
             long count =
@@ -65,12 +70,12 @@
         return head == tail;
     }
 
-    /** Bytes that wait. */
+    /** Bytes that wait to be written. */
     long pendingBytes() {
         return addedBytes - writtenBytes;
     }
 
-    /** Bytes the socket has taken since the connection began. */
+    /** Bytes that the socket has taken since the connection began. */
     long writtenBytes() {
         return writtenBytes;
     }
--- a/src/test/java/brooklock/net/HttpConnectionPoolTest.java
+++ b/src/test/java/brooklock/net/HttpConnectionPoolTest.java
@@ -23,13 +23,15 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
+import java.util.function.Supplier;
+import java.util.stream.IntStream;
 import javax.net.ssl.SSLContext;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Connections that are long on their way, as with TLS at a host that has much to do. */
+/** Connections that take long to establish, as with TLS at an endpoint that is busy. */
 class HttpConnectionPoolTest {
     private static final int MAX_CONNECTING = 2;
     private static final long LONG_TIMEOUT_NS = 20_000_000_000L;
@@ -56,49 +58,43 @@
         net.close();
     }
 
-    /** A host before which so many connections come through and all others stay silent. */
+    /** A proxy that forwards so many connections and lets all others hang. */
     private static final class ThrottledProxy implements AutoCloseable {
         final ServerSocket in = new ServerSocket(0, 200, InetAddress.getLoopbackAddress());
         final AtomicInteger accepted = new AtomicInteger();
 
-        ThrottledProxy(InetSocketAddress behind, int lets) throws IOException {
-            Thread t =
-                    new Thread(
-                            () -> {
-                                try {
-                                    while (true) {
-                                        Socket s = in.accept();
-                                        if (accepted.incrementAndGet() <= lets) {
-                                            Socket on =
-                                                    new Socket(
-                                                            behind.getAddress(), behind.getPort());
-                                            pipe(s, on);
-                                            pipe(on, s);
-                                        }
-                                    }
-                                } catch (IOException closed) {
-                                    // The test is over.
-                                }
-                            },
-                            "narrow");
-            t.setDaemon(true);
-            t.start();
+        ThrottledProxy(InetSocketAddress behind, int forwardedConnections) throws IOException {
+            start("narrow", () -> accept(behind, forwardedConnections));
+        }
+
+        private void accept(InetSocketAddress behind, int forwardedConnections) {
+            try {
+                while (true) {
+                    Socket from = in.accept();
+                    if (accepted.incrementAndGet() <= forwardedConnections) {
+                        Socket to = new Socket(behind.getAddress(), behind.getPort());
+                        start("pipe", () -> pipe(from, to));
+                        start("pipe", () -> pipe(to, from));
+                    }
+                }
+            } catch (IOException closed) {
+                // The test is over.
+            }
         }
 
         private static void pipe(Socket from, Socket to) {
-            Thread t =
-                    new Thread(
-                            () -> {
-                                try (InputStream in = from.getInputStream();
-                                        OutputStream out = to.getOutputStream()) {
-                                    in.transferTo(out);
-                                } catch (IOException closed) {
-                                    // The test is over.
-                                }
-                            },
-                            "pipe");
-            t.setDaemon(true);
-            t.start();
+            try (InputStream in = from.getInputStream();
+                    OutputStream out = to.getOutputStream()) {
+                in.transferTo(out);
+            } catch (IOException closed) {
+                // The test is over.
+            }
+        }
+
+        private static void start(String name, Runnable task) {
+            Thread thread = new Thread(task, name);
+            thread.setDaemon(true);
+            thread.start();
         }
 
         InetSocketAddress address() {
@@ -111,7 +107,7 @@
         }
     }
 
-    /** One call; how it ended. */
+    /** Records how one call ended. */
     private static final class RecordingHandler implements ResponseHandler {
         final CompletableFuture<String> outcome = new CompletableFuture<>();
         volatile boolean sent;
@@ -128,8 +124,8 @@
         }
 
         @Override
-        public void onFailure(CallFailure failure, String why) {
-            assertTrue(outcome.complete(failure + " " + why));
+        public void onFailure(CallFailure failure, String reason) {
+            assertTrue(outcome.complete(failure + " " + reason));
         }
 
         String awaitOutcome() throws Exception {
@@ -137,149 +133,125 @@
         }
     }
 
-    private RecordingHandler call(HttpClient c, InetSocketAddress to) {
-        RecordingHandler t = new RecordingHandler();
-        net.loop(0)
-                .execute(
-                        () ->
-                                c.send(
-                                        to,
-                                        new RequestHead("GET", "/", "localhost", 1, new Fields()),
-                                        new byte[0],
-                                        t));
-        return t;
+    private HttpClient client(ClientLimits limits, SSLContext tlsContext) {
+        return new HttpClient(net.loop(0), limits, tlsContext);
+    }
+
+    private RecordingHandler call(HttpClient from, InetSocketAddress to, Fields fields) {
+        RecordingHandler handler = new RecordingHandler();
+        RequestHead head = new RequestHead("GET", "/", "localhost", 1, fields);
+        net.loop(0).execute(() -> from.send(to, head, new byte[0], handler));
+        return handler;
     }
 
+    private List<RecordingHandler> calls(
+            int count, HttpClient from, InetSocketAddress to, Supplier<Fields> fields) {
+        return IntStream.range(0, count).mapToObj(i -> call(from, to, fields.get())).toList();
+    }
+
+    /**
+     * An endpoint accepts connections and stays silent, as one that has hung. Fifty calls at once
+     * do not open fifty connections, and each fails in time, with proof that it was not sent.
+     */
     @Test
-    void aBurstAtASilentHostOpensFewConnectionsAndEachCallFailsOnceUnsent() throws Exception {
+    void aBurstAtASilentEndpointOpensFewConnections() throws Exception {
         try (ThrottledProxy silent = new ThrottledProxy(null, 0)) {
-            HttpClient c =
-                    new HttpClient(
-                            net.loop(0),
-                            ClientLimits.STANDARD
-                                    .withMaxConnecting(MAX_CONNECTING)
-                                    .withConnectTimeoutNs(300_000_000L),
-                            client);
-            List<RecordingHandler> all =
-                    java.util.stream.IntStream.range(0, 50)
-                            .mapToObj(i -> call(c, silent.address()))
-                            .toList();
-            for (RecordingHandler t : all) {
-                assertTrue(t.awaitOutcome().startsWith("NOT_CONNECTED"), t.awaitOutcome());
-                assertFalse(t.sent, "nothing is sent before the handshake is over");
+            HttpClient from = client(limits(MAX_CONNECTING, 300_000_000L), client);
+            for (RecordingHandler call : calls(50, from, silent.address(), Fields::new)) {
+                assertTrue(call.awaitOutcome().startsWith("NOT_CONNECTED"), call.awaitOutcome());
+                assertFalse(call.sent, "nothing is sent before the handshake is over");
             }
             // Those that fail make room for as many again, not for each call.
             assertTrue(silent.accepted.get() <= 4 * MAX_CONNECTING, "opened " + silent.accepted);
         }
     }
 
+    /**
+     * One connection is busy, and the next two are stuck in their handshakes. Once the first
+     * becomes free it serves the waiting calls one after another, and no further connection is
+     * opened.
+     */
     @Test
-    void aCallTakesAConnectionThatBecomesFreeWhileAnotherIsStillOnItsWay() throws Exception {
-        BlockingQueue<HttpExchange> asked = new LinkedBlockingQueue<>();
-        HttpListener host =
-                HttpListener.openTls(
-                        net,
-                        new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
-                        ServerLimits.STANDARD,
-                        asked::add,
-                        server);
-        try (ThrottledProxy narrow = new ThrottledProxy(host.address(), 1)) {
-            HttpClient c =
-                    new HttpClient(
-                            net.loop(0),
-                            ClientLimits.STANDARD
-                                    .withMaxConnecting(MAX_CONNECTING)
-                                    .withConnectTimeoutNs(LONG_TIMEOUT_NS),
-                            client);
-            RecordingHandler first = call(c, narrow.address());
-            HttpExchange x = asked.poll(20, TimeUnit.SECONDS);
-            RecordingHandler second = call(c, narrow.address());
-            RecordingHandler third = call(c, narrow.address());
+    void waitingCallsUseAConnectionThatBecomesFree() throws Exception {
+        BlockingQueue<HttpExchange> exchanges = new LinkedBlockingQueue<>();
+        HttpListener endpoint = listen(exchanges::add);
+        try (ThrottledProxy narrow = new ThrottledProxy(endpoint.address(), 1)) {
+            HttpClient from = client(limits(MAX_CONNECTING, LONG_TIMEOUT_NS), client);
+            RecordingHandler first = call(from, narrow.address(), new Fields());
+            HttpExchange firstExchange = exchanges.poll(20, TimeUnit.SECONDS);
+            RecordingHandler second = call(from, narrow.address(), new Fields());
+            RecordingHandler third = call(from, narrow.address(), new Fields());
             while (narrow.accepted.get() < 3) {
                 Thread.sleep(1);
             }
-            assertFalse(second.sent || third.sent, "their connections are on their way");
-            net.loop(0).execute(() -> x.send(200, new Fields(), new byte[0]));
+            assertFalse(second.sent || third.sent, "their connections are not established");
+            respond(firstExchange);
             assertEquals("whole", first.awaitOutcome());
-            for (RecordingHandler t : List.of(second, third)) {
-                HttpExchange y = asked.poll(20, TimeUnit.SECONDS);
-                net.loop(0).execute(() -> y.send(200, new Fields(), new byte[0]));
-                assertEquals("whole", t.awaitOutcome());
+            for (RecordingHandler call : List.of(second, third)) {
+                respond(exchanges.poll(20, TimeUnit.SECONDS));
+                assertEquals("whole", call.awaitOutcome());
             }
             assertEquals(3, narrow.accepted.get(), "no more were opened");
         } finally {
-            host.close();
+            endpoint.close();
         }
     }
 
+    private void respond(HttpExchange exchange) {
+        net.loop(0).execute(() -> exchange.send(200, new Fields(), new byte[0]));
+    }
+
+    /** Nothing listens at the address: each call fails at once, and not when its wait is over. */
     @Test
-    void whereNobodyListensEachCallIsToldAtOnce() throws Exception {
-        InetSocketAddress nobody;
-        try (ServerSocket s = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            nobody = new InetSocketAddress(s.getInetAddress(), s.getLocalPort());
+    void callsFailAtOnceWhereNothingListens() throws Exception {
+        InetSocketAddress unused;
+        try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+            unused = new InetSocketAddress(socket.getInetAddress(), socket.getLocalPort());
         }
-        HttpClient c =
-                new HttpClient(
-                        net.loop(0),
-                        ClientLimits.STANDARD
-                                .withMaxConnecting(MAX_CONNECTING)
-                                .withConnectTimeoutNs(LONG_TIMEOUT_NS));
-        long from = System.nanoTime();
-        List<RecordingHandler> all =
-                java.util.stream.IntStream.range(0, 50).mapToObj(i -> call(c, nobody)).toList();
-        for (RecordingHandler t : all) {
-            assertTrue(t.awaitOutcome().startsWith("NOT_CONNECTED"), t.awaitOutcome());
+        HttpClient from = client(limits(MAX_CONNECTING, LONG_TIMEOUT_NS), null);
+        long startNs = System.nanoTime();
+        for (RecordingHandler call : calls(50, from, unused, Fields::new)) {
+            assertTrue(call.awaitOutcome().startsWith("NOT_CONNECTED"), call.awaitOutcome());
         }
         assertTrue(
-                System.nanoTime() - from < LONG_TIMEOUT_NS / 2,
-                "none of them waited for its time in line to end");
+                System.nanoTime() - startNs < LONG_TIMEOUT_NS / 2,
+                "none of them waited for its time to end");
     }
 
+    /**
+     * A handshake may complete within a read that returns data too. Three hundred and twenty new
+     * connections lose no response to that.
+     */
     @Test
-    void noAnswerIsLostToAHandshakeThatEndsWhileItIsRead() throws Exception {
-        HttpListener host =
-                HttpListener.openTls(
-                        net,
-                        new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
-                        ServerLimits.STANDARD,
-                        x -> x.send(200, new Fields(), new byte[0]),
-                        server);
-        HttpClient c =
-                new HttpClient(
-                        net.loop(0),
-                        ClientLimits.STANDARD
-                                .withMaxConnecting(8)
-                                .withConnectTimeoutNs(LONG_TIMEOUT_NS),
-                        client);
+    void noResponseIsLostToAHandshakeThatEndsWithinARead() throws Exception {
+        HttpListener endpoint = listen(exchange -> exchange.send(200, new Fields(), new byte[0]));
+        HttpClient from = client(limits(8, LONG_TIMEOUT_NS), client);
         for (int round = 0; round < 40; round++) {
-            List<RecordingHandler> all =
-                    java.util.stream.IntStream.range(0, 8)
-                            .mapToObj(
-                                    i -> {
-                                        RecordingHandler t = new RecordingHandler();
-                                        net.loop(0)
-                                                .execute(
-                                                        () ->
-                                                                c.send(
-                                                                        host.address(),
-                                                                        new RequestHead(
-                                                                                "GET",
-                                                                                "/",
-                                                                                "localhost",
-                                                                                1,
-                                                                                new Fields()
-                                                                                        .add(
-                                                                                                "Connection",
-                                                                                                "close")),
-                                                                        new byte[0],
-                                                                        t));
-                                        return t;
-                                    })
-                            .toList();
-            for (RecordingHandler t : all) {
-                assertEquals("whole", t.awaitOutcome());
+            List<RecordingHandler> calls =
+                    calls(
+                            8,
+                            from,
+                            endpoint.address(),
+                            () -> new Fields().add("Connection", "close"));
+            for (RecordingHandler call : calls) {
+                assertEquals("whole", call.awaitOutcome());
             }
         }
-        host.close();
+        endpoint.close();
+    }
+
+    private static ClientLimits limits(int maxConnecting, long connectTimeoutNs) {
+        return ClientLimits.STANDARD
+                .withMaxConnecting(maxConnecting)
+                .withConnectTimeoutNs(connectTimeoutNs);
+    }
+
+    private HttpListener listen(RequestHandler handler) throws IOException {
+        return HttpListener.openTls(
+                net,
+                new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
+                ServerLimits.STANDARD,
+                handler,
+                server);
     }
 }
