--- a/src/main/java/brooklock/Main.java
+++ b/src/main/java/brooklock/Main.java
@@ -1,6 +1,6 @@
 package brooklock;
 
-import brooklock.simulator.SimulatorCodec;
+import brooklock.simulator.MalformedFrameException;
 import brooklock.simulator.SimulatorHost;
 import java.io.BufferedInputStream;
 import java.io.BufferedOutputStream;
@@ -31,7 +31,7 @@
             host.serve(
                     new BufferedInputStream(new FileInputStream(FileDescriptor.in), 1 << 16),
                     new BufferedOutputStream(new FileOutputStream(FileDescriptor.out), 1 << 16));
-        } catch (SimulatorCodec.MalformedFrameException | IOException e) {
+        } catch (MalformedFrameException | IOException e) {
             System.err.println("brooklock: " + e.getMessage());
             System.exit(1);
         }
--- a/src/main/java/brooklock/platform/PlatformConfigReader.java
+++ b/src/main/java/brooklock/platform/PlatformConfigReader.java
@@ -2,7 +2,7 @@
 
 import brooklock.routing.Idempotency;
 import brooklock.routing.RouterSettings;
-import brooklock.simulator.SimulatorCodec;
+import brooklock.simulator.SettingsDecoder;
 import com.google.gson.JsonArray;
 import com.google.gson.JsonElement;
 import com.google.gson.JsonObject;
@@ -61,7 +61,7 @@
         for (JsonElement event : required(known, "cmds").getAsJsonArray()) {
             events.add(DiscoveryEventDecoder.parse(event.getAsJsonObject()));
         }
-        RouterSettings routerSettings = SimulatorCodec.settings(settings);
+        RouterSettings routerSettings = SettingsDecoder.decode(settings);
         return new PlatformConfig(
                 text(top, "name"),
                 address(top, "listen"),
--- /dev/null
+++ b/src/main/java/brooklock/simulator/SettingsDecoder.java
@@ -0,0 +1,210 @@
+package brooklock.simulator;
+
+import brooklock.routing.Idempotency;
+import brooklock.routing.IdempotencyScope;
+import brooklock.routing.RouterSettings;
+import com.google.gson.JsonArray;
+import com.google.gson.JsonElement;
+import com.google.gson.JsonObject;
+import java.util.ArrayList;
+import java.util.List;
+
+/**
+ * Decodes the router's settings from JSON, as the simulator and the operators' platform write them.
+ * An absent field reads as 0, false or empty.
+ */
+public final class SettingsDecoder {
+    private static final String LIMITS = "limits";
+    private static final String MAY_CANCEL = "cancel";
+    private static final String MAY_HEDGE = "mayDuplicate";
+    private static final String SENDS_RETRY_AFTER = "retryAfter";
+    private static final String MAX_ATTEMPTS = "tryLimit";
+    private static final String MAX_RETRY_AFTER_NS = "maxRetryAfterNs";
+    private static final String CONNECT_TIMEOUT_NS = "connectTimeoutNs";
+
+    private static final String SAFETY_LIMITS = "invariants";
+    private static final String INITIAL_CAPACITY = "coldFrom";
+    private static final String WARM_UP_NS = "coldNs";
+    private static final String OVERLOAD_MULTIPLE = "fallMultiple";
+    private static final String OVERLOAD_WINDOW_NS = "overloadForNs";
+
+    private static final String CLASSES = "lanes";
+    private static final String LATENCY_OBJECTIVE_NS = "onTimeNs";
+    private static final String LATENCY_OBJECTIVE_WORK_FACTOR = "aimStretch";
+    private static final String IDEMPOTENCY = "effect";
+    private static final String IDEMPOTENCY_SCOPE = "keyScope";
+    private static final String IDEMPOTENCY_WINDOW_NS = "windowNs";
+
+    private static final String DISPATCHER_COUNT = "balancers";
+    private static final String ZONE = "zone";
+    private static final String WEIGHTS = "weights";
+    private static final String DISCOVERY = "discovery";
+    private static final String TICK_NS = "tickNs";
+
+    /** What the caches add to the settings of a plain balancer. */
+    private static final String EXTRA = "extra";
+
+    private static final String PARENT_INITIAL_CAPACITY = "parentStartsAt";
+    private static final String PARENT_WARM_UP_NS = "parentRampNs";
+    private static final String PARENT_OVERLOAD_MULTIPLE = "parentLimitFactor";
+    private static final String PURGE_WINDOW_NS = "goneEverywhereNs";
+    private static final String PASS_THROUGH_BY_CLASS = "goesThrough";
+    private static final String FRESHNESS_BY_CLASS_NS = "goodForNs";
+    private static final String PARENT_ZONE_BY_ZONE = "hubByZone";
+    private static final String PARENT_KIND = "secondTierKind";
+    private static final String ORIGIN_KIND = "storeKind";
+    private static final String COLLAPSES_REQUESTS = "joins";
+    private static final String DIRECT_ORIGIN_ALLOWED = "passThroughOk";
+    private static final String TRANSFER_KB_PER_SECOND = "oneFlowKbPerS";
+
+    /** The machine kind where there are no parents, or no origin. */
+    private static final int NO_KIND = -1;
+
+    private SettingsDecoder() {}
+
+    /**
+     * Decodes settings.
+     *
+     * @throws IllegalArgumentException if a word is unknown
+     * @throws IllegalStateException if a value has another type than it should
+     */
+    public static RouterSettings decode(JsonObject top) {
+        JsonObject extra = object(top, EXTRA);
+        List<RouterSettings.RequestClass> classes = new ArrayList<>();
+        for (JsonElement element : array(top, CLASSES)) {
+            classes.add(decodeClass(element.getAsJsonObject(), extra, classes.size()));
+        }
+        return new RouterSettings(
+                List.copyOf(classes),
+                decodeLimits(object(top, LIMITS)),
+                decodeSafetyLimits(object(top, SAFETY_LIMITS), extra),
+                (int) number(top, DISPATCHER_COUNT),
+                (int) number(top, ZONE),
+                integers(extra, PARENT_ZONE_BY_ZONE),
+                kind(extra, PARENT_KIND),
+                kind(extra, ORIGIN_KIND),
+                !text(top, WEIGHTS).equals("off"),
+                text(top, DISCOVERY).equals("ask"),
+                flag(extra, COLLAPSES_REQUESTS),
+                flag(extra, DIRECT_ORIGIN_ALLOWED),
+                number(extra, TRANSFER_KB_PER_SECOND),
+                whole(top, TICK_NS));
+    }
+
+    private static RouterSettings.Limits decodeLimits(JsonObject limits) {
+        return new RouterSettings.Limits(
+                flag(limits, MAY_CANCEL),
+                flag(limits, MAY_HEDGE),
+                flag(limits, SENDS_RETRY_AFTER),
+                (int) number(limits, MAX_ATTEMPTS),
+                whole(limits, MAX_RETRY_AFTER_NS),
+                whole(limits, CONNECT_TIMEOUT_NS));
+    }
+
+    private static RouterSettings.SafetyLimits decodeSafetyLimits(
+            JsonObject limits, JsonObject extra) {
+        return new RouterSettings.SafetyLimits(
+                number(limits, INITIAL_CAPACITY),
+                whole(limits, WARM_UP_NS),
+                number(limits, OVERLOAD_MULTIPLE),
+                whole(limits, OVERLOAD_WINDOW_NS),
+                number(extra, PARENT_INITIAL_CAPACITY),
+                whole(extra, PARENT_WARM_UP_NS),
+                number(extra, PARENT_OVERLOAD_MULTIPLE),
+                whole(extra, PURGE_WINDOW_NS));
+    }
+
+    private static RouterSettings.RequestClass decodeClass(
+            JsonObject requestClass, JsonObject extra, int index) {
+        return new RouterSettings.RequestClass(
+                whole(requestClass, LATENCY_OBJECTIVE_NS),
+                number(requestClass, LATENCY_OBJECTIVE_WORK_FACTOR),
+                idempotency(text(requestClass, IDEMPOTENCY)),
+                scope(text(requestClass, IDEMPOTENCY_SCOPE)),
+                whole(requestClass, IDEMPOTENCY_WINDOW_NS),
+                flagAt(extra, PASS_THROUGH_BY_CLASS, index),
+                wholeAt(extra, FRESHNESS_BY_CLASS_NS, index));
+    }
+
+    private static Idempotency idempotency(String word) {
+        return switch (word) {
+            case "read_like" -> Idempotency.IDEMPOTENT;
+            case "idempotency_key" -> Idempotency.IDEMPOTENCY_KEY;
+            case "non_idempotent" -> Idempotency.NOT_IDEMPOTENT;
+            default -> throw new IllegalArgumentException("unknown effect '" + word + "'");
+        };
+    }
+
+    private static IdempotencyScope scope(String word) {
+        return switch (word) {
+            case "zone" -> IdempotencyScope.ZONE;
+            case "cell" -> IdempotencyScope.CELL;
+            default -> IdempotencyScope.ALL;
+        };
+    }
+
+    // ---- JSON
+
+    private static JsonObject object(JsonObject parent, String key) {
+        return parent.has(key) && parent.get(key).isJsonObject()
+                ? parent.getAsJsonObject(key)
+                : new JsonObject();
+    }
+
+    private static JsonArray array(JsonObject parent, String key) {
+        return parent.has(key) && parent.get(key).isJsonArray()
+                ? parent.getAsJsonArray(key)
+                : new JsonArray();
+    }
+
+    private static JsonElement elementAt(JsonObject parent, String key, int index) {
+        JsonArray elements = array(parent, key);
+        return index < elements.size() ? elements.get(index) : null;
+    }
+
+    private static boolean isValue(JsonElement element) {
+        return element != null && element.isJsonPrimitive();
+    }
+
+    private static double number(JsonObject parent, String key) {
+        return number(parent.get(key));
+    }
+
+    private static double number(JsonElement element) {
+        return isValue(element) ? element.getAsDouble() : 0;
+    }
+
+    private static int kind(JsonObject parent, String key) {
+        return isValue(parent.get(key)) ? parent.get(key).getAsInt() : NO_KIND;
+    }
+
+    private static long whole(JsonObject parent, String key) {
+        return (long) number(parent, key);
+    }
+
+    private static long wholeAt(JsonObject parent, String key, int index) {
+        return (long) number(elementAt(parent, key, index));
+    }
+
+    private static boolean flag(JsonObject parent, String key) {
+        return flag(parent.get(key));
+    }
+
+    private static boolean flagAt(JsonObject parent, String key, int index) {
+        return flag(elementAt(parent, key, index));
+    }
+
+    private static boolean flag(JsonElement element) {
+        return isValue(element) && element.getAsBoolean();
+    }
+
+    private static String text(JsonObject parent, String key) {
+        return isValue(parent.get(key)) ? parent.get(key).getAsString() : "";
+    }
+
+    private static List<Integer> integers(JsonObject parent, String key) {
+        List<Integer> values = new ArrayList<>();
+        array(parent, key).forEach(element -> values.add(element.getAsInt()));
+        return List.copyOf(values);
+    }
+}
--- a/src/main/java/brooklock/simulator/SimulatorHost.java
+++ b/src/main/java/brooklock/simulator/SimulatorHost.java
@@ -3,6 +3,7 @@
 import brooklock.routing.Router;
 import brooklock.routing.RouterAction;
 import brooklock.routing.RouterEvent;
+import brooklock.routing.RouterSettings;
 import java.io.IOException;
 import java.io.InputStream;
 import java.io.OutputStream;
@@ -14,91 +15,100 @@
 import java.util.Map;
 
 /**
- * Hosts instances of {@link Router} on the wire: one reply a batch, one {@code Rules} an instance,
- * nothing shared.
+ * Runs instances of {@link Router} for a simulator: one reply a batch, one router an instance,
+ * nothing shared between instances.
  */
 public final class SimulatorHost {
+    /** Length and clock before each batch. */
     private static final int HEADER_BYTES = 12;
 
     private final Map<Integer, Router> instances = new HashMap<>();
 
-    /** Reads batches until the input ends between two frames. */
+    /**
+     * Serves batches until the input ends between two frames.
+     *
+     * @throws MalformedFrameException if the input is not of the wire's form; it cannot be read on
+     * @throws IOException if reading or writing fails
+     */
     public void serve(InputStream in, OutputStream out) throws IOException {
         byte[] header = new byte[HEADER_BYTES];
         while (true) {
-            int got = in.readNBytes(header, 0, HEADER_BYTES);
-            if (got == 0) {
+            int headerBytes = in.readNBytes(header, 0, HEADER_BYTES);
+            if (headerBytes == 0) {
                 return;
             }
-            if (got < HEADER_BYTES) {
-                throw new SimulatorCodec.MalformedFrameException(
-                        "truncated frame: header has " + got + " of " + HEADER_BYTES + " bytes");
+            if (headerBytes < HEADER_BYTES) {
+                throw new MalformedFrameException(
+                        "truncated frame: header has "
+                                + headerBytes
+                                + " of "
+                                + HEADER_BYTES
+                                + " bytes");
             }
-            ByteBuffer h = ByteBuffer.wrap(header).order(ByteOrder.LITTLE_ENDIAN);
-            int length = h.getInt(0);
-            long now = h.getLong(4);
-            // The stated length is everything after the length field and the clock.
+            ByteBuffer fields = ByteBuffer.wrap(header).order(ByteOrder.LITTLE_ENDIAN);
+            // The length counts everything after itself and the clock.
+            int length = fields.getInt();
+            long nowNs = fields.getLong();
             if (length < 0) {
-                throw new SimulatorCodec.MalformedFrameException(
+                throw new MalformedFrameException(
                         "frame length " + Integer.toUnsignedString(length) + " is too long");
             }
             byte[] body = in.readNBytes(length);
             if (body.length < length) {
-                throw new SimulatorCodec.MalformedFrameException(
+                throw new MalformedFrameException(
                         "truncated frame: body has " + body.length + " of " + length + " bytes");
             }
-            out.write(decideBatch(now, body));
+            out.write(decideBatch(nowNs, body));
             out.flush();
         }
     }
 
-    /** Decides one batch. */
-    byte[] decideBatch(long now, byte[] body) {
-        SimulatorCodec.EventDecoder reader = new SimulatorCodec.EventDecoder(body);
-        SimulatorCodec.ActionEncoder writer = new SimulatorCodec.ActionEncoder();
-        while (reader.nextRecord()) {
-            processRecord(now, reader, writer);
+    /** Decides one batch and returns the frame of the reply. */
+    byte[] decideBatch(long nowNs, byte[] body) {
+        EventDecoder decoder = new EventDecoder(body);
+        ActionEncoder encoder = new ActionEncoder();
+        while (decoder.nextRecord()) {
+            processRecord(nowNs, decoder, encoder);
         }
-        return writer.frame();
+        return encoder.toFrame();
     }
 
-    private void processRecord(
-            long now, SimulatorCodec.EventDecoder reader, SimulatorCodec.ActionEncoder writer) {
-        int instance = reader.instance();
-        if (reader.isStart()) {
-            SimulatorCodec.Start start = reader.start();
+    private void processRecord(long nowNs, EventDecoder decoder, ActionEncoder encoder) {
+        int instance = decoder.instance();
+        if (decoder.isStart()) {
+            RouterSettings settings = decoder.settings();
             decide(
                     instance,
-                    writer,
-                    out -> {
-                        Router rules = new Router(start.settings());
-                        instances.put(instance, rules);
-                        rules.start(now, out);
+                    encoder,
+                    actions -> {
+                        Router router = new Router(settings);
+                        instances.put(instance, router);
+                        router.start(nowNs, actions);
                     });
-        } else if (reader.isStop()) {
+        } else if (decoder.isStop()) {
             instances.remove(instance);
         } else {
-            Router rules = instances.get(instance);
-            RouterEvent event = reader.event(now);
-            if (rules != null && event != null) {
-                decide(instance, writer, out -> rules.onEvent(now, event, out));
+            Router router = instances.get(instance);
+            RouterEvent event = decoder.event();
+            if (router != null && event != null) {
+                decide(instance, encoder, actions -> router.onEvent(nowNs, event, actions));
             }
         }
     }
 
     private interface Decision {
-        void decide(List<RouterAction> out);
+        void decide(List<RouterAction> actions);
     }
 
-    private void decide(int instance, SimulatorCodec.ActionEncoder writer, Decision work) {
+    // A fault of one router is reported for its instance; the others go on.
+    private static void decide(int instance, ActionEncoder encoder, Decision decision) {
         List<RouterAction> actions = new ArrayList<>();
         try {
-            work.decide(actions);
-            actions.forEach(action -> writer.action(instance, action));
+            decision.decide(actions);
+            actions.forEach(action -> encoder.add(instance, action));
         } catch (RuntimeException e) {
-            writer.instanceFailed(
-                    instance,
-                    e + (e.getStackTrace().length > 0 ? " at " + e.getStackTrace()[0] : ""));
+            StackTraceElement[] trace = e.getStackTrace();
+            encoder.addInstanceFailed(instance, e + (trace.length > 0 ? " at " + trace[0] : ""));
         }
     }
 }
--- /dev/null
+++ b/src/test/java/brooklock/simulator/Records.java
@@ -0,0 +1,59 @@
+package brooklock.simulator;
+
+import java.nio.ByteBuffer;
+import java.nio.ByteOrder;
+import java.nio.charset.StandardCharsets;
+import java.util.Arrays;
+import java.util.HexFormat;
+
+/** Builds the bytes of records and frames. */
+final class Records {
+    static final String SETTINGS =
+            """
+            {"lanes": [{"name": "page", "effect": "read_like", "onTimeNs": 300000000, "giveUpNs": 3000000000}],
+             "extra": {"secondTierKind": 1, "storeKind": 2, "passThroughOk": true, "unheardOf": [1]},
+             "limits": {"tryLimit": 6}, "tickNs": 2000000, "zone": 1, "machineTypes": ["c", "p", "o"]}""";
+
+    private static final int START = 16;
+
+    private Records() {}
+
+    /** Bytes written as hexadecimal digits, with spaces anywhere. */
+    static byte[] hex(String text) {
+        return HexFormat.of().parseHex(text.replaceAll("\\s", ""));
+    }
+
+    static byte[] record(int code, byte[] fields) {
+        return littleEndian(5 + fields.length)
+                .put((byte) code)
+                .putInt(fields.length)
+                .put(fields)
+                .array();
+    }
+
+    /** A record that starts an instance. */
+    static byte[] start(int instance, String settings) {
+        byte[] text = settings.getBytes(StandardCharsets.UTF_8);
+        return record(
+                START,
+                littleEndian(16 + text.length)
+                        .putInt(instance)
+                        .putLong(9)
+                        .putInt(text.length)
+                        .put(text)
+                        .array());
+    }
+
+    static byte[] frame(byte[]... records) {
+        int length = Arrays.stream(records).mapToInt(record -> record.length).sum();
+        ByteBuffer frame = littleEndian(12 + length).putInt(length).putLong(5_000_000_000L);
+        for (byte[] record : records) {
+            frame.put(record);
+        }
+        return frame.array();
+    }
+
+    private static ByteBuffer littleEndian(int bytes) {
+        return ByteBuffer.allocate(bytes).order(ByteOrder.LITTLE_ENDIAN);
+    }
+}
