--- a/src/main/java/brooklock/testserver/CachedCopy.java
+++ b/src/main/java/brooklock/testserver/CachedCopy.java
@@ -1,10 +1,10 @@
 package brooklock.testserver;
 
 /**
- * A copy of one part.
+ * A copy of one part of an object.
  *
  * @param serial number that the origin gave it, also its entity tag
- * @param bornNs when the origin gave it out, as its holder may believe: never later than it was
+ * @param bornNs when the origin created it, as far as its holder can know: never later than it was
  * @param group its purge group
  */
 record CachedCopy(Key key, long serial, long bornNs, int group, byte[] content) {
--- a/src/main/java/brooklock/testserver/CopyStore.java
+++ b/src/main/java/brooklock/testserver/CopyStore.java
@@ -7,19 +7,22 @@
 import java.util.function.Predicate;
 
 /**
- * Bounded storage by rank: the lowest rank goes first, in a rank what was used longest ago; never
- * for a lower one.
+ * Bounded storage of copies by priority: the lowest priority is evicted first, within one the copy
+ * that was used longest ago; never for a copy of lower priority. Used on the server's I/O thread,
+ * but for {@link #peek}.
  */
 final class CopyStore {
     private static final int PRIORITIES = 4;
 
     private final int maxCopies;
     private final Map<CachedCopy.Key, Integer> priorityByKey = new HashMap<>();
-    // What is held, for readers on other threads.
+
+    /** All copies once more, for readers on other threads. */
     private final Map<CachedCopy.Key, CachedCopy> copies = new ConcurrentHashMap<>();
+
     private final LinkedHashMap<CachedCopy.Key, CachedCopy>[] byPriority;
 
-    @SuppressWarnings({"unchecked", "rawtypes"})
+    @SuppressWarnings({"unchecked", "rawtypes"}) // Java has no arrays of generic types.
     CopyStore(int maxCopies) {
         this.maxCopies = maxCopies;
         byPriority = new LinkedHashMap[PRIORITIES];
@@ -28,7 +31,7 @@
         }
     }
 
-    /** A copy that is kept, used now; a rank above 0 is set anew. */
+    /** A stored copy, used by this, or null; a priority above 0 replaces the copy's own. */
     CachedCopy use(CachedCopy.Key key, int priority) {
         Integer currentPriority = priorityByKey.get(key);
         if (currentPriority == null) {
@@ -43,19 +46,20 @@
         return copy;
     }
 
-    /** A copy that is held, not used by this; from any thread. */
+    /** A stored copy, not used by this, or null; from any thread. */
     CachedCopy peek(CachedCopy.Key key) {
         return copies.get(key);
     }
 
+    /** Stores a copy if its priority is above 0 and there is room for it. */
     void put(CachedCopy copy, int priority) {
         if (priority <= 0) {
             return;
         }
-        drop(copy.key());
+        remove(copy.key());
         for (int lower = 1; priorityByKey.size() >= maxCopies && lower <= priority; lower++) {
             if (!byPriority[lower].isEmpty()) {
-                drop(byPriority[lower].keySet().iterator().next());
+                remove(byPriority[lower].keySet().iterator().next());
             }
         }
         if (priorityByKey.size() < maxCopies) {
@@ -65,26 +69,30 @@
         }
     }
 
-    private void drop(CachedCopy.Key key) {
+    private void remove(CachedCopy.Key key) {
         copies.remove(key);
-        Integer currentPriority = priorityByKey.remove(key);
-        if (currentPriority != null) {
-            byPriority[currentPriority].remove(key);
+        Integer priority = priorityByKey.remove(key);
+        if (priority != null) {
+            byPriority[priority].remove(key);
         }
     }
 
-    void dropIf(Predicate<CachedCopy> which) {
-        for (LinkedHashMap<CachedCopy.Key, CachedCopy> r : byPriority) {
-            r.values()
+    void removeIf(Predicate<CachedCopy> filter) {
+        for (LinkedHashMap<CachedCopy.Key, CachedCopy> stored : byPriority) {
+            stored.values()
                     .removeIf(
-                            c ->
-                                    which.test(c)
-                                            && priorityByKey.remove(c.key()) != null
-                                            && copies.remove(c.key()) != null);
+                            copy -> {
+                                if (!filter.test(copy)) {
+                                    return false;
+                                }
+                                priorityByKey.remove(copy.key());
+                                copies.remove(copy.key());
+                                return true;
+                            });
         }
     }
 
-    int size() {
-        return priorityByKey.size();
+    void clear() {
+        removeIf(copy -> true);
     }
 }
--- /dev/null
+++ b/src/main/java/brooklock/testserver/FillHandler.java
@@ -0,0 +1,199 @@
+package brooklock.testserver;
+
+import brooklock.http.Fields;
+import brooklock.http.Framing;
+import brooklock.http.ResponseHead;
+import brooklock.net.CallFailure;
+import brooklock.net.HttpExchange;
+import brooklock.net.ResponseHandler;
+import java.io.ByteArrayOutputStream;
+import java.nio.ByteBuffer;
+import java.util.List;
+import java.util.Set;
+import java.util.function.Consumer;
+
+/** Receives the response to one request of a fill, and responds to those that wait for the fill. */
+final class FillHandler implements ResponseHandler {
+    /** Errors that prove that the request was not executed behind the source. */
+    private static final Set<String> NOT_EXECUTED_ERRORS =
+            Set.of("connection_limit_reached", "destination_unavailable", "connection_refused");
+
+    private final FillTable table;
+    private final FillTable.Fill fill;
+    private final ActiveRequest active;
+    private final ServerRequest request;
+    private final ByteArrayOutputStream content = new ByteArrayOutputStream();
+    private ResponseHead head;
+
+    FillHandler(FillTable table, FillTable.Fill fill, ActiveRequest active) {
+        this.table = table;
+        this.fill = fill;
+        this.active = active;
+        request = active.request();
+    }
+
+    @Override
+    public void onHead(ResponseHead responseHead, Framing framing, boolean complete) {
+        head = responseHead;
+    }
+
+    @Override
+    public boolean onBody(ByteBuffer piece) {
+        byte[] bytes = new byte[piece.remaining()];
+        piece.get(bytes);
+        content.writeBytes(bytes);
+        return true;
+    }
+
+    @Override
+    public void onComplete(Fields trailers) {
+        long waitedNs = System.nanoTime() - fill.sentNs;
+        boolean miss = head.status() == 504 && head.fields().get("Proxy-Status") == null;
+        if (head.status() == 200) {
+            onCopy();
+        } else if (fallBackToSource(miss ? PeerResult.LACKED : PeerResult.FAILED)) {
+            return;
+        } else if (miss) {
+            String cacheStatus = table.model.name() + "; fwd=miss; detail=source-lacks";
+            failWaiters(
+                    waiter ->
+                            table.sender.sendStatus(
+                                    waiter.exchange(),
+                                    waiter.recorded(),
+                                    504,
+                                    new Fields().add("Cache-Status", cacheStatus),
+                                    waitedNs,
+                                    true));
+        } else {
+            onSourceError(waitedNs);
+        }
+    }
+
+    @Override
+    public void onFailure(CallFailure failure, String reason) {
+        if (fallBackToSource(PeerResult.FAILED)) {
+            return;
+        }
+        long waitedNs = System.nanoTime() - fill.sentNs;
+        String error = failure.provesNotExecuted ? "connection_refused" : "connection_terminated";
+        failWaiters(waiter -> sendFailure(waiter, error, null, waitedNs));
+    }
+
+    // A peer that was asked first and gives nothing: the source is asked instead.
+    private boolean fallBackToSource(PeerResult result) {
+        if (fill.peerResult != PeerResult.ASKED) {
+            return false;
+        }
+        fill.peerResult = result;
+        fill.peerLoad = head == null ? null : head.fields().get("Brooklock-Load");
+        table.sendToSource(fill, active);
+        return true;
+    }
+
+    private void onCopy() {
+        String cacheStatus = head.fields().combinedValue("Cache-Status");
+        boolean fromOrigin =
+                table.model.role() == ServerModel.Role.PARENT
+                        || cacheStatus == null
+                        || cacheStatus.contains("detail=origin");
+        // The age is that of the moment when the request arrived there, so that the copy is not
+        // younger than this.
+        long ageNs = Long.parseLong(head.fields().get("Brooklock-Age")) * 1000;
+        long serial = Long.parseLong(head.fields().get("ETag").replace("\"", ""));
+        if (request.prefetch() || fill.peerResult == PeerResult.ASKED) {
+            fill.peerLoad = head.fields().get("Brooklock-Load");
+        }
+        if (fill.peerResult == PeerResult.ASKED) {
+            fill.peerResult = PeerResult.GAVE;
+        }
+        CachedCopy copy =
+                new CachedCopy(
+                        request.copyKey(),
+                        serial,
+                        fill.sentNs - ageNs,
+                        request.group(),
+                        content.toByteArray());
+        onFilled(copy, fromOrigin);
+    }
+
+    private void onFilled(CachedCopy copy, boolean fromOrigin) {
+        List<FillTable.Waiter> waiters = table.remove(fill, request.copyKey());
+        if (!request.passThrough() && !table.purges.isPurged(copy)) {
+            int priority =
+                    table.model.role() == ServerModel.Role.PARENT
+                            ? 1
+                            : waiters.stream()
+                                    .mapToInt(w -> w.active().request().copyPriority())
+                                    .max()
+                                    .orElse(0);
+            table.store.put(copy, priority);
+        }
+        for (FillTable.Waiter waiter : waiters) {
+            ActiveRequest waiting = waiter.active();
+            long maxAgeNs = waiting.request().maxAgeNs();
+            if (waiting.exchange().isEnded()) {
+                waiting.release().run();
+            } else if (maxAgeNs > 0 && copy.bornNs() < waiting.arrivedNs() - maxAgeNs) {
+                // The fill that was joined began before a purge that this request knows of.
+                table.fill(waiting);
+            } else {
+                waiting.recorded().peerResult = fill.peerResult;
+                waiting.recorded().peerLoad = fill.peerLoad;
+                table.sender.sendCopy(waiting, copy, cacheStatus(waiter, fromOrigin));
+            }
+        }
+    }
+
+    private String cacheStatus(FillTable.Waiter waiter, boolean fromOrigin) {
+        String detail =
+                fill.peerResult == PeerResult.GAVE
+                        ? "; detail=neighbour"
+                        : fromOrigin ? "; detail=origin" : "";
+        return table.model.name() + "; fwd=miss" + (waiter.joined() ? "; collapsed" : "") + detail;
+    }
+
+    private void onSourceError(long waitedNs) {
+        String proxyStatus = head.fields().get("Proxy-Status");
+        String error =
+                proxyStatus == null
+                        ? ""
+                        : proxyStatus.substring(proxyStatus.indexOf("error=") + "error=".length());
+        boolean provenNotExecuted = NOT_EXECUTED_ERRORS.contains(error);
+        // A parent that speaks of its own source says by it that the origin failed behind it.
+        boolean originFailed =
+                table.model.role() == ServerModel.Role.CACHE
+                        && proxyStatus != null
+                        && !error.equals("connection_limit_reached");
+        failWaiters(
+                waiter ->
+                        sendFailure(
+                                waiter,
+                                provenNotExecuted
+                                        ? "destination_unavailable"
+                                        : "http_response_incomplete",
+                                originFailed ? "origin" : null,
+                                waitedNs));
+    }
+
+    private void failWaiters(Consumer<ActiveRequest> respond) {
+        for (FillTable.Waiter waiter : table.remove(fill, request.copyKey())) {
+            ActiveRequest waiting = waiter.active();
+            waiting.release().run();
+            if (!waiting.exchange().isEnded()) {
+                respond.accept(waiting);
+            }
+        }
+    }
+
+    private void sendFailure(
+            ActiveRequest waiting, String error, String failedOrigin, long waitedNs) {
+        boolean provenNotExecuted =
+                error.equals("destination_unavailable") || error.equals("connection_refused");
+        HttpExchange exchange = waiting.exchange();
+        String behind = failedOrigin == null ? "" : failedOrigin + "; error=" + error + ", ";
+        Fields fields =
+                new Fields().add("Proxy-Status", behind + table.model.name() + "; error=" + error);
+        table.sender.sendStatus(
+                exchange, waiting.recorded(), 502, fields, waitedNs, provenNotExecuted);
+    }
+}
--- a/src/main/java/brooklock/testserver/InjectedFaults.java
+++ b/src/main/java/brooklock/testserver/InjectedFaults.java
@@ -1,26 +1,29 @@
 package brooklock.testserver;
 
-/** What ails a host just now; set from outside at any time. Shares are of 1. */
+/**
+ * The faults of one server; set from any thread at any time. Shares are fractions of 1, each
+ * request drawn for itself.
+ */
 public final class InjectedFaults {
-    /** Takes requests and says nothing. */
+    /** Whether the server accepts requests and never responds. */
     public volatile boolean silent;
 
-    /** Share of requests that are answered at once with an error. */
+    /** Share of requests that fail at once with 500. */
     public volatile double errorShare;
 
-    /** Share of answers that are lost after the work was done. */
+    /** Share of responses that are lost after the work was done. */
     public volatile double lostShare;
 
-    /** A lost answer shows as a reset; else as silence. */
+    /** Whether a lost response shows as a connection reset; else as silence. */
     public volatile boolean lostByReset;
 
-    /** Share of answers broken off in the middle of their body. */
+    /** Share of responses that are broken off in the middle of their body. */
     public volatile double truncatedShare;
 
-    /** How many times slower it is. */
+    /** How many times slower the server is. */
     public volatile double slowdown = 1;
 
-    /** Share of requests that are refused. */
+    /** Share of requests that are rejected. */
     public volatile double rejectShare;
 
     void clear() {
--- a/src/main/java/brooklock/testserver/LoadGenerator.java
+++ b/src/main/java/brooklock/testserver/LoadGenerator.java
@@ -17,25 +17,32 @@
 import java.util.List;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
+import java.util.concurrent.locks.LockSupport;
 import java.util.function.IntFunction;
 import org.HdrHistogram.Histogram;
 
 /**
- * A load of plain GETs. With a rate, requests begin at moments set ahead and their times count from
- * those moments, so that a server that stalls cannot hide it (coordinated omission); without one,
- * each connection asks as fast as it may.
+ * A load of plain GET requests. With a rate, requests start at fixed moments and their latencies
+ * count from those, so that a server that stalls cannot hide it (coordinated omission); without
+ * one, each connection sends its next request as soon as it has the response.
  */
 public final class LoadGenerator {
     private static final byte[] NO_BYTES = new byte[0];
+    private static final long START_DELAY_NS = 10_000_000L;
+    private static final long END_GRACE_NS = TimeUnit.SECONDS.toNanos(30);
+    private static final long MAX_PACER_PAUSE_NS = 1_000_000L;
 
     /**
-     * What is to be done.
+     * What is to be done. Times in nanoseconds.
      *
-     * @param rate requests a second in all; 0 for as many as the connections bear
-     * @param connections at most so many at once
-     * @param warmNs time before anything counts
+     * @param authority the Host of the requests
+     * @param requestsPerS requests a second in all; 0 for as many as the connections can carry
+     * @param connections connections at once, at most
+     * @param threads I/O threads
+     * @param warmUpNs time before anything counts
+     * @param durationNs time that counts
      * @param path the path of request {@code i}
-     * @param fields sent with each
+     * @param fields sent with each request
      */
     public record Plan(
             InetSocketAddress address,
@@ -47,7 +54,7 @@
             long durationNs,
             IntFunction<String> path,
             Fields fields) {
-        /** The same without fields. */
+        /** A plan whose requests carry no further fields. */
         public Plan(
                 InetSocketAddress address,
                 String authority,
@@ -70,7 +77,16 @@
         }
     }
 
-    /** What came of it. */
+    /**
+     * What came of it.
+     *
+     * @param completed responses with status 200
+     * @param otherStatus responses with another
+     * @param failed calls without a whole response
+     * @param seconds the time that counted
+     * @param latencyUs latencies of all three, microseconds
+     * @param bytes bytes of all bodies, those before the time that counted included
+     */
     public record Result(
             long completed,
             long otherStatus,
@@ -78,7 +94,7 @@
             double seconds,
             Histogram latencyUs,
             long bytes) {
-        /** Whole answers a second. */
+        /** Completed responses a second. */
         public double perSecond() {
             return completed / seconds;
         }
@@ -102,109 +118,109 @@
     /**
      * Runs a load to its end.
      *
-     * @throws IOException where no I/O threads can be had
+     * @throws IOException where the system gives no I/O threads
      */
     public static Result run(Plan plan) throws IOException, InterruptedException {
-        try (IoThreads net = IoThreads.start("load", plan.threads())) {
-            long startNs = System.nanoTime() + 10_000_000L;
+        try (IoThreads ioThreads = IoThreads.start("load", plan.threads())) {
+            long startNs = System.nanoTime() + START_DELAY_NS;
             CountDownLatch done = new CountDownLatch(plan.threads());
             List<Worker> workers = new ArrayList<>();
             for (int i = 0; i < plan.threads(); i++) {
-                Worker lane = new Worker(net.loop(i), plan, i, startNs, done);
-                workers.add(lane);
-                lane.loop.execute(lane::start);
+                Worker worker = new Worker(ioThreads.loop(i), plan, i, startNs, done);
+                workers.add(worker);
+                worker.loop.execute(worker::start);
             }
             if (plan.requestsPerS() > 0) {
                 Thread pacer = new Thread(() -> runPacer(workers), "pacer");
                 pacer.setDaemon(true);
                 pacer.start();
             }
-            done.await(
-                    plan.warmUpNs() + plan.durationNs() + TimeUnit.SECONDS.toNanos(30),
-                    TimeUnit.NANOSECONDS);
-            Histogram latencyUs = new Histogram(3);
-            long whole = 0;
-            long other = 0;
-            long failed = 0;
-            long bytes = 0;
-            for (Worker l : workers) {
-                latencyUs.add(l.latencyUs);
-                whole += l.completed;
-                other += l.otherStatus;
-                failed += l.failed;
-                bytes += l.bytes;
-            }
-            return new Result(whole, other, failed, plan.durationNs() / 1e9, latencyUs, bytes);
+            long timeoutNs = plan.warmUpNs() + plan.durationNs() + END_GRACE_NS;
+            // Calls that are still open then have ended neither way and are not counted.
+            done.await(timeoutNs, TimeUnit.NANOSECONDS);
+            return sum(workers, plan.durationNs() / 1e9);
+        }
+    }
+
+    private static Result sum(List<Worker> workers, double seconds) {
+        Histogram latencyUs = new Histogram(3);
+        long completed = 0;
+        long otherStatus = 0;
+        long failed = 0;
+        long bytes = 0;
+        for (Worker worker : workers) {
+            latencyUs.add(worker.latencyUs);
+            completed += worker.completed;
+            otherStatus += worker.otherStatus;
+            failed += worker.failed;
+            bytes += worker.bytes;
         }
+        return new Result(completed, otherStatus, failed, seconds, latencyUs, bytes);
     }
 
-    // The selectors count in milliseconds; the moments at which requests are due are kept by a
-    // thread of its own.
+    // The selectors count in milliseconds, so that a thread of its own keeps the moments at which
+    // requests are due.
     private static void runPacer(List<Worker> workers) {
         boolean more = true;
         while (more) {
             more = false;
-            long next = Long.MAX_VALUE;
-            for (Worker l : workers) {
-                long now = System.nanoTime();
-                while (l.nextDueNs - now <= 0 && l.nextDueNs - l.endNs < 0) {
-                    long due = l.nextDueNs;
-                    l.loop.execute(() -> l.request(due));
-                    l.nextDueNs += l.intervalNs;
-                }
-                if (l.nextDueNs - l.endNs < 0) {
+            long pauseNs = MAX_PACER_PAUSE_NS;
+            for (Worker worker : workers) {
+                long nowNs = System.nanoTime();
+                worker.sendDue(nowNs);
+                if (worker.hasMoreDue()) {
                     more = true;
-                    next = Math.min(next, l.nextDueNs - now);
+                    pauseNs = Math.min(pauseNs, worker.nextDueNs - nowNs);
                 }
             }
-            java.util.concurrent.locks.LockSupport.parkNanos(Math.min(next, 1_000_000L));
+            LockSupport.parkNanos(pauseNs);
         }
-        workers.forEach(
-                l ->
-                        l.loop.execute(
-                                () -> {
-                                    l.ended = true;
-                                    l.finishIfIdle();
-                                }));
+        workers.forEach(worker -> worker.loop.execute(worker::endPaced));
     }
 
-    // One I/O thread's part of the load.
+    /** One I/O thread's part of the load; used on it, but for what the pacer keeps. */
     private static final class Worker {
         final IoLoop loop;
         final Histogram latencyUs = new Histogram(3);
+        long completed;
+        long otherStatus;
+        long failed;
+        long bytes;
         private final Plan plan;
         private final HttpClient client;
         private final CountDownLatch done;
+        private final int connections;
         private final long countFromNs;
         private final long endNs;
+
+        /** Time between two requests; 0 without a rate. */
         private final long intervalNs;
+
+        /** The pacer's: when the next request is due. */
         private long nextDueNs;
+
         private int nextNumber;
         private int openRequests;
         private boolean ended;
-        long completed;
-        long otherStatus;
-        long failed;
-        long bytes;
 
-        Worker(IoLoop loop, Plan plan, int index, long begun, CountDownLatch done) {
+        Worker(IoLoop loop, Plan plan, int index, long startNs, CountDownLatch done) {
             this.loop = loop;
             this.plan = plan;
             this.done = done;
-            int each = Math.max(1, plan.connections() / plan.threads());
+            connections = Math.max(1, plan.connections() / plan.threads());
             client =
                     new HttpClient(
                             loop,
                             ClientLimits.STANDARD
-                                    .withConnections(each, 1 << 20, each)
+                                    .withConnections(connections, 1 << 20, connections)
                                     .withConnectTimeoutNs(TimeUnit.SECONDS.toNanos(20)));
-            countFromNs = begun + plan.warmUpNs();
+            countFromNs = startNs + plan.warmUpNs();
             endNs = countFromNs + plan.durationNs();
             intervalNs =
                     plan.requestsPerS() > 0
                             ? (long) (1e9 * plan.threads() / plan.requestsPerS())
                             : 0;
-            nextDueNs = begun + intervalNs * index / plan.threads();
+            nextDueNs = startNs + intervalNs * index / plan.threads();
             nextNumber = index;
         }
 
@@ -212,18 +228,37 @@
             if (intervalNs > 0) {
                 return;
             }
-            for (int i = 0; i < Math.max(1, plan.connections() / plan.threads()); i++) {
-                request(System.nanoTime());
+            for (int i = 0; i < connections; i++) {
+                send(System.nanoTime());
             }
         }
 
+        /** Called by the pacer: hands over the requests that are due. */
+        void sendDue(long nowNs) {
+            while (nextDueNs - nowNs <= 0 && hasMoreDue()) {
+                long dueNs = nextDueNs;
+                loop.execute(() -> send(dueNs));
+                nextDueNs += intervalNs;
+            }
+        }
+
+        /** Called by the pacer. */
+        boolean hasMoreDue() {
+            return nextDueNs - endNs < 0;
+        }
+
+        void endPaced() {
+            ended = true;
+            finishIfIdle();
+        }
+
         private void finishIfIdle() {
             if (ended && openRequests == 0) {
                 done.countDown();
             }
         }
 
-        private void request(long intended) {
+        private void send(long intendedNs) {
             openRequests++;
             RequestHead head =
                     new RequestHead(
@@ -241,8 +276,9 @@
                         private int status;
 
                         @Override
-                        public void onHead(ResponseHead h, Framing framing, boolean all) {
-                            status = h.status();
+                        public void onHead(
+                                ResponseHead response, Framing framing, boolean complete) {
+                            status = response.status();
                         }
 
                         @Override
@@ -254,29 +290,28 @@
 
                         @Override
                         public void onComplete(Fields trailers) {
-                            onEnded(intended, status == 200, status != 200);
+                            onEnded(intendedNs, status == 200, status != 200);
                         }
 
                         @Override
-                        public void onFailure(CallFailure failure, String why) {
-                            onEnded(intended, false, false);
+                        public void onFailure(CallFailure failure, String reason) {
+                            onEnded(intendedNs, false, false);
                         }
                     });
         }
 
-        private void onEnded(long intended, boolean ok, boolean answered) {
+        private void onEnded(long intendedNs, boolean ok, boolean other) {
             openRequests--;
-            long now = System.nanoTime();
-            if (intended - countFromNs >= 0 && intended - endNs < 0) {
+            long nowNs = System.nanoTime();
+            if (intendedNs - countFromNs >= 0 && intendedNs - endNs < 0) {
                 completed += ok ? 1 : 0;
-                otherStatus += answered ? 1 : 0;
-                failed += ok || answered ? 0 : 1;
-                latencyUs.recordValue(Math.max(0, (now - intended) / 1000));
+                otherStatus += other ? 1 : 0;
+                failed += ok || other ? 0 : 1;
+                latencyUs.recordValue(Math.max(0, (nowNs - intendedNs) / 1000));
             }
-            if (intervalNs == 0 && now - endNs < 0) {
-                // Not from within the end of the call before, so that a fast server does not deepen
-                // the stack.
-                loop.execute(() -> request(System.nanoTime()));
+            if (intervalNs == 0 && nowNs - endNs < 0) {
+                // Not from within the end of the call before: a fast server would deepen the stack.
+                loop.execute(() -> send(System.nanoTime()));
             } else {
                 ended |= intervalNs == 0;
                 finishIfIdle();
--- a/src/main/java/brooklock/testserver/OverloadModel.java
+++ b/src/main/java/brooklock/testserver/OverloadModel.java
@@ -3,11 +3,12 @@
 import java.util.ArrayDeque;
 
 /**
- * The work that has reached a cold host within the last span, against what it could do: too much
- * pushes it over.
+ * The overload of a server that warms up: the work that has reached it within the last window,
+ * against what it can bear. More than that makes it fail. Written on the server's I/O thread; the
+ * shares may be read from any.
  */
 final class OverloadModel {
-    // Mean requests that chance may bring on top of the budget.
+    /** Mean requests that may come by chance on top of what it can bear. */
     private static final double SLACK_REQUESTS = 3;
 
     private record Work(long atNs, double workNs) {}
@@ -21,31 +22,34 @@
         this.model = model;
     }
 
+    /** The server has started; one that is not cold has all of its capacity at once. */
     void restart(long nowNs, boolean cold) {
         startedNs = cold ? nowNs : nowNs - model.warmUpNs();
         recentWork.clear();
         recentWorkNs = 0;
     }
 
+    /** Share of its capacity that the server has: 1 once it is warm. */
     double warmUpShare(long nowNs) {
         double ageShare = (nowNs - startedNs) / (double) model.warmUpNs();
         return ageShare >= 1 ? 1 : model.coldStartShare() + (1 - model.coldStartShare()) * ageShare;
     }
 
-    /** Books work; gives the fall it caused, or null. */
+    /** Adds work; returns the overload that it caused, or null. */
     TrafficRecorder.Overload add(long nowNs, double workNs) {
         recentWork.add(new Work(nowNs, workNs));
-        recentWorkNs += workNs;
+        double sum = recentWorkNs + workNs;
         while (nowNs - recentWork.peekFirst().atNs() > model.overloadWindowNs()) {
-            recentWorkNs -= recentWork.pollFirst().workNs();
+            sum -= recentWork.pollFirst().workNs();
         }
+        recentWorkNs = sum;
         double warmUpShare = warmUpShare(nowNs);
         if (warmUpShare >= 1 || model.overloadMultiple() <= 0) {
             return null;
         }
         double allowedNs = capacityNs(warmUpShare) + SLACK_REQUESTS * workNs;
-        return recentWorkNs > allowedNs
-                ? new TrafficRecorder.Overload(model.name(), nowNs, recentWorkNs, allowedNs)
+        return sum > allowedNs
+                ? new TrafficRecorder.Overload(model.name(), nowNs, sum, allowedNs)
                 : null;
     }
 
@@ -56,7 +60,7 @@
                 * model.overloadWindowNs();
     }
 
-    /** Share of 1 of what it bears that has reached it within the span; 0 where it is warm. */
+    /** Load within the window as a share of what the server can bear; 0 where it is warm. */
     double usedShare(long nowNs) {
         double warmUpShare = warmUpShare(nowNs);
         return warmUpShare >= 1 || model.overloadMultiple() <= 0
--- a/src/main/java/brooklock/testserver/PacedTransfer.java
+++ b/src/main/java/brooklock/testserver/PacedTransfer.java
@@ -5,10 +5,11 @@
 import java.nio.ByteBuffer;
 import java.util.function.DoubleSupplier;
 
-/** One answer on its way at the pace that its host's link gives it just then. */
+/** Sends one response at the rate that the server's link has just then. */
 final class PacedTransfer {
-    // A piece lasts about this long, so that a pace that changes is felt soon.
+    /** A piece lasts about this long, so that a change of the rate shows soon. */
     private static final double PIECE_DURATION_S = 0.01;
+
     private static final int MIN_PIECE_BYTES = 512;
 
     private final HttpExchange exchange;
@@ -19,7 +20,12 @@
     private int position;
     private boolean ended;
 
-    /** {@code cutAt} bytes into the body the connection is broken; -1 for never. */
+    /**
+     * Prepares a transfer.
+     *
+     * @param cutAt bytes of the body after which the connection is reset; -1 for never
+     * @param onEnded called once, whichever way it ends
+     */
     PacedTransfer(
             HttpExchange exchange,
             byte[] content,
--- a/src/main/java/brooklock/testserver/RecordedRequest.java
+++ b/src/main/java/brooklock/testserver/RecordedRequest.java
@@ -1,92 +1,95 @@
 package brooklock.testserver;
 
-/** What reached a host, written down by the host itself. Times are {@link System#nanoTime}. */
+/**
+ * One request as the server that it reached has recorded it. Times are {@link System#nanoTime}. The
+ * server's thread writes it; any thread may read it.
+ */
 public final class RecordedRequest {
-    /** When it came. */
+    /** When it arrived. */
     public final long atNs;
 
-    /** Where it came. */
+    /** The server that it reached. */
     public final String server;
 
-    /** The dispatcher it began at. */
+    /** The dispatcher that it came through first. */
     public final String dispatcher;
 
     /** Who sent it here: that dispatcher, or a cache that fills. */
     public final String sender;
 
-    /** The client's name of its request. */
+    /** The client's name of its request; null where it has none. */
     public final String request;
 
     /** Number of the attempt. */
     public final int attempt;
 
-    /** The path asked for. */
+    /** The requested path. */
     public final String target;
 
-    /** The object asked for. */
+    /** The requested object. */
     public final long object;
 
-    /** Its purge group. */
+    /** The object's purge group. */
     public final int group;
 
-    /** Its class. */
+    /** Name of the request's class. */
     public final String className;
 
-    /** The host named to fill from, or null. */
+    /** The server named to fill from, or null. */
     public final String source;
 
-    /** How a neighbour that was asked first answered; null where none was. */
-    volatile String peerResult;
+    /** What came of asking a peer first; null where none was asked. */
+    volatile PeerResult peerResult;
 
-    /** What that neighbour said of itself. */
+    /** The load report of that peer. */
     volatile String peerLoad;
 
-    /** Whether it was given from what the host held. */
+    /** Whether the response came from a cached copy. */
     public volatile boolean cacheHit;
 
-    /** Bytes of the copy that was given. */
+    /** Bytes of the copy that was sent. */
     public volatile int bodyBytes;
 
     /**
-     * Share of 1 of what the host bore while cold that had reached it with this; 0 where it was
-     * warm.
+     * Load that had reached the server with this request while it warmed up, as a share of what it
+     * could bear; 0 where it was warm.
      */
     public volatile double warmUpLoad;
 
-    /** Whether it came after the host's start when the host was still cold. */
+    /** Whether the server was still warming up. */
     public volatile boolean cold;
 
-    /** Serial of the copy that was given, 0 for none. */
+    /** Serial number of the copy that was sent; 0 for none. */
     public volatile long copySerial;
 
-    /** Whether the request surely did not run, by what the host answered. */
+    /** Whether the response proves that the request was not executed. */
     public volatile boolean provenNotExecuted;
 
-    /** Whether an effect took place here. */
+    /** Whether it took effect here. */
     public volatile boolean executed;
 
-    RecordedRequest(long atNs, String host, String target, ServerRequest a) {
+    RecordedRequest(long atNs, String server, String target, ServerRequest request) {
         this.atNs = atNs;
-        this.server = host;
-        dispatcher = a.dispatcher();
-        sender = a.sender();
-        request = a.request();
+        this.server = server;
+        dispatcher = request.dispatcher();
+        sender = request.sender();
+        this.request = request.request();
         this.target = target;
-        attempt = a.attempt();
-        object = a.object();
-        group = a.group();
-        className = a.className();
-        source = a.source();
+        attempt = request.attempt();
+        object = request.object();
+        group = request.group();
+        className = request.className();
+        source = request.source();
     }
 
-    /** Whether it came straight from a dispatcher. */
+    /** Whether a dispatcher sent it, and not a cache that fills. */
     public boolean isDirect() {
         return dispatcher.equals(sender);
     }
 
-    /** Whether it was given from what a neighbour held. */
+    /** Whether the response came from a peer's copy. */
     public boolean isFromPeer() {
-        return "gave".equals(peerResult);
+        return peerResult == PeerResult.GAVE;
     }
 
     @Override
--- a/src/main/java/brooklock/testserver/ServerModel.java
+++ b/src/main/java/brooklock/testserver/ServerModel.java
@@ -1,20 +1,21 @@
 package brooklock.testserver;
 
 /**
- * What a stand-in host can do; all of it is the stand-in's own and told to no dispatcher.
+ * What a server can do. No dispatcher is told of it.
  *
  * @param name its name
  * @param role what it is
- * @param flows transfers at full pace that its link carries at once
- * @param pace bytes a second of one transfer
- * @param slots requests it holds at once; above them it refuses
- * @param copies copies it keeps
- * @param coldFrom share of its link right after a start
- * @param coldNs time until it has all of it
- * @param fallsAt multiple of what it can do now that pushes it over, 0 for none
- * @param fallNs for how long
- * @param baseNs time before the first byte
- * @param rate calls a second above which it refuses (origins), 0 for none
+ * @param maxTransfers transfers at full rate that its link carries at once
+ * @param bytesPerSecond rate of one transfer
+ * @param maxRequests requests that it processes at once; it rejects further ones
+ * @param maxCopies copies that it stores
+ * @param coldStartShare share of its link right after a start
+ * @param warmUpNs time until it has all of its link
+ * @param overloadMultiple multiple of its present capacity that makes it fail while it warms up; 0
+ *     for never
+ * @param overloadWindowNs time over which that load is summed up
+ * @param baseLatencyNs time until the first byte
+ * @param maxRequestsPerS requests a second above which it rejects (origins); 0 for none
  */
 public record ServerModel(
         String name,
@@ -29,10 +30,13 @@
         long overloadWindowNs,
         long baseLatencyNs,
         double maxRequestsPerS) {
-    /** What a host is. */
+    /** What a server is. */
     public enum Role {
+        /** Holds copies near the clients. */
         CACHE,
+        /** Holds copies for caches. */
         PARENT,
+        /** Has every object. */
         ORIGIN
     }
 }
--- a/src/main/java/brooklock/testserver/ServerRequest.java
+++ b/src/main/java/brooklock/testserver/ServerRequest.java
@@ -7,14 +7,25 @@
 import java.util.Map;
 
 /**
- * What a dispatcher, or a cache that fills, asks of a host; the fields of docs/protocol.md taken
- * apart.
+ * What a dispatcher, or a cache that fills, requests of a server: the fields of docs/protocol.md,
+ * parsed.
  *
- * @param from the dispatcher it began at
- * @param by who sent it here: a dispatcher, or the cache that fills
- * @param request the client's own name of its request
- * @param source name of the host to fill from, null for no fill
- * @param oldestNs no copy older than this; 0 for any age
+ * @param dispatcher the dispatcher that the request came through first
+ * @param sender who sent it here: that dispatcher, or the cache that fills
+ * @param request the client's own name of its request; null where it has none
+ * @param attempt number of the attempt
+ * @param group the purge group
+ * @param passThrough whether it must run at the origin and is not cached
+ * @param copyPriority priority with which the copy is kept; 0 keeps none
+ * @param source name of the server to fill from; null for no fill
+ * @param sourceAddress its address
+ * @param peer name of a cache to try before the source; null for none
+ * @param peerAddress its address
+ * @param maxAgeNs no copy older than this; 0 for any age
+ * @param join whether it may join a fill in flight
+ * @param cachedOnly whether the source gives only what it has cached
+ * @param prefetch whether the copy is wanted in the cache only, without a body in the response
+ * @param idempotencyKey null where it has none
  */
 record ServerRequest(
         String dispatcher,
@@ -36,48 +47,48 @@
         boolean cachedOnly,
         boolean prefetch,
         String idempotencyKey) {
+    private static final long MICROSECOND_NS = 1000;
 
     static ServerRequest of(RequestHead head) {
         Fields fields = head.fields();
-        Map<String, String> copyParameters = parseParameters(fields.get("Brooklock-Copy"));
-        Map<String, String> getParameters = parseParameters(fields.get("Brooklock-Get"));
-        Map<String, String> attemptParameters = parseParameters(fields.get("Brooklock-Attempt"));
-        String[] via =
-                fields.combinedValue("Via") == null
-                        ? new String[] {"- -"}
-                        : fields.combinedValue("Via").split(", *");
+        Map<String, String> copy = parseParameters(fields.get("Brooklock-Copy"));
+        Map<String, String> get = parseParameters(fields.get("Brooklock-Get"));
+        Map<String, String> attempt = parseParameters(fields.get("Brooklock-Attempt"));
+        String viaField = fields.combinedValue("Via");
+        String[] via = viaField == null ? new String[] {"- -"} : viaField.split(", *");
         return new ServerRequest(
-                lastViaName(via[0]),
-                lastViaName(via[via.length - 1]),
+                viaName(via[0]),
+                viaName(via[via.length - 1]),
                 fields.get("X-Request-Id"),
-                Integer.parseInt(attemptParameters.getOrDefault("try", "0")),
-                Long.parseUnsignedLong(copyParameters.getOrDefault("object", "0"), 16),
-                Integer.parseInt(copyParameters.getOrDefault("part", "0")),
-                Integer.parseInt(copyParameters.getOrDefault("group", "0")),
-                copyParameters.getOrDefault("class", "-"),
-                copyParameters.containsKey("through"),
-                Integer.parseInt(getParameters.getOrDefault("keep", "0")),
-                getParameters.get("source"),
-                parseAddress(getParameters.get("at")),
-                getParameters.get("first"),
-                parseAddress(getParameters.get("first-at")),
-                Long.parseLong(getParameters.getOrDefault("oldest", "0")) * 1000,
-                getParameters.containsKey("join"),
-                getParameters.containsKey("held-only"),
-                getParameters.containsKey("fetch"),
+                Integer.parseInt(attempt.getOrDefault("try", "0")),
+                Long.parseUnsignedLong(copy.getOrDefault("object", "0"), 16),
+                Integer.parseInt(copy.getOrDefault("part", "0")),
+                Integer.parseInt(copy.getOrDefault("group", "0")),
+                copy.getOrDefault("class", "-"),
+                copy.containsKey("through"),
+                Integer.parseInt(get.getOrDefault("keep", "0")),
+                get.get("source"),
+                parseAddress(get.get("at")),
+                get.get("first"),
+                parseAddress(get.get("first-at")),
+                Long.parseLong(get.getOrDefault("oldest", "0")) * MICROSECOND_NS,
+                get.containsKey("join"),
+                get.containsKey("held-only"),
+                get.containsKey("fetch"),
                 fields.get("Idempotency-Key"));
     }
 
     private static InetSocketAddress parseAddress(String text) {
-        return text == null
-                ? null
-                : new InetSocketAddress(
-                        text.substring(0, text.lastIndexOf(':')),
-                        Integer.parseInt(text.substring(text.lastIndexOf(':') + 1)));
+        if (text == null) {
+            return null;
+        }
+        int colon = text.lastIndexOf(':');
+        return new InetSocketAddress(
+                text.substring(0, colon), Integer.parseInt(text.substring(colon + 1)));
     }
 
-    private static String lastViaName(String via) {
-        String[] words = via.trim().split(" ");
+    private static String viaName(String hop) {
+        String[] words = hop.trim().split(" ");
         return words[words.length - 1];
     }
 
@@ -86,15 +97,15 @@
         if (value != null) {
             for (String word : value.split(", *")) {
                 int equalsIndex = word.indexOf('=');
-                parameters.put(
-                        equalsIndex < 0 ? word : word.substring(0, equalsIndex),
-                        equalsIndex < 0 ? "" : word.substring(equalsIndex + 1).replace("\"", ""));
+                String name = equalsIndex < 0 ? word : word.substring(0, equalsIndex);
+                String text = equalsIndex < 0 ? "" : word.substring(equalsIndex + 1);
+                parameters.put(name, text.replace("\"", ""));
             }
         }
         return parameters;
     }
 
-    /** Which copy, of which object and part. */
+    /** Which copy it asks for. */
     CachedCopy.Key copyKey() {
         return new CachedCopy.Key(object, part);
     }
--- a/src/main/java/brooklock/testserver/TestServer.java
+++ b/src/main/java/brooklock/testserver/TestServer.java
@@ -1,30 +1,19 @@
 package brooklock.testserver;
 
 import brooklock.http.Fields;
-import brooklock.http.Framing;
-import brooklock.http.RequestHead;
-import brooklock.http.ResponseHead;
-import brooklock.net.CallFailure;
 import brooklock.net.ClientLimits;
 import brooklock.net.HttpClient;
 import brooklock.net.HttpExchange;
 import brooklock.net.HttpListener;
 import brooklock.net.IoLoop;
 import brooklock.net.IoThreads;
-import brooklock.net.ResponseHandler;
 import brooklock.net.ServerLimits;
-import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
-import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
-import java.util.ArrayList;
 import java.util.HashMap;
-import java.util.List;
 import java.util.Map;
-import java.util.Set;
-import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.CountDownLatch;
 import java.util.function.ToDoubleFunction;
 import org.apache.commons.rng.UniformRandomProvider;
@@ -32,13 +21,13 @@
 
 /**
  * A cache, a parent or the origin on loopback. All of its state belongs to the one I/O thread of
- * its net.
+ * its {@link IoThreads}; its public methods may be called from any thread.
  */
 public final class TestServer {
     /** Sizes of what the origin gives. */
     public interface Sizes {
-        /** Bytes of what a path of a class names. */
-        int of(String path, String cls);
+        /** Bytes of the object that a path of a class names. */
+        int of(String path, String className);
     }
 
     private final IoThreads ioThreads;
@@ -47,51 +36,46 @@
     private final TrafficRecorder traffic;
     private final Sizes sizes;
     private final ToDoubleFunction<String> meanWorkNs;
-    private final InetSocketAddress origin;
-    private final HttpClient client;
     private final UniformRandomProvider random;
     private final OverloadModel overloadModel;
-    private final Map<CachedCopy.Key, List<Fill>> fills = new HashMap<>();
-    // Keys of the fills, for readers on other threads.
-    private final Set<CachedCopy.Key> runningFills = ConcurrentHashMap.newKeySet();
+    private final ServerLoad load;
+    private final CopyStore store;
+    private final PurgeTimes purges = new PurgeTimes();
+    private final FillTable fills;
+    private final ResponseSender sender;
+
+    /** When each idempotency key took effect; the origin's. */
     private final Map<String, Long> effects = new HashMap<>();
-    private final Map<Long, Long> purgedObjects = new HashMap<>();
-    private final Map<Integer, Long> purgedGroups = new HashMap<>();
-    private volatile CopyStore store;
+
     private HttpListener listener;
     private InetSocketAddress address;
     private volatile long startedMs;
     private volatile boolean overloaded;
     private volatile boolean alive = true;
-    private volatile int openRequests;
-    private volatile int openTransfers;
-    private long hits;
-    private long requestCount;
-    private volatile double recentRequests;
-    private volatile long recentAtNs;
-
-    /** What ails it. */
+
+    /** Its faults, which may be set at any time. */
     public final InjectedFaults faults = new InjectedFaults();
 
     /**
-     * A host that is warm from the first.
+     * Starts a server, warm, on a free port.
      *
-     * @param origin where a parent fetches what it lacks; null for others
-     * @throws IOException where no address can be had
+     * @param meanWorkNs time of one transfer of a mean object, by class name
+     * @param origin what a parent fills from; null for others
+     * @throws IOException where no port is free
      */
     public TestServer(
-            IoThreads net,
+            IoThreads ioThreads,
             ServerModel model,
-            TrafficRecorder ledger,
+            TrafficRecorder traffic,
             Sizes sizes,
             ToDoubleFunction<String> meanWorkNs,
             InetSocketAddress origin,
             long seed)
             throws IOException {
         this(
-                net,
+                ioThreads,
                 model,
-                ledger,
+                traffic,
                 sizes,
                 meanWorkNs,
                 origin,
@@ -99,34 +83,42 @@
                 new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
     }
 
-    /** The same at an address of one's own choice. */
+    /**
+     * Starts a server, warm, at an address.
+     *
+     * @param meanWorkNs time of one transfer of a mean object, by class name
+     * @param origin what a parent fills from; null for others
+     * @throws IOException where the address is in use
+     */
     public TestServer(
-            IoThreads net,
+            IoThreads ioThreads,
             ServerModel model,
-            TrafficRecorder ledger,
+            TrafficRecorder traffic,
             Sizes sizes,
             ToDoubleFunction<String> meanWorkNs,
             InetSocketAddress origin,
             long seed,
-            InetSocketAddress at)
+            InetSocketAddress address)
             throws IOException {
-        if (net.size() != 1) {
+        if (ioThreads.size() != 1) {
             throw new IllegalArgumentException(
-                    "stand-ins share one I/O thread, so that nothing of them is locked");
+                    "a test server has one I/O thread, so that nothing of it is locked");
         }
-        this.ioThreads = net;
+        this.ioThreads = ioThreads;
         this.model = model;
-        this.traffic = ledger;
+        this.traffic = traffic;
         this.sizes = sizes;
         this.meanWorkNs = meanWorkNs;
-        this.origin = origin;
-        loop = net.loop(0);
-        client = new HttpClient(loop, ClientLimits.STANDARD);
+        this.address = address;
+        loop = ioThreads.loop(0);
         random = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
         overloadModel = new OverloadModel(model);
+        load = new ServerLoad(model);
         store = new CopyStore(model.maxCopies());
+        sender = new ResponseSender(model, load, overloadModel, faults, random);
+        HttpClient client = new HttpClient(loop, ClientLimits.STANDARD);
+        fills = new FillTable(model, client, store, purges, sender, origin);
         overloadModel.restart(System.nanoTime(), false);
-        address = at;
         startListening();
     }
 
@@ -136,7 +128,7 @@
                         ioThreads,
                         address,
                         ServerLimits.STANDARD,
-                        x -> x.readBody(body -> onRequest(x)));
+                        exchange -> exchange.readBody(body -> onRequest(exchange)));
         address = listener.address();
     }
 
@@ -150,60 +142,52 @@
         return model.name();
     }
 
-    /** What it is. */
+    /** What it can do. */
     public ServerModel model() {
         return model;
     }
 
-    /** Wall time of its last start, ms since 1970; 0 where it ran before all began. */
+    /** Wall clock time of its last restart, ms since 1970; 0 if it has never been restarted. */
     public long startedMs() {
         return startedMs;
     }
 
-    /** Whether it was pushed over. */
+    /** Whether it has failed because it was overloaded. */
     public boolean isOverloaded() {
         return overloaded;
     }
 
-    // ---- What it is really like, for a yardstick; read from other threads
+    // ---- Its true state, which no dispatcher can see
 
-    /** Whether it takes requests and answers them. */
+    /** Whether it accepts requests and responds to them. */
     public boolean isUp() {
         return alive && !overloaded && !faults.silent;
     }
 
-    /** Share of 1 of its nearer bound that is used up: places, calls a second. */
+    /**
+     * Use of the nearer one of its limits (requests at once, requests a second) as a share of it.
+     */
     public double usedShare() {
-        double rateShare =
-                model.maxRequestsPerS() <= 0
-                        ? 0
-                        : recentRequests
-                                * Math.exp((recentAtNs - System.nanoTime()) / 1e9)
-                                / model.maxRequestsPerS();
-        return Math.max(openRequests / (double) model.maxRequests(), rateShare);
+        return load.usedShare(System.nanoTime());
     }
 
-    /** Share of 1 of what it bears while it is cold that has reached it; 0 where it is warm. */
+    /** Load as a share of what it can bear while it warms up; 0 where it is warm. */
     public double warmUpLoad() {
         return overloadModel.usedShare(System.nanoTime());
     }
 
-    /** Whether a part is on its way to it now, so that a request would join. */
+    /** Whether a fill for a part is in flight, so that a request would join it. */
     public boolean isFilling(long object, int part) {
-        return runningFills.contains(new CachedCopy.Key(object, part));
+        return fills.isFilling(new CachedCopy.Key(object, part));
     }
 
-    /** Pace that one transfer more would get, as a share of the full one. */
+    /** Rate that one more transfer would get, as a share of the full rate. */
     public double nextTransferPace() {
-        return Math.min(
-                        1,
-                        model.maxTransfers()
-                                * overloadModel.warmUpShare(System.nanoTime())
-                                / (openTransfers + 1))
-                / faults.slowdown;
+        double carried = model.maxTransfers() * overloadModel.warmUpShare(System.nanoTime());
+        return Math.min(1, carried / (load.openTransfers() + 1)) / faults.slowdown;
     }
 
-    /** Age of the copy that it holds of a part, ns; -1 where it holds none. */
+    /** Age of its copy of a part, ns; -1 where it has none. */
     public long copyAgeNs(long object, int part) {
         CachedCopy copy = store.peek(new CachedCopy.Key(object, part));
         return copy == null ? -1 : System.nanoTime() - copy.bornNs();
@@ -228,33 +212,38 @@
         }
     }
 
-    /** Dies: its connections break, its port is closed. */
+    /** Kills it: its connections break, its port is closed. */
     public void kill() {
         runAndWait(
                 () -> {
                     alive = false;
                     listener.close();
                     fills.clear();
-                    runningFills.clear();
                 });
     }
 
-    /** Starts again on its old port, empty and cold; not if it runs, nor if it was pushed over. */
+    /**
+     * Restarts it on its port, empty and cold; nothing happens if it is running or has failed
+     * because it was overloaded.
+     *
+     * @throws IOException where its port has been taken meanwhile
+     */
     public void restart() throws IOException {
         boolean[] wasDown = new boolean[1];
         runAndWait(
                 () -> {
                     wasDown[0] = !alive && !overloaded;
-                    alive |= wasDown[0];
+                    if (wasDown[0]) {
+                        alive = true;
+                    }
                 });
         if (!wasDown[0]) {
             return;
         }
         runAndWait(
                 () -> {
-                    store = new CopyStore(model.maxCopies());
-                    openRequests = 0;
-                    openTransfers = 0;
+                    store.clear();
+                    load.reset();
                     faults.clear();
                     overloadModel.restart(System.nanoTime(), true);
                     startedMs = System.currentTimeMillis();
@@ -262,25 +251,18 @@
         startListening();
     }
 
-    /** Drops what is older than a moment (at once; the one who spreads purges takes his time). */
+    /**
+     * Drops the copies of an object, or of a group where {@code object} is 0, from before a time.
+     */
     public void purge(long object, int group, long momentNs) {
         loop.execute(
                 () -> {
-                    if (object != 0) {
-                        purgedObjects.merge(object, momentNs, Math::max);
-                    } else {
-                        purgedGroups.merge(group, momentNs, Math::max);
-                    }
-                    store.dropIf(this::isPurged);
+                    purges.add(object, group, momentNs);
+                    store.removeIf(purges::isPurged);
                 });
     }
 
-    private boolean isPurged(CachedCopy copy) {
-        return copy.bornNs() < purgedObjects.getOrDefault(copy.key().object(), Long.MIN_VALUE)
-                || copy.bornNs() < purgedGroups.getOrDefault(copy.group(), Long.MIN_VALUE);
-    }
-
-    // ---- A request comes
+    // ---- Requests
 
     private void onRequest(HttpExchange exchange) {
         long nowNs = System.nanoTime();
@@ -303,526 +285,79 @@
             return;
         }
         if (random.nextDouble() < faults.errorShare) {
-            sendStatus(exchange, recorded, 500, new Fields(), 0, false);
-        } else if (openRequests >= model.maxRequests()
+            sender.sendStatus(exchange, recorded, 500, new Fields(), 0, false);
+        } else if (load.isFull()
                 || random.nextDouble() < faults.rejectShare
-                || isOverRate(nowNs)) {
-            reject(exchange, recorded, "connection_limit_reached", null);
+                || !load.tryCountRequest(nowNs)) {
+            sender.reject(exchange, recorded);
         } else {
-            openRequests++;
-            requestCount++;
-            boolean[] released = new boolean[1];
-            Runnable release =
-                    () -> {
-                        if (!released[0]) {
-                            released[0] = true;
-                            openRequests--;
-                        }
-                    };
+            load.requestStarted();
+            Runnable release = releaseOnce();
             exchange.onClientGone(release);
-            schedule(
-                    (long) (model.baseLatencyNs() * faults.slowdown),
-                    exchange,
-                    () -> respond(exchange, request, recorded, nowNs, release));
+            ActiveRequest active = new ActiveRequest(exchange, request, recorded, nowNs, release);
+            respondLater((long) (model.baseLatencyNs() * faults.slowdown), active);
         }
     }
 
-    private boolean isOverRate(long now) {
-        if (model.maxRequestsPerS() <= 0) {
-            return false;
-        }
-        recentRequests *= Math.exp((recentAtNs - now) / 1e9);
-        recentAtNs = now;
-        if (recentRequests > model.maxRequestsPerS()) {
-            return true;
-        }
-        recentRequests++;
-        return false;
+    private Runnable releaseOnce() {
+        boolean[] released = new boolean[1];
+        return () -> {
+            if (!released[0]) {
+                released[0] = true;
+                load.requestEnded();
+            }
+        };
     }
 
-    private void schedule(long delayNs, HttpExchange exchange, Runnable task) {
+    private void respondLater(long delayNs, ActiveRequest active) {
         loop.schedule(
                 delayNs,
                 () -> {
-                    if (!exchange.isEnded() && !faults.silent) {
-                        task.run();
+                    if (!active.exchange().isEnded() && !faults.silent) {
+                        respond(active);
                     }
                 });
     }
 
-    private void respond(
-            HttpExchange exchange,
-            ServerRequest request,
-            RecordedRequest recorded,
-            long arrivedNs,
-            Runnable release) {
+    private void respond(ActiveRequest active) {
+        ServerRequest request = active.request();
+        boolean cache = model.role() == ServerModel.Role.CACHE;
         if (model.role() == ServerModel.Role.ORIGIN) {
-            sendCopy(
-                    exchange,
-                    request,
-                    recorded,
-                    createCopy(exchange.head().target(), request, recorded),
-                    "",
-                    release);
+            sender.sendCopy(active, createCopy(active), "");
             return;
         }
         if (request.passThrough()) {
-            fill(exchange, request, recorded, arrivedNs, release);
+            fills.fill(active);
             return;
         }
-        CachedCopy copy =
-                store.use(
-                        request.copyKey(),
-                        model.role() == ServerModel.Role.CACHE ? request.copyPriority() : 1);
-        if (copy != null
-                && (request.maxAgeNs() == 0 || copy.bornNs() >= arrivedNs - request.maxAgeNs())) {
-            hits++;
-            recorded.cacheHit = true;
-            sendCopy(exchange, request, recorded, copy, model.name() + "; hit", release);
-        } else if (request.source() == null && model.role() == ServerModel.Role.CACHE
-                || request.cachedOnly() && model.role() == ServerModel.Role.PARENT) {
-            release.run();
-            sendStatus(
-                    exchange,
-                    recorded,
-                    504,
-                    new Fields().add("Cache-Status", model.name() + "; fwd=miss"),
-                    0,
-                    true);
+        CachedCopy copy = store.use(request.copyKey(), cache ? request.copyPriority() : 1);
+        long maxAgeNs = request.maxAgeNs();
+        if (copy != null && (maxAgeNs == 0 || copy.bornNs() >= active.arrivedNs() - maxAgeNs)) {
+            load.hit();
+            active.recorded().cacheHit = true;
+            sender.sendCopy(active, copy, model.name() + "; hit");
+        } else if (cache ? request.source() == null : request.cachedOnly()) {
+            active.release().run();
+            Fields fields = new Fields().add("Cache-Status", model.name() + "; fwd=miss");
+            sender.sendStatus(active.exchange(), active.recorded(), 504, fields, 0, true);
         } else {
-            fill(exchange, request, recorded, arrivedNs, release);
+            fills.fill(active);
         }
     }
 
-    // At the origin: effects take place, keyed ones once; all else is made anew.
-    private CachedCopy createCopy(String path, ServerRequest request, RecordedRequest recorded) {
+    // At the origin: effects take place, those with an idempotency key once; each copy is new.
+    private CachedCopy createCopy(ActiveRequest active) {
         long nowNs = System.nanoTime();
+        ServerRequest request = active.request();
         if (request.passThrough()) {
-            recorded.executed =
-                    request.idempotencyKey() == null
-                            || effects.put(request.idempotencyKey(), nowNs) == null;
+            String key = request.idempotencyKey();
+            active.recorded().executed = key == null || effects.put(key, nowNs) == null;
         }
+        String path = active.exchange().head().target();
         byte[] content = new byte[sizes.of(path, request.className())];
         byte[] label = (path + "\n").getBytes(StandardCharsets.ISO_8859_1);
         System.arraycopy(label, 0, content, 0, Math.min(label.length, content.length));
         return new CachedCopy(
                 request.copyKey(), traffic.registerCopy(nowNs), nowNs, request.group(), content);
     }
-
-    // ---- Fills
-
-    private record Waiter(
-            HttpExchange exchange,
-            ServerRequest request,
-            RecordedRequest recorded,
-            long arrivedNs,
-            Runnable release,
-            boolean joined) {}
-
-    private static final class Fill {
-        final List<Waiter> waiters = new ArrayList<>();
-        long sentNs;
-        // How the neighbour that was asked first answered, and what it said of itself; null where
-        // none was.
-        String peerResult;
-        String peerLoad;
-
-        Fill(long sentNs) {
-            this.sentNs = sentNs;
-        }
-    }
-
-    private void fill(
-            HttpExchange exchange,
-            ServerRequest request,
-            RecordedRequest recorded,
-            long arrivedNs,
-            Runnable release) {
-        List<Fill> running = fills.computeIfAbsent(request.copyKey(), k -> new ArrayList<>());
-        if (request.join() && !request.passThrough() && !running.isEmpty()) {
-            running.get(running.size() - 1)
-                    .waiters
-                    .add(new Waiter(exchange, request, recorded, arrivedNs, release, true));
-            return;
-        }
-        Fill newFill = new Fill(System.nanoTime());
-        newFill.waiters.add(new Waiter(exchange, request, recorded, arrivedNs, release, false));
-        running.add(newFill);
-        runningFills.add(request.copyKey());
-        if (request.peer() != null && !request.passThrough()) {
-            newFill.peerResult = "asked";
-            sendRequest(
-                    request.peerAddress(),
-                    exchange.head(),
-                    request,
-                    "keep=0",
-                    arrivedNs,
-                    new FillHandler(exchange.head(), request, newFill, arrivedNs));
-        } else {
-            askSource(exchange.head(), request, newFill, arrivedNs);
-        }
-    }
-
-    private void askSource(RequestHead head, ServerRequest request, Fill fill, long arrivedNs) {
-        fill.sentNs = System.nanoTime();
-        boolean atParent = model.role() == ServerModel.Role.PARENT;
-        sendRequest(
-                atParent ? origin : request.sourceAddress(),
-                head,
-                request,
-                "keep=1"
-                        + (request.join() ? ", join" : "")
-                        + (request.cachedOnly() && !atParent ? ", held-only" : ""),
-                arrivedNs,
-                new FillHandler(head, request, fill, arrivedNs));
-    }
-
-    private void sendRequest(
-            InetSocketAddress to,
-            RequestHead head,
-            ServerRequest request,
-            String getParameters,
-            long arrivedNs,
-            FillHandler handler) {
-        Fields fields = head.fields().copy().remove("Content-Length").remove("Transfer-Encoding");
-        fields.set("Via", fields.combinedValue("Via") + ", 1.1 " + model.name());
-        // The same copies will do as when the request came: by now they may be that much older.
-        fields.set(
-                "Brooklock-Get",
-                getParameters
-                        + (request.maxAgeNs() == 0
-                                ? ""
-                                : ", oldest="
-                                        + (request.maxAgeNs() + System.nanoTime() - arrivedNs)
-                                                / 1000));
-        client.send(
-                to,
-                new RequestHead(head.method(), head.target(), head.authority(), 1, fields),
-                new byte[0],
-                handler);
-    }
-
-    private final class FillHandler implements ResponseHandler {
-        private final RequestHead originalHead;
-        private final ServerRequest request;
-        private final Fill fill;
-        private final long arrivedNs;
-        private final ByteArrayOutputStream content = new ByteArrayOutputStream();
-        private ResponseHead head;
-
-        FillHandler(RequestHead originalHead, ServerRequest request, Fill fill, long arrivedNs) {
-            this.originalHead = originalHead;
-            this.request = request;
-            this.fill = fill;
-            this.arrivedNs = arrivedNs;
-        }
-
-        // A neighbour that was asked first and does not give: the source is asked then.
-        private boolean fallBackToSource(String peerResult) {
-            if (!"asked".equals(fill.peerResult)) {
-                return false;
-            }
-            fill.peerResult = peerResult;
-            fill.peerLoad = head == null ? null : head.fields().get("Brooklock-Load");
-            askSource(originalHead, request, fill, arrivedNs);
-            return true;
-        }
-
-        @Override
-        public void onHead(ResponseHead responseHead, Framing framing, boolean whole) {
-            head = responseHead;
-        }
-
-        @Override
-        public boolean onBody(ByteBuffer piece) {
-            byte[] bytes = new byte[piece.remaining()];
-            piece.get(bytes);
-            content.writeBytes(bytes);
-            return true;
-        }
-
-        @Override
-        public void onComplete(Fields trailers) {
-            boolean fromOrigin =
-                    model.role() == ServerModel.Role.PARENT
-                            || head.fields().get("Cache-Status") == null
-                            || head.fields()
-                                    .combinedValue("Cache-Status")
-                                    .contains("detail=origin");
-            long waitedNs = System.nanoTime() - fill.sentNs;
-            if (head.status() == 200) {
-                // Its age is that at the moment when the request came in there, so it is not
-                // younger than this.
-                long ageNs = Long.parseLong(head.fields().get("Brooklock-Age")) * 1000;
-                long serial = Long.parseLong(head.fields().get("ETag").replace("\"", ""));
-                fill.peerLoad =
-                        request.prefetch() || "asked".equals(fill.peerResult)
-                                ? head.fields().get("Brooklock-Load")
-                                : fill.peerLoad;
-                fill.peerResult =
-                        fill.peerResult == null
-                                ? null
-                                : fill.peerResult.equals("asked") ? "gave" : fill.peerResult;
-                onFilled(
-                        new CachedCopy(
-                                request.copyKey(),
-                                serial,
-                                fill.sentNs - ageNs,
-                                request.group(),
-                                content.toByteArray()),
-                        fromOrigin);
-            } else if (fallBackToSource(
-                    head.status() == 504 && head.fields().get("Proxy-Status") == null
-                            ? "lacked"
-                            : "failed")) {
-                return;
-            } else if (head.status() == 504 && head.fields().get("Proxy-Status") == null) {
-                failWaiters(
-                        waiter ->
-                                sendStatus(
-                                        waiter.exchange(),
-                                        waiter.recorded(),
-                                        504,
-                                        new Fields()
-                                                .add(
-                                                        "Cache-Status",
-                                                        model.name()
-                                                                + "; fwd=miss; detail=source-lacks"),
-                                        waitedNs,
-                                        true));
-            } else {
-                // A parent that speaks of its own source tells that the origin failed behind it.
-                String status = head.fields().get("Proxy-Status");
-                String error = status == null ? "" : status.substring(status.indexOf("error=") + 6);
-                boolean provenNotExecuted =
-                        List.of(
-                                        "connection_limit_reached",
-                                        "destination_unavailable",
-                                        "connection_refused")
-                                .contains(error);
-                boolean originFailed =
-                        model.role() == ServerModel.Role.CACHE
-                                && status != null
-                                && !error.equals("connection_limit_reached");
-                failWaiters(
-                        waiter ->
-                                failed(
-                                        waiter,
-                                        provenNotExecuted
-                                                ? "destination_unavailable"
-                                                : "http_response_incomplete",
-                                        originFailed ? "origin" : null,
-                                        waitedNs));
-            }
-        }
-
-        @Override
-        public void onFailure(CallFailure failure, String why) {
-            if (fallBackToSource("failed")) {
-                return;
-            }
-            long waitedNs = System.nanoTime() - fill.sentNs;
-            failWaiters(
-                    waiter ->
-                            failed(
-                                    waiter,
-                                    failure.provesNotExecuted
-                                            ? "connection_refused"
-                                            : "connection_terminated",
-                                    null,
-                                    waitedNs));
-        }
-
-        private void onFilled(CachedCopy copy, boolean fromOrigin) {
-            boolean cacheable = !request.passThrough();
-            List<Waiter> waiters = removeFill();
-            if (cacheable && !isPurged(copy)) {
-                int priority =
-                        model.role() == ServerModel.Role.PARENT
-                                ? 1
-                                : waiters.stream()
-                                        .mapToInt(waiter -> waiter.request().copyPriority())
-                                        .max()
-                                        .orElse(0);
-                store.put(copy, priority);
-            }
-            for (Waiter waiter : waiters) {
-                if (waiter.exchange().isEnded()) {
-                    waiter.release().run();
-                } else if (waiter.request().maxAgeNs() > 0
-                        && copy.bornNs() < waiter.arrivedNs() - waiter.request().maxAgeNs()) {
-                    // The fill that was joined began before a purge that this one knows of.
-                    fill(
-                            waiter.exchange(),
-                            waiter.request(),
-                            waiter.recorded(),
-                            waiter.arrivedNs(),
-                            waiter.release());
-                } else {
-                    boolean fromPeer = "gave".equals(fill.peerResult);
-                    waiter.recorded().peerResult = fill.peerResult;
-                    waiter.recorded().peerLoad = fill.peerLoad;
-                    sendCopy(
-                            waiter.exchange(),
-                            waiter.request(),
-                            waiter.recorded(),
-                            copy,
-                            model.name()
-                                    + "; fwd=miss"
-                                    + (waiter.joined() ? "; collapsed" : "")
-                                    + (fromPeer
-                                            ? "; detail=neighbour"
-                                            : fromOrigin ? "; detail=origin" : ""),
-                            waiter.release());
-                }
-            }
-        }
-
-        private List<Waiter> removeFill() {
-            List<Fill> running = fills.get(request.copyKey());
-            if (running != null) {
-                running.remove(fill);
-                if (running.isEmpty()) {
-                    fills.remove(request.copyKey());
-                    runningFills.remove(request.copyKey());
-                }
-            }
-            return fill.waiters;
-        }
-
-        private void failWaiters(java.util.function.Consumer<Waiter> end) {
-            for (Waiter waiter : removeFill()) {
-                waiter.release().run();
-                if (!waiter.exchange().isEnded()) {
-                    end.accept(waiter);
-                }
-            }
-        }
-
-        private void failed(Waiter waiter, String error, String failedOrigin, long waitedNs) {
-            boolean provenNotExecuted =
-                    error.equals("destination_unavailable") || error.equals("connection_refused");
-            waiter.recorded().provenNotExecuted = provenNotExecuted;
-            sendStatus(
-                    waiter.exchange(),
-                    waiter.recorded(),
-                    502,
-                    new Fields()
-                            .add(
-                                    "Proxy-Status",
-                                    (failedOrigin == null
-                                                    ? ""
-                                                    : failedOrigin + "; error=" + error + ", ")
-                                            + model.name()
-                                            + "; error="
-                                            + error),
-                    waitedNs,
-                    provenNotExecuted);
-        }
-    }
-
-    // ---- Answers
-
-    private void reject(
-            HttpExchange exchange, RecordedRequest recorded, String error, String details) {
-        sendStatus(
-                exchange,
-                recorded,
-                503,
-                new Fields()
-                        .add(
-                                "Proxy-Status",
-                                model.name()
-                                        + "; error="
-                                        + error
-                                        + (details == null ? "" : "; details=\"" + details + "\"")),
-                0,
-                true);
-    }
-
-    private void sendStatus(
-            HttpExchange exchange,
-            RecordedRequest recorded,
-            int status,
-            Fields fields,
-            long waitedNs,
-            boolean provenNotExecuted) {
-        recorded.provenNotExecuted = provenNotExecuted;
-        if (waitedNs > 0) {
-            fields.add("Brooklock-Waited", Long.toString(waitedNs / 1000));
-        }
-        exchange.send(status, withLoadReport(fields), new byte[0]);
-    }
-
-    private Fields withLoadReport(Fields fields) {
-        return fields.add(
-                "Brooklock-Load",
-                "util="
-                        + Math.round(100.0 * openTransfers / model.maxTransfers()) / 100.0
-                        + ", inflight="
-                        + openRequests
-                        + ", x0="
-                        + Math.round(100.0 * hits / Math.max(1, requestCount)) / 100.0);
-    }
-
-    private void sendCopy(
-            HttpExchange exchange,
-            ServerRequest request,
-            RecordedRequest recorded,
-            CachedCopy copy,
-            String cacheStatus,
-            Runnable release) {
-        recorded.copySerial = copy.serial();
-        recorded.bodyBytes = request.prefetch() ? 0 : copy.content().length;
-        if (random.nextDouble() < faults.lostShare) {
-            release.run();
-            if (faults.lostByReset) {
-                exchange.abort();
-            }
-            return;
-        }
-        int cutAt = random.nextDouble() < faults.truncatedShare ? copy.content().length / 2 : -1;
-        Fields fields =
-                withLoadReport(
-                        new Fields()
-                                .add("ETag", "\"" + copy.serial() + "\"")
-                                .add("Content-Type", "application/octet-stream")
-                                .add(
-                                        "Brooklock-Age",
-                                        Long.toString((recorded.atNs - copy.bornNs()) / 1000)));
-        if (!cacheStatus.isEmpty()) {
-            fields.add("Cache-Status", cacheStatus);
-        }
-        if (recorded.peerResult != null) {
-            fields.add("Brooklock-First", recorded.peerResult);
-        }
-        if (recorded.peerLoad != null) {
-            fields.add("Brooklock-First-Load", recorded.peerLoad);
-        }
-        if (request.prefetch()) {
-            release.run();
-            exchange.send(204, fields, new byte[0]);
-            return;
-        }
-        openTransfers++;
-        PacedTransfer transfer =
-                new PacedTransfer(
-                        exchange,
-                        copy.content(),
-                        cutAt,
-                        this::transferRate,
-                        () -> {
-                            openTransfers--;
-                            release.run();
-                        });
-        transfer.start(new ResponseHead(200, fields));
-    }
-
-    private double transferRate() {
-        double effectiveTransfers =
-                model.maxTransfers() * overloadModel.warmUpShare(System.nanoTime());
-        return model.bytesPerSecond()
-                / faults.slowdown
-                * Math.min(1, effectiveTransfers / Math.max(1, openTransfers));
-    }
 }
--- a/src/main/java/brooklock/testserver/TrafficRecorder.java
+++ b/src/main/java/brooklock/testserver/TrafficRecorder.java
@@ -6,14 +6,25 @@
 import java.util.concurrent.ConcurrentLinkedQueue;
 import java.util.concurrent.atomic.AtomicLong;
 
-/** What all hosts of a fleet wrote down, and when the origin gave out each copy. */
+/**
+ * What all servers of a fleet have recorded, and when the origin created each copy. May be used
+ * from any thread.
+ */
 public final class TrafficRecorder {
-    /** A host that was pushed over. */
-    public record Overload(String server, long atNs, double workNs, double allowedNs) {}
-
-    // Far above what a day holds; a stand-in that runs on by hand forgets the oldest.
+    /**
+     * Requests kept: far more than a test makes; a server that runs on by hand drops the oldest.
+     */
     private static final int MAX_RECORDED = 2_000_000;
 
+    /**
+     * A server that failed because it was overloaded while it warmed up.
+     *
+     * @param atNs when it failed, {@link System#nanoTime}
+     * @param workNs work that had reached it within its window, as time of one transfer
+     * @param allowedNs work that it could bear
+     */
+    public record Overload(String server, long atNs, double workNs, double allowedNs) {}
+
     private final ConcurrentLinkedQueue<RecordedRequest> requests = new ConcurrentLinkedQueue<>();
     private final ConcurrentLinkedQueue<Overload> overloads = new ConcurrentLinkedQueue<>();
     private final Map<Long, Long> copyBirthNs = new ConcurrentHashMap<>();
@@ -32,23 +43,24 @@
         overloads.add(overload);
     }
 
+    /** Registers a copy that the origin has created, and returns its serial number. */
     long registerCopy(long atNs) {
         long serial = serials.incrementAndGet();
         copyBirthNs.put(serial, atNs);
         return serial;
     }
 
-    /** All that reached a host. */
+    /** Everything that has reached a server. */
     public Collection<RecordedRequest> requests() {
         return requests;
     }
 
-    /** Hosts that were pushed over. */
+    /** The servers that have failed because they were overloaded. */
     public Collection<Overload> overloads() {
         return overloads;
     }
 
-    /** When the origin gave out a copy, or null for none. */
+    /** When the origin created a copy, {@link System#nanoTime}, or null for an unknown one. */
     public Long copyBirthNs(long serial) {
         return copyBirthNs.get(serial);
     }
