--- a/src/main/java/brooklock/authorization/PolicyReader.java
+++ b/src/main/java/brooklock/authorization/PolicyReader.java
@@ -52,7 +52,7 @@
         String[] rows = text.split("\r?\n", -1);
         for (int i = 0; i < rows.length; i++) {
             try {
-                Statement l = Statement.parse(file, i + 1, rows[i]);
+                Statement l = Statement.parse(i + 1, rows[i]);
                 if (l != null) {
                     parseStatement(l, i + 1);
                 }
--- a/src/main/java/brooklock/config/AccessSettingsReader.java
+++ b/src/main/java/brooklock/config/AccessSettingsReader.java
@@ -7,22 +7,23 @@
 import java.util.List;
 
 /**
- * The statements about who may come in: rights, tokens, tls, clients, revoked, denied, hosts-tls.
+ * Reads the statements about authentication and authorization: rights, tokens, tls, clients,
+ * revoked, denied, hosts-tls.
  */
 final class AccessSettingsReader {
-    // No signer's clock may be trusted to be further off: a token is worth that much longer.
+    /** A token is worth so much longer than its issuer meant, so the skew is bounded. */
     private static final long MAX_CLOCK_SKEW_MS = 300_000;
 
     private final Path base;
+    private final List<CertificatePair> certificates = new ArrayList<>();
+    private final List<Path> revocationLists = new ArrayList<>();
     private Path policyFile;
     private Path keySetFile;
     private String issuer;
     private String audience;
-    private long clockSkewMs = 30_000;
+    private long clockSkewMs = AccessSettings.OPEN.clockSkewMs();
     private String cookie;
-    private final List<CertificatePair> certificates = new ArrayList<>();
     private Path clientAuthorities;
-    private final List<Path> revocationLists = new ArrayList<>();
     private Path deniedCertificates;
     private Path endpointAuthorities;
     private boolean acceptStaleRevocations;
@@ -31,27 +32,28 @@
         this.base = base;
     }
 
-    void read(String keyword, Statement statement) {
+    void read(Statement statement, String keyword) {
         Path file = base.resolve(statement.nextWord("a file"));
         switch (keyword) {
-            case "rights" -> policyFile = once(policyFile, file, keyword);
+            case "rights" -> policyFile = requireOnce(policyFile, file, keyword);
             case "tokens" -> {
-                keySetFile = once(keySetFile, file, keyword);
-                tokens(statement);
+                keySetFile = requireOnce(keySetFile, file, keyword);
+                readTokenOptions(statement);
             }
             case "tls" ->
                     certificates.add(
                             new CertificatePair(
                                     file, base.resolve(statement.nextWord("a key file"))));
-            case "clients" -> clientAuthorities = once(clientAuthorities, file, keyword);
-            case "denied" -> deniedCertificates = once(deniedCertificates, file, keyword);
-            case "hosts-tls" -> endpointAuthorities = once(endpointAuthorities, file, keyword);
+            case "clients" -> clientAuthorities = requireOnce(clientAuthorities, file, keyword);
+            case "denied" -> deniedCertificates = requireOnce(deniedCertificates, file, keyword);
+            case "hosts-tls" ->
+                    endpointAuthorities = requireOnce(endpointAuthorities, file, keyword);
             default -> {
                 revocationLists.add(file);
                 if (statement.hasMore()) {
                     String word = statement.nextWord("stale");
                     if (!word.equals("stale")) {
-                        throw new IllegalArgumentException(
+                        throw new InvalidStatementException(
                                 "'" + word + "' is not an option of revoked (stale)");
                     }
                     acceptStaleRevocations = true;
@@ -60,14 +62,14 @@
         }
     }
 
-    private static Path once(Path previous, Path value, String keyword) {
+    private static Path requireOnce(Path previous, Path value, String keyword) {
         if (previous != null) {
-            throw new IllegalArgumentException("'" + keyword + "' stands here already");
+            throw new InvalidStatementException("'" + keyword + "' stands here already");
         }
         return value;
     }
 
-    private void tokens(Statement statement) {
+    private void readTokenOptions(Statement statement) {
         while (statement.hasMore()) {
             String word = statement.nextWord("an option");
             switch (word) {
@@ -76,32 +78,34 @@
                 case "cookie" -> cookie = statement.nextWord("a cookie's name");
                 case "skew" -> clockSkewMs = statement.nextDurationNs("a time") / 1_000_000;
                 default ->
-                        throw new IllegalArgumentException(
+                        throw new InvalidStatementException(
                                 "'"
                                         + word
-                                        + "' is not an option of tokens (issuer, audience, cookie, skew)");
+                                        + "' is not an option of tokens (issuer, audience, cookie,"
+                                        + " skew)");
             }
         }
         if (clockSkewMs > MAX_CLOCK_SKEW_MS) {
-            throw new IllegalArgumentException(
+            throw new InvalidStatementException(
                     "the skew is 5min at most: a token is worth that much longer");
         }
     }
 
-    /** What is missing where a route asks for rights. */
+    /** What is missing where a route authorizes its callers, in plain words. */
     List<String> missingForAuthorization() {
-        List<String> problems = new ArrayList<>();
+        List<String> missing = new ArrayList<>();
         if (policyFile == null) {
-            problems.add("a route asks for rights, but the statement 'rights FILE' is missing");
+            missing.add("a route asks for rights, but the statement 'rights FILE' is missing");
         }
         if (keySetFile == null && clientAuthorities == null) {
-            problems.add(
-                    "a route asks for rights, but there are neither tokens nor clients' certificates to go by");
+            missing.add(
+                    "a route asks for rights, but there are neither tokens nor clients'"
+                            + " certificates to go by");
         }
         if (clientAuthorities != null && certificates.isEmpty()) {
-            problems.add("clients' certificates need 'tls CERTIFICATE KEY'");
+            missing.add("clients' certificates need 'tls CERTIFICATE KEY'");
         }
-        return problems;
+        return missing;
     }
 
     AccessSettings toSettings() {
--- a/src/main/java/brooklock/config/ChecksummedText.java
+++ b/src/main/java/brooklock/config/ChecksummedText.java
@@ -4,23 +4,27 @@
 import java.util.zip.CRC32C;
 
 /**
- * Text that is seen to be whole: its last line has the number of lines before it and their CRC32C
- * (RFC 3720). One that was cut, or has a bit turned, is refused.
+ * Text whose last line holds the number of lines before it and their CRC32C (RFC 3720), so that a
+ * file that was cut short or damaged is detected and not used in part.
  */
 public final class ChecksummedText {
     private ChecksummedText() {}
 
-    /** Adds the last line to a body of whole lines. */
+    /** Returns a body of whole lines with the last line added. */
     public static String withChecksum(String body) {
         return body + "end " + body.lines().count() + " " + checksum(body) + "\n";
     }
 
-    /** The lines of a sealed text without the last; a damaged one throws. */
+    /**
+     * Checks a text and returns its lines without the last.
+     *
+     * @throws DamagedTextException if it was cut short or damaged
+     */
     public static String[] verifiedLines(String text) {
         int end = text.lastIndexOf("\nend ") + 1;
         String body = text.substring(0, end);
         if (end == 0 || !text.equals(withChecksum(body))) {
-            throw new IllegalArgumentException(
+            throw new DamagedTextException(
                     "it was cut short or damaged: its last line does not fit");
         }
         return body.split("\n");
--- a/src/main/java/brooklock/config/PathPattern.java
+++ b/src/main/java/brooklock/config/PathPattern.java
@@ -4,54 +4,65 @@
 import java.util.List;
 
 /**
- * A path with places in braces, as in {@code /scans/{object}/{part}}. A place takes one segment,
- * {@code {rest}} at the end takes all that is left.
+ * A path with placeholders in braces, as in {@code /scans/{object}/{part}}. A placeholder stands
+ * for one segment; {@code {rest}}, at the end only, stands for all that is left.
  */
 public final class PathPattern {
+    private static final String REST = "{rest}";
+
     private final String text;
     private final List<String> segments = new ArrayList<>();
 
-    /** Reads a pattern; a wrong one throws with the reason. */
+    /**
+     * Parses a pattern.
+     *
+     * @throws InvalidStatementException if it is wrong
+     */
     public PathPattern(String text) {
         this.text = text;
         if (!text.startsWith("/")) {
-            throw new IllegalArgumentException("the path '" + text + "' must begin with /");
+            throw new InvalidStatementException("the path '" + text + "' must begin with /");
         }
-        for (String s : text.substring(1).split("/", -1)) {
-            boolean place = s.startsWith("{") && s.endsWith("}") && s.length() > 2;
-            if (!place && (s.contains("{") || s.contains("}"))) {
-                throw new IllegalArgumentException(
-                        "a place in braces is a whole segment of the path: '" + s + "'");
-            }
-            if (place && segments.contains(s)) {
-                throw new IllegalArgumentException("the path names the place " + s + " twice");
-            }
-            if (!segments.isEmpty() && segments.get(segments.size() - 1).equals("{rest}")) {
-                throw new IllegalArgumentException("nothing can follow {rest}");
-            }
-            segments.add(s);
+        for (String segment : text.substring(1).split("/", -1)) {
+            addSegment(segment);
+        }
+    }
+
+    private void addSegment(String segment) {
+        boolean placeholder =
+                segment.startsWith("{") && segment.endsWith("}") && segment.length() > 2;
+        if (!placeholder && (segment.contains("{") || segment.contains("}"))) {
+            throw new InvalidStatementException(
+                    "a place in braces is a whole segment of the path: '" + segment + "'");
+        }
+        if (placeholder && segments.contains(segment)) {
+            throw new InvalidStatementException("the path names the place " + segment + " twice");
+        }
+        if (!segments.isEmpty() && segments.get(segments.size() - 1).equals(REST)) {
+            throw new InvalidStatementException("nothing can follow {rest}");
         }
+        segments.add(segment);
     }
 
-    /** Whether it has a place of this name. */
+    /** Whether the pattern has a placeholder of this name. */
     public boolean hasPlaceholder(String placeholder) {
         return segments.contains("{" + placeholder + "}");
     }
 
-    /** Whether a path (without its query) fits. */
+    /** Whether a path, without its query, matches. */
     public boolean matches(String path) {
         return match(path, null) != null;
     }
 
-    /** What stands at a place, or null if the path does not fit or there is no such place. */
+    /** The text that stands for a placeholder; null if the path does not match or there is none. */
     public String extract(String path, String placeholder) {
         return hasPlaceholder(placeholder) ? match(path, "{" + placeholder + "}") : null;
     }
 
-    /** The path with a star where a place stands: what its parts have in common. */
+    /** The path with a star in the place of a placeholder: what the parts of an object share. */
     public String withoutPlaceholder(String path, String placeholder) {
-        String part = hasPlaceholder(placeholder) ? extract(path, placeholder) : null;
-        if (part == null) {
+        String extracted = hasPlaceholder(placeholder) ? extract(path, placeholder) : null;
+        if (extracted == null) {
             return path;
         }
         int index = segments.indexOf("{" + placeholder + "}");
@@ -59,10 +70,11 @@
         for (int i = 0; i < index; i++) {
             from = path.indexOf('/', from) + 1;
         }
-        return path.substring(0, from) + "*" + path.substring(from + part.length());
+        return path.substring(0, from) + "*" + path.substring(from + extracted.length());
     }
 
-    // Null where it does not fit; the place's segment, or the path where none was asked or found.
+    // Null where the path does not match; else the placeholder's text, or the path if there is no
+    // such placeholder.
     private String match(String path, String placeholder) {
         if (!path.startsWith("/")) {
             return null;
@@ -70,18 +82,18 @@
         String found = path;
         int from = 1;
         for (int i = 0; i < segments.size(); i++) {
-            String s = segments.get(i);
+            String segment = segments.get(i);
             if (from > path.length()) {
                 return null;
             }
             int slash = path.indexOf('/', from);
-            int end = slash < 0 || s.equals("{rest}") ? path.length() : slash;
+            int end = slash < 0 || segment.equals(REST) ? path.length() : slash;
             String part = path.substring(from, end);
-            boolean open = s.startsWith("{");
-            if (open ? part.isEmpty() && !s.equals("{rest}") : !part.equals(s)) {
+            boolean open = segment.startsWith("{");
+            if (open ? part.isEmpty() && !segment.equals(REST) : !part.equals(segment)) {
                 return null;
             }
-            if (s.equals(placeholder)) {
+            if (segment.equals(placeholder)) {
                 found = part;
             }
             from = end + 1;
--- a/src/main/java/brooklock/config/Problem.java
+++ b/src/main/java/brooklock/config/Problem.java
@@ -4,8 +4,8 @@
  * One mistake in a settings file.
  *
  * @param file the file as it was named
- * @param line its line, from 1; 0 where the mistake is of the file as a whole
- * @param text what is wrong, in plain words
+ * @param line its line, from 1; 0 where the mistake concerns the file as a whole
+ * @param message what is wrong, in plain words
  */
 public record Problem(String file, int line, String message) {
     @Override
--- a/src/main/java/brooklock/config/ResourceLimitsReader.java
+++ b/src/main/java/brooklock/config/ResourceLimitsReader.java
@@ -4,19 +4,19 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** The words of {@code limits} with their units and what holds where a file says nothing. */
+/** Reads the statement {@code limits}, and knows what holds where the file states nothing. */
 final class ResourceLimitsReader {
     private static final long MILLISECOND_NS = 1_000_000L;
     private static final long SECOND_NS = 1000 * MILLISECOND_NS;
-    // Two threads feed the sockets of 3,200 requests a second with room; more only for TLS and
-    // large bodies.
+
+    /** Two threads are enough for plain requests; TLS and large bodies may need more. */
     private static final int DEFAULT_IO_THREADS =
             Math.max(1, Math.min(4, Runtime.getRuntime().availableProcessors() / 2));
 
     private enum Unit {
         COUNT,
         SIZE,
-        TIME
+        DURATION
     }
 
     private record KnownLimit(Unit unit, long defaultValue) {}
@@ -31,27 +31,27 @@
         put("bodies", Unit.SIZE, 64_000_000);
         put("host-connections", Unit.COUNT, 256);
         put("host-waiting", Unit.COUNT, 1024);
-        put("connect", Unit.TIME, 400 * MILLISECOND_NS);
-        put("head", Unit.TIME, 10 * SECOND_NS);
-        put("idle", Unit.TIME, 60 * SECOND_NS);
-        put("stall", Unit.TIME, 30 * SECOND_NS);
-        put("tick", Unit.TIME, 5 * MILLISECOND_NS);
-        put("retry-after", Unit.TIME, SECOND_NS);
+        put("connect", Unit.DURATION, 400 * MILLISECOND_NS);
+        put("head", Unit.DURATION, 10 * SECOND_NS);
+        put("idle", Unit.DURATION, 60 * SECOND_NS);
+        put("stall", Unit.DURATION, 30 * SECOND_NS);
+        put("tick", Unit.DURATION, 5 * MILLISECOND_NS);
+        put("retry-after", Unit.DURATION, SECOND_NS);
         put("threads", Unit.COUNT, DEFAULT_IO_THREADS);
     }
 
     private final Map<String, Long> stated = new LinkedHashMap<>();
 
-    private static void put(String word, Unit unit, long normal) {
-        KNOWN.put(word, new KnownLimit(unit, normal));
+    private static void put(String name, Unit unit, long defaultValue) {
+        KNOWN.put(name, new KnownLimit(unit, defaultValue));
     }
 
     void read(Statement statement) {
         while (statement.hasMore()) {
             String name = statement.nextWord("a limit");
-            KnownLimit word = KNOWN.get(name);
-            if (word == null) {
-                throw new IllegalArgumentException(
+            KnownLimit known = KNOWN.get(name);
+            if (known == null) {
+                throw new InvalidStatementException(
                         "'"
                                 + name
                                 + "' is not a limit ("
@@ -59,13 +59,13 @@
                                 + ")");
             }
             long value =
-                    switch (word.unit()) {
+                    switch (known.unit()) {
                         case COUNT -> statement.nextPositiveInt(name);
                         case SIZE -> Units.parseBytes(statement.nextWord("a size"));
-                        case TIME -> statement.nextDurationNs("a time");
+                        case DURATION -> statement.nextDurationNs("a time");
                     };
             if (value <= 0) {
-                throw new IllegalArgumentException("the limit '" + name + "' must be above 0");
+                throw new InvalidStatementException("the limit '" + name + "' must be above 0");
             }
             stated.put(name, value);
         }
@@ -73,20 +73,24 @@
 
     ResourceLimits toLimits() {
         return new ResourceLimits(
-                (int) valueOf("tries"),
-                (int) valueOf("open"),
-                (int) valueOf("clients"),
+                count("tries"),
+                count("open"),
+                count("clients"),
                 valueOf("body"),
                 valueOf("bodies"),
-                (int) valueOf("host-connections"),
-                (int) valueOf("host-waiting"),
+                count("host-connections"),
+                count("host-waiting"),
                 valueOf("connect"),
                 valueOf("head"),
                 valueOf("idle"),
                 valueOf("stall"),
                 valueOf("tick"),
                 valueOf("retry-after"),
-                (int) valueOf("threads"));
+                count("threads"));
+    }
+
+    private int count(String name) {
+        return (int) valueOf(name);
     }
 
     private long valueOf(String name) {
--- a/src/main/java/brooklock/config/Settings.java
+++ b/src/main/java/brooklock/config/Settings.java
@@ -5,22 +5,23 @@
 import java.util.List;
 
 /**
- * Checked settings of a dispatcher. Times in ns, sizes in bytes.
+ * The validated settings of a dispatcher; immutable. Times in nanoseconds, sizes in bytes, shares
+ * as fractions of 1.
  *
- * @param name this dispatcher's name in Via, logs and towards hosts
- * @param listen where clients come in
- * @param control where purges, lists and questions about the state come in
- * @param zones the locations, in their order; a location without caches is a hub
- * @param here this dispatcher's location, an index of {@code zones}
- * @param dispatchers how many dispatchers there are in all
- * @param hosts caches, parents and the origin, as the file lists them
+ * @param name this dispatcher's name in Via, in logs and towards endpoints
+ * @param listen where clients connect
+ * @param control where purges, endpoint lists and state requests arrive
+ * @param zones the locations in their order; a location without caches is a hub
+ * @param localZone this dispatcher's location, an index of {@code zones}
+ * @param dispatcherCount number of dispatchers in the fleet
+ * @param endpoints caches, parents and the origin, in the order of the file
  * @param classes the classes of requests
- * @param routes which request is of which class, first match first
- * @param limits bounds of this program
- * @param guards the figures that the fleet's rules go by
+ * @param routes which request is of which class; the first match counts
+ * @param limits limits of this program
+ * @param invariants the figures of the fleet's invariants
  * @param fleet what holds for the whole fleet
  * @param files where things are written
- * @param access who may come in and how that is found out
+ * @param access who is authenticated and authorized, and by what
  * @param warming whether and how caches may fill from one another
  */
 public record Settings(
@@ -39,34 +40,55 @@
         OutputFiles files,
         AccessSettings access,
         WarmingSettings warming) {
+    private static final int DEFAULT_CLOCK_SKEW_MS = 30_000;
 
-    /** What a host is for. */
+    /** What an endpoint is for. The names in lower case are words of the settings. */
     public enum EndpointKind {
+        /** Holds copies near the clients. */
         CACHE,
+        /** Holds copies for caches, in a hub. */
         PARENT,
+        /** Has every object. */
         ORIGIN
     }
 
-    /** Whether a request may run twice. */
+    /** Whether a request may run twice. The names in lower case are words of the settings. */
     public enum Effect {
+        /** Running it again changes nothing. */
         SAFE,
+        /** It carries an idempotency key, by which repeats are dropped for a time. */
         KEYED,
+        /** Running it again may take effect again. */
         UNSAFE
     }
 
-    /** The hosts that drop each other's repeats of a keyed request. */
+    /**
+     * The endpoints among which repeats of a request with an idempotency key are dropped. The names
+     * in lower case are words of the settings.
+     */
     public enum DeduplicationScope {
+        /** All endpoints. */
         ALL,
+        /** The endpoints of one location. */
         ZONE,
+        /** The endpoints of one cell. */
         CELL
     }
 
     /**
-     * A location and the index of the hub that its fills come from (its own, where it is a hub).
+     * A location.
+     *
+     * @param hubIndex the location whose parents its caches fill from; its own where it is a hub
      */
     public record Zone(String name, int hubIndex) {}
 
-    /** A host; {@code id} is made of its name and the same at every dispatcher. */
+    /**
+     * An endpoint.
+     *
+     * @param id its number, made of the name and so the same at every dispatcher
+     * @param zoneIndex its location, an index of the zones
+     * @param weight its size in relation to others
+     */
     public record EndpointSettings(
             String name,
             long id,
@@ -78,13 +100,14 @@
     /**
      * A class of requests.
      *
-     * @param aimNs an answer is in time within this, plus {@code stretch} times the time its bytes
-     *     need
-     * @param deadlineNs when the client gives up
-     * @param windowNs how long repeats of a keyed request are dropped
-     * @param through runs at the origin and is never kept
-     * @param freshNs how long a copy is good; 0: until it is purged
-     * @param streamed once the answer has begun it may take as long as it moves
+     * @param deduplicationScope where repeats of a request with an idempotency key are dropped
+     * @param idempotencyWindowNs how long they are dropped
+     * @param latencyObjectiveNs a response is in time within this, plus {@code transferStretch}
+     *     times what its bytes need at the fleet's pace
+     * @param deadlineNs time after which the client gives up
+     * @param passThrough whether it runs at the origin and is never cached
+     * @param freshnessNs how long a copy may be served; 0: until it is purged
+     * @param streamed whether a response that has started may last as long as it makes progress
      */
     public record RequestClassSettings(
             String name,
@@ -99,13 +122,13 @@
             boolean streamed) {}
 
     /**
-     * Requests of some methods and paths.
+     * The class of the requests with some methods and paths.
      *
-     * @param cls index of their class
-     * @param unkeyed index of the class of those without Idempotency-Key where {@code cls} is
-     *     keyed; -1: refused
-     * @param rights the caller's rights are asked for
-     * @param certificate only a client certificate tells who the caller is
+     * @param classIndex index of their class
+     * @param unkeyedClassIndex index of the class of those without Idempotency-Key, where {@code
+     *     classIndex} is a keyed class; -1: they are rejected
+     * @param requiresAuthorization whether the caller is authorized by the policy
+     * @param requiresCertificate whether only a client certificate identifies the caller
      */
     public record Route(
             List<String> methods,
@@ -116,23 +139,23 @@
             boolean requiresCertificate) {}
 
     /**
-     * Bounds of the program; what happens when each is hit stands in docs/operating.md.
+     * Limits of the program; docs/operating.md says what happens when each is reached.
      *
-     * @param tries attempts for one request
-     * @param open requests at work at once
-     * @param clients client connections at once
-     * @param body bytes of one request body
-     * @param bodies bytes of all request bodies held at once
-     * @param hostConnections connections to one host from one I/O thread
-     * @param hostWaiting calls that wait for one of them
-     * @param connectNs time for a connection
-     * @param headNs time for a request's head
-     * @param idleNs time between a client's requests
-     * @param stallNs time in which an answer does not move
-     * @param tickNs how late the program may be at most: final answers go out two of these before
-     *     the deadline
-     * @param retryAfterNs longest wait asked of a client
-     * @param threads I/O threads
+     * @param maxAttempts attempts for one request
+     * @param maxRequests requests processed at once
+     * @param maxClientConnections client connections at once
+     * @param maxRequestBodyBytes bytes of one request body
+     * @param maxTotalBodyBytes bytes of all request bodies held at once
+     * @param maxEndpointConnections connections to one endpoint from one I/O thread
+     * @param maxWaitingCalls calls that wait for one of them
+     * @param connectTimeoutNs time for a connection to an endpoint
+     * @param headTimeoutNs time for a request's head
+     * @param idleTimeoutNs time between a client's requests
+     * @param stallTimeoutNs time in which a response makes no progress
+     * @param tickNs how late the program may be at most: final responses are sent two of these
+     *     before the deadline
+     * @param maxRetryAfterNs longest wait asked of a client
+     * @param ioThreads number of I/O threads
      */
     public record ResourceLimits(
             int maxAttempts,
@@ -150,7 +173,20 @@
             long maxRetryAfterNs,
             int ioThreads) {}
 
-    /** The figures of the rules; shares of 1, multiples and ns. */
+    /**
+     * The figures of the fleet's invariants.
+     *
+     * @param coldStartShare share of its capacity that a cache has right after a start
+     * @param warmUpNs time until it has all of it
+     * @param overloadMultiple multiple of its present capacity that makes it fail
+     * @param overloadWindowNs the time over which that load is summed up
+     * @param parentColdStartShare the same as {@code coldStartShare}, of a parent
+     * @param parentWarmUpNs the same as {@code warmUpNs}, of a parent
+     * @param parentOverloadMultiple the same as {@code overloadMultiple}, of a parent
+     * @param purgeCompletionNs time until every copy older than a purge is gone
+     * @param drainGraceNs time after a drain in which requests may still be sent
+     * @param purgeGraceNs time after a purge in which older copies may still be served
+     */
     public record InvariantSettings(
             double coldStartShare,
             long warmUpNs,
@@ -164,13 +200,13 @@
             long purgeGraceNs) {}
 
     /**
-     * What holds for the fleet.
+     * What holds for the whole fleet.
      *
-     * @param pace bytes a second of one transfer to a client
-     * @param joins caches let a request join a fill under way
-     * @param direct parents and the origin take requests straight
-     * @param second copies of a safe request may be out at once
-     * @param weighted the weights of hosts count
+     * @param transferBytesPerS rate of one transfer to a client
+     * @param requestCollapsing whether caches let a request join a fill that is in flight
+     * @param directRequests whether parents and the origin accept requests from dispatchers
+     * @param hedging whether two attempts of an idempotent request may be in flight at once
+     * @param weighted whether the weights of endpoints count
      */
     public record FleetSettings(
             double transferBytesPerS,
@@ -180,15 +216,14 @@
             boolean weighted) {}
 
     /**
-     * Whether caches may fill from one another.
+     * Whether and how caches may fill from one another.
      *
-     * @param allowed they may
-     * @param anyZone across locations too
-     * @param share the most that all dispatchers' warming may ask of a neighbour, of what it has to
-     *     spare
-     * @param bears requests a second, of mean size, that a warm cache bears; 0 where that is not
-     *     stated
-     * @param saved where what was learned is written down; null for nowhere
+     * @param enabled whether they may
+     * @param acrossZones whether across locations too
+     * @param peerLoadShare the share of a peer's spare capacity that all dispatchers may use for it
+     * @param warmCapacityPerS requests of mean size a second that a warm cache can process; 0 where
+     *     that is not stated
+     * @param snapshotFile where the learned state is saved; null for nowhere
      */
     public record WarmingSettings(
             boolean enabled,
@@ -196,33 +231,40 @@
             double peerLoadShare,
             double warmCapacityPerS,
             Path snapshotFile) {
-        /** They may not. */
+        /** Caches do not fill from one another. */
         public static final WarmingSettings DISABLED =
                 new WarmingSettings(false, false, 0.1, 0, null);
     }
 
-    /** Where things are written; null where they are not. */
+    /**
+     * Where things are written; a path is null where the thing is not written.
+     *
+     * @param endpointListFile the saved endpoint list
+     * @param accessLogFile one line a response
+     * @param traceFile events and actions, for replay
+     * @param maxTraceBytes size at which the trace ends
+     */
     public record OutputFiles(
             Path endpointListFile, Path accessLogFile, Path traceFile, long maxTraceBytes) {}
 
     /**
-     * Who may come in. Paths are null where nothing is said.
+     * Who is authenticated and authorized, and by what. Paths are null where nothing is stated.
      *
-     * @param policy the policy of tenants and rights
-     * @param keys the set of keys that tokens are signed with
-     * @param issuer what tokens must name as their issuer; null for any
+     * @param policyFile the policy of tenants and their rights
+     * @param keySetFile the keys that verify tokens
+     * @param issuer the issuer that tokens must name; null for any
      * @param audience what tokens must name among their audience; null for any
-     * @param skewMs how far a signer's clock may be off
-     * @param cookie the cookie that may bear a token; null for none
-     * @param certificates pairs of a certificate chain and its key, PEM; the first is shown where
-     *     no name is asked for
-     * @param authorities authorities of client certificates, PEM; null asks for none
-     * @param revoked lists of revoked certificates, PEM or DER
-     * @param denied certificates denied by hand; null for none
-     * @param hostAuthorities authorities of the hosts' certificates, PEM: hosts are spoken to over
-     *     TLS then, and shown the first certificate; null for plain connections
-     * @param staleRevocations a list past its next update is still gone by; else its authority's
-     *     certificates are refused
+     * @param clockSkewMs how far a token issuer's clock may be off, ms
+     * @param cookie the cookie that may carry a token; null for none
+     * @param certificates certificate chains with their keys, PEM; the first is shown where the
+     *     client names no host
+     * @param clientAuthorities authorities of client certificates, PEM; null requests none
+     * @param revocationLists lists of revoked certificates, PEM or DER
+     * @param deniedCertificates certificates denied by hand; null for none
+     * @param endpointAuthorities authorities of the endpoints' certificates, PEM: endpoints are
+     *     then connected to over TLS, and shown the first certificate; null for plain connections
+     * @param acceptStaleRevocations whether a list past its next update still counts; else the
+     *     certificates of its authority are rejected
      */
     public record AccessSettings(
             Path policyFile,
@@ -237,13 +279,23 @@
             Path deniedCertificates,
             Path endpointAuthorities,
             boolean acceptStaleRevocations) {
-        /** Nobody is asked for anything. */
+        /** Nobody is authenticated. */
         public static final AccessSettings OPEN =
                 new AccessSettings(
-                        null, null, null, null, 30_000, null, List.of(), null, List.of(), null,
-                        null, false);
+                        null,
+                        null,
+                        null,
+                        null,
+                        DEFAULT_CLOCK_SKEW_MS,
+                        null,
+                        List.of(),
+                        null,
+                        List.of(),
+                        null,
+                        null,
+                        false);
     }
 
-    /** A certificate chain and its key. */
+    /** A certificate chain and its private key, PEM files. */
     public record CertificatePair(Path certificate, Path key) {}
 }
--- a/src/main/java/brooklock/config/SettingsException.java
+++ b/src/main/java/brooklock/config/SettingsException.java
@@ -7,10 +7,12 @@
 public final class SettingsException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    /** The mistakes, in the order of their lines. */
+    /**
+     * The mistakes, in the order of their lines; lost in serialization, as the message has them.
+     */
     public final transient List<Problem> problems;
 
-    /** With its mistakes. */
+    /** Creates an exception; its message has one mistake a line. */
     public SettingsException(List<Problem> problems) {
         super(problems.stream().map(Problem::toString).collect(Collectors.joining("\n")));
         this.problems = List.copyOf(problems);
--- a/src/main/java/brooklock/config/Statement.java
+++ b/src/main/java/brooklock/config/Statement.java
@@ -1,32 +1,44 @@
 package brooklock.config;
 
+import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Locale;
 
 /**
- * One statement: its words and where it stands. Words are parted by blanks; quotes hold a word with
- * blanks together; {@code #} begins a comment.
+ * One statement: the words of a line, consumed one after another. Words are separated by blanks;
+ * quotes hold a word with blanks together; {@code #} begins a comment. All methods that consume
+ * words throw {@link InvalidStatementException} where the word is missing or wrong.
  */
 public final class Statement {
-    // Longest line, characters, and longest file, lines: a settings file, not a data file.
+    /** Longest line: a settings file is not a data file. */
     static final int MAX_LINE_CHARS = 4096;
+
+    /** Most lines of a file. */
     static final int MAX_LINES = 100_000;
 
-    final String file;
-    final int lineNumber;
+    private static final int MAX_PORT = 65535;
+
+    private final int lineNumber;
     private final List<String> words;
     private int position;
 
-    private Statement(String file, int lineNumber, List<String> words) {
-        this.file = file;
+    private Statement(int lineNumber, List<String> words) {
         this.lineNumber = lineNumber;
         this.words = words;
     }
 
-    /** The statement of a line, or null where it is empty. */
-    public static Statement parse(String file, int lineNumber, String text) {
+    /**
+     * Splits a line.
+     *
+     * @param lineNumber its number, from 1
+     * @return the statement, or null where the line is empty or a comment
+     * @throws InvalidStatementException if the line is too long, has a control character, or a
+     *     quote is not closed
+     */
+    public static Statement parse(int lineNumber, String text) {
         if (text.length() > MAX_LINE_CHARS) {
-            throw new IllegalArgumentException(
+            throw new InvalidStatementException(
                     "the line is longer than " + MAX_LINE_CHARS + " characters");
         }
         List<String> words = new ArrayList<>();
@@ -38,12 +50,12 @@
             } else if (c == '"') {
                 int end = text.indexOf('"', i + 1);
                 if (end < 0) {
-                    throw new IllegalArgumentException("a quote is not closed");
+                    throw new InvalidStatementException("a quote is not closed");
                 }
                 words.add(text.substring(i + 1, end));
                 i = end + 1;
             } else if (c < 32 || c == 127) {
-                throw new IllegalArgumentException("a control character");
+                throw new InvalidStatementException("a control character");
             } else {
                 int from = i;
                 while (i < text.length() && " \t\"".indexOf(text.charAt(i)) < 0) {
@@ -52,7 +64,12 @@
                 words.add(text.substring(from, i));
             }
         }
-        return words.isEmpty() ? null : new Statement(file, lineNumber, words);
+        return words.isEmpty() ? null : new Statement(lineNumber, words);
+    }
+
+    /** The line's number, from 1. */
+    public int lineNumber() {
+        return lineNumber;
     }
 
     /** Whether words are left. */
@@ -63,26 +80,26 @@
     /** The next word; {@code what} names it in the message where it is missing. */
     public String nextWord(String what) {
         if (!hasMore()) {
-            throw new IllegalArgumentException("'" + words.get(0) + "' needs " + what);
+            throw new InvalidStatementException("'" + words.get(0) + "' needs " + what);
         }
         return words.get(position++);
     }
 
-    /** The next word, one of some. */
+    /** The next word, one of the constants of an enum in lower case. */
     public <E extends Enum<E>> E nextEnum(Class<E> type, String what) {
-        String w = nextWord(what);
-        StringBuilder all = new StringBuilder();
-        for (E e : type.getEnumConstants()) {
-            String name = e.name().toLowerCase(java.util.Locale.ROOT);
-            if (name.equals(w)) {
-                return e;
+        String word = nextWord(what);
+        StringBuilder allowed = new StringBuilder();
+        for (E constant : type.getEnumConstants()) {
+            String name = constant.name().toLowerCase(Locale.ROOT);
+            if (name.equals(word)) {
+                return constant;
             }
-            all.append(all.length() == 0 ? "" : ", ").append(name);
+            allowed.append(allowed.length() == 0 ? "" : ", ").append(name);
         }
-        throw new IllegalArgumentException("'" + w + "' is not " + what + " (" + all + ")");
+        throw new InvalidStatementException("'" + word + "' is not " + what + " (" + allowed + ")");
     }
 
-    /** The next word as a time, ns. */
+    /** The next word as a duration, ns. */
     public long nextDurationNs(String what) {
         return Units.parseDurationNs(nextWord(what));
     }
@@ -94,26 +111,54 @@
 
     /** The next word as a whole number from 1. */
     public int nextPositiveInt(String what) {
-        double d = nextNumber(what);
-        if (d != Math.rint(d) || d < 1 || d > Integer.MAX_VALUE) {
-            throw new IllegalArgumentException(what + " must be a whole number from 1");
+        double number = nextNumber(what);
+        if (number != Math.rint(number) || number < 1 || number > Integer.MAX_VALUE) {
+            throw new InvalidStatementException(what + " must be a whole number from 1");
+        }
+        return (int) number;
+    }
+
+    /** The next word as a fraction above 0 and up to 1. */
+    double nextFraction() {
+        double fraction = nextNumber("a share");
+        if (fraction <= 0 || fraction > 1) {
+            throw new InvalidStatementException("a share lies above 0 and is 1 at most");
         }
-        return (int) d;
+        return fraction;
     }
 
     /** The next word as yes or no. */
     public boolean nextBoolean(String what) {
-        String w = nextWord(what);
-        if (!w.equals("yes") && !w.equals("no")) {
-            throw new IllegalArgumentException("'" + w + "': " + what + " is yes or no");
+        String word = nextWord(what);
+        if (!word.equals("yes") && !word.equals("no")) {
+            throw new InvalidStatementException("'" + word + "': " + what + " is yes or no");
+        }
+        return word.equals("yes");
+    }
+
+    /**
+     * The next word as a numeric address and a port. Names are not looked up: that may block, and
+     * may give another answer tomorrow.
+     */
+    InetSocketAddress nextAddress(String what) {
+        String text = nextWord(what);
+        int colon = text.lastIndexOf(':');
+        String port = text.substring(colon + 1);
+        String host = colon < 0 ? "" : text.substring(0, colon).replaceAll("^\\[|\\]$", "");
+        boolean numeric =
+                host.matches("\\d{1,3}(\\.\\d{1,3}){3}")
+                        || host.matches("[0-9a-fA-F:.]*:[0-9a-fA-F:.]*");
+        if (!numeric || !port.matches("\\d{1,5}") || Integer.parseInt(port) > MAX_PORT) {
+            throw new InvalidStatementException(
+                    "'" + text + "' is not an address and a port, as in 127.0.0.1:8080");
         }
-        return w.equals("yes");
+        return new InetSocketAddress(host, Integer.parseInt(port));
     }
 
-    /** Says that no word may be left. */
+    /** Checks that no word is left. */
     public void expectEnd() {
         if (hasMore()) {
-            throw new IllegalArgumentException(
+            throw new InvalidStatementException(
                     "'" + words.get(position) + "' is one word too many");
         }
     }
--- a/src/main/java/brooklock/config/Units.java
+++ b/src/main/java/brooklock/config/Units.java
@@ -3,55 +3,79 @@
 import java.util.Map;
 
 /**
- * Numbers with their units. A time, size or pace without its unit is a mistake: 500 may mean 500 ms
- * or 500 s.
+ * Numbers with their units. A time, size or rate without its unit is a mistake, since 500 may mean
+ * 500 ms or 500 s.
  */
 public final class Units {
     private static final Map<String, Double> DURATION_UNITS =
             Map.of("us", 1e3, "ms", 1e6, "s", 1e9, "min", 60e9, "h", 3600e9);
     private static final Map<String, Double> SIZE_UNITS =
             Map.of("B", 1.0, "KB", 1e3, "MB", 1e6, "GB", 1e9);
+    private static final String PER_SECOND = "/s";
 
     private Units() {}
 
-    /** A time in ns. */
+    /**
+     * Parses a duration.
+     *
+     * @return nanoseconds
+     * @throws InvalidStatementException if it is not a number with a unit
+     */
     public static long parseDurationNs(String text) {
         return (long)
                 parseWithUnit(
                         text, DURATION_UNITS, "a time needs its unit, as in 500ms, 2s or 5min");
     }
 
-    /** A size in bytes. */
+    /**
+     * Parses a size.
+     *
+     * @return bytes
+     * @throws InvalidStatementException if it is not a number with a unit
+     */
     public static long parseBytes(String text) {
         return (long) parseWithUnit(text, SIZE_UNITS, "a size needs its unit, as in 64KB or 1MB");
     }
 
-    /** A pace in bytes a second. */
+    /**
+     * Parses a transfer rate.
+     *
+     * @return bytes a second
+     * @throws InvalidStatementException if it is not a size with "/s"
+     */
     public static double parseBytesPerSecond(String text) {
-        if (!text.endsWith("/s")) {
-            throw new IllegalArgumentException(
-                    "'" + text + "': a pace needs its unit, as in 5MB/s");
-        }
         return parseWithUnit(
-                text.substring(0, text.length() - 2),
+                withoutPerSecond(text, "a pace needs its unit, as in 5MB/s"),
                 SIZE_UNITS,
                 "a pace needs its unit, as in 5MB/s");
     }
 
-    /** So many a second. */
+    /**
+     * Parses a rate.
+     *
+     * @return events a second
+     * @throws InvalidStatementException if it is not a number with "/s"
+     */
     public static double parseRatePerSecond(String text) {
-        if (!text.endsWith("/s")) {
-            throw new IllegalArgumentException(
-                    "'" + text + "': a rate needs its unit, as in 200/s");
+        return parseNumber(withoutPerSecond(text, "a rate needs its unit, as in 200/s"));
+    }
+
+    private static String withoutPerSecond(String text, String hint) {
+        if (!text.endsWith(PER_SECOND)) {
+            throw new InvalidStatementException("'" + text + "': " + hint);
         }
-        return parseNumber(text.substring(0, text.length() - 2));
+        return text.substring(0, text.length() - PER_SECOND.length());
     }
 
-    /** A plain number, 0 or more. */
+    /**
+     * Parses a plain number, 0 or more.
+     *
+     * @throws InvalidStatementException if it is not one
+     */
     public static double parseNumber(String text) {
         int end = numericPrefixLength(text);
         if (end == 0 || end < text.length()) {
-            throw new IllegalArgumentException("'" + text + "' is not a number");
+            throw new InvalidStatementException("'" + text + "' is not a number");
         }
         return Double.parseDouble(text);
     }
@@ -60,11 +84,12 @@
         int end = numericPrefixLength(text);
         Double unit = units.get(text.substring(end));
         if (end == 0 || unit == null) {
-            throw new IllegalArgumentException("'" + text + "': " + hint);
+            throw new InvalidStatementException("'" + text + "': " + hint);
         }
         return Double.parseDouble(text.substring(0, end)) * unit;
     }
 
+    // 0 where it does not begin with digits, or has a dot too many or without digits after it.
     private static int numericPrefixLength(String text) {
         int i = 0;
         int dots = 0;
--- /dev/null
+++ b/src/main/java/brooklock/faulttest/ArrivalSource.java
@@ -0,0 +1,154 @@
+package brooklock.faulttest;
+
+import brooklock.config.Settings.RequestClassSettings;
+import java.util.ArrayList;
+import java.util.List;
+import org.apache.commons.rng.UniformRandomProvider;
+import org.apache.commons.rng.sampling.distribution.RejectionInversionZipfSampler;
+import org.apache.commons.rng.sampling.distribution.SharedStateDiscreteSampler;
+import org.apache.commons.rng.simple.RandomSource;
+
+/**
+ * Draws the arrivals of one {@link ClientWorker}: when clients arrive and what they request.
+ * Depends on the scenario's seed and faults alone.
+ */
+final class ArrivalSource {
+    /**
+     * One client that has arrived.
+     *
+     * @param path what it requests, up to the part's number
+     * @param parts number of parts that it requests, one after another
+     * @param gapNs time between two of them
+     * @param tenant its tenant; -1 for none
+     * @param authorized whether the policy allows the requests
+     */
+    record Arrival(
+            int location,
+            RequestClassSettings requestClass,
+            String path,
+            int parts,
+            long gapNs,
+            int tenant,
+            boolean authorized) {}
+
+    private final ClientPopulation population;
+    private final Scenario scenario;
+    private final UniformRandomProvider random;
+    private final List<Scenario.ClassLoad> classLoads;
+    private final List<SharedStateDiscreteSampler> popularity = new ArrayList<>();
+    private final double rateShare;
+    private final String namePrefix;
+    private long nameCount;
+
+    /** Creates the source of one of {@code workerCount} workers. */
+    ArrivalSource(
+            ClientPopulation population,
+            Scenario scenario,
+            int worker,
+            int workerCount,
+            String namePrefix) {
+        this.population = population;
+        this.scenario = scenario;
+        this.namePrefix = namePrefix;
+        random = RandomSource.XO_RO_SHI_RO_128_PP.create(scenario.seed * 100 + worker);
+        classLoads = List.copyOf(scenario.classLoads.values());
+        classLoads.forEach(
+                load ->
+                        popularity.add(
+                                RejectionInversionZipfSampler.of(
+                                        random, load.objects(), load.zipf())));
+        rateShare = 1.0 / workerCount;
+    }
+
+    /** Draws the time to the next arrival, ns. */
+    long nextPauseNs() {
+        double rate = scenario.requestsPerS * (population.rateMultiple + floodRate()) * rateShare;
+        return (long) (-Math.log(1 - random.nextDouble()) / rate * 1e9);
+    }
+
+    /** Draws the next arrival. */
+    Arrival next() {
+        int index = nextClassIndex();
+        Scenario.ClassLoad load = classLoads.get(index);
+        int location = nextLocation();
+        int object = floodedObject(popularity.get(index).sample());
+        int group = object % scenario.groupCount;
+        // Groups belong to the tenants in turn; now and then a client requests another's.
+        int owner = scenario.tenantCount == 0 ? -1 : group % scenario.tenantCount;
+        int tenant =
+                owner >= 0 && random.nextDouble() < scenario.trespassShare
+                        ? (owner + 1) % scenario.tenantCount
+                        : owner;
+        String objectName = nextObjectName(object);
+        RequestClassSettings requestClass = scenario.requestClass(load.className());
+        boolean passThrough = requestClass.passThrough();
+        String path =
+                "/"
+                        + load.className()
+                        + "/g"
+                        + group
+                        + "/"
+                        + objectName
+                        + (passThrough ? "-" + uniqueName() : "")
+                        + "/";
+        return new Arrival(
+                location,
+                requestClass,
+                path,
+                passThrough ? 1 : load.parts(),
+                load.gapNs(),
+                tenant,
+                tenant == owner);
+    }
+
+    private int nextClassIndex() {
+        double remainingShare = random.nextDouble();
+        int index = 0;
+        while (index < classLoads.size() - 1 && remainingShare >= classLoads.get(index).share()) {
+            remainingShare -= classLoads.get(index++).share();
+        }
+        return index;
+    }
+
+    // By the number of caches.
+    private int nextLocation() {
+        List<Scenario.Location> locations = scenario.locations;
+        double remaining =
+                random.nextDouble() * locations.stream().mapToInt(Scenario.Location::caches).sum();
+        int index = 0;
+        while (index < locations.size() - 1 && remaining >= locations.get(index).caches()) {
+            remaining -= locations.get(index++).caches();
+        }
+        return index;
+    }
+
+    // What one tenant's flood adds, as a share of the rate without it.
+    private double floodRate() {
+        ClientPopulation.TenantFlood flood = population.tenantFlood;
+        return scenario.tenantCount == 0 ? 0 : (flood.multiple() - 1) / scenario.tenantCount;
+    }
+
+    // A client that the flood adds requests an object of the flooding tenant's nearest group.
+    private int floodedObject(int object) {
+        double floodRate = floodRate();
+        if (floodRate <= 0
+                || random.nextDouble() >= floodRate / (population.rateMultiple + floodRate)) {
+            return object;
+        }
+        int group = object % scenario.groupCount;
+        int target = group - group % scenario.tenantCount + population.tenantFlood.tenant();
+        int existing = target < scenario.groupCount ? target : target - scenario.tenantCount;
+        return object + existing - group;
+    }
+
+    private String nextObjectName(int object) {
+        if (random.nextDouble() < population.heavyShare) {
+            return "heavy" + uniqueName();
+        }
+        return random.nextDouble() < population.scanShare ? "once" + uniqueName() : "o" + object;
+    }
+
+    private String uniqueName() {
+        return namePrefix + ++nameCount;
+    }
+}
--- a/src/main/java/brooklock/faulttest/ClientAttempt.java
+++ b/src/main/java/brooklock/faulttest/ClientAttempt.java
@@ -1,29 +1,40 @@
 package brooklock.faulttest;
 
 /**
- * One try of a client at a dispatcher, written down by the client. Times are {@link
- * System#nanoTime}.
+ * One attempt of a client at a dispatcher, recorded by the client. Times are {@link
+ * System#nanoTime}. Written on the client's I/O thread, read by any.
  */
 final class ClientAttempt {
-    /** How it ended, as the client saw it. */
+    /** How it ended, as the client saw it. The names are printed in the report. */
     enum End {
+        /** It has not ended. */
         OPEN,
+        /** With a complete response. */
         WHOLE,
+        /** With an incomplete response. */
         BROKEN,
+        /** Rejected, with 503. */
         REFUSED,
+        /** With another status. */
         FAILED,
+        /** No connection to the dispatcher. */
         UNREACHED,
+        /** The client's deadline passed, or the connection broke before a response. */
         GAVE_UP,
+        /** The dispatcher was killed meanwhile. */
         LOST_WITH_DISPATCHER
     }
 
     final String name;
     final String className;
     final int dispatcher;
+
+    /** The dispatcher's run in which it was sent. */
     final int incarnation;
+
     final long deadlineAfterNs;
 
-    /** Whether its caller has the right. */
+    /** Whether the policy allows the request. */
     final boolean authorized;
 
     /** When its first byte was written; 0 while it waits for a connection. */
@@ -31,7 +42,10 @@
 
     volatile End end = End.OPEN;
     volatile long endNs;
+
+    /** Status of the response; 0 for none. */
     volatile int status;
+
     volatile boolean wrongBytes;
 
     ClientAttempt(
@@ -49,27 +63,28 @@
         this.authorized = authorized;
     }
 
-    void sent(long now) {
-        sentNs = now;
+    void sent(long nowNs) {
+        sentNs = nowNs;
     }
 
     long deadlineNs() {
         return sentNs + deadlineAfterNs;
     }
 
-    void end(End how, long now) {
+    /** Ends the attempt; only the first end counts. */
+    void end(End how, long nowNs) {
         if (end == End.OPEN) {
-            endNs = now;
+            endNs = nowNs;
             end = how;
         }
     }
 
-    /** Whether the dispatcher gave a final answer, of whatever kind. */
+    /** Whether the dispatcher gave a final response, of whatever kind. */
     boolean isAnswered() {
         return end == End.WHOLE || end == End.BROKEN || end == End.REFUSED || end == End.FAILED;
     }
 
-    /** Whether the try never came to a living dispatcher, or to its end there. */
+    /** Whether the attempt reached no dispatcher that lived long enough to answer it. */
     boolean isLost() {
         return end == End.UNREACHED || end == End.LOST_WITH_DISPATCHER || end == End.OPEN;
     }
--- a/src/main/java/brooklock/faulttest/ClientAttemptHandler.java
+++ b/src/main/java/brooklock/faulttest/ClientAttemptHandler.java
@@ -11,12 +11,12 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * A client's side of one try. Its time begins when the request is written: connecting is the rig's
- * own.
+ * The client's side of one attempt. Its time begins when the request is written: connecting is the
+ * harness's own work.
  */
 final class ClientAttemptHandler implements ResponseHandler {
     private final IoLoop loop;
-    private final ClientPopulation.PartRequest request;
+    private final PartRequest request;
     private final ClientAttempt attempt;
     private final DispatcherRunner dispatcher;
     private final String target;
@@ -25,9 +25,15 @@
     private ClientCall call;
     private byte[] firstBytes = new byte[0];
 
+    /**
+     * Creates a handler.
+     *
+     * @param retryElsewhere called where the dispatcher is gone
+     * @param retryLater called where the request was rejected
+     */
     ClientAttemptHandler(
             IoLoop loop,
-            ClientPopulation.PartRequest request,
+            PartRequest request,
             ClientAttempt attempt,
             DispatcherRunner dispatcher,
             String target,
@@ -42,8 +48,8 @@
         this.retryLater = retryLater;
     }
 
-    void setCall(ClientCall on) {
-        call = on;
+    void setCall(ClientCall started) {
+        call = started;
     }
 
     @Override
@@ -63,7 +69,7 @@
     }
 
     @Override
-    public void onHead(ResponseHead head, Framing framing, boolean whole) {
+    public void onHead(ResponseHead head, Framing framing, boolean complete) {
         attempt.status = head.status();
     }
 
@@ -78,44 +84,42 @@
 
     @Override
     public void onComplete(Fields trailers) {
-        long now = System.nanoTime();
+        long nowNs = System.nanoTime();
         if (attempt.status == 200) {
-            attempt.wrongBytes =
-                    !new String(
-                                    firstBytes,
-                                    0,
-                                    Math.min(firstBytes.length, target.length()),
-                                    StandardCharsets.ISO_8859_1)
-                            .equals(target);
-            attempt.end(ClientAttempt.End.WHOLE, now);
-            request.completedNs = now;
+            attempt.wrongBytes = !startsWithTarget();
+            attempt.end(ClientAttempt.End.WHOLE, nowNs);
+            request.completedNs = nowNs;
+        } else if (attempt.status == 503) {
+            attempt.end(ClientAttempt.End.REFUSED, nowNs);
+            retryLater.run();
         } else {
-            attempt.end(
-                    attempt.status == 503 ? ClientAttempt.End.REFUSED : ClientAttempt.End.FAILED,
-                    now);
-            if (attempt.status == 503) {
-                retryLater.run();
-            }
+            attempt.end(ClientAttempt.End.FAILED, nowNs);
         }
     }
 
+    // The origin writes the path at the start of each object.
+    private boolean startsWithTarget() {
+        int length = Math.min(firstBytes.length, target.length());
+        return new String(firstBytes, 0, length, StandardCharsets.ISO_8859_1).equals(target);
+    }
+
     @Override
     public void onFailure(CallFailure failure, String reason) {
-        long now = System.nanoTime();
+        long nowNs = System.nanoTime();
         boolean dispatcherGone =
-                dispatcher.incarnation != attempt.incarnation
+                dispatcher.incarnation() != attempt.incarnation
                         || !dispatcher.alive
                         || attempt.sentNs != 0 && dispatcher.killedNs - attempt.sentNs > 0;
         if (failure == CallFailure.NOT_CONNECTED) {
-            attempt.end(ClientAttempt.End.UNREACHED, now);
+            attempt.end(ClientAttempt.End.UNREACHED, nowNs);
             retryElsewhere.run();
         } else if (dispatcherGone) {
-            attempt.end(ClientAttempt.End.LOST_WITH_DISPATCHER, now);
+            attempt.end(ClientAttempt.End.LOST_WITH_DISPATCHER, nowNs);
             retryElsewhere.run();
         } else {
             attempt.end(
                     attempt.status == 0 ? ClientAttempt.End.GAVE_UP : ClientAttempt.End.BROKEN,
-                    now);
+                    nowNs);
         }
     }
 }
--- a/src/main/java/brooklock/faulttest/ClientPopulation.java
+++ b/src/main/java/brooklock/faulttest/ClientPopulation.java
@@ -12,74 +12,48 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The clients: they come by chance, ask by popularity, part after part, and retry as they are told.
+ * The clients: they arrive at random, request objects by popularity, part after part, and retry as
+ * they are told. The faults change their rates from another thread.
  */
 final class ClientPopulation implements AutoCloseable {
-    /**
-     * Time past its deadline that a client waits, so that an answer that is a little late is told
-     * from none.
-     */
+    /** Time past the deadline that a client waits, so that a late response is told from none. */
     static final long GRACE_NS = 300_000_000L;
 
-    // Threads that the clients share: one alone cannot make the handshakes of a day over TLS.
+    /** Threads that the clients share: one alone cannot make the handshakes of a test over TLS. */
     private static final int CLIENT_THREADS = 4;
-    // Handshakes of one thread with one dispatcher at a time: a cold dispatcher makes a few dozen a
-    // second.
+
+    /** Handshakes of one thread with one dispatcher at a time: a cold one makes few a second. */
     private static final int MAX_CONNECTING = 8;
-    private static final int WARM_UP_TIMEOUT_S = 30;
 
-    /** One client's wish for one part, with all its tries. */
-    static final class PartRequest {
-        final String className;
-        final String target;
-        final long dueNs;
-        final long startedNs;
-        final long latencyObjectiveNs;
-        final int tenant;
-        final boolean allowed;
-        volatile long completedNs;
-
-        PartRequest(
-                String className,
-                String target,
-                long dueNs,
-                long startedNs,
-                long latencyObjectiveNs,
-                int tenant,
-                boolean allowed) {
-            this.className = className;
-            this.target = target;
-            this.dueNs = dueNs;
-            this.startedNs = startedNs;
-            this.latencyObjectiveNs = latencyObjectiveNs;
-            this.tenant = tenant;
-            this.allowed = allowed;
-        }
+    private static final int MAX_CONNECTIONS = 4096;
+    private static final int MAX_WAITING_CALLS = 4096;
+    private static final int MAX_IDLE_CONNECTIONS = 256;
+    private static final long CONNECT_TIMEOUT_NS = 5_000_000_000L;
+    private static final int WARM_UP_TIMEOUT_S = 30;
 
-        boolean isInTime() {
-            return completedNs != 0 && completedNs - startedNs <= latencyObjectiveNs;
-        }
+    /** One tenant's clients arrive so many times as often. */
+    record TenantFlood(int tenant, double multiple) {
+        static final TenantFlood NONE = new TenantFlood(0, 1);
     }
 
     final Collection<ClientAttempt> attempts = new ConcurrentLinkedQueue<>();
 
-    /** What those wish who have the right. */
+    /** The requests that the policy allows. */
     final Collection<PartRequest> requests = new ConcurrentLinkedQueue<>();
 
-    private final IoThreads ioThreads = IoThreads.start("crowd", CLIENT_THREADS);
-    private final List<ClientWorker> workers = new ArrayList<>();
-    private final boolean tls;
-
-    /** One tenant's clients come so many times as often. */
-    record TenantFlood(int tenant, double multiple) {
-        static final TenantFlood NONE = new TenantFlood(0, 1);
-    }
-
     volatile double rateMultiple = 1;
     volatile TenantFlood tenantFlood = TenantFlood.NONE;
+
+    /** Share of arrivals that request an object nobody else does. */
     volatile double scanShare;
+
+    /** Share of arrivals that request an object ten times as large. */
     volatile double heavyShare;
 
+    private final IoThreads ioThreads = IoThreads.start("crowd", CLIENT_THREADS);
+    private final List<ClientWorker> workers = new ArrayList<>();
+    private final boolean tls;
+
     ClientPopulation(
             Scenario scenario,
             List<List<DispatcherRunner>> dispatchersByLocation,
@@ -90,9 +64,9 @@
         tls = scenario.tls;
         ClientLimits limits =
                 ClientLimits.STANDARD
-                        .withConnections(4096, 4096, 256)
+                        .withConnections(MAX_CONNECTIONS, MAX_WAITING_CALLS, MAX_IDLE_CONNECTIONS)
                         .withMaxConnecting(MAX_CONNECTING)
-                        .withConnectTimeoutNs(5_000_000_000L);
+                        .withConnectTimeoutNs(CONNECT_TIMEOUT_NS);
         for (int i = 0; i < CLIENT_THREADS; i++) {
             workers.add(
                     new ClientWorker(
@@ -110,20 +84,21 @@
     }
 
     /**
-     * Over TLS: lets each lane make handshakes with each dispatcher before the day begins. The
-     * first ones of a fresh virtual machine take a hundred times as long as the later ones, which
-     * is nobody's bad day.
+     * Over TLS: lets each thread make handshakes with each dispatcher before the test begins. The
+     * first ones of a fresh virtual machine take a hundred times as long as later ones, which is no
+     * fault of a dispatcher.
      */
     void warmUp() throws InterruptedException {
         if (tls) {
             CountDownLatch done = new CountDownLatch(CLIENT_THREADS);
-            workers.forEach(l -> l.warmUp(MAX_CONNECTING, done::countDown));
+            workers.forEach(worker -> worker.warmUp(MAX_CONNECTING, done::countDown));
+            // A test whose handshakes take longer begins all the same.
             done.await(WARM_UP_TIMEOUT_S, TimeUnit.SECONDS);
         }
     }
 
-    void start(long fromNs, long untilNs) {
-        workers.forEach(l -> l.start(fromNs, untilNs));
+    void start(long startNs, long endNs) {
+        workers.forEach(worker -> worker.start(startNs, endNs));
     }
 
     @Override
--- /dev/null
+++ b/src/main/java/brooklock/faulttest/ControlClient.java
@@ -0,0 +1,106 @@
+package brooklock.faulttest;
+
+import brooklock.http.Fields;
+import brooklock.http.Framing;
+import brooklock.http.RequestHead;
+import brooklock.http.ResponseHead;
+import brooklock.net.CallFailure;
+import brooklock.net.HttpClient;
+import brooklock.net.IoLoop;
+import brooklock.net.ResponseHandler;
+import java.nio.ByteBuffer;
+import java.nio.charset.StandardCharsets;
+import java.util.function.Consumer;
+
+/** Sends control requests to dispatchers. Used on its I/O thread only. */
+final class ControlClient {
+    /** A dispatcher that is alive and did not reply gets the update again so much later. */
+    private static final long RETRY_DELAY_NS = 200_000_000L;
+
+    private final IoLoop loop;
+    private final HttpClient client;
+
+    ControlClient(IoLoop loop, HttpClient client) {
+        this.loop = loop;
+        this.client = client;
+    }
+
+    /**
+     * Sends a request; nothing happens if the dispatcher is down.
+     *
+     * @param onReply receives the first line of the reply
+     * @param retry called where there was no reply but the dispatcher still runs
+     */
+    void post(
+            DispatcherRunner dispatcher,
+            String target,
+            String body,
+            Consumer<String> onReply,
+            Runnable retry) {
+        if (!dispatcher.alive) {
+            return;
+        }
+        byte[] bytes = body.getBytes(StandardCharsets.UTF_8);
+        Fields fields = new Fields().add("Content-Length", Integer.toString(bytes.length));
+        client.send(
+                dispatcher.controlAddress,
+                new RequestHead("POST", target, "control", 1, fields),
+                bytes,
+                new ReplyHandler(dispatcher, target, onReply, retry));
+    }
+
+    private final class ReplyHandler implements ResponseHandler {
+        private final DispatcherRunner dispatcher;
+        private final int incarnation;
+        private final String target;
+        private final Consumer<String> onReply;
+        private final Runnable retry;
+        private final StringBuilder text = new StringBuilder();
+        private int status;
+
+        ReplyHandler(
+                DispatcherRunner dispatcher,
+                String target,
+                Consumer<String> onReply,
+                Runnable retry) {
+            this.dispatcher = dispatcher;
+            this.target = target;
+            this.onReply = onReply;
+            this.retry = retry;
+            incarnation = dispatcher.incarnation();
+        }
+
+        @Override
+        public void onHead(ResponseHead head, Framing framing, boolean complete) {
+            status = head.status();
+        }
+
+        @Override
+        public boolean onBody(ByteBuffer piece) {
+            text.append(StandardCharsets.UTF_8.decode(piece));
+            return true;
+        }
+
+        @Override
+        public void onComplete(Fields trailers) {
+            if (status != 200 && status != 409) {
+                throw new UnexpectedReplyException(
+                        dispatcher.name + " answers " + status + " to " + target + ": " + text);
+            }
+            onReply.accept(text.toString().lines().findFirst().orElse(""));
+        }
+
+        // The dispatcher was killed meanwhile, and gets everything once it is back; or it was only
+        // too busy to connect.
+        @Override
+        public void onFailure(CallFailure failure, String reason) {
+            loop.schedule(
+                    RETRY_DELAY_NS,
+                    () -> {
+                        if (dispatcher.alive && dispatcher.incarnation() == incarnation) {
+                            retry.run();
+                        }
+                    });
+        }
+    }
+}
--- a/src/main/java/brooklock/faulttest/CredentialIssuer.java
+++ b/src/main/java/brooklock/faulttest/CredentialIssuer.java
@@ -7,6 +7,7 @@
 import brooklock.credentials.TlsContexts;
 import brooklock.credentials.TokenSigner;
 import java.io.IOException;
+import java.io.UncheckedIOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.security.KeyPair;
@@ -14,65 +15,65 @@
 import javax.net.ssl.SSLContext;
 
 /**
- * The day's issuer and authority: tenants' policy and tokens, keys that rotate, the dispatchers'
- * certificate.
+ * The credentials of a test: the tenants' policy and tokens, the issuer's keys, the dispatchers'
+ * certificate. Tokens are made on the clients' threads, keys are replaced on the fleet's.
  */
 final class CredentialIssuer {
     private static final long SECOND_NS = 1_000_000_000L;
-    // Tokens are made anew so often, as clients that come and go have different ones.
+
+    /** Tokens are made anew so often, since clients that come and go have different ones. */
     private static final long TOKEN_RENEWAL_NS = SECOND_NS;
 
+    private static final long TOKEN_LIFETIME_S = 60;
+    private static final long CERTIFICATE_LIFETIME_MS = 3_600_000;
+    private static final String ALGORITHM = "EdDSA";
+
+    /** A key and its identifier, kept together so that a key is never used with another's name. */
+    private record Signer(String kid, KeyPair pair) {}
+
+    private record Token(Signer signer, long createdNs, String text) {}
+
     private final Scenario scenario;
-    private final Path dir;
     private final KeySetFile keySet;
-    // Set by the stage's thread, read by the crowd's: one object, so that a key never goes with
-    // another's name.
-    private volatile Signer signer = new Signer("k1", KeySetFile.generate("EdDSA"));
-    private final String[] tokens;
-    private final Signer[] tokenSigners;
-    private final long[] tokenTimesNs;
-    private SSLContext clientContext;
+    private final Token[] tokens;
+    private final SSLContext clientContext;
+    private volatile Signer signer = new Signer("k1", KeySetFile.generate(ALGORITHM));
     private int keyCount = 1;
 
+    /** Writes the files that {@link #settingsLines} names into a directory. */
     CredentialIssuer(Scenario scenario, Path dir) throws IOException {
         this.scenario = scenario;
-        this.dir = dir;
-        keySet = new KeySetFile(dir.resolve("keys.json"));
-        tokens = new String[scenario.tenantCount];
-        tokenSigners = new Signer[scenario.tenantCount];
-        tokenTimesNs = new long[scenario.tenantCount];
+        Path keys = dir.resolve("keys.json");
+        keySet = new KeySetFile(keys);
+        tokens = new Token[scenario.tenantCount];
         if (scenario.tenantCount > 0) {
-            Files.deleteIfExists(dir.resolve("keys.json"));
+            Files.deleteIfExists(keys);
             Files.writeString(dir.resolve("policy"), policyText());
-            keySet.addKey(
-                    KeySetFile.toJwk(signer.kid(), "EdDSA", signer.pair(), KeySet.State.SIGNING));
+            addKey(signer, KeySet.State.SIGNING);
         }
-        if (scenario.tls) {
-            try {
-                LocalCertificateAuthority pki = new LocalCertificateAuthority("day");
-                LocalCertificateAuthority.writeCertificate(
-                        dir.resolve("edge.pem"),
-                        dir.resolve("edge.key"),
-                        pki.issue("edge", "day.example", 3600_000));
-                CertificateTrust trust = pki.createTrust(dir);
-                clientContext =
-                        TlsContexts.clientContext(null, () -> trust, System::currentTimeMillis);
-            } catch (Exception e) {
-                throw new IOException("no certificates for the day: " + e.getMessage(), e);
-            }
+        clientContext = scenario.tls ? createCertificate(dir) : null;
+    }
+
+    private static SSLContext createCertificate(Path dir) throws IOException {
+        try {
+            LocalCertificateAuthority authority = new LocalCertificateAuthority("day");
+            LocalCertificateAuthority.writeCertificate(
+                    dir.resolve("edge.pem"),
+                    dir.resolve("edge.key"),
+                    authority.issue("edge", "day.example", CERTIFICATE_LIFETIME_MS));
+            CertificateTrust trust = authority.createTrust(dir);
+            return TlsContexts.clientContext(null, () -> trust, System::currentTimeMillis);
+        } catch (Exception e) {
+            throw new IOException("no certificates for the day: " + e.getMessage(), e);
         }
     }
 
     private String policyText() {
         StringBuilder text = new StringBuilder();
         for (int tenant = 0; tenant < scenario.tenantCount; tenant++) {
-            text.append("tenant t")
-                    .append(tenant)
-                    .append("\nmap claim tenant t")
-                    .append(tenant)
-                    .append(" t")
-                    .append(tenant)
-                    .append('\n');
+            String name = "t" + tenant;
+            text.append("tenant ").append(name).append('\n');
+            text.append("map claim tenant ").append(name).append(' ').append(name).append('\n');
         }
         for (int group = 0; group < scenario.groupCount; group++) {
             text.append("allow t")
@@ -90,72 +91,76 @@
                 + (scenario.tls ? "tls edge.pem edge.key\n" : "");
     }
 
-    /** How clients connect; null for plain. */
+    /** How clients connect; null for plain connections. */
     SSLContext clientContext() {
         return clientContext;
     }
 
-    private record Signer(String kid, KeyPair pair) {}
-
-    /** A tenant's token; one at a time, as all threads of the crowd share them. */
+    /** A tenant's token; the clients' threads share them. */
     synchronized String token(int tenant) {
-        long now = System.nanoTime();
+        long nowNs = System.nanoTime();
         Signer current = signer;
-        if (tokenSigners[tenant] != current || now - tokenTimesNs[tenant] > TOKEN_RENEWAL_NS) {
-            tokenTimesNs[tenant] = now;
-            tokenSigners[tenant] = current;
-            tokens[tenant] =
-                    TokenSigner.sign(
-                            current.pair().getPrivate(),
-                            current.kid(),
-                            Map.of(
-                                    "tenant",
-                                    "t" + tenant,
-                                    "aud",
-                                    "edge",
-                                    "n",
-                                    Long.toString(now),
-                                    "exp",
-                                    System.currentTimeMillis() / 1000 + 60));
+        Token token = tokens[tenant];
+        if (token == null
+                || !token.signer.equals(current)
+                || nowNs - token.createdNs > TOKEN_RENEWAL_NS) {
+            token = new Token(current, nowNs, sign(current, tenant, nowNs));
+            tokens[tenant] = token;
         }
-        return tokens[tenant];
+        return token.text;
+    }
+
+    private static String sign(Signer signer, int tenant, long nonce) {
+        return TokenSigner.sign(
+                signer.pair.getPrivate(),
+                signer.kid,
+                Map.of(
+                        "tenant",
+                        "t" + tenant,
+                        "aud",
+                        "edge",
+                        "n",
+                        Long.toString(nonce),
+                        "exp",
+                        System.currentTimeMillis() / 1000 + TOKEN_LIFETIME_S));
     }
 
     /**
-     * A new key is announced, signs two seconds later, and the one before is retired when its
-     * tokens have gone.
+     * Replaces the key: a new one is announced, signs two seconds later, and the one before is
+     * retired when its tokens have gone.
      */
     void rotateKeys(TestFleet fleet) {
         if (scenario.tenantCount == 0) {
             return;
         }
-        String previousKid = signer.kid();
-        String nextKid = "k" + ++keyCount;
-        KeyPair pair = KeySetFile.generate("EdDSA");
-        applyUnchecked(
-                () ->
-                        keySet.addKey(
-                                KeySetFile.toJwk(nextKid, "EdDSA", pair, KeySet.State.ANNOUNCED)));
+        String previousKid = signer.kid;
+        Signer next = new Signer("k" + ++keyCount, KeySetFile.generate(ALGORITHM));
+        applyUnchecked(() -> addKey(next, KeySet.State.ANNOUNCED));
         fleet.schedule(
                 2 * SECOND_NS,
                 () -> {
-                    applyUnchecked(() -> keySet.setState(nextKid, KeySet.State.SIGNING, 0));
-                    signer = new Signer(nextKid, pair);
+                    applyUnchecked(() -> keySet.setState(next.kid, KeySet.State.SIGNING, 0));
+                    signer = next;
                 });
         fleet.schedule(
                 4 * SECOND_NS,
                 () -> applyUnchecked(() -> keySet.setState(previousKid, KeySet.State.RETIRED, 0)));
     }
 
+    private void addKey(Signer added, KeySet.State state) throws IOException {
+        keySet.addKey(KeySetFile.toJwk(added.kid, ALGORITHM, added.pair, state));
+    }
+
     private interface KeyChange {
         void apply() throws IOException;
     }
 
-    private static void applyUnchecked(KeyChange c) {
+    // A failure is one of the harness: HarnessMonitor records it.
+    private static void applyUnchecked(KeyChange change) {
         try {
-            c.apply();
+            change.apply();
         } catch (IOException e) {
-            throw new IllegalStateException(e);
+            throw new UncheckedIOException(e);
         }
     }
 }
--- a/src/main/java/brooklock/faulttest/DispatcherRunner.java
+++ b/src/main/java/brooklock/faulttest/DispatcherRunner.java
@@ -15,11 +15,12 @@
 import java.nio.file.Path;
 import java.util.Set;
 import java.util.concurrent.ConcurrentHashMap;
+import java.util.concurrent.atomic.AtomicInteger;
 import java.util.function.Function;
 
 /**
- * One dispatcher of the day: a process of its own, or within this one where a test wants its own
- * decider.
+ * Runs one dispatcher of a test: as a process of its own, or within this one where a test wants its
+ * own routing strategy. Its state may be read from any thread; starts and kills must not overlap.
  */
 abstract class DispatcherRunner {
     final String name;
@@ -29,44 +30,56 @@
     volatile InetSocketAddress controlAddress;
     volatile boolean alive;
 
-    /** Counts its starts. */
-    volatile int incarnation;
-
-    /** When it was killed last, ns; 0 for never. */
+    /** When it was killed last, {@link System#nanoTime}; 0 for never. */
     volatile long killedNs;
 
+    private final AtomicInteger starts = new AtomicInteger();
+
+    /** Creates a runner that writes its settings to a file at each start. */
     DispatcherRunner(String name, Path file, String settings) {
         this.name = name;
         this.file = file;
         this.settings = settings;
     }
 
-    /** Starts it, from the second time on at the same addresses. */
+    /** Number of its present or last run, from 1; 0 before the first. */
+    final int incarnation() {
+        return starts.get();
+    }
+
+    /**
+     * Starts it, from the second time on at the same addresses.
+     *
+     * @throws IOException if it does not start
+     */
     final void start() throws IOException {
-        int clientPort = clientAddress == null ? 0 : clientAddress.getPort();
-        int controlPort = controlAddress == null ? 0 : controlAddress.getPort();
         Files.writeString(
                 file,
                 "name "
                         + name
                         + "\nlisten 127.0.0.1:"
-                        + clientPort
+                        + port(clientAddress)
                         + "\ncontrol 127.0.0.1:"
-                        + controlPort
+                        + port(controlAddress)
                         + "\n"
                         + settings);
         launch();
-        incarnation++;
+        starts.incrementAndGet();
         alive = true;
     }
 
-    /** Kills it outright. */
+    private static int port(InetSocketAddress address) {
+        return address == null ? 0 : address.getPort();
+    }
+
+    /** Kills it without any notice. */
     final void kill() {
         alive = false;
         killedNs = System.nanoTime();
         terminate();
     }
 
+    /** Starts it from its settings, and sets its ports. */
     abstract void launch() throws IOException;
 
     abstract void terminate();
@@ -76,88 +89,109 @@
         controlAddress = new InetSocketAddress(InetAddress.getLoopbackAddress(), controlPort);
     }
 
-    /** In this process, deciding as it is told to. */
+    /** A dispatcher in this process, with a routing strategy. */
     static DispatcherRunner inProcess(
             String name,
             Path file,
             String settings,
             Function<RouterSettings, RoutingStrategy> strategyFactory) {
-        return new DispatcherRunner(name, file, settings) {
-            private Dispatcher edge;
-
-            @Override
-            void launch() throws IOException {
-                try {
-                    edge = Dispatcher.start(SettingsReader.read(file), strategyFactory);
-                    setPorts(edge.address().getPort(), edge.controlAddress().getPort());
-                } catch (SettingsException e) {
-                    throw new IOException(e.getMessage());
-                }
-            }
-
-            @Override
-            void terminate() {
-                edge.close();
-            }
-        };
+        return new InProcess(name, file, settings, strategyFactory);
     }
 
-    // Dispatchers do not outlive the rig, however it ends.
-    private static final Set<Process> RUNNING = ConcurrentHashMap.newKeySet();
-
-    static {
-        Runtime.getRuntime()
-                .addShutdownHook(
-                        new Thread(
-                                () -> RUNNING.forEach(Process::destroyForcibly),
-                                "end-dispatchers"));
+    /** A dispatcher as a process of its own, killed as by the system. */
+    static DispatcherRunner ownProcess(String name, Path file, String settings) {
+        return new OwnProcess(name, file, settings);
     }
 
-    /** A process of its own, killed as by the system. */
-    static DispatcherRunner ownProcess(String name, Path file, String settings) {
-        return new DispatcherRunner(name, file, settings) {
-            private Process process;
-
-            @Override
-            void launch() throws IOException {
-                process =
-                        new ProcessBuilder(
-                                        Path.of(System.getProperty("java.home"), "bin", "java")
-                                                .toString(),
-                                        "-Xmx256m",
-                                        "-XX:+UseSerialGC",
-                                        "-XX:TieredStopAtLevel=1",
-                                        "-cp",
-                                        System.getProperty("java.class.path"),
-                                        "brooklock.Main",
-                                        "serve",
-                                        file.toString())
-                                .redirectError(file.resolveSibling(name + ".log").toFile())
-                                .start();
-                RUNNING.add(process);
-                BufferedReader out =
-                        new BufferedReader(
-                                new InputStreamReader(
-                                        process.getInputStream(), StandardCharsets.UTF_8));
-                String line = out.readLine();
-                if (line == null || !line.startsWith("listening ")) {
-                    process.destroyForcibly();
-                    throw new IOException("the dispatcher " + name + " did not start: " + line);
-                }
-                String[] w = line.split(" ");
-                setPorts(Integer.parseInt(w[1]), Integer.parseInt(w[3]));
+    private static final class InProcess extends DispatcherRunner {
+        private final Function<RouterSettings, RoutingStrategy> strategyFactory;
+        private Dispatcher dispatcher;
+
+        InProcess(
+                String name,
+                Path file,
+                String settings,
+                Function<RouterSettings, RoutingStrategy> strategyFactory) {
+            super(name, file, settings);
+            this.strategyFactory = strategyFactory;
+        }
+
+        @Override
+        void launch() throws IOException {
+            try {
+                dispatcher = Dispatcher.start(SettingsReader.read(file), strategyFactory);
+                setPorts(dispatcher.address().getPort(), dispatcher.controlAddress().getPort());
+            } catch (SettingsException e) {
+                throw new IOException(e.getMessage(), e);
             }
+        }
 
-            @Override
-            void terminate() {
+        @Override
+        void terminate() {
+            dispatcher.close();
+        }
+    }
+
+    private static final class OwnProcess extends DispatcherRunner {
+        private static final String READY_WORD = "listening";
+
+        /** Dispatchers do not outlive the harness, however it ends. */
+        private static final Set<Process> RUNNING = ConcurrentHashMap.newKeySet();
+
+        static {
+            Runtime.getRuntime()
+                    .addShutdownHook(
+                            new Thread(
+                                    () -> RUNNING.forEach(Process::destroyForcibly),
+                                    "end-dispatchers"));
+        }
+
+        private Process process;
+
+        OwnProcess(String name, Path file, String settings) {
+            super(name, file, settings);
+        }
+
+        // The dispatcher prints "listening PORT control PORT" once it listens.
+        @Override
+        void launch() throws IOException {
+            process =
+                    new ProcessBuilder(
+                                    Path.of(System.getProperty("java.home"), "bin", "java")
+                                            .toString(),
+                                    "-Xmx256m",
+                                    "-XX:+UseSerialGC",
+                                    "-XX:TieredStopAtLevel=1",
+                                    "-cp",
+                                    System.getProperty("java.class.path"),
+                                    "brooklock.Main",
+                                    "serve",
+                                    file.toString())
+                            .redirectError(file.resolveSibling(name + ".log").toFile())
+                            .start();
+            RUNNING.add(process);
+            BufferedReader out =
+                    new BufferedReader(
+                            new InputStreamReader(
+                                    process.getInputStream(), StandardCharsets.UTF_8));
+            String line = out.readLine();
+            if (line == null || !line.startsWith(READY_WORD + " ")) {
                 process.destroyForcibly();
-                RUNNING.remove(process);
-                try {
-                    process.waitFor();
-                } catch (InterruptedException e) {
-                    Thread.currentThread().interrupt();
-                }
+                throw new IOException("the dispatcher " + name + " did not start: " + line);
+            }
+            String[] words = line.split(" ");
+            setPorts(Integer.parseInt(words[1]), Integer.parseInt(words[3]));
+        }
+
+        @Override
+        void terminate() {
+            process.destroyForcibly();
+            RUNNING.remove(process);
+            try {
+                process.waitFor();
+            } catch (InterruptedException e) {
+                Thread.currentThread().interrupt();
             }
-        };
+        }
     }
 }
--- /dev/null
+++ b/src/main/java/brooklock/faulttest/DrainCheck.java
@@ -0,0 +1,124 @@
+package brooklock.faulttest;
+
+import brooklock.routing.EndpointState;
+import brooklock.testserver.RecordedRequest;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import java.util.NavigableMap;
+import java.util.TreeMap;
+
+/**
+ * Invariant 3: a dispatcher sends nothing to an endpoint that drains or is gone, nor names it as a
+ * fill source, once it has been notified.
+ *
+ * <p>A list is in force at a dispatcher at the latest when its acknowledgement arrived, at the
+ * earliest when it was sent. So at each moment the version in force lies between the newest that
+ * was acknowledged and the newest that was sent. Only what violates the invariant under every one
+ * of them is a violation.
+ */
+final class DrainCheck {
+    private final TestFleet fleet;
+    private final Map<String, Integer> dispatcherIndexes;
+    private final Findings findings;
+
+    /** For each dispatcher: the newest acknowledged version at each moment since the start. */
+    private final List<TreeMap<Long, Long>> acknowledged = new ArrayList<>();
+
+    /** For each dispatcher: the newest version sent at each moment since the start. */
+    private final List<TreeMap<Long, Long>> sent = new ArrayList<>();
+
+    DrainCheck(TestFleet fleet, Map<String, Integer> dispatcherIndexes) {
+        this.fleet = fleet;
+        this.dispatcherIndexes = dispatcherIndexes;
+        findings = new Findings(fleet.monitor);
+    }
+
+    CheckResult check() {
+        collectVersions();
+        findings.cases =
+                fleet.publisher.stateHistory.values().stream()
+                                .flatMap(history -> history.values().stream())
+                                .filter(state -> state != EndpointState.READY)
+                                .count()
+                        * fleet.dispatchers.size();
+        fleet.traffic.requests().forEach(this::check);
+        return findings.result(3, "drains kept, as request and as source");
+    }
+
+    // Moments count from the start of the test, so that they can be compared: nanoTime may wrap.
+    private void collectVersions() {
+        for (int i = 0; i < fleet.dispatchers.size(); i++) {
+            acknowledged.add(new TreeMap<>());
+            sent.add(new TreeMap<>());
+        }
+        for (ControlPublisher.ListDelivery delivery : fleet.publisher.listDeliveries) {
+            sent.get(delivery.dispatcher)
+                    .merge(delivery.sentNs - fleet.startedNs, delivery.version, Math::max);
+            long acknowledgedNs = delivery.acknowledgedNs;
+            if (acknowledgedNs != 0) {
+                acknowledged
+                        .get(delivery.dispatcher)
+                        .merge(acknowledgedNs - fleet.startedNs, delivery.version, Math::max);
+            }
+        }
+        acknowledged.forEach(DrainCheck::toRunningMax);
+        sent.forEach(DrainCheck::toRunningMax);
+    }
+
+    private static void toRunningMax(TreeMap<Long, Long> versionsByMoment) {
+        long[] max = new long[1];
+        versionsByMoment.replaceAll((moment, version) -> max[0] = Math.max(max[0], version));
+    }
+
+    private void check(RecordedRequest recorded) {
+        Integer dispatcher = dispatcherIndexes.get(recorded.dispatcher);
+        if (dispatcher == null || !recorded.isDirect()) {
+            return;
+        }
+        long graceNs = fleet.scenario.invariants().drainGraceNs() + Findings.SLACK_NS;
+        long atNs = recorded.atNs - fleet.startedNs;
+        Map.Entry<Long, Long> newestAcknowledged =
+                acknowledged.get(dispatcher).floorEntry(atNs - graceNs);
+        if (newestAcknowledged == null) {
+            return;
+        }
+        long newestSent = sent.get(dispatcher).floorEntry(atNs).getValue();
+        check(recorded, recorded.server, dispatcher, newestAcknowledged.getValue(), newestSent);
+        if (recorded.source != null) {
+            check(recorded, recorded.source, dispatcher, newestAcknowledged.getValue(), newestSent);
+        }
+    }
+
+    private void check(
+            RecordedRequest recorded,
+            String endpoint,
+            int dispatcher,
+            long oldestVersion,
+            long newestVersion) {
+        NavigableMap<Long, EndpointState> states = fleet.publisher.stateHistory.get(endpoint);
+        Long stateVersion = states.floorKey(oldestVersion);
+        if (states.subMap(stateVersion, true, newestVersion, true)
+                .containsValue(EndpointState.READY)) {
+            return;
+        }
+        // The list that binds the dispatcher: the first acknowledged one that had this state.
+        long boundNs =
+                acknowledged.get(dispatcher).entrySet().stream()
+                        .filter(entry -> entry.getValue() >= stateVersion)
+                        .findFirst()
+                        .orElseThrow()
+                        .getKey();
+        long atNs = recorded.atNs - fleet.startedNs;
+        long graceNs = fleet.scenario.invariants().drainGraceNs() + Findings.SLACK_NS;
+        findings.report(
+                recorded.atNs,
+                atNs - boundNs - graceNs,
+                recorded
+                        + (endpoint.equals(recorded.server) ? "" : " naming " + endpoint)
+                        + ": "
+                        + (atNs - boundNs) / 1_000_000
+                        + " ms after it was told that it is "
+                        + states.get(stateVersion));
+    }
+}
--- /dev/null
+++ b/src/main/java/brooklock/faulttest/FaultReader.java
@@ -0,0 +1,180 @@
+package brooklock.faulttest;
+
+import brooklock.config.InvalidStatementException;
+import brooklock.config.Statement;
+import brooklock.config.Units;
+import java.util.Locale;
+
+/** Reads the statements {@code at} and {@code from} of a scenario: one fault each. */
+final class FaultReader {
+    private static final long DEFAULT_SPAN_NS = 5_000_000_000L;
+
+    private final Statement statement;
+    private double amount;
+    private Fault.Target target;
+    private long spanNs = DEFAULT_SPAN_NS;
+    private boolean reset;
+
+    private FaultReader(Statement statement) {
+        this.statement = statement;
+    }
+
+    /**
+     * Reads one fault.
+     *
+     * @param momentary whether it is a moment, and not a span of time
+     * @param line the line as it was written, for the report
+     * @throws InvalidStatementException if it is not a fault
+     */
+    static Fault read(Statement statement, boolean momentary, String line, Scenario scenario) {
+        return new FaultReader(statement).read(momentary, line, scenario);
+    }
+
+    private Fault read(boolean momentary, String line, Scenario scenario) {
+        long fromNs = statement.nextDurationNs("a time");
+        long toNs = momentary ? fromNs : readEnd(fromNs);
+        Fault.Kind kind = statement.nextEnum(Fault.Kind.class, "a trouble");
+        readArguments(kind, scenario);
+        readOptions();
+        if (toNs > scenario.durationNs + fromNs) {
+            throw new InvalidStatementException("this lasts longer than the day");
+        }
+        return new Fault(fromNs, toNs, kind, amount, target, spanNs, reset, line);
+    }
+
+    private long readEnd(long fromNs) {
+        String word = statement.nextWord("to or for");
+        long timeNs = statement.nextDurationNs("a time");
+        long toNs = word.equals("for") ? fromNs + timeNs : timeNs;
+        if (!word.equals("for") && !word.equals("to") || toNs <= fromNs) {
+            throw new InvalidStatementException(
+                    "a trouble lasts 'from A to B' with B after A, or 'from A for D'");
+        }
+        return toNs;
+    }
+
+    private void readArguments(Fault.Kind kind, Scenario scenario) {
+        switch (kind) {
+            case KILL, RESTART, SILENCE, DRAIN -> target = nextTarget();
+            case ERRORS, LOSE, CUT, REFUSE -> {
+                amount = nextShare(statement);
+                expectWord("at");
+                target = nextTarget();
+            }
+            case SLOW -> {
+                amount = nextMultiple();
+                expectWord("at");
+                target = nextTarget();
+            }
+            case BURST -> amount = nextMultiple();
+            case SCAN, HEAVY -> amount = nextShare(statement);
+            case PURGE -> {
+                amount = nextShare(statement);
+                expectWord("of");
+                expectWord("groups");
+            }
+            case DEPLOY -> {
+                target = nextTarget();
+                expectWord("batch");
+                amount = nextShare(statement);
+            }
+            case ROTATE -> expectWord("keys");
+            case FLOOD -> {
+                amount = nextMultiple();
+                expectWord("by");
+                expectWord("tenant");
+                target = nextTenant(scenario.tenantCount);
+            }
+            case ROLL -> {
+                expectWord("dispatchers");
+                target = new Fault.Target("dispatcher", "0", 1);
+            }
+            default -> throw new InvalidStatementException("'" + kind + "' is not known here");
+        }
+    }
+
+    private void readOptions() {
+        while (statement.hasMore()) {
+            String word = statement.nextWord("an option");
+            switch (word) {
+                case "for", "within" -> spanNs = statement.nextDurationNs("a time");
+                case "by" -> {
+                    expectWord("reset");
+                    reset = true;
+                }
+                default ->
+                        throw new InvalidStatementException(
+                                "'" + word + "' is not an option of a trouble");
+            }
+        }
+    }
+
+    private Fault.Target nextTarget() {
+        String word = statement.nextWord("whom it strikes");
+        if (word.endsWith("%")) {
+            double share = parseShare(word);
+            expectWord("of");
+            return new Fault.Target(nextEndpointKind(), null, share);
+        }
+        return switch (word) {
+            case "caches", "parents", "origin" -> new Fault.Target(word, null, 1);
+            case "zone" -> new Fault.Target("zone", statement.nextWord("a zone"), 1);
+            case "dispatcher" ->
+                    new Fault.Target(
+                            "dispatcher",
+                            Integer.toString(statement.nextPositiveInt("its number")),
+                            1);
+            default -> new Fault.Target("host", word, 1);
+        };
+    }
+
+    private Fault.Target nextTenant(int tenantCount) {
+        int tenant = statement.nextPositiveInt("its number");
+        if (tenant > tenantCount) {
+            throw new InvalidStatementException(
+                    "there is no tenant " + tenant + " (tenants " + tenantCount + ")");
+        }
+        return new Fault.Target("tenant", Integer.toString(tenant), 1);
+    }
+
+    private String nextEndpointKind() {
+        String word = statement.nextWord("caches or parents");
+        if (!word.equals("caches") && !word.equals("parents")) {
+            throw new InvalidStatementException(
+                    "a share is of caches or of parents, not of '" + word + "'");
+        }
+        return word;
+    }
+
+    private void expectWord(String needed) {
+        String word = statement.nextWord("'" + needed + "'");
+        if (!word.equals(needed)) {
+            throw new InvalidStatementException(
+                    "'" + word + "' stands where '" + needed + "' should");
+        }
+    }
+
+    private double nextMultiple() {
+        String word = statement.nextWord("a multiple, as in 2x");
+        if (!word.toLowerCase(Locale.ROOT).endsWith("x")) {
+            throw new InvalidStatementException("'" + word + "' is not a multiple, as in 2x");
+        }
+        return Units.parseNumber(word.substring(0, word.length() - 1));
+    }
+
+    /** The next word as a share, as in 20%: a fraction of 1. */
+    static double nextShare(Statement statement) {
+        return parseShare(statement.nextWord("a share, as in 20%"));
+    }
+
+    private static double parseShare(String word) {
+        if (!word.endsWith("%")) {
+            throw new InvalidStatementException("'" + word + "' is not a share, as in 20%");
+        }
+        double share = Units.parseNumber(word.substring(0, word.length() - 1)) / 100;
+        if (share > 1) {
+            throw new InvalidStatementException("'" + word + "' is more than all");
+        }
+        return share;
+    }
+}
--- a/src/main/java/brooklock/faulttest/FaultTestRunner.java
+++ b/src/main/java/brooklock/faulttest/FaultTestRunner.java
@@ -8,101 +8,130 @@
 import java.io.InputStream;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Path;
+import java.util.EnumMap;
 import java.util.List;
+import java.util.Locale;
 import java.util.Map;
 import java.util.function.Consumer;
 import java.util.function.Function;
 
-/** Plays a day and judges it. */
+/** Plays a scenario and judges the result. */
 public final class FaultTestRunner {
-    // Time after the last deadline in which what is late still shows.
-    private static final long SETTLE_NS = 1_000_000_000L;
+    private static final long SECOND_NS = 1_000_000_000L;
 
-    /** Whether the rules were kept. */
+    /** Time after the last deadline in which what is late still shows. */
+    private static final long SETTLE_NS = SECOND_NS;
+
+    private static final long PROGRESS_INTERVAL_MS = 100;
+    private static final long START_POLL_MS = 5;
+
+    /** Whether the invariants hold. */
     public enum Verdict {
+        /** Cases of every invariant were seen, and all were right. */
         KEPT,
+        /** An invariant was violated, or no case of it was seen. */
         BROKEN,
+        /** The harness itself failed, or was too late to judge. */
         NOT_JUDGED
     }
 
-    /** A client's wish for one part; when it was due, and whether it was met in time. */
+    /** The router that dispatchers run. */
+    public enum RouterKind {
+        /** The product's own. */
+        MODULE,
+        /** One that chooses at random: a lower bound. */
+        RANDOM,
+        /** One that sees the true state of every server: an upper bound. */
+        INFORMED
+    }
+
+    /**
+     * A part that a client requested.
+     *
+     * @param dueNs when it was due, {@link System#nanoTime}
+     * @param inTime whether it was served within its latency objective
+     */
     public record RecordedClientRequest(String target, long dueNs, boolean inTime) {}
 
-    /** What was written down on a day. Times are {@link System#nanoTime}. */
+    /**
+     * What a test has recorded.
+     *
+     * @param startedNs when the test began, {@link System#nanoTime}
+     * @param traffic what reached the servers
+     * @param requests what clients requested
+     */
     public record Recording(
             long startedNs, TrafficRecorder traffic, List<RecordedClientRequest> requests) {}
 
-    /** What came of a day. */
+    /** What came of a test. */
     public static final class Result {
-        final List<InvariantChecker.CheckResult> checks;
+        private static final int MAX_FAILURES_SHOWN = 5;
+
+        final List<CheckResult> checks;
         final ServiceReport serviceReport;
         private final List<String> harnessFailures;
         private final String attemptSummary;
         private final Recording recording;
 
         Result(
-                List<InvariantChecker.CheckResult> checks,
+                List<CheckResult> checks,
                 ServiceReport serviceReport,
                 List<String> harnessFailures,
                 String attemptSummary,
                 Recording recording) {
-            this.harnessFailures = harnessFailures;
             this.checks = checks;
             this.serviceReport = serviceReport;
+            this.harnessFailures = harnessFailures;
             this.attemptSummary = attemptSummary;
             this.recording = recording;
         }
 
-        /**
-         * Whether every rule was seen and none broken; not judged where the rig was late itself.
-         */
+        /** Whether every invariant was seen and holds. */
         public Verdict verdict() {
-            return !harnessFailures.isEmpty()
-                    ? Verdict.NOT_JUDGED
-                    : checks.stream().allMatch(InvariantChecker.CheckResult::holds)
-                            ? Verdict.KEPT
-                            : checks.stream().allMatch(v -> v.violations().isEmpty())
-                                            && checks.stream()
-                                                    .anyMatch(v -> !v.inconclusive().isEmpty())
-                                    ? Verdict.NOT_JUDGED
-                                    : Verdict.BROKEN;
+            if (!harnessFailures.isEmpty()) {
+                return Verdict.NOT_JUDGED;
+            }
+            if (checks.stream().allMatch(CheckResult::holds)) {
+                return Verdict.KEPT;
+            }
+            boolean violated = checks.stream().anyMatch(check -> !check.violations().isEmpty());
+            boolean inconclusive =
+                    checks.stream().anyMatch(check -> !check.inconclusive().isEmpty());
+            return !violated && inconclusive ? Verdict.NOT_JUDGED : Verdict.BROKEN;
         }
 
-        /** Whether every rule was seen and surely none broken. */
+        /** Whether every invariant was seen and surely holds. */
         public boolean passed() {
             return verdict() == Verdict.KEPT;
         }
 
-        /** Share of all wishes answered in time. */
+        /** Share of all requests that were served in time. */
         public double servedShare() {
             return serviceReport.all.share();
         }
 
-        /** What was written down. */
+        /** What the test has recorded. */
         public Recording recording() {
             return recording;
         }
 
-        /**
-         * This day between one of a router that picks at random, 0, and one of a router that sees
-         * all, 1.
-         */
+        /** The served shares on the scale random router = 0, informed router = 1, as text. */
         public String compareWith(Result random, Result oracle) {
             return serviceReport.compareWith(random.serviceReport, oracle.serviceReport);
         }
 
         /** The report, as it is printed. */
         public String report() {
-            StringBuilder s = new StringBuilder();
+            StringBuilder text = new StringBuilder();
             harnessFailures.stream()
-                    .limit(5)
+                    .limit(MAX_FAILURES_SHOWN)
                     .forEach(
-                            f ->
-                                    s.append("the rig itself failed, nothing can be judged: ")
-                                            .append(f)
+                            failure ->
+                                    text.append("the rig itself failed, nothing can be judged: ")
+                                            .append(failure)
                                             .append('\n'));
-            checks.forEach(v -> s.append(v).append('\n'));
-            return s.append(serviceReport.report())
+            checks.forEach(check -> text.append(check).append('\n'));
+            return text.append(serviceReport.report())
                     .append("tries: ")
                     .append(attemptSummary)
                     .append('\n')
@@ -112,7 +141,11 @@
 
     private FaultTestRunner() {}
 
-    /** The built-in day, as text. */
+    /**
+     * The built-in scenario, as text.
+     *
+     * @throws IOException if the program is not whole
+     */
     public static String builtInScenario() throws IOException {
         try (InputStream in = FaultTestRunner.class.getResourceAsStream("bad-day.script")) {
             return new String(in.readAllBytes(), StandardCharsets.UTF_8);
@@ -120,27 +153,28 @@
     }
 
     /**
-     * Plays a script with each dispatcher in a process of its own.
+     * Plays a scenario with each dispatcher in a process of its own.
      *
+     * @param file name of the scenario in messages
      * @param dir where settings and logs of the dispatchers are written
-     * @throws SettingsException where the script is wrong
-     * @throws IOException where a dispatcher or a stand-in does not start
+     * @param progress receives a line for each fault and each second
+     * @throws SettingsException if the scenario is wrong
+     * @throws IOException if a dispatcher or a server does not start
      */
     public static Result play(String file, String text, Path dir, Consumer<String> progress)
             throws SettingsException, IOException, InterruptedException {
         return play(Scenario.parse(file, text), dir, DispatcherRunner::ownProcess, progress);
     }
 
-    /** Whom a day is played through. */
-    public enum RouterKind {
-        MODULE,
-        RANDOM,
-        INFORMED
-    }
-
     /**
-     * Plays a script with its dispatchers in this process, deciding as the module or as something
-     * to compare it to.
+     * Plays a scenario with all dispatchers in this process, so that different routers are compared
+     * under the same conditions.
+     *
+     * @param file name of the scenario in messages
+     * @param dir where settings of the dispatchers are written
+     * @param progress receives a line for each fault and each second
+     * @throws SettingsException if the scenario is wrong
+     * @throws IOException if a dispatcher or a server does not start
      */
     public static Result compare(
             String file, String text, Path dir, RouterKind router, Consumer<String> progress)
@@ -150,15 +184,16 @@
                 switch (router) {
                     case MODULE -> RoutingStrategy::newRouter;
                     case RANDOM -> RandomRouter::new;
-                    case INFORMED -> set -> new OracleRouter(set, groundTruth);
+                    case INFORMED -> settings -> new OracleRouter(settings, groundTruth);
                 };
         return play(
                 Scenario.parse(file, text),
                 dir,
-                (n, f, s) -> DispatcherRunner.inProcess(n, f, s, strategyFactory),
+                (name, settingsFile, settings) ->
+                        DispatcherRunner.inProcess(name, settingsFile, settings, strategyFactory),
                 groundTruth,
                 progress,
-                s -> {});
+                fleet -> {});
     }
 
     static Result play(
@@ -167,10 +202,10 @@
             TestFleet.RunnerFactory runnerFactory,
             Consumer<String> progress)
             throws IOException, InterruptedException {
-        return play(scenario, dir, runnerFactory, progress, s -> {});
+        return play(scenario, dir, runnerFactory, progress, fleet -> {});
     }
 
-    /** The same; {@code after} may look at the stage when the day is over. */
+    /** The same; {@code afterwards} may look at the fleet when the scenario is over. */
     static Result play(
             Scenario scenario,
             Path dir,
@@ -190,85 +225,97 @@
             Consumer<TestFleet> afterwards)
             throws IOException, InterruptedException {
         try (TestFleet fleet = new TestFleet(scenario, dir, runnerFactory, groundTruth)) {
-            while (fleet.publisher.listDeliveries.stream()
-                            .filter(t -> t.acknowledgedNs != 0)
-                            .count()
-                    < fleet.dispatchers.size()) {
-                Thread.sleep(5);
-            }
+            awaitFirstLists(fleet);
             fleet.population.warmUp();
             long startNs = System.nanoTime();
             fleet.startedNs = startNs;
             fleet.population.start(startNs, startNs + scenario.durationNs);
-            new ScenarioPlayer(
-                            fleet,
-                            line ->
-                                    progress.accept(
-                                            String.format(
-                                                    "%5.1f s  %s",
-                                                    (System.nanoTime() - startNs) / 1e9, line)))
-                    .start();
-            long longestDeadlineNs = scenario.longestDeadlineNs();
-            long endNs =
-                    startNs
-                            + scenario.durationNs
-                            + 2 * longestDeadlineNs
-                            + ClientPopulation.GRACE_NS
-                            + SETTLE_NS;
-            int second = 0;
-            while (System.nanoTime() - endNs < 0
-                    && !(System.nanoTime() - startNs > scenario.durationNs
-                            && fleet.population.attempts.stream()
-                                    .noneMatch(v -> v.end == ClientAttempt.End.OPEN))) {
-                Thread.sleep(100);
-                // A second is told of when its wishes have had their time.
-                int dueSecond =
-                        (int) ((System.nanoTime() - startNs - longestDeadlineNs) / 1_000_000_000L);
-                if (dueSecond > second && second * 1_000_000_000L < scenario.durationNs) {
-                    progress.accept(progressLine(fleet, second++));
-                }
-            }
+            Consumer<String> timedProgress =
+                    line ->
+                            progress.accept(
+                                    String.format(
+                                            "%5.1f s  %s",
+                                            (System.nanoTime() - startNs) / 1e9, line));
+            new ScenarioPlayer(fleet, timedProgress).start();
+            awaitEnd(fleet, progress);
             Thread.sleep(SETTLE_NS / 1_000_000);
             afterwards.accept(fleet);
-            return new Result(
-                    new InvariantChecker(fleet).checkAll(),
-                    new ServiceReport(scenario, startNs, fleet.population.requests, fleet.monitor),
-                    List.copyOf(fleet.monitor.harnessFailures),
-                    attemptSummary(fleet),
-                    new Recording(
-                            startNs,
-                            fleet.traffic,
-                            fleet.population.requests.stream()
-                                    .map(
-                                            w ->
-                                                    new RecordedClientRequest(
-                                                            w.target, w.dueNs, w.isInTime()))
-                                    .toList()));
+            return judge(fleet);
         }
     }
 
+    private static void awaitFirstLists(TestFleet fleet) throws InterruptedException {
+        while (fleet.publisher.listDeliveries.stream()
+                        .filter(delivery -> delivery.acknowledgedNs != 0)
+                        .count()
+                < fleet.dispatchers.size()) {
+            Thread.sleep(START_POLL_MS);
+        }
+    }
+
+    // Until the time is over and every attempt has ended, or the last deadline has surely passed.
+    private static void awaitEnd(TestFleet fleet, Consumer<String> progress)
+            throws InterruptedException {
+        Scenario scenario = fleet.scenario;
+        long startNs = fleet.startedNs;
+        long longestDeadlineNs = scenario.longestDeadlineNs();
+        long latestEndNs =
+                startNs
+                        + scenario.durationNs
+                        + 2 * longestDeadlineNs
+                        + ClientPopulation.GRACE_NS
+                        + SETTLE_NS;
+        int second = 0;
+        while (System.nanoTime() - latestEndNs < 0
+                && !(System.nanoTime() - startNs > scenario.durationNs
+                        && openAttempts(fleet) == 0)) {
+            Thread.sleep(PROGRESS_INTERVAL_MS);
+            // A second is reported once its requests have had their time.
+            int dueSecond = (int) ((System.nanoTime() - startNs - longestDeadlineNs) / SECOND_NS);
+            if (dueSecond > second && second * SECOND_NS < scenario.durationNs) {
+                progress.accept(progressLine(fleet, second++));
+            }
+        }
+    }
+
+    private static long openAttempts(TestFleet fleet) {
+        return fleet.population.attempts.stream()
+                .filter(attempt -> attempt.end == ClientAttempt.End.OPEN)
+                .count();
+    }
+
     private static String progressLine(TestFleet fleet, int second) {
         ServiceReport.Tally tally = new ServiceReport.Tally();
-        long fromNs = fleet.startedNs + second * 1_000_000_000L;
+        long fromNs = fleet.startedNs + second * SECOND_NS;
         fleet.population.requests.stream()
-                .filter(w -> w.dueNs - fromNs >= 0 && w.dueNs - fromNs < 1_000_000_000L)
+                .filter(request -> request.dueNs - fromNs >= 0)
+                .filter(request -> request.dueNs - fromNs < SECOND_NS)
                 .forEach(tally::add);
         return String.format(
                 "%5d s  %4d due, %3.0f%% in time, %d tries open now",
-                second,
-                tally.requested,
-                100 * tally.share(),
-                fleet.population.attempts.stream()
-                        .filter(v -> v.end == ClientAttempt.End.OPEN)
-                        .count());
+                second, tally.requested, 100 * tally.share(), openAttempts(fleet));
+    }
+
+    private static Result judge(TestFleet fleet) {
+        List<RecordedClientRequest> requests =
+                fleet.population.requests.stream()
+                        .map(
+                                request ->
+                                        new RecordedClientRequest(
+                                                request.target, request.dueNs, request.isInTime()))
+                        .toList();
+        return new Result(
+                new InvariantChecker(fleet).checkAll(),
+                new ServiceReport(
+                        fleet.scenario, fleet.startedNs, fleet.population.requests, fleet.monitor),
+                List.copyOf(fleet.monitor.harnessFailures),
+                attemptSummary(fleet),
+                new Recording(fleet.startedNs, fleet.traffic, requests));
     }
 
     private static String attemptSummary(TestFleet fleet) {
-        Map<ClientAttempt.End, Long> n = new java.util.EnumMap<>(ClientAttempt.End.class);
-        fleet.population.attempts.forEach(v -> n.merge(v.end, 1L, Long::sum));
-        return n.toString()
-                .toLowerCase(java.util.Locale.ROOT)
-                .replaceAll("[{}]", "")
-                .replace('_', ' ');
+        Map<ClientAttempt.End, Long> counts = new EnumMap<>(ClientAttempt.End.class);
+        fleet.population.attempts.forEach(attempt -> counts.merge(attempt.end, 1L, Long::sum));
+        return counts.toString().toLowerCase(Locale.ROOT).replaceAll("[{}]", "").replace('_', ' ');
     }
 }
--- a/src/main/java/brooklock/faulttest/HarnessMonitor.java
+++ b/src/main/java/brooklock/faulttest/HarnessMonitor.java
@@ -11,6 +11,7 @@
 import java.net.InetSocketAddress;
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
+import java.time.Instant;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.List;
@@ -21,44 +22,48 @@
 import java.util.concurrent.locks.LockSupport;
 
 /**
- * How late the rig itself was: each of its threads beats, and so does one that does nothing else,
- * which sees whether the machine has time at all. What falls into such a stretch is not booked to a
- * dispatcher.
+ * Records how late the harness itself was: each of its threads has a heartbeat, and so has one that
+ * does nothing else, which shows whether the machine has time at all. What falls into such a delay
+ * is not taken for a fault of a dispatcher. May be used from any thread.
  */
 final class HarnessMonitor implements Closeable {
-    /** A beat that comes later than this is a late stretch; below it the audit's slack is ample. */
+    /** A heartbeat that comes later than this is recorded; the checks' slack covers the rest. */
     static final long MAX_LATE_NS = 20_000_000L;
 
-    /** Steps of the wall clock over this are told: starts and purges are told in wall time. */
-    static final long MAX_CLOCK_STEP_NS = 20_000_000L;
+    /** A step of the wall clock over this is recorded: starts and purges are sent in wall time. */
+    private static final long MAX_CLOCK_STEP_NS = 20_000_000L;
 
     private static final long HEARTBEAT_NS = 10_000_000L;
     private static final int MAX_DELAYS = 100_000;
     private static final long PROBE_INTERVAL_NS = 50_000_000L;
     private static final int PROBE_TIMEOUT_MS = 5_000;
+    private static final byte[] PROBE =
+            "GET / HTTP/1.0\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
 
-    /** What failed in the rig itself: then nothing of the day can be judged. */
+    /** A part of the harness that ran at {@code toNs} should have run at {@code fromNs}. */
+    private record Delay(String source, long fromNs, long toNs) {}
+
+    /** Failures of the harness itself: nothing of the test can be judged then. */
     final Collection<String> harnessFailures = new ConcurrentLinkedQueue<>();
 
-    /** Runs work of the rig; a failure is written down. */
-    void runGuarded(Runnable work) {
+    private final Collection<Delay> delays = new ConcurrentLinkedQueue<>();
+
+    /** Probes without a response, by source, and when each was sent. */
+    private final Map<String, Long> openProbes = new ConcurrentHashMap<>();
+
+    private volatile boolean closed;
+    private int delayCount;
+
+    /** Runs a task of the harness; a failure is recorded and thrown on. */
+    void runGuarded(Runnable task) {
         try {
-            work.run();
+            task.run();
         } catch (RuntimeException | Error e) {
             harnessFailures.add(e.toString());
             throw e;
         }
     }
 
-    /** Someone was late from a moment at which it should have run to that at which it did. */
-    record Delay(String source, long fromNs, long toNs) {}
-
-    final Collection<Delay> delays = new ConcurrentLinkedQueue<>();
-    // Probes that have no answer yet, and since when.
-    private final Map<String, Long> openProbes = new ConcurrentHashMap<>();
-    private volatile boolean closed;
-    private int delayCount;
-
     /** Watches an I/O thread. */
     void watch(String source, IoLoop loop) {
         loop.execute(() -> heartbeat(source, loop, System.nanoTime()));
@@ -67,84 +72,80 @@
     private void heartbeat(String source, IoLoop loop, long dueNs) {
         recordIfLate(source, dueNs);
         if (!closed) {
-            long next = System.nanoTime() + HEARTBEAT_NS;
-            loop.schedule(HEARTBEAT_NS, () -> heartbeat(source, loop, next));
+            long nextNs = System.nanoTime() + HEARTBEAT_NS;
+            loop.schedule(HEARTBEAT_NS, () -> heartbeat(source, loop, nextNs));
         }
     }
 
     /**
-     * Watches how long a thread's sockets wait, from outside: a connection and an answer, over and
-     * over. What waits in the system before it is accepted or read shows here and in no beat.
+     * Watches how long the sockets of a thread wait, from outside: a connection and a response,
+     * over and over. What waits in the system before it is accepted or read shows in no heartbeat.
+     *
+     * @throws IOException where no port is free
      */
-    void watchSockets(String source, IoThreads net) throws IOException {
+    void watchSockets(String source, IoThreads ioThreads) throws IOException {
         HttpListener listener =
                 HttpListener.open(
-                        net,
+                        ioThreads,
                         new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
                         ServerLimits.STANDARD,
-                        x -> x.send(200, new Fields(), new byte[0]));
-        Thread thread =
-                new Thread(
-                        () -> {
-                            while (!closed) {
-                                long from = System.nanoTime();
-                                openProbes.put(source, from);
-                                try (Socket s = new Socket()) {
-                                    s.connect(listener.address(), PROBE_TIMEOUT_MS);
-                                    s.setSoTimeout(PROBE_TIMEOUT_MS);
-                                    s.getOutputStream()
-                                            .write(
-                                                    "GET / HTTP/1.0\r\n\r\n"
-                                                            .getBytes(StandardCharsets.US_ASCII));
-                                    s.getInputStream().read();
-                                    recordIfLate(source, from);
-                                } catch (IOException e) {
-                                    add(new Delay(source, from, System.nanoTime()));
-                                }
-                                openProbes.remove(source);
-                                LockSupport.parkNanos(PROBE_INTERVAL_NS);
-                            }
-                        },
-                        "probe-" + source);
-        thread.setDaemon(true);
-        thread.start();
+                        exchange -> exchange.send(200, new Fields(), new byte[0]));
+        startThread("probe-" + source, () -> probe(source, listener.address()));
+    }
+
+    private void probe(String source, InetSocketAddress address) {
+        while (!closed) {
+            long fromNs = System.nanoTime();
+            openProbes.put(source, fromNs);
+            try (Socket socket = new Socket()) {
+                socket.connect(address, PROBE_TIMEOUT_MS);
+                socket.setSoTimeout(PROBE_TIMEOUT_MS);
+                socket.getOutputStream().write(PROBE);
+                socket.getInputStream().read();
+                recordIfLate(source, fromNs);
+            } catch (IOException e) {
+                add(new Delay(source, fromNs, System.nanoTime()));
+            }
+            openProbes.remove(source);
+            LockSupport.parkNanos(PROBE_INTERVAL_NS);
+        }
     }
 
     /** Watches the machine and the wall clock, from a thread of its own. */
     void watchMachine() {
-        Thread thread =
-                new Thread(
-                        () -> {
-                            long offset = wallClockNs() - System.nanoTime();
-                            while (!closed) {
-                                long due = System.nanoTime() + HEARTBEAT_NS;
-                                LockSupport.parkNanos(HEARTBEAT_NS);
-                                recordIfLate("machine", due);
-                                long now = wallClockNs() - System.nanoTime();
-                                if (Math.abs(now - offset) > MAX_CLOCK_STEP_NS) {
-                                    add(
-                                            new Delay(
-                                                    "clock",
-                                                    System.nanoTime() - Math.abs(now - offset),
-                                                    System.nanoTime()));
-                                    offset = now;
-                                }
-                            }
-                        },
-                        "lateness");
+        startThread("lateness", this::machineHeartbeat);
+    }
+
+    private void machineHeartbeat() {
+        long clockOffsetNs = wallClockNs() - System.nanoTime();
+        while (!closed) {
+            long dueNs = System.nanoTime() + HEARTBEAT_NS;
+            LockSupport.parkNanos(HEARTBEAT_NS);
+            recordIfLate("machine", dueNs);
+            long offsetNs = wallClockNs() - System.nanoTime();
+            long stepNs = Math.abs(offsetNs - clockOffsetNs);
+            if (stepNs > MAX_CLOCK_STEP_NS) {
+                add(new Delay("clock", System.nanoTime() - stepNs, System.nanoTime()));
+                clockOffsetNs = offsetNs;
+            }
+        }
+    }
+
+    private static void startThread(String name, Runnable task) {
+        Thread thread = new Thread(task, name);
         thread.setDaemon(true);
         thread.start();
     }
 
     private static long wallClockNs() {
-        java.time.Instant i = java.time.Instant.now();
-        return i.getEpochSecond() * 1_000_000_000L + i.getNano();
+        Instant now = Instant.now();
+        return now.getEpochSecond() * 1_000_000_000L + now.getNano();
     }
 
     private void recordIfLate(String source, long dueNs) {
-        long now = System.nanoTime();
-        if (now - dueNs > MAX_LATE_NS) {
-            add(new Delay(source, dueNs, now));
+        long nowNs = System.nanoTime();
+        if (nowNs - dueNs > MAX_LATE_NS) {
+            add(new Delay(source, dueNs, nowNs));
         }
     }
 
@@ -154,25 +155,25 @@
         }
     }
 
-    /** How long the rig was late within a span: the most of any of its threads, ns. */
+    /** How long the harness was late within a time span: the most of any of its parts, ns. */
     long maxDelayNs(long fromNs, long toNs) {
-        Map<String, Long> bySource = new TreeMap<>();
-        List<Delay> allDelays = new ArrayList<>(delays);
-        long now = System.nanoTime();
+        List<Delay> all = new ArrayList<>(delays);
+        long nowNs = System.nanoTime();
         openProbes.forEach(
-                (who, since) -> {
-                    if (now - since > MAX_LATE_NS) {
-                        allDelays.add(new Delay(who, since, now));
+                (source, sentNs) -> {
+                    if (nowNs - sentNs > MAX_LATE_NS) {
+                        all.add(new Delay(source, sentNs, nowNs));
                     }
                 });
-        for (Delay delay : allDelays) {
-            long from = delay.fromNs - fromNs > 0 ? delay.fromNs : fromNs;
-            long to = delay.toNs - toNs < 0 ? delay.toNs : toNs;
-            if (to - from > 0) {
-                bySource.merge(delay.source, to - from, Long::sum);
+        Map<String, Long> delayNsBySource = new TreeMap<>();
+        for (Delay delay : all) {
+            long overlapFromNs = delay.fromNs - fromNs > 0 ? delay.fromNs : fromNs;
+            long overlapToNs = delay.toNs - toNs < 0 ? delay.toNs : toNs;
+            if (overlapToNs - overlapFromNs > 0) {
+                delayNsBySource.merge(delay.source, overlapToNs - overlapFromNs, Long::sum);
             }
         }
-        return bySource.values().stream().mapToLong(n -> n).max().orElse(0);
+        return delayNsBySource.values().stream().mapToLong(ns -> ns).max().orElse(0);
     }
 
     @Override
--- /dev/null
+++ b/src/main/java/brooklock/faulttest/OracleRequest.java
@@ -0,0 +1,32 @@
+package brooklock.faulttest;
+
+import brooklock.routing.RouterEvent.RequestReceived;
+import java.util.HashSet;
+import java.util.Set;
+
+/** A request while {@link OracleRouter} handles it. Times on the router's clock. */
+final class OracleRequest {
+    final RequestReceived request;
+    final long acceptedNs;
+
+    /** Whether the object was requested before, lately: then it is worth a fill and a copy. */
+    final boolean repeated;
+
+    final Set<Long> failedEndpoints = new HashSet<>();
+    int attemptsSent;
+    long firstSentNs;
+
+    /** Whether the last attempt is in flight. */
+    boolean inFlight;
+
+    /** When the attempt in flight counts as lost. */
+    long lostAtNs;
+
+    boolean possiblyExecuted;
+
+    OracleRequest(RequestReceived request, long acceptedNs, boolean repeated) {
+        this.request = request;
+        this.acceptedNs = acceptedNs;
+        this.repeated = repeated;
+    }
+}
--- /dev/null
+++ b/src/main/java/brooklock/faulttest/OracleSelector.java
@@ -0,0 +1,231 @@
+package brooklock.faulttest;
+
+import brooklock.routing.Endpoint;
+import brooklock.routing.EndpointState;
+import brooklock.routing.RouterAction.StartAttempt;
+import brooklock.routing.RouterEvent.PurgeReceived;
+import brooklock.routing.RouterEvent.RequestReceived;
+import brooklock.routing.RouterSettings;
+import brooklock.routing.RouterSettings.RequestClass;
+import brooklock.testserver.TestServer;
+import java.util.HashMap;
+import java.util.Map;
+
+/**
+ * Chooses, for {@link OracleRouter}, the endpoint and the fill source with the lowest expected
+ * latency, from the true state of the test servers.
+ */
+final class OracleSelector {
+    /** Time of a transfer at full rate, of a response whose size is not known. */
+    static final double NOMINAL_TRANSFER_NS = 100e6;
+
+    /** What a failed attempt costs in time. */
+    private static final double FAILURE_COST_NS = 500e6;
+
+    /** Spread of the costs of equal endpoints, so that each part has an endpoint of its own. */
+    private static final double TIE_BREAK_NS = 20e6;
+
+    /** The cost of what must not or cannot be used, and a bound between it and real costs. */
+    private static final double UNUSABLE_NS = 1e18;
+
+    private static final double MAX_USABLE_NS = 1e17;
+
+    /** Share of what an endpoint can bear up to which it is used while it warms up. */
+    private static final double MAX_WARM_UP_LOAD = 0.75;
+
+    /**
+     * Share of an endpoint's limits up to which it is used: for objects requested for the first
+     * time, for repeated ones, and for requests that must pass through.
+     */
+    private static final double MAX_USE_FIRST_REQUEST = 0.85;
+
+    private static final double MAX_USE_REPEATED = 0.93;
+    private static final double MAX_USE_PASS_THROUGH = 0.99;
+
+    private static final int PRIORITY_FIRST_REQUEST = 1;
+    private static final int PRIORITY_REPEATED = 2;
+
+    /** Time past the purge window for which a purge is remembered. */
+    private static final long PURGE_MEMORY_NS = 1_000_000_000L;
+
+    private record Choice(Endpoint endpoint, Endpoint source, double costNs) {}
+
+    private final RouterSettings settings;
+    private final GroundTruth groundTruth;
+    private final Map<Long, Endpoint> endpoints;
+    private final long clockMarginNs;
+
+    /** When each object, or each group under a negative key, was purged last. */
+    private final Map<Long, Long> purges = new HashMap<>();
+
+    /** Creates a selector among {@code endpoints}, which its owner changes. */
+    OracleSelector(
+            RouterSettings settings,
+            GroundTruth groundTruth,
+            Map<Long, Endpoint> endpoints,
+            long clockMarginNs) {
+        this.settings = settings;
+        this.groundTruth = groundTruth;
+        this.endpoints = endpoints;
+        this.clockMarginNs = clockMarginNs;
+    }
+
+    void onPurge(long now, PurgeReceived purge) {
+        long key = purge.object() != 0 ? purge.object() : groupKey(purge.group());
+        purges.merge(key, now - purge.ageNs(), Math::max);
+    }
+
+    private static long groupKey(int group) {
+        return -1L - group;
+    }
+
+    /** The attempt with the lowest expected latency, or null where no endpoint can be used. */
+    StartAttempt cheapest(
+            long now, OracleRequest open, RequestClass requestClass, long remainingNs) {
+        long maxAgeNs = maxAgeNs(now, open.request, requestClass);
+        boolean passThrough = requestClass.passThrough();
+        Choice best = new Choice(null, null, Double.MAX_VALUE);
+        for (Endpoint endpoint : endpoints.values()) {
+            boolean origin = endpoint.kind() == settings.originKind();
+            boolean localCache =
+                    !origin
+                            && endpoint.kind() != settings.parentKind()
+                            && endpoint.zone() == settings.zone();
+            if (passThrough ? !origin : !localCache) {
+                continue;
+            }
+            double costNs = costNs(endpoint, open, passThrough);
+            Choice choice =
+                    passThrough || hasCopy(endpoint, open.request, maxAgeNs)
+                            ? new Choice(endpoint, endpoint, costNs)
+                            : cheapestFill(endpoint, costNs, open, maxAgeNs);
+            if (choice.costNs < best.costNs) {
+                best = choice;
+            }
+        }
+        if (best.endpoint == null || best.costNs >= MAX_USABLE_NS) {
+            return null;
+        }
+        int priority = open.repeated ? PRIORITY_REPEATED : PRIORITY_FIRST_REQUEST;
+        return new StartAttempt(
+                open.request.id(),
+                best.endpoint.id(),
+                remainingNs,
+                best.source.id(),
+                passThrough ? 0 : priority,
+                maxAgeNs,
+                !passThrough,
+                false,
+                remainingNs);
+    }
+
+    private Choice cheapestFill(
+            Endpoint endpoint, double endpointCostNs, OracleRequest open, long maxAgeNs) {
+        boolean joinsFill = isFilling(endpoint, open.request);
+        Choice best = new Choice(endpoint, null, Double.MAX_VALUE);
+        for (Endpoint source : endpoints.values()) {
+            boolean parent = source.kind() == settings.parentKind();
+            if (!parent && source.kind() != settings.originKind()) {
+                continue;
+            }
+            // A request that joins a fill asks nothing more of its source.
+            double sourceCostNs =
+                    joinsFill && parent && source.state() == EndpointState.READY
+                            ? NOMINAL_TRANSFER_NS
+                            : costNs(source, open, false);
+            double totalNs =
+                    endpointCostNs
+                            + sourceCostNs
+                            + behindSourceCostNs(source, open, parent, joinsFill, maxAgeNs);
+            if (totalNs < best.costNs) {
+                best = new Choice(endpoint, source, totalNs);
+            }
+        }
+        return best;
+    }
+
+    // A copy at a parent serves all locations, so that the origin is a source only where no parent
+    // can be one.
+    private double behindSourceCostNs(
+            Endpoint source, OracleRequest open, boolean parent, boolean joinsFill, long maxAgeNs) {
+        if (!parent) {
+            return FAILURE_COST_NS;
+        }
+        boolean available =
+                joinsFill
+                        || hasCopy(source, open.request, maxAgeNs)
+                        || isFilling(source, open.request);
+        return available ? 0 : originCostNs(open);
+    }
+
+    private double originCostNs(OracleRequest open) {
+        return endpoints.values().stream()
+                .filter(endpoint -> endpoint.kind() == settings.originKind())
+                .mapToDouble(endpoint -> costNs(endpoint, open, false))
+                .min()
+                .orElse(UNUSABLE_NS);
+    }
+
+    // Expected time until a response has come from an endpoint.
+    private double costNs(Endpoint endpoint, OracleRequest open, boolean passThrough) {
+        TestServer server = server(endpoint);
+        double maxUse =
+                passThrough
+                        ? MAX_USE_PASS_THROUGH
+                        : open.repeated ? MAX_USE_REPEATED : MAX_USE_FIRST_REQUEST;
+        if (endpoint.state() != EndpointState.READY
+                || !server.isUp()
+                || server.usedShare() > maxUse
+                || server.warmUpLoad() > MAX_WARM_UP_LOAD) {
+            return UNUSABLE_NS;
+        }
+        double failureShare =
+                Math.min(
+                        0.99,
+                        server.faults.lostShare
+                                + server.faults.errorShare
+                                + server.faults.rejectShare
+                                + server.faults.truncatedShare);
+        return NOMINAL_TRANSFER_NS / Math.max(1e-3, server.nextTransferPace())
+                + failureShare / (1 - failureShare) * FAILURE_COST_NS
+                + (open.failedEndpoints.contains(endpoint.id()) ? FAILURE_COST_NS : 0)
+                + TIE_BREAK_NS * hash(open.request, endpoint.id());
+    }
+
+    private static double hash(RequestReceived request, long endpoint) {
+        long x =
+                (request.object() * 31 + request.part()) * 0x9e3779b97f4a7c15L
+                        ^ endpoint * 0xbf58476d1ce4e5b9L;
+        x = (x ^ (x >>> 31)) * 0x94d049bb133111ebL;
+        return (x >>> 11) * 0x1p-53;
+    }
+
+    private TestServer server(Endpoint endpoint) {
+        return groundTruth.servers.get(endpoint.id());
+    }
+
+    private boolean isFilling(Endpoint endpoint, RequestReceived request) {
+        return server(endpoint).isFilling(request.object(), request.part());
+    }
+
+    private boolean hasCopy(Endpoint endpoint, RequestReceived request, long maxAgeNs) {
+        long ageNs = server(endpoint).copyAgeNs(request.object(), request.part());
+        return ageNs >= 0 && (maxAgeNs == 0 || ageNs < maxAgeNs);
+    }
+
+    // The oldest copy that may be served; 0 for any.
+    private long maxAgeNs(long now, RequestReceived request, RequestClass requestClass) {
+        long memoryNs = settings.safetyLimits().purgeWindowNs() + PURGE_MEMORY_NS;
+        purges.values().removeIf(purgedNs -> now - purgedNs > memoryNs);
+        long purgedNs =
+                Math.max(
+                        purges.getOrDefault(request.object(), Long.MIN_VALUE),
+                        purges.getOrDefault(groupKey(request.group()), Long.MIN_VALUE));
+        long freshNs = requestClass.freshnessLifetimeNs();
+        if (purgedNs == Long.MIN_VALUE) {
+            return Math.max(0, freshNs);
+        }
+        long sincePurgeNs = Math.max(1, now - purgedNs - clockMarginNs);
+        return freshNs > 0 ? Math.min(freshNs, sincePurgeNs) : sincePurgeNs;
+    }
+}
--- a/src/main/java/brooklock/faulttest/RandomRouter.java
+++ b/src/main/java/brooklock/faulttest/RandomRouter.java
@@ -26,10 +26,14 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /**
- * A baseline to compare with: any ready cache, any ready parent, every copy kept, one try. Heeds
- * lists only.
+ * A lower bound to compare with: any ready cache, any ready parent, every copy cached, one attempt.
+ * It heeds endpoint lists only.
  */
 final class RandomRouter implements RoutingStrategy {
+    private static final int CACHE_KIND = 0;
+    private static final int ANY_ZONE = -1;
+    private static final int CACHE_PRIORITY = 2;
+
     private final RouterSettings settings;
     private final UniformRandomProvider random = RandomSource.XO_RO_SHI_RO_128_PP.create(1);
     private final Map<Long, Endpoint> endpoints = new TreeMap<>();
@@ -46,70 +50,68 @@
 
     @Override
     public void onEvent(long now, RouterEvent event, List<RouterAction> out) {
-        if (event instanceof EndpointListReceived l) {
-            l.endpoints().forEach(e -> endpoints.put(e.id(), e));
+        if (event instanceof EndpointListReceived list) {
+            list.endpoints().forEach(endpoint -> endpoints.put(endpoint.id(), endpoint));
         } else if (event instanceof RequestReceived request) {
             openRequests.put(request.id(), request);
             out.add(new SetTimer(request.id(), request.deadlineNs() - 2 * settings.timerTickNs()));
             send(now, request, out);
-        } else if (event instanceof ResponseStarted streaming) {
-            openRequests.remove(streaming.id());
-        } else if (event instanceof ClientDisconnected l) {
-            openRequests.remove(l.id());
+        } else if (event instanceof ResponseStarted started) {
+            openRequests.remove(started.id());
+        } else if (event instanceof ClientDisconnected disconnected) {
+            openRequests.remove(disconnected.id());
         } else if (event instanceof TimerFired timer) {
             giveUp(timer.token(), out);
-        } else if (event instanceof AttemptCompleted done) {
-            if (done.outcome() == AttemptOutcome.OK) {
-                openRequests.remove(done.id());
+        } else if (event instanceof AttemptCompleted completed) {
+            if (completed.outcome() == AttemptOutcome.OK) {
+                openRequests.remove(completed.id());
             } else {
-                giveUp(done.id(), out);
+                giveUp(completed.id(), out);
             }
         }
     }
 
     private void send(long now, RequestReceived request, List<RouterAction> out) {
         boolean passThrough = settings.classes().get(request.classIndex()).passThrough();
-        Endpoint origin = randomReady(settings.originKind(), -1);
-        Endpoint endpoint = passThrough ? origin : randomReady(0, settings.zone());
-        Endpoint parent = randomReady(settings.parentKind(), -1);
+        Endpoint origin = randomReady(settings.originKind(), ANY_ZONE);
+        Endpoint endpoint = passThrough ? origin : randomReady(CACHE_KIND, settings.zone());
+        Endpoint parent = randomReady(settings.parentKind(), ANY_ZONE);
         if (endpoint == null || origin == null) {
             giveUp(request.id(), out);
             return;
         }
-        long source = passThrough ? origin.id() : (parent == null ? origin : parent).id();
+        Endpoint source = passThrough || parent == null ? origin : parent;
+        long remainingNs = request.deadlineNs() - now;
         out.add(
                 new StartAttempt(
                         request.id(),
                         endpoint.id(),
-                        request.deadlineNs() - now,
-                        source,
-                        passThrough ? 0 : 2,
+                        remainingNs,
+                        source.id(),
+                        passThrough ? 0 : CACHE_PRIORITY,
                         0,
                         true,
                         false,
-                        request.deadlineNs() - now));
+                        remainingNs));
     }
 
     private Endpoint randomReady(int kind, int zone) {
-        List<Endpoint> all =
+        List<Endpoint> ready =
                 endpoints.values().stream()
-                        .filter(
-                                h ->
-                                        h.kind() == kind
-                                                && h.state() == EndpointState.READY
-                                                && (zone < 0 || h.zone() == zone))
+                        .filter(endpoint -> endpoint.kind() == kind)
+                        .filter(endpoint -> endpoint.state() == EndpointState.READY)
+                        .filter(endpoint -> zone == ANY_ZONE || endpoint.zone() == zone)
                         .toList();
-        return all.isEmpty() ? null : all.get(random.nextInt(all.size()));
+        return ready.isEmpty() ? null : ready.get(random.nextInt(ready.size()));
     }
 
     private void giveUp(long id, List<RouterAction> out) {
         RequestReceived request = openRequests.remove(id);
         if (request != null) {
-            out.add(
+            boolean idempotent =
                     settings.classes().get(request.classIndex()).idempotency()
-                                    == Idempotency.IDEMPOTENT
-                            ? new RejectRequest(id, 0)
-                            : new FailRequest(id));
+                            == Idempotency.IDEMPOTENT;
+            out.add(idempotent ? new RejectRequest(id, 0) : new FailRequest(id));
         }
     }
 }
--- a/src/main/java/brooklock/faulttest/ScenarioPlayer.java
+++ b/src/main/java/brooklock/faulttest/ScenarioPlayer.java
@@ -5,28 +5,38 @@
 import brooklock.testserver.TestServer;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Set;
 import java.util.function.Consumer;
 
-/**
- * Lets a script's troubles happen on a stage, each at its time. Works on the stage's I/O thread.
- */
+/** Plays the faults of a scenario on a fleet, each at its time. Works on the fleet's I/O thread. */
 final class ScenarioPlayer {
+    /** Targets that are no server. */
+    private static final Set<String> OTHER_TARGETS = Set.of("dispatcher", "tenant");
+
+    private static final long RESTART_DOWNTIME_NS = 200_000_000L;
+    private static final long DEPLOY_DOWNTIME_NS = 300_000_000L;
+
+    /**
+     * The registry learns of a silent machine by so many of its usual delays: a machine that is
+     * silent is found missing later than one whose process died.
+     */
+    private static final int SILENCE_DELAY_MULTIPLE = 4;
+
     private final TestFleet fleet;
     private final Consumer<String> progress;
 
+    /** Creates a player; {@code progress} receives the line of each fault as it begins. */
     ScenarioPlayer(TestFleet fleet, Consumer<String> progress) {
         this.fleet = fleet;
         this.progress = progress;
     }
 
+    /** Schedules every fault; its targets are drawn now. */
     void start() {
         for (Fault fault : fleet.scenario.faults) {
-            List<TestServer> targets =
-                    fault.target() == null
-                                    || List.of("dispatcher", "tenant")
-                                            .contains(fault.target().kind())
-                            ? List.of()
-                            : fleet.targetsOf(fault.target());
+            boolean strikesServers =
+                    fault.target() != null && !OTHER_TARGETS.contains(fault.target().kind());
+            List<TestServer> targets = strikesServers ? fleet.targetsOf(fault.target()) : List.of();
             fleet.schedule(
                     fault.fromNs(),
                     () -> {
@@ -39,133 +49,148 @@
         }
     }
 
+    // ---- Faults begin
+
     private void inject(Fault fault, List<TestServer> targets) {
         switch (fault.kind()) {
-            case KILL -> {
-                if (targets.isEmpty()) {
-                    fleet.killDispatcher(
-                            Integer.parseInt(fault.target().name()) - 1, fault.spanNs());
-                }
-                targets.forEach(h -> fleet.kill(h, fault.spanNs()));
-            }
-            case RESTART ->
-                    targets.forEach(
-                            h ->
-                                    fleet.schedule(
-                                            (long) (fleet.random.nextDouble() * fault.spanNs()),
-                                            () -> fleet.kill(h, 200_000_000L)));
-            case SILENCE ->
-                    targets.forEach(
-                            h -> {
-                                h.faults.silent = true;
-                                // A machine that went silent is found missing later than one whose
-                                // process died.
-                                fleet.schedule(
-                                        4 * fleet.scenario.listDelayNs,
-                                        () -> {
-                                            if (h.faults.silent) {
-                                                fleet.publishLater(h.name(), EndpointState.GONE);
-                                            }
-                                        });
-                            });
-            case ERRORS -> forEachFault(targets, f -> f.errorShare = fault.amount());
-            case LOSE ->
-                    forEachFault(
-                            targets,
-                            f -> {
-                                f.lostByReset = fault.reset();
-                                f.lostShare = fault.amount();
-                            });
-            case CUT -> forEachFault(targets, f -> f.truncatedShare = fault.amount());
-            case SLOW -> forEachFault(targets, f -> f.slowdown = fault.amount());
-            case REFUSE -> forEachFault(targets, f -> f.rejectShare = fault.amount());
+            case KILL -> kill(fault, targets);
+            case RESTART -> targets.forEach(server -> restartWithin(server, fault.spanNs()));
+            case SILENCE -> targets.forEach(this::silence);
+            case DRAIN -> targets.forEach(server -> drain(server, fault.spanNs()));
+            case DEPLOY -> deploy(fault, targets);
+            case PURGE -> purge(fault.amount());
+            case ROTATE -> fleet.issuer.rotateKeys(fleet);
+            case ROLL -> roll(fault);
             case BURST -> fleet.population.rateMultiple = fault.amount();
             case SCAN -> fleet.population.scanShare = fault.amount();
             case HEAVY -> fleet.population.heavyShare = fault.amount();
-            case PURGE -> {
-                for (int g = 0; g < fleet.scenario.groupCount; g++) {
-                    if (fleet.random.nextDouble() < fault.amount()) {
-                        fleet.purge("g" + g);
-                    }
-                }
-            }
-            case DRAIN ->
-                    targets.forEach(
-                            h -> {
-                                fleet.publisher.publishState(
-                                        fleet.member(h.name(), EndpointState.DRAINING));
-                                fleet.schedule(
-                                        fault.spanNs(),
-                                        () ->
-                                                fleet.publisher.publishState(
-                                                        fleet.member(
-                                                                h.name(), EndpointState.READY)));
-                            });
-            case DEPLOY -> deploy(targets, fault);
             case FLOOD ->
                     fleet.population.tenantFlood =
                             new ClientPopulation.TenantFlood(
-                                    Integer.parseInt(fault.target().name()) - 1, fault.amount());
-            case ROTATE -> fleet.issuer.rotateKeys(fleet);
-            case ROLL -> {
-                long step = (fault.toNs() - fault.fromNs()) / fleet.dispatchers.size();
-                for (int i = 0; i < fleet.dispatchers.size(); i++) {
-                    int d = i;
-                    fleet.schedule(
-                            i * step,
-                            () -> fleet.killDispatcher(d, Math.min(step / 2, fault.spanNs())));
-                }
+                                    number(fault.target()), fault.amount());
+            default -> targets.forEach(server -> injectInto(server.faults, fault));
+        }
+    }
+
+    private static void injectInto(InjectedFaults faults, Fault fault) {
+        switch (fault.kind()) {
+            case ERRORS -> faults.errorShare = fault.amount();
+            case LOSE -> {
+                faults.lostByReset = fault.reset();
+                faults.lostShare = fault.amount();
             }
+            case CUT -> faults.truncatedShare = fault.amount();
+            case SLOW -> faults.slowdown = fault.amount();
+            case REFUSE -> faults.rejectShare = fault.amount();
             default -> throw new IllegalStateException("no such trouble: " + fault);
         }
     }
 
-    // Batch by batch: drained, then restarted cold, the next batch when its time has come.
-    private void deploy(List<TestServer> targets, Fault fault) {
-        int batch = Math.max(1, (int) Math.round(fault.amount() * targets.size()));
-        int batches = (targets.size() + batch - 1) / batch;
-        long step = (fault.toNs() - fault.fromNs()) / batches;
+    // Dispatchers and tenants are numbered from 1 in the scenario.
+    private static int number(Fault.Target target) {
+        return Integer.parseInt(target.name()) - 1;
+    }
+
+    private void kill(Fault fault, List<TestServer> targets) {
+        if (targets.isEmpty()) {
+            fleet.killDispatcher(number(fault.target()), fault.spanNs());
+        }
+        targets.forEach(server -> fleet.kill(server, fault.spanNs()));
+    }
+
+    private void restartWithin(TestServer server, long spanNs) {
+        fleet.schedule(
+                (long) (fleet.random.nextDouble() * spanNs),
+                () -> fleet.kill(server, RESTART_DOWNTIME_NS));
+    }
+
+    private void silence(TestServer server) {
+        server.faults.silent = true;
+        fleet.schedule(
+                SILENCE_DELAY_MULTIPLE * fleet.scenario.listDelayNs,
+                () -> {
+                    if (server.faults.silent) {
+                        fleet.publishLater(server.name(), EndpointState.GONE);
+                    }
+                });
+    }
+
+    private void drain(TestServer server, long spanNs) {
+        publish(server, EndpointState.DRAINING);
+        fleet.schedule(spanNs, () -> publish(server, EndpointState.READY));
+    }
+
+    private void publish(TestServer server, EndpointState state) {
+        fleet.publisher.publishState(fleet.listed(server.name(), state));
+    }
+
+    // Batch by batch: drained, then restarted cold; the next batch when its time has come.
+    private void deploy(Fault fault, List<TestServer> targets) {
+        int batchSize = Math.max(1, (int) Math.round(fault.amount() * targets.size()));
+        int batches = (targets.size() + batchSize - 1) / batchSize;
+        long stepNs = (fault.toNs() - fault.fromNs()) / batches;
         List<TestServer> left = new ArrayList<>(targets);
-        for (int b = 0; !left.isEmpty(); b++) {
-            List<TestServer> now = new ArrayList<>(left.subList(0, Math.min(batch, left.size())));
-            left.removeAll(now);
+        for (int i = 0; !left.isEmpty(); i++) {
+            List<TestServer> batch =
+                    new ArrayList<>(left.subList(0, Math.min(batchSize, left.size())));
+            left.removeAll(batch);
             fleet.schedule(
-                    b * step,
-                    () ->
-                            now.forEach(
-                                    h -> {
-                                        fleet.publisher.publishState(
-                                                fleet.member(h.name(), EndpointState.DRAINING));
-                                        fleet.schedule(
-                                                fault.spanNs(), () -> fleet.kill(h, 300_000_000L));
-                                    }));
+                    i * stepNs,
+                    () -> batch.forEach(server -> drainAndRestart(server, fault.spanNs())));
         }
     }
 
+    private void drainAndRestart(TestServer server, long drainNs) {
+        publish(server, EndpointState.DRAINING);
+        fleet.schedule(drainNs, () -> fleet.kill(server, DEPLOY_DOWNTIME_NS));
+    }
+
+    private void purge(double share) {
+        for (int group = 0; group < fleet.scenario.groupCount; group++) {
+            if (fleet.random.nextDouble() < share) {
+                fleet.purge("g" + group);
+            }
+        }
+    }
+
+    private void roll(Fault fault) {
+        long stepNs = (fault.toNs() - fault.fromNs()) / fleet.dispatchers.size();
+        for (int i = 0; i < fleet.dispatchers.size(); i++) {
+            int dispatcher = i;
+            fleet.schedule(
+                    i * stepNs,
+                    () -> fleet.killDispatcher(dispatcher, Math.min(stepNs / 2, fault.spanNs())));
+        }
+    }
+
+    // ---- Faults end
+
     private void clear(Fault fault, List<TestServer> targets) {
         switch (fault.kind()) {
             case SILENCE ->
                     targets.forEach(
-                            h -> {
-                                h.kill();
-                                fleet.restart(h);
+                            server -> {
+                                server.kill();
+                                fleet.restart(server);
                             });
-            case ERRORS -> forEachFault(targets, f -> f.errorShare = 0);
-            case LOSE -> forEachFault(targets, f -> f.lostShare = 0);
-            case CUT -> forEachFault(targets, f -> f.truncatedShare = 0);
-            case SLOW -> forEachFault(targets, f -> f.slowdown = 1);
-            case REFUSE -> forEachFault(targets, f -> f.rejectShare = 0);
             case BURST -> fleet.population.rateMultiple = 1;
             case SCAN -> fleet.population.scanShare = 0;
             case HEAVY -> fleet.population.heavyShare = 0;
             case FLOOD -> fleet.population.tenantFlood = ClientPopulation.TenantFlood.NONE;
-            default -> {
-                // A moment, or it ends by itself.
-            }
+            default -> targets.forEach(server -> clearIn(server.faults, fault.kind()));
         }
     }
 
-    private static void forEachFault(List<TestServer> hosts, Consumer<InjectedFaults> change) {
-        hosts.forEach(h -> change.accept(h.faults));
+    private static void clearIn(InjectedFaults faults, Fault.Kind kind) {
+        switch (kind) {
+            case ERRORS -> faults.errorShare = 0;
+            case LOSE -> faults.lostShare = 0;
+            case CUT -> faults.truncatedShare = 0;
+            case SLOW -> faults.slowdown = 1;
+            case REFUSE -> faults.rejectShare = 0;
+            default -> {
+                // It ends by itself.
+            }
+        }
     }
 }
--- a/src/main/java/brooklock/faulttest/ServiceReport.java
+++ b/src/main/java/brooklock/faulttest/ServiceReport.java
@@ -8,21 +8,27 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * How clients were served: wishes by class, by trouble, and by the second in which they were due,
- * not tries.
+ * How clients were served: the parts that they requested, not their attempts, by class, by fault,
+ * by tenant, and by the second in which they were due.
  */
 final class ServiceReport {
-    // What a trouble leaves behind is counted with it for so long.
+    /** Requests due so long after a fault still count as of it. */
     private static final long AFTERMATH_NS = 2_000_000_000L;
 
-    /** Some of the wishes. */
+    private static final long SECOND_NS = 1_000_000_000L;
+    private static final int SECONDS_A_LINE = 5;
+
+    /** Two routers whose served shares differ by less than this span no scale. */
+    private static final double MIN_SCALE_SPAN = 0.02;
+
+    /** Counts of some of the requests. */
     static final class Tally {
         long requested;
         long inTime;
-        long late;
-        final Histogram latencyUs = new Histogram(3);
+        private long late;
+        private final Histogram latencyUs = new Histogram(3);
 
-        void add(ClientPopulation.PartRequest request) {
+        void add(PartRequest request) {
             requested++;
             if (request.completedNs != 0) {
                 inTime += request.isInTime() ? 1 : 0;
@@ -42,104 +48,132 @@
                     latencyUs.getValueAtPercentile(99) / 1000);
         }
 
+        /** Share that was served in time; 1 where nothing was requested. */
         double share() {
             return requested == 0 ? 1 : inTime / (double) requested;
         }
     }
 
     final Tally all = new Tally();
-    final Map<String, Tally> byClass = new LinkedHashMap<>();
-    final Map<String, Tally> byFault = new LinkedHashMap<>();
     final List<Tally> byTenant = new ArrayList<>();
+    private final Map<String, Tally> byClass = new LinkedHashMap<>();
+    private final Map<String, Tally> byFault = new LinkedHashMap<>();
     private final List<Tally> bySecond = new ArrayList<>();
     private final List<Long> harnessDelayNs = new ArrayList<>();
 
     ServiceReport(
             Scenario scenario,
             long startedNs,
-            Collection<ClientPopulation.PartRequest> requests,
+            Collection<PartRequest> requests,
             HarnessMonitor monitor) {
-        scenario.classLoads.keySet().forEach(c -> byClass.put(c, new Tally()));
-        scenario.faults.forEach(t -> byFault.put(t.line(), new Tally()));
-        for (int t = 0; t < scenario.tenantCount; t++) {
+        scenario.classLoads.keySet().forEach(name -> byClass.put(name, new Tally()));
+        scenario.faults.forEach(fault -> byFault.put(fault.line(), new Tally()));
+        for (int tenant = 0; tenant < scenario.tenantCount; tenant++) {
             byTenant.add(new Tally());
         }
-        for (ClientPopulation.PartRequest request : requests) {
-            if (request.tenant >= 0) {
-                byTenant.get(request.tenant).add(request);
-            }
-            long offsetNs = request.dueNs - startedNs;
-            all.add(request);
-            byClass.get(request.className).add(request);
-            for (Fault t : scenario.faults) {
-                long end = t.toNs() > t.fromNs() ? t.toNs() : t.fromNs() + t.spanNs();
-                if (offsetNs >= t.fromNs() && offsetNs < end + AFTERMATH_NS) {
-                    byFault.get(t.line()).add(request);
-                }
-            }
-            int second = (int) Math.max(0, offsetNs / 1_000_000_000L);
+        for (PartRequest request : requests) {
+            add(request, request.dueNs - startedNs, scenario.faults);
+            int second = (int) Math.max(0, (request.dueNs - startedNs) / SECOND_NS);
             while (bySecond.size() <= second) {
-                long from = startedNs + bySecond.size() * 1_000_000_000L;
+                long fromNs = startedNs + bySecond.size() * SECOND_NS;
                 bySecond.add(new Tally());
-                harnessDelayNs.add(monitor.maxDelayNs(from, from + 1_000_000_000L));
+                harnessDelayNs.add(monitor.maxDelayNs(fromNs, fromNs + SECOND_NS));
             }
             bySecond.get(second).add(request);
         }
     }
 
+    private void add(PartRequest request, long offsetNs, List<Fault> faults) {
+        all.add(request);
+        byClass.get(request.className).add(request);
+        if (request.tenant >= 0) {
+            byTenant.get(request.tenant).add(request);
+        }
+        for (Fault fault : faults) {
+            long endNs =
+                    fault.toNs() > fault.fromNs() ? fault.toNs() : fault.fromNs() + fault.spanNs();
+            if (offsetNs >= fault.fromNs() && offsetNs < endNs + AFTERMATH_NS) {
+                byFault.get(fault.line()).add(request);
+            }
+        }
+    }
+
+    /** The lines of the report. */
     String report() {
         StringBuilder text = new StringBuilder("service, stand-ins on loopback:\n");
-        byClass.forEach((cls, v) -> text.append(v.line(cls)));
-        for (int t = 0; t < byTenant.size(); t++) {
-            text.append(byTenant.get(t).line("tenant " + (t + 1)));
+        byClass.forEach((name, tally) -> text.append(tally.line(name)));
+        for (int tenant = 0; tenant < byTenant.size(); tenant++) {
+            text.append(byTenant.get(tenant).line("tenant " + (tenant + 1)));
         }
-        long marked = harnessDelayNs.stream().filter(n -> n > 0).count();
-        text.append(
-                String.format(
-                        "  all        %5.1f%% in time%s%n",
-                        100 * all.share(),
-                        marked == 0
-                                ? ""
-                                : "; the rig itself was late in "
-                                        + marked
-                                        + " of "
-                                        + harnessDelayNs.size()
-                                        + " seconds"));
+        long lateSeconds = harnessDelayNs.stream().filter(delayNs -> delayNs > 0).count();
+        String late =
+                lateSeconds == 0
+                        ? ""
+                        : "; the rig itself was late in "
+                                + lateSeconds
+                                + " of "
+                                + harnessDelayNs.size()
+                                + " seconds";
+        text.append(String.format("  all        %5.1f%% in time%s%n", 100 * all.share(), late));
         text.append(
-                "by the second in which it was due: asked, in time, ms that the rig itself was late\n");
+                "by the second in which it was due: asked, in time, ms that the rig itself was"
+                        + " late\n");
+        appendSeconds(text);
+        return text.toString();
+    }
+
+    private void appendSeconds(StringBuilder text) {
         for (int i = 0; i < bySecond.size(); i++) {
+            Tally tally = bySecond.get(i);
+            long delayNs = harnessDelayNs.get(i);
             text.append(
-                            String.format(
-                                    "%s%3d s %5d %3.0f%%%s",
-                                    i % 5 == 0 ? "  " : "   ",
-                                    i,
-                                    bySecond.get(i).requested,
-                                    100 * bySecond.get(i).share(),
-                                    harnessDelayNs.get(i) == 0
-                                            ? "     "
-                                            : String.format(
-                                                    "%5d", harnessDelayNs.get(i) / 1_000_000)))
-                    .append(i % 5 == 4 || i == bySecond.size() - 1 ? "\n" : "");
+                    String.format(
+                            "%s%3d s %5d %3.0f%%%s",
+                            i % SECONDS_A_LINE == 0 ? "  " : "   ",
+                            i,
+                            tally.requested,
+                            100 * tally.share(),
+                            delayNs == 0 ? "     " : String.format("%5d", delayNs / 1_000_000)));
+            if (i % SECONDS_A_LINE == SECONDS_A_LINE - 1 || i == bySecond.size() - 1) {
+                text.append('\n');
+            }
         }
-        return text.toString();
     }
 
-    /** This one between a router that picks at random, 0, and one that sees all, 1. */
+    /** This report on the scale random router = 0, oracle router = 1. */
     String compareWith(ServiceReport random, ServiceReport oracle) {
         StringBuilder text =
                 new StringBuilder(
                         String.format(
                                 "%-48s %7s %7s %9s %6s%n",
                                 "in time", "random", "module", "informed", "scale"));
-        row(text, "all", all, random.all, oracle.all);
-        byClass.forEach((c, p) -> row(text, c, p, random.byClass.get(c), oracle.byClass.get(c)));
-        byFault.forEach((t, p) -> row(text, t, p, random.byFault.get(t), oracle.byFault.get(t)));
+        appendRow(text, "all", all, random.all, oracle.all);
+        byClass.forEach(
+                (name, tally) ->
+                        appendRow(
+                                text,
+                                name,
+                                tally,
+                                random.byClass.get(name),
+                                oracle.byClass.get(name)));
+        byFault.forEach(
+                (line, tally) ->
+                        appendRow(
+                                text,
+                                line,
+                                tally,
+                                random.byFault.get(line),
+                                oracle.byFault.get(line)));
         return text.toString();
     }
 
-    private static void row(
+    private static void appendRow(
             StringBuilder text, String name, Tally tested, Tally random, Tally oracle) {
         double span = oracle.share() - random.share();
+        String scale =
+                span < MIN_SCALE_SPAN
+                        ? "-"
+                        : String.format("%.2f", (tested.share() - random.share()) / span);
         text.append(
                 String.format(
                         "%-48s %6.1f%% %6.1f%% %8.1f%% %6s%n",
@@ -147,8 +181,6 @@
                         100 * random.share(),
                         100 * tested.share(),
                         100 * oracle.share(),
-                        span < 0.02
-                                ? "-"
-                                : String.format("%.2f", (tested.share() - random.share()) / span)));
+                        scale));
     }
 }
--- a/src/main/java/brooklock/faulttest/TestFleet.java
+++ b/src/main/java/brooklock/faulttest/TestFleet.java
@@ -8,6 +8,7 @@
 import brooklock.net.HttpClient;
 import brooklock.net.IoLoop;
 import brooklock.net.IoThreads;
+import brooklock.proxy.PurgeGroups;
 import brooklock.routing.EndpointState;
 import brooklock.testserver.ServerModel;
 import brooklock.testserver.ServerModel.Role;
@@ -15,8 +16,10 @@
 import brooklock.testserver.TrafficRecorder;
 import java.io.Closeable;
 import java.io.IOException;
+import java.io.UncheckedIOException;
 import java.net.InetSocketAddress;
 import java.nio.file.Path;
+import java.time.Instant;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -25,90 +28,79 @@
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.simple.RandomSource;
 
-/** The day's hosts and dispatchers, and what a script can do to them. */
+/**
+ * The servers, dispatchers and clients of a test, and what faults can do to them. The methods that
+ * change something are called on its I/O thread.
+ */
 final class TestFleet implements Closeable {
-    /** Makes a dispatcher of a name, a settings file and the settings' text. */
+    /**
+     * Threads that the servers share, so that a slow one does not make all of them slow; each
+     * server lives on one of them.
+     */
+    private static final int SERVER_THREADS = 4;
+
+    private static final String HUB = "hub";
+    private static final int PARENT_COPIES_MULTIPLE = 4;
+    private static final long BASE_LATENCY_NS = 2_000_000L;
+    private static final double DEFAULT_WORK_NS = 1e7;
+
+    /** Servers have applied a purge by this share of the time that they may take. */
+    private static final double PURGE_SPREAD = 0.95;
+
+    /** Creates the runner of a dispatcher. */
     interface RunnerFactory {
+        /**
+         * Creates a runner; it is not started yet.
+         *
+         * @param file where its settings are written
+         * @param settings all of them but name and addresses
+         */
         DispatcherRunner make(String name, Path file, String settings);
     }
 
     final Scenario scenario;
     final TrafficRecorder traffic = new TrafficRecorder();
+    final HarnessMonitor monitor = new HarnessMonitor();
+    final UniformRandomProvider random;
     final Map<String, TestServer> servers = new LinkedHashMap<>();
     final List<DispatcherRunner> dispatchers = new ArrayList<>();
-    final List<List<DispatcherRunner>> dispatchersByLocation = new ArrayList<>();
     final ControlPublisher publisher;
     final ClientPopulation population;
-    final HarnessMonitor monitor = new HarnessMonitor();
+    final CredentialIssuer issuer;
 
-    /** When the day began, ns; 0 before. */
+    /** When the test began, {@link System#nanoTime}; 0 before. */
     volatile long startedNs;
 
-    // Threads that the hosts share, so that one slow thread does not make all hosts slow; none of
-    // them is locked, since
-    // each host lives on one.
-    private static final int SERVER_THREADS = 4;
-
     private final IoThreads ioThreads;
+    private final IoLoop loop;
     private final List<IoThreads> serverThreads = new ArrayList<>();
-    final IoLoop loop;
-    final UniformRandomProvider random;
-    final CredentialIssuer issuer;
     private final Map<String, String> zoneByServer = new LinkedHashMap<>();
     private final Map<String, Double> meanWorkNs = new LinkedHashMap<>();
     private int purgeCount;
 
+    /** Starts everything but the clients. */
     TestFleet(Scenario scenario, Path dir, RunnerFactory runnerFactory, GroundTruth groundTruth)
             throws IOException {
         this.scenario = scenario;
         random = RandomSource.XO_RO_SHI_RO_128_PP.create(scenario.seed);
         ioThreads = IoThreads.start("day", 1);
         loop = ioThreads.loop(0);
-        for (int i = 0; i < SERVER_THREADS; i++) {
-            IoThreads own = IoThreads.start("hosts" + i, 1);
-            serverThreads.add(own);
-            monitor.watch("hosts " + i, own.loop(0));
-            monitor.watchSockets("hosts " + i, own);
-        }
         issuer = new CredentialIssuer(scenario, dir);
-        scenario.classLoads
-                .values()
-                .forEach(
-                        a ->
-                                meanWorkNs.put(
-                                        a.className(),
-                                        a.sizeBytes() / scenario.transferBytesPerS * 1e9));
-        TestServer origin = addServer("o1", Role.ORIGIN, "hub", scenario.originTransfers, null);
-        for (int i = 1; i <= scenario.parentCount; i++) {
-            addServer("p" + i, Role.PARENT, "hub", scenario.parentTransfers, origin.address());
-        }
-        for (Scenario.Location p : scenario.locations) {
-            for (int i = 1; i <= p.caches(); i++) {
-                addServer(p.name() + "-" + i, Role.CACHE, p.name(), scenario.cacheTransfers, null);
-            }
-        }
-        HttpClient client =
-                new HttpClient(loop, ClientLimits.STANDARD.withConnections(4096, 4096, 256));
-        publisher = new ControlPublisher(loop, client, dispatchers);
-        servers.keySet().forEach(h -> publisher.addInitial(member(h, EndpointState.READY)));
-        for (Scenario.Location p : scenario.locations) {
-            List<DispatcherRunner> here = new ArrayList<>();
-            for (int i = 1; i <= p.dispatchers(); i++) {
-                String name = "d" + (dispatchers.size() + 1);
-                DispatcherRunner r =
-                        runnerFactory.make(
-                                name, dir.resolve(name + ".conf"), settings(p.name(), name));
-                dispatchers.add(r);
-                here.add(r);
-            }
-            dispatchersByLocation.add(here);
-        }
-        servers.values().forEach(h -> groundTruth.servers.put(EndpointId.of(h.name()), h));
-        for (DispatcherRunner r : dispatchers) {
-            r.start();
+        startServers();
+        servers.values()
+                .forEach(server -> groundTruth.servers.put(EndpointId.of(server.name()), server));
+        publisher =
+                new ControlPublisher(
+                        loop,
+                        new HttpClient(
+                                loop, ClientLimits.STANDARD.withConnections(4096, 4096, 256)),
+                        dispatchers);
+        servers.keySet().forEach(name -> publisher.addInitial(listed(name, EndpointState.READY)));
+        List<List<DispatcherRunner>> byLocation = createDispatchers(dir, runnerFactory);
+        for (DispatcherRunner dispatcher : dispatchers) {
+            dispatcher.start();
         }
-        population =
-                new ClientPopulation(scenario, dispatchersByLocation, dispatchers, issuer, monitor);
+        population = new ClientPopulation(scenario, byLocation, dispatchers, issuer, monitor);
         monitor.watch("notices", loop);
         monitor.watchMachine();
         loop.execute(
@@ -119,39 +111,38 @@
                 });
     }
 
+    private void startServers() throws IOException {
+        for (int i = 0; i < SERVER_THREADS; i++) {
+            IoThreads thread = IoThreads.start("hosts" + i, 1);
+            serverThreads.add(thread);
+            monitor.watch("hosts " + i, thread.loop(0));
+            monitor.watchSockets("hosts " + i, thread);
+        }
+        for (Scenario.ClassLoad load : scenario.classLoads.values()) {
+            meanWorkNs.put(load.className(), load.sizeBytes() / scenario.transferBytesPerS * 1e9);
+        }
+        TestServer origin = addServer("o1", Role.ORIGIN, HUB, scenario.originTransfers, null);
+        for (int i = 1; i <= scenario.parentCount; i++) {
+            addServer("p" + i, Role.PARENT, HUB, scenario.parentTransfers, origin.address());
+        }
+        for (Scenario.Location location : scenario.locations) {
+            for (int i = 1; i <= location.caches(); i++) {
+                String name = location.name() + "-" + i;
+                addServer(name, Role.CACHE, location.name(), scenario.cacheTransfers, null);
+            }
+        }
+    }
+
     private TestServer addServer(
             String name, Role role, String zone, double maxTransfers, InetSocketAddress origin)
             throws IOException {
-        Settings.InvariantSettings invariants = scenario.invariants();
-        boolean parent = role == Role.PARENT;
-        double overloadMultiple =
-                role == Role.ORIGIN
-                        ? 0
-                        : parent
-                                ? invariants.parentOverloadMultiple()
-                                : invariants.overloadMultiple();
-        IoThreads serverThread = serverThreads.get(servers.size() % SERVER_THREADS);
         TestServer server =
                 new TestServer(
-                        serverThread,
-                        new ServerModel(
-                                name,
-                                role,
-                                maxTransfers,
-                                scenario.transferBytesPerS,
-                                scenario.maxRequestsPerEndpoint,
-                                scenario.maxCopiesPerCache * (parent ? 4 : 1),
-                                parent
-                                        ? invariants.parentColdStartShare()
-                                        : invariants.coldStartShare(),
-                                parent ? invariants.parentWarmUpNs() : invariants.warmUpNs(),
-                                overloadMultiple,
-                                invariants.overloadWindowNs(),
-                                2_000_000L,
-                                role == Role.ORIGIN ? scenario.originRequestsPerS : 0),
+                        serverThreads.get(servers.size() % SERVER_THREADS),
+                        model(name, role, maxTransfers),
                         traffic,
                         scenario::sizeBytes,
-                        cls -> meanWorkNs.getOrDefault(cls, 1e7),
+                        className -> meanWorkNs.getOrDefault(className, DEFAULT_WORK_NS),
                         origin,
                         scenario.seed * 1000 + servers.size());
         servers.put(name, server);
@@ -159,7 +150,63 @@
         return server;
     }
 
-    ListedEndpoint member(String serverName, EndpointState state) {
+    private ServerModel model(String name, Role role, double maxTransfers) {
+        Settings.InvariantSettings invariants = scenario.invariants();
+        boolean parent = role == Role.PARENT;
+        double overloadMultiple =
+                parent ? invariants.parentOverloadMultiple() : invariants.overloadMultiple();
+        return new ServerModel(
+                name,
+                role,
+                maxTransfers,
+                scenario.transferBytesPerS,
+                scenario.maxRequestsPerEndpoint,
+                scenario.maxCopiesPerCache * (parent ? PARENT_COPIES_MULTIPLE : 1),
+                parent ? invariants.parentColdStartShare() : invariants.coldStartShare(),
+                parent ? invariants.parentWarmUpNs() : invariants.warmUpNs(),
+                role == Role.ORIGIN ? 0 : overloadMultiple,
+                invariants.overloadWindowNs(),
+                BASE_LATENCY_NS,
+                role == Role.ORIGIN ? scenario.originRequestsPerS : 0);
+    }
+
+    private List<List<DispatcherRunner>> createDispatchers(Path dir, RunnerFactory runnerFactory) {
+        List<List<DispatcherRunner>> byLocation = new ArrayList<>();
+        for (Scenario.Location location : scenario.locations) {
+            List<DispatcherRunner> local = new ArrayList<>();
+            for (int i = 1; i <= location.dispatchers(); i++) {
+                String name = "d" + (dispatchers.size() + 1);
+                DispatcherRunner dispatcher =
+                        runnerFactory.make(
+                                name, dir.resolve(name + ".conf"), settings(location.name(), name));
+                dispatchers.add(dispatcher);
+                local.add(dispatcher);
+            }
+            byLocation.add(local);
+        }
+        return byLocation;
+    }
+
+    private String settings(String zone, String dispatcher) {
+        String additional = issuer.settingsLines() + "list " + dispatcher + ".list\n";
+        StringBuilder text =
+                new StringBuilder(scenario.settings(zone, scenario.tenantCount > 0, additional));
+        servers.forEach(
+                (name, server) ->
+                        text.append("host ")
+                                .append(name)
+                                .append(' ')
+                                .append(server.model().role().name().toLowerCase(Locale.ROOT))
+                                .append(' ')
+                                .append(zoneByServer.get(name))
+                                .append(" 127.0.0.1:")
+                                .append(server.address().getPort())
+                                .append('\n'));
+        return text.toString();
+    }
+
+    /** A server as an endpoint list has it. */
+    ListedEndpoint listed(String serverName, EndpointState state) {
         TestServer server = servers.get(serverName);
         return new ListedEndpoint(
                 serverName,
@@ -172,47 +219,14 @@
                 server.startedMs());
     }
 
-    private String settings(String zone, String name) {
-        StringBuilder s =
-                new StringBuilder(
-                        scenario.settings(
-                                zone,
-                                scenario.tenantCount > 0,
-                                issuer.settingsLines() + "list " + name + ".list\n"));
-        servers.forEach(
-                (h, host) ->
-                        s.append("host ")
-                                .append(h)
-                                .append(' ')
-                                .append(host.model().role().name().toLowerCase(Locale.ROOT))
-                                .append(' ')
-                                .append(zoneByServer.get(h))
-                                .append(" 127.0.0.1:")
-                                .append(host.address().getPort())
-                                .append('\n'));
-        return s.toString();
-    }
-
-    // ---- Whom a trouble strikes
+    // ---- What a fault strikes
 
+    /** Draws the servers that a target means. */
     List<TestServer> targetsOf(Fault.Target target) {
         List<TestServer> candidates =
                 new ArrayList<>(
                         servers.values().stream()
-                                .filter(
-                                        h ->
-                                                switch (target.kind()) {
-                                                    case "caches" -> h.model().role() == Role.CACHE;
-                                                    case "parents" ->
-                                                            h.model().role() == Role.PARENT;
-                                                    case "origin" ->
-                                                            h.model().role() == Role.ORIGIN;
-                                                    case "zone" ->
-                                                            zoneByServer
-                                                                    .get(h.name())
-                                                                    .equals(target.name());
-                                                    default -> h.name().equals(target.name());
-                                                })
+                                .filter(server -> matches(server, target))
                                 .toList());
         if (candidates.isEmpty()) {
             throw new IllegalArgumentException("nobody is struck: " + target);
@@ -224,14 +238,24 @@
         return candidates;
     }
 
-    // ---- What happens to hosts; the registry hears of it late
+    private boolean matches(TestServer server, Fault.Target target) {
+        return switch (target.kind()) {
+            case "caches" -> server.model().role() == Role.CACHE;
+            case "parents" -> server.model().role() == Role.PARENT;
+            case "origin" -> server.model().role() == Role.ORIGIN;
+            case "zone" -> zoneByServer.get(server.name()).equals(target.name());
+            default -> server.name().equals(target.name());
+        };
+    }
+
+    // ---- What happens to servers and dispatchers; the registry learns of it late
 
-    void schedule(long ns, Runnable work) {
-        loop.schedule(ns, () -> monitor.runGuarded(work));
+    void schedule(long delayNs, Runnable task) {
+        loop.schedule(delayNs, () -> monitor.runGuarded(task));
     }
 
     void publishLater(String serverName, EndpointState state) {
-        schedule(scenario.listDelayNs, () -> publisher.publishState(member(serverName, state)));
+        schedule(scenario.listDelayNs, () -> publisher.publishState(listed(serverName, state)));
     }
 
     void kill(TestServer server, long downtimeNs) {
@@ -247,71 +271,62 @@
                 publishLater(server.name(), EndpointState.READY);
             }
         } catch (IOException e) {
-            throw new IllegalStateException(server.name() + " does not come back", e);
+            throw new UncheckedIOException(server.name() + " does not come back", e);
         }
     }
 
-    /** Purges a group at the origin; hosts drop their copies each in its own time. */
+    /** Purges a group at the origin; servers drop their copies each in its own time. */
     void purge(String group) {
         long momentNs = System.nanoTime();
-        java.time.Instant wall = java.time.Instant.now();
-        ControlPublisher.Purge announced =
+        Instant wall = Instant.now();
+        ControlPublisher.Purge purge =
                 new ControlPublisher.Purge(
                         purgeCount++,
                         group,
                         momentNs,
                         wall.getEpochSecond() * 1e3 + wall.getNano() / 1e6);
         long completionNs = scenario.invariants().purgeCompletionNs();
-        servers.values()
-                .forEach(
-                        h ->
-                                schedule(
-                                        (long) (random.nextDouble() * completionNs * 0.95),
-                                        () -> h.purge(0, groupNumber(group), momentNs)));
-        schedule(scenario.purgeDelayNs, () -> publisher.purge(announced));
+        for (TestServer server : servers.values()) {
+            schedule(
+                    (long) (random.nextDouble() * completionNs * PURGE_SPREAD),
+                    () -> server.purge(0, groupNumber(group), momentNs));
+        }
+        schedule(scenario.purgeDelayNs, () -> publisher.purge(purge));
     }
 
-    /** A group's number, learned from what reached the hosts. */
+    /** The number under which a group reaches the servers. */
     int groupNumber(String group) {
-        return brooklock.proxy.PurgeGroups.idOf(group);
+        return PurgeGroups.idOf(group);
     }
 
+    /** Kills a dispatcher, and starts it again after a time. */
     void killDispatcher(int index, long downtimeNs) {
-        DispatcherRunner runner = dispatchers.get(index);
-        runner.kill();
+        DispatcherRunner dispatcher = dispatchers.get(index);
+        dispatcher.kill();
         Thread starter =
-                new Thread(
-                        () -> {
-                            try {
-                                Thread.sleep(downtimeNs / 1_000_000);
-                                runner.start();
-                                loop.execute(
-                                        () ->
-                                                publisher.onDispatcherStarted(
-                                                        index,
-                                                        System.nanoTime()
-                                                                - scenario.invariants()
-                                                                        .purgeCompletionNs()));
-                            } catch (IOException e) {
-                                throw new IllegalStateException(
-                                        runner.name + " does not come back", e);
-                            } catch (InterruptedException e) {
-                                Thread.currentThread().interrupt();
-                            }
-                        },
-                        "start-" + runner.name);
+                new Thread(() -> startDispatcher(index, downtimeNs), "start-" + dispatcher.name);
         starter.setDaemon(true);
         starter.start();
     }
 
+    private void startDispatcher(int index, long delayNs) {
+        DispatcherRunner dispatcher = dispatchers.get(index);
+        try {
+            Thread.sleep(delayNs / 1_000_000);
+            dispatcher.start();
+            long purgeWindowNs = scenario.invariants().purgeCompletionNs();
+            loop.execute(
+                    () -> publisher.onDispatcherStarted(index, System.nanoTime() - purgeWindowNs));
+        } catch (IOException e) {
+            throw new UncheckedIOException(dispatcher.name + " does not come back", e);
+        } catch (InterruptedException e) {
+            Thread.currentThread().interrupt();
+        }
+    }
+
     @Override
     public void close() {
-        dispatchers.forEach(
-                r -> {
-                    if (r.alive) {
-                        r.kill();
-                    }
-                });
+        dispatchers.stream().filter(dispatcher -> dispatcher.alive).forEach(DispatcherRunner::kill);
         monitor.close();
         population.close();
         ioThreads.close();
--- a/src/main/java/brooklock/faulttest/package-info.java
+++ b/src/main/java/brooklock/faulttest/package-info.java
@@ -1,6 +1,13 @@
 /**
- * A bad day played from a script through real dispatchers on loopback, and the audit of what
- * crossed the sockets against the five rules. The audit takes only the clients' and the stand-ins'
- * records and the moments at which notices were answered; nothing that a dispatcher says of itself.
+ * Fault tests: a scenario of faults is played on loopback through real dispatchers, and the
+ * recorded traffic is checked against the fleet's invariants. docs/fault-testing.md has the
+ * language of scenarios and the invariants.
+ *
+ * <p>The check takes only what clients and test servers have recorded and the moments at which
+ * updates were acknowledged, nothing that a dispatcher says of itself.
+ *
+ * <p>Threads: one runs the faults and the registry, four run the servers, four the clients; each
+ * part says which it belongs to. The harness records how late each of them was, so that a slow
+ * machine is not taken for a fault of a dispatcher.
  */
 package brooklock.faulttest;
