--- a/src/test/java/brooklock/config/SettingsReaderTest.java
+++ b/src/test/java/brooklock/config/SettingsReaderTest.java
@@ -1,8 +1,6 @@
 package brooklock.config;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
-import static org.junit.jupiter.api.Assertions.assertFalse;
-import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -11,7 +9,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Settings are taken whole, and a mistake is told with its line in plain words. */
+/** Settings are read whole, and each mistake is reported with its line in plain words. */
 class SettingsReaderTest {
     private static final String RIGHT =
             """
@@ -35,7 +33,7 @@
             trace trace.log 64MB
             """;
 
-    private static String problems(String text) {
+    private static String mistakes(String text) {
         return assertThrows(
                         SettingsException.class,
                         () -> SettingsReader.parse("f.conf", Path.of("/base"), text))
@@ -44,17 +42,17 @@
 
     @Test
     void aRightFileIsReadWithItsUnits() throws SettingsException {
-        Settings s = SettingsReader.parse("f.conf", Path.of("/base"), RIGHT);
-        assertEquals(1, s.localZone());
-        assertEquals(0, s.zones().get(1).hubIndex());
-        assertEquals(0, s.zones().get(0).hubIndex(), "a hub is its own");
-        assertEquals(300_000_000L, s.classes().get(0).latencyObjectiveNs());
-        assertEquals(5e6, s.fleet().transferBytesPerS());
-        assertEquals(1_000_000, s.limits().maxRequestBodyBytes());
-        assertEquals(EndpointId.of("c1"), s.endpoints().get(0).id());
-        assertEquals(2, s.routes().get(1).unkeyedClassIndex());
-        assertEquals(Path.of("/base/trace.log"), s.files().traceFile());
-        assertEquals(17_000_000_000L, s.invariants().warmUpNs());
+        Settings settings = SettingsReader.parse("f.conf", Path.of("/base"), RIGHT);
+        assertEquals(1, settings.localZone());
+        assertEquals(0, settings.zones().get(1).hubIndex());
+        assertEquals(0, settings.zones().get(0).hubIndex(), "a hub is its own");
+        assertEquals(300_000_000L, settings.classes().get(0).latencyObjectiveNs());
+        assertEquals(5e6, settings.fleet().transferBytesPerS());
+        assertEquals(1_000_000, settings.limits().maxRequestBodyBytes());
+        assertEquals(EndpointId.of("c1"), settings.endpoints().get(0).id());
+        assertEquals(2, settings.routes().get(1).unkeyedClassIndex());
+        assertEquals(Path.of("/base/trace.log"), settings.files().traceFile());
+        assertEquals(17_000_000_000L, settings.invariants().warmUpNs());
         assertEquals(
                 250,
                 SettingsReader.parse(
@@ -103,51 +101,23 @@
                 "trace trace.log 64MB | warming all bear 9/s | f.conf:18: 'bear' is not an option of warming (share, bears, saved)",
                 "here north | here north now | f.conf:6: 'now' is one word too many",
             })
-    void mistakesAreToldInPlainWords(String right, String wrong, String message) {
+    void mistakesAreReportedInPlainWords(String right, String wrong, String message) {
         assertTrue(RIGHT.contains(right), right);
-        String told = problems(RIGHT.replace(right, wrong == null ? "" : wrong));
-        assertTrue(told.lines().anyMatch(l -> l.startsWith(message)), told);
+        String reported = mistakes(RIGHT.replace(right, wrong == null ? "" : wrong));
+        assertTrue(reported.lines().anyMatch(l -> l.startsWith(message)), reported);
     }
 
     @Test
-    void allMistakesAreToldAtOnceInTheOrderOfTheirLines() {
-        String told =
-                problems(
+    void allMistakesAreReportedAtOnceInTheOrderOfTheirLines() {
+        String reported =
+                mistakes(
                         RIGHT.replace("300ms", "300")
                                 .replace("64MB", "64")
                                 .replace("here north", "here x"));
-        assertEquals(3, told.lines().count(), told);
+        assertEquals(3, reported.lines().count(), reported);
         assertTrue(
-                told.indexOf(":6:") < told.indexOf(":8:")
-                        && told.indexOf(":8:") < told.indexOf(":18:"),
-                told);
-    }
-
-    @Test
-    void numbersWithoutSenseAreNotNumbers() {
-        for (String bad :
-                new String[] {"", ".", "1.", "1..2s", "s", "-1s", "1e3s", "0x1s", "1 s"}) {
-            assertThrows(IllegalArgumentException.class, () -> Units.parseDurationNs(bad), bad);
-        }
-        assertEquals(1_500_000L, Units.parseDurationNs("1.5ms"));
-    }
-
-    @Test
-    void patternsTakeWholeSegments() {
-        PathPattern p = new PathPattern("/a/{group}/{object}/{part}");
-        assertTrue(p.matches("/a/g/o/3"));
-        assertFalse(p.matches("/a/g/o"));
-        assertFalse(p.matches("/a/g//3"));
-        assertFalse(p.matches("/a/g/o/3/"));
-        assertEquals("o", p.extract("/a/g/o/3", "object"));
-        assertNull(p.extract("/a/g/o/3", "rest"));
-        assertEquals("/a/g/o/*", p.withoutPlaceholder("/a/g/o/3", "part"));
-        assertEquals("/a/*/g/3", p.withoutPlaceholder("/a/g/g/3", "group"));
-        PathPattern rest = new PathPattern("/a/{rest}");
-        assertEquals("x/y", rest.extract("/a/x/y", "rest"));
-        assertEquals("", rest.extract("/a/", "rest"));
-        assertFalse(rest.matches("/a"));
-        assertThrows(IllegalArgumentException.class, () -> new PathPattern("/{rest}/a"));
-        assertThrows(IllegalArgumentException.class, () -> new PathPattern("/{a}/{a}"));
+                reported.indexOf(":6:") < reported.indexOf(":8:")
+                        && reported.indexOf(":8:") < reported.indexOf(":18:"),
+                reported);
     }
 }
--- /dev/null
+++ b/src/test/java/brooklock/faulttest/FaultTestSupport.java
@@ -0,0 +1,68 @@
+package brooklock.faulttest;
+
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import brooklock.proxy.RoutingStrategy;
+import brooklock.routing.RouterSettings;
+import java.nio.file.Path;
+import java.util.function.Function;
+import org.junit.jupiter.api.io.TempDir;
+
+/** A small fleet for short scenarios, and how they are played. */
+abstract class FaultTestSupport {
+    /** Another seed can be asked for: {@code -Dfaulttest.seed=N}. */
+    private static final int SEED =
+            Integer.getInteger("faulttest.seed", Integer.getInteger("rehearsal.seed", 11));
+
+    static final String SCENARIO =
+            "seed "
+                    + SEED
+                    + "\n"
+                    + """
+                    length 6s
+                    rate 120/s
+                    zone north 5 2
+                    parents 2
+                    flows 14 30 60
+                    class scans safe aim 400ms stretch 2 deadline 2s
+                    class orders keyed all window 2s through aim 600ms deadline 2s
+                    class notes unsafe through aim 600ms deadline 2s
+                    guards cold-from 0.25 cold-for 4s falls-at 3 overload-for 1500ms
+                    guards parent-cold-from 0.1 parent-cold-for 4s parent-falls-at 2 purge-done 4s
+                    ask scans 80% objects 80 parts 2 gap 200ms size 20KB
+                    ask orders 10%
+                    ask notes 10%
+                    list-delay 100ms
+                    """;
+
+    @TempDir Path dir;
+
+    /** Plays the small fleet's scenario with some faults added. */
+    FaultTestRunner.Result play(String faults, TestFleet.RunnerFactory runnerFactory)
+            throws Exception {
+        return playScenario(SCENARIO + faults, runnerFactory);
+    }
+
+    FaultTestRunner.Result playScenario(String text, TestFleet.RunnerFactory runnerFactory)
+            throws Exception {
+        return FaultTestRunner.play(Scenario.parse("day", text), dir, runnerFactory, line -> {});
+    }
+
+    static TestFleet.RunnerFactory inProcess(
+            Function<RouterSettings, RoutingStrategy> strategyFactory) {
+        return (name, file, settings) ->
+                DispatcherRunner.inProcess(name, file, settings, strategyFactory);
+    }
+
+    static CheckResult checkResult(FaultTestRunner.Result result, int invariant) {
+        return result.checks.get(invariant - 1);
+    }
+
+    /**
+     * Where the machine gave the harness itself no time a scenario cannot be judged, which is no
+     * fault of a dispatcher.
+     */
+    static void assertNotBroken(FaultTestRunner.Result result) {
+        assertTrue(result.verdict() != FaultTestRunner.Verdict.BROKEN, result.report());
+    }
+}
--- /dev/null
+++ b/src/test/java/brooklock/faulttest/InvariantCheckerTest.java
@@ -0,0 +1,358 @@
+package brooklock.faulttest;
+
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import brooklock.http.Fields;
+import brooklock.http.RequestHead;
+import brooklock.net.CallFailure;
+import brooklock.net.ClientLimits;
+import brooklock.net.HttpClient;
+import brooklock.net.HttpExchange;
+import brooklock.net.HttpListener;
+import brooklock.net.IoThreads;
+import brooklock.net.ResponseHandler;
+import brooklock.net.ServerLimits;
+import brooklock.proxy.InterceptingRouter;
+import brooklock.proxy.RoutingStrategy;
+import brooklock.routing.AttemptOutcome;
+import brooklock.routing.Endpoint;
+import brooklock.routing.RouterAction;
+import brooklock.routing.RouterAction.FailRequest;
+import brooklock.routing.RouterAction.RejectRequest;
+import brooklock.routing.RouterAction.StartAttempt;
+import brooklock.routing.RouterEvent;
+import brooklock.routing.RouterEvent.AttemptCompleted;
+import brooklock.routing.RouterEvent.EndpointListReceived;
+import brooklock.routing.RouterEvent.PurgeReceived;
+import brooklock.routing.RouterSettings;
+import java.io.IOException;
+import java.net.InetAddress;
+import java.net.InetSocketAddress;
+import java.nio.charset.StandardCharsets;
+import java.nio.file.Path;
+import java.util.List;
+import java.util.Map;
+import java.util.concurrent.ConcurrentHashMap;
+import java.util.function.Consumer;
+import org.junit.jupiter.api.Nested;
+import org.junit.jupiter.api.Test;
+
+/** Dispatchers that are broken on purpose, one invariant at a time: each must be found. */
+class InvariantCheckerTest extends FaultTestSupport {
+    private static void assertViolated(FaultTestRunner.Result result, int invariant) {
+        assertFalse(checkResult(result, invariant).violations().isEmpty(), result.report());
+    }
+
+    /** A dispatcher that never rejects a request it cannot serve leaves its client waiting. */
+    @Test
+    void requestsWithoutAFinalResponseAreFound() throws Exception {
+        assertViolated(
+                play("from 500ms to 4s lose 60% at caches\n", inProcess(WithoutRejections::new)),
+                1);
+    }
+
+    private static final class WithoutRejections extends InterceptingRouter {
+        WithoutRejections(RouterSettings settings) {
+            super(settings);
+        }
+
+        @Override
+        protected void interceptAction(RouterAction action, List<RouterAction> forwarded) {
+            if (!(action instanceof RejectRequest) && !(action instanceof FailRequest)) {
+                forwarded.add(action);
+            }
+        }
+    }
+
+    /**
+     * A connection reset is reported as if it proved that the request was not executed, so that the
+     * router sends requests again that must not run twice.
+     */
+    @Test
+    void requestsExecutedTwiceAreFound() throws Exception {
+        assertViolated(
+                play(
+                        "from 500ms to 5s lose 50% at origin by reset\n",
+                        inProcess(ResetsTakenForRejections::new)),
+                2);
+    }
+
+    private static final class ResetsTakenForRejections extends InterceptingRouter {
+        ResetsTakenForRejections(RouterSettings settings) {
+            super(settings);
+        }
+
+        @Override
+        protected RouterEvent interceptEvent(RouterEvent event) {
+            return event instanceof AttemptCompleted completed
+                            && completed.outcome() == AttemptOutcome.RESET
+                    ? new AttemptCompleted(
+                            completed.id(),
+                            completed.attempt(),
+                            completed.endpoint(),
+                            AttemptOutcome.OVERLOADED,
+                            completed.cacheStatus(),
+                            completed.durationNs(),
+                            completed.fillDurationNs(),
+                            completed.requestFinished())
+                    : event;
+        }
+    }
+
+    /**
+     * A cache has just started and is colder than elsewhere. The dispatcher does not know that it
+     * is cold, and sends it everything.
+     */
+    @Test
+    void anOverloadedColdServerIsFound() throws Exception {
+        String scenario =
+                SCENARIO.replace("cold-from 0.25 cold-for 4s", "cold-from 0.04 cold-for 20s")
+                        + "at 1s restart north-1 within 1ms\n";
+        assertViolated(playScenario(scenario, inProcess(AllToTheColdOne::new)), 4);
+    }
+
+    private static final class AllToTheColdOne extends InterceptingRouter {
+        private long coldEndpoint;
+
+        AllToTheColdOne(RouterSettings settings) {
+            super(settings);
+        }
+
+        @Override
+        protected RouterEvent interceptEvent(RouterEvent event) {
+            if (!(event instanceof EndpointListReceived list)) {
+                return event;
+            }
+            for (Endpoint endpoint : list.endpoints()) {
+                if (endpoint.startedAtNs() > 0) {
+                    coldEndpoint = endpoint.id();
+                }
+            }
+            return new EndpointListReceived(
+                    list.kind(), list.endpoints().stream().map(AllToTheColdOne::warm).toList());
+        }
+
+        private static Endpoint warm(Endpoint endpoint) {
+            return new Endpoint(
+                    endpoint.id(),
+                    endpoint.zone(),
+                    endpoint.kind(),
+                    endpoint.state(),
+                    endpoint.weight(),
+                    0);
+        }
+
+        @Override
+        protected void interceptAction(RouterAction action, List<RouterAction> forwarded) {
+            boolean fill =
+                    action instanceof StartAttempt start && start.fillSource() != start.endpoint();
+            forwarded.add(
+                    coldEndpoint != 0 && fill ? toColdEndpoint((StartAttempt) action) : action);
+        }
+
+        private StartAttempt toColdEndpoint(StartAttempt start) {
+            return new StartAttempt(
+                    start.id(),
+                    coldEndpoint,
+                    start.timeoutNs(),
+                    start.fillSource(),
+                    start.cachePriority(),
+                    start.maxAgeNs(),
+                    start.collapse(),
+                    start.onlyIfCached(),
+                    start.startWithinNs());
+        }
+    }
+
+    /** The router learns of no purge, and serves copies from before it. */
+    @Test
+    void ignoredPurgesAreFound() throws Exception {
+        assertViolated(play("at 1s purge 100% of groups\n", inProcess(WithoutPurges::new)), 5);
+    }
+
+    private static final class WithoutPurges extends InterceptingRouter {
+        WithoutPurges(RouterSettings settings) {
+            super(settings);
+        }
+
+        @Override
+        protected RouterEvent interceptEvent(RouterEvent event) {
+            return event instanceof PurgeReceived ? null : event;
+        }
+    }
+
+    /** Dispatchers behind a proxy that changes the endpoint lists that the registry sends. */
+    @Nested
+    class Drains {
+        private static final String FAULTS = "at 1s drain north-1 for 4s\nat 1s drain p1 for 4s\n";
+
+        private FaultTestRunner.Result playTampered(ListTamperer tamperer) throws Exception {
+            try (IoThreads ioThreads = IoThreads.start("tamper", 1)) {
+                return play(
+                        FAULTS,
+                        (name, file, settings) ->
+                                new TamperedDispatcher(name, file, settings, ioThreads, tamperer));
+            }
+        }
+
+        /** The registry's lists are acknowledged and dropped. */
+        @Test
+        void ignoredDrainsAreFound() throws Exception {
+            FaultTestRunner.Result result =
+                    playTampered((exchange, body, forward) -> acknowledge(exchange));
+            assertViolated(result, 3);
+            assertTrue(
+                    checkResult(result, 3).violations().stream()
+                            .anyMatch(violation -> violation.contains("naming p1")),
+                    result.report());
+        }
+
+        /** Each list is acknowledged and takes effect only a second and a half later. */
+        @Test
+        void drainsAppliedLateAreFound() throws Exception {
+            FaultTestRunner.Result result =
+                    playTampered(
+                            (exchange, body, forward) -> {
+                                acknowledge(exchange);
+                                exchange.loop()
+                                        .schedule(1_500_000_000L, () -> forward.accept(body));
+                            });
+            assertViolated(result, 3);
+        }
+
+        /**
+         * Parents are listed as ready on and on, so that only fill sources are wrong. That a parent
+         * gets requests from dispatchers is a violation as well.
+         */
+        @Test
+        void drainsIgnoredForFillSourcesAreFound() throws Exception {
+            FaultTestRunner.Result result =
+                    playTampered(
+                            (exchange, body, forward) -> {
+                                acknowledge(exchange);
+                                forward.accept(
+                                        body.replaceAll(
+                                                "(?m)^(p\\d parent .*) draining ", "$1 ready "));
+                            });
+            List<String> violations = checkResult(result, 3).violations();
+            assertTrue(
+                    violations.stream()
+                            .allMatch(
+                                    violation ->
+                                            violation.contains(" naming p1")
+                                                    || violation.contains(" at p1")),
+                    result.report());
+            assertTrue(
+                    violations.stream().anyMatch(violation -> violation.contains(" naming p1")),
+                    result.report());
+        }
+
+        /**
+         * Lists lose their versions, and the first one arrives again after each newer one. A
+         * dispatcher that takes the later arrival for the newer list goes back to the old one.
+         */
+        @Test
+        void anOldListAppliedOverANewerOneIsFound() throws Exception {
+            Map<InetSocketAddress, String> firstLists = new ConcurrentHashMap<>();
+            FaultTestRunner.Result result =
+                    playTampered(
+                            (exchange, body, forward) -> {
+                                acknowledge(exchange);
+                                if (!body.startsWith("list ")) {
+                                    forward.accept(body);
+                                    return;
+                                }
+                                String unversioned = body.replaceFirst(" source .*", "");
+                                String first =
+                                        firstLists.merge(
+                                                exchange.peerAddress(),
+                                                unversioned,
+                                                (older, newer) -> older);
+                                String full =
+                                        firstLists.values().stream()
+                                                .filter(list -> list.startsWith("list full"))
+                                                .findFirst()
+                                                .orElse(first);
+                                forward.accept(unversioned);
+                                exchange.loop().schedule(100_000_000L, () -> forward.accept(full));
+                            });
+            assertViolated(result, 3);
+        }
+    }
+
+    /** Acknowledges an update of the registry, and forwards what it likes to the dispatcher. */
+    private interface ListTamperer {
+        void onUpdate(HttpExchange exchange, String body, Consumer<String> forward);
+    }
+
+    private static void acknowledge(HttpExchange exchange) {
+        exchange.send(200, new Fields(), "taken\n".getBytes(StandardCharsets.UTF_8));
+    }
+
+    /** A sound dispatcher whose control requests pass through a tamperer. */
+    private static final class TamperedDispatcher extends DispatcherRunner {
+        private final DispatcherRunner dispatcher;
+        private final IoThreads ioThreads;
+        private final HttpClient client;
+        private final ListTamperer tamperer;
+
+        TamperedDispatcher(
+                String name,
+                Path file,
+                String settings,
+                IoThreads ioThreads,
+                ListTamperer tamperer) {
+            super(name, file, settings);
+            this.ioThreads = ioThreads;
+            this.tamperer = tamperer;
+            client = new HttpClient(ioThreads.loop(0), ClientLimits.STANDARD);
+            dispatcher =
+                    DispatcherRunner.inProcess(name, file, settings, RoutingStrategy::newRouter);
+        }
+
+        @Override
+        void launch() throws IOException {
+            dispatcher.start();
+            HttpListener control =
+                    HttpListener.open(
+                            ioThreads,
+                            new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
+                            ServerLimits.STANDARD,
+                            exchange -> exchange.readBody(body -> onControl(exchange, body)));
+            setPorts(dispatcher.clientAddress.getPort(), control.address().getPort());
+        }
+
+        private void onControl(HttpExchange exchange, byte[] body) {
+            String target = exchange.head().target();
+            tamperer.onUpdate(
+                    exchange,
+                    new String(body, StandardCharsets.UTF_8),
+                    forwarded -> forward(target, forwarded.getBytes(StandardCharsets.UTF_8)));
+        }
+
+        private void forward(String target, byte[] body) {
+            Fields fields = new Fields().add("Content-Length", Integer.toString(body.length));
+            client.send(
+                    dispatcher.controlAddress,
+                    new RequestHead("POST", target, "a", 1, fields),
+                    body,
+                    new ResponseHandler() {
+                        @Override
+                        public void onComplete(Fields trailers) {
+                            // The registry has its acknowledgement already.
+                        }
+
+                        @Override
+                        public void onFailure(CallFailure failure, String reason) {
+                            // The dispatcher has been closed.
+                        }
+                    });
+        }
+
+        @Override
+        void terminate() {
+            dispatcher.kill();
+        }
+    }
+}
