--- a/src/main/java/brooklock/cli/CheckCommand.java
+++ b/src/main/java/brooklock/cli/CheckCommand.java
@@ -7,7 +7,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Parameters;
 
-/** Looks whether a settings file could be used. */
+/** {@code check}: validates a settings file. */
 @Command(
         name = "check",
         mixinStandardHelpOptions = true,
--- a/src/main/java/brooklock/cli/Cli.java
+++ b/src/main/java/brooklock/cli/Cli.java
@@ -5,7 +5,7 @@
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 
-/** The command and its subcommands; each is a class of its own. */
+/** The program's command line; each subcommand is a class of its own. */
 @Command(
         name = "brooklock",
         version = "brooklock 0.1.0",
@@ -26,12 +26,16 @@
             "wirehost, alone, hosts instances of the module on standard input and output for a simulator."
         })
 public final class Cli {
-    /** Exit status where what was asked for found something wrong. */
+    /** Exit status of a command that found a problem. */
     static final int EXIT_PROBLEM = 1;
 
     private Cli() {}
 
-    /** Runs a command line and gives its exit status. */
+    /**
+     * Runs a command line.
+     *
+     * @return its exit status
+     */
     public static int run(String... args) {
         CommandLine line = new CommandLine(new Cli());
         if (args.length == 0) {
@@ -42,8 +46,9 @@
         return line.execute(args);
     }
 
-    // Mistakes in settings and what the system refuses are told in plain words; all else is a fault
-    // of ours.
+    // Mistakes in settings and failures of the system are reported in plain words; anything else is
+    // a
+    // bug, and picocli prints its stack trace.
     private static int handleFailure(
             Exception e, CommandLine command, CommandLine.ParseResult parsed) throws Exception {
         if (e instanceof SettingsException s) {
--- a/src/main/java/brooklock/cli/FaultTestCommand.java
+++ b/src/main/java/brooklock/cli/FaultTestCommand.java
@@ -15,51 +15,52 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** Plays a bad day on loopback. */
+/** {@code fault-test}: plays a scenario of faults on loopback. */
 @Command(
-        name = "rehearse",
+        name = "fault-test",
+        aliases = "rehearse",
         mixinStandardHelpOptions = true,
         description =
-                "Plays a bad day through real dispatchers on "
-                        + "loopback and audits what crossed the sockets.",
+                "Plays a scenario of faults through real dispatchers on loopback and checks the "
+                        + "recorded traffic against the invariants.",
         exitCodeListHeading = "%nExit status:%n",
         exitCodeList = {
-            "0:every rule was seen and kept",
-            "1:a rule was broken or not seen, or the script is wrong",
-            "3:it could not be judged: the rig itself was late by more than a rule's slack"
+            "0:every invariant was seen and holds",
+            "1:an invariant was violated or not seen, or the scenario is wrong",
+            "3:it could not be judged: the harness itself was late by more than the checks allow"
         })
 final class FaultTestCommand implements Callable<Integer> {
     private static final int EXIT_NOT_JUDGED = 3;
 
     @Parameters(
-            paramLabel = "SCRIPT",
+            paramLabel = "SCENARIO",
             arity = "0..1",
-            description = "the day; without it, the built-in one")
+            description = "the scenario; without it, the built-in one")
     private Path file;
 
-    @Option(names = "--seed", paramLabel = "N", description = "instead of the script's own")
+    @Option(names = "--seed", paramLabel = "N", description = "instead of the scenario's own")
     private Long seed;
 
     @ArgGroup private Mode mode = new Mode();
 
-    /** Whom the day is played through. */
+    /** The routers that the dispatchers run. */
     private static final class Mode {
         @Option(
                 names = "--random",
                 description =
-                        "routers that pick at random, to compare; rules are not expected of them")
+                        "routers that choose at random, to compare; not expected to keep the invariants")
         private boolean random;
 
         @Option(
                 names = "--informed",
-                description = "routers that see the true state of every stand-in, to compare")
+                description = "routers that see the true state of every test server, to compare")
         private boolean oracle;
 
         @Option(
                 names = "--scale",
                 description =
-                        "all three in turn, the module's service on the scale random = 0, "
-                                + "informed = 1, by class and by trouble")
+                        "all three in turn, and the product's router on the scale random = 0, "
+                                + "informed = 1, by class and by fault")
         private boolean compareAll;
     }
 
--- a/src/main/java/brooklock/cli/LoadCommand.java
+++ b/src/main/java/brooklock/cli/LoadCommand.java
@@ -11,23 +11,27 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** Puts a load on a server. */
+/** {@code load}: generates a load of GET requests. */
 @Command(
         name = "load",
         mixinStandardHelpOptions = true,
         description =
-                "Asks a URL again and again; with --rate its times "
-                        + "count from the moments at which requests were due.")
+                "Requests a URL again and again; with --rate, latencies count from the moments at "
+                        + "which requests were due.")
 final class LoadCommand implements Callable<Integer> {
+    private static final long SECOND_NS = 1_000_000_000L;
+    private static final long WARM_UP_NS = SECOND_NS;
+    private static final int DEFAULT_PORT = 80;
+
     @Parameters(
             paramLabel = "URL",
-            description = "what to ask; {n} in it becomes a number below --objects")
+            description = "what to request; {n} in it becomes a number below --objects")
     private URI url;
 
     @Option(
             names = "--rate",
             paramLabel = "N",
-            description = "requests a second; without it, as many as go")
+            description = "requests a second; without it, as many as the connections carry")
     private double rate;
 
     @Option(
@@ -77,7 +81,7 @@
             return Cli.EXIT_PROBLEM;
         }
         String path = url.getRawPath() + (url.getRawQuery() == null ? "" : "?" + url.getRawQuery());
-        int port = url.getPort() < 0 ? 80 : url.getPort();
+        int port = url.getPort() < 0 ? DEFAULT_PORT : url.getPort();
         Fields fields = new Fields();
         if (headers != null) {
             headers.forEach(fields::add);
@@ -90,8 +94,8 @@
                                 rate,
                                 connections,
                                 threads,
-                                1_000_000_000L,
-                                seconds * 1_000_000_000L,
+                                WARM_UP_NS,
+                                seconds * SECOND_NS,
                                 i -> path.replace("%7Bn%7D", Integer.toString(i % objects)),
                                 fields)));
         return 0;
--- a/src/main/java/brooklock/cli/Logging.java
+++ b/src/main/java/brooklock/cli/Logging.java
@@ -10,15 +10,14 @@
 import java.nio.file.Path;
 import org.slf4j.LoggerFactory;
 
-/** Where log lines go. All are JSON, one a line. */
+/** Configures where log lines go. All are JSON, one object a line. */
 final class Logging {
-    // Lines that may wait for the disk; above it lines of answers are dropped, never answers
-    // delayed.
+    /** Lines that may wait for the disk; further ones are dropped, so that no response waits. */
     private static final int MAX_QUEUED_LINES = 16_384;
 
     private Logging() {}
 
-    /** Sends the lines of answers to a file. */
+    /** Writes the access log, the logger "answers", to a file, from a thread of its own. */
     static void logAccessTo(Path path) {
         LoggerContext context = (LoggerContext) LoggerFactory.getILoggerFactory();
         JsonEncoder encoder = new JsonEncoder();
@@ -49,7 +48,7 @@
         accessLogger.addAppender(queue);
     }
 
-    /** Writes out what waits. */
+    /** Writes out the lines that wait, and ends logging. */
     static void shutDown() {
         ((LoggerContext) LoggerFactory.getILoggerFactory()).stop();
     }
--- a/src/main/java/brooklock/cli/ReplayCommand.java
+++ b/src/main/java/brooklock/cli/ReplayCommand.java
@@ -7,13 +7,13 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Parameters;
 
-/** Feeds a trace to a fresh module. */
+/** {@code replay}: replays a trace through a fresh router. */
 @Command(
         name = "replay",
         mixinStandardHelpOptions = true,
         description =
-                "Feeds a dispatcher's trace to a fresh module "
-                        + "and reports the first action that differs; exits 1 if one does.")
+                "Replays a dispatcher's trace through a fresh router and reports the first action "
+                        + "that differs; exits 1 if one does.")
 final class ReplayCommand implements Callable<Integer> {
     @Parameters(
             paramLabel = "FILE",
@@ -22,10 +22,10 @@
 
     @Override
     public Integer call() throws IOException {
-        TraceReplay.Result r = TraceReplay.replay(file);
-        System.out.println(r.events() + " events, " + r.actions() + " actions alike");
-        if (r.difference().isPresent()) {
-            System.out.println(r.difference().get());
+        TraceReplay.Result result = TraceReplay.replay(file);
+        System.out.println(result.events() + " events, " + result.actions() + " actions alike");
+        if (result.difference().isPresent()) {
+            System.out.println(result.difference().get());
             return Cli.EXIT_PROBLEM;
         }
         return 0;
--- a/src/main/java/brooklock/cli/ServeCommand.java
+++ b/src/main/java/brooklock/cli/ServeCommand.java
@@ -13,13 +13,13 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Parameters;
 
-/** Runs a dispatcher until it is told to end. */
+/** {@code serve}: runs a dispatcher until SIGTERM. */
 @Command(
         name = "serve",
         mixinStandardHelpOptions = true,
         description =
-                "Runs a dispatcher. SIGTERM lets it finish what "
-                        + "it has taken, each request within its deadline, and ends it with status 0.")
+                "Runs a dispatcher. SIGTERM lets it finish the requests that it has accepted, each "
+                        + "within its deadline, and ends it with status 0.")
 final class ServeCommand implements Callable<Integer> {
     private static final Logger LOG = LoggerFactory.getLogger(ServeCommand.class);
 
@@ -35,7 +35,7 @@
             }
             Dispatcher dispatcher = Dispatcher.start(settings);
             Runtime.getRuntime().addShutdownHook(new Thread(() -> shutDown(dispatcher), "end"));
-            // Standard output is for whoever started this one: where it listens, once it does.
+            // For whoever started this process: it listens now, and where.
             System.out.println(
                     "listening "
                             + dispatcher.address().getPort()
--- a/src/main/java/brooklock/cli/TestServersCommand.java
+++ b/src/main/java/brooklock/cli/TestServersCommand.java
@@ -16,15 +16,18 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** Plays the hosts of a settings file. */
+/** {@code test-servers}: runs a test server for every endpoint of a settings file. */
 @Command(
-        name = "standin",
+        name = "test-servers",
+        aliases = "standin",
         mixinStandardHelpOptions = true,
         description =
-                "Plays every cache, parent and origin that a "
-                        + "settings file names, at the addresses it gives them, so that a dispatcher can be tried on one machine.")
+                "Runs every cache, parent and origin that a settings file names, at the addresses "
+                        + "it gives them, so that a dispatcher can be tried on one machine.")
 final class TestServersCommand implements Callable<Integer> {
-    private static final long MILLISECOND_NS = 1_000_000L;
+    private static final int MAX_REQUESTS = 1000;
+    private static final int MAX_COPIES = 10_000;
+    private static final long BASE_LATENCY_NS = 2_000_000L;
 
     @Parameters(paramLabel = "FILE", description = "a dispatcher's settings")
     private Path file;
@@ -41,47 +44,28 @@
             paramLabel = "N",
             defaultValue = "50",
             description =
-                    "transfers at full pace that a host's link carries, ${DEFAULT-VALUE} if not given")
+                    "transfers at full rate that a server's link carries, ${DEFAULT-VALUE} if not given")
     private double maxTransfers;
 
     @Override
     public Integer call() throws SettingsException, IOException, InterruptedException {
-        try (IoThreads net = IoThreads.start("standin", 1)) {
+        try (IoThreads ioThreads = IoThreads.start("standin", 1)) {
             Settings settings = SettingsReader.read(file);
-            TrafficRecorder traffic = new TrafficRecorder();
+            double meanWorkNs = objectBytes / settings.fleet().transferBytesPerS() * 1e9;
             InetSocketAddress origin =
                     settings.endpoints().stream()
                             .filter(endpoint -> endpoint.kind() == Settings.EndpointKind.ORIGIN)
                             .findFirst()
                             .orElseThrow()
                             .address();
-            Settings.InvariantSettings invariants = settings.invariants();
+            TrafficRecorder traffic = new TrafficRecorder();
             for (Settings.EndpointSettings endpoint : settings.endpoints()) {
-                boolean parent = endpoint.kind() == Settings.EndpointKind.PARENT;
-                ServerModel model =
-                        new ServerModel(
-                                endpoint.name(),
-                                ServerModel.Role.valueOf(endpoint.kind().name()),
-                                maxTransfers * endpoint.weight(),
-                                settings.fleet().transferBytesPerS(),
-                                1000,
-                                10_000,
-                                parent
-                                        ? invariants.parentColdStartShare()
-                                        : invariants.coldStartShare(),
-                                parent ? invariants.parentWarmUpNs() : invariants.warmUpNs(),
-                                parent
-                                        ? invariants.parentOverloadMultiple()
-                                        : invariants.overloadMultiple(),
-                                invariants.overloadWindowNs(),
-                                2 * MILLISECOND_NS,
-                                0);
                 new TestServer(
-                        net,
-                        model,
+                        ioThreads,
+                        model(endpoint, settings),
                         traffic,
-                        (path, cls) -> Math.max(objectBytes, path.length() + 2),
-                        cls -> objectBytes / settings.fleet().transferBytesPerS() * 1e9,
+                        (path, className) -> Math.max(objectBytes, path.length() + 2),
+                        className -> meanWorkNs,
                         origin,
                         endpoint.id(),
                         endpoint.address());
@@ -92,4 +76,22 @@
             return 0;
         }
     }
+
+    private ServerModel model(Settings.EndpointSettings endpoint, Settings settings) {
+        Settings.InvariantSettings invariants = settings.invariants();
+        boolean parent = endpoint.kind() == Settings.EndpointKind.PARENT;
+        return new ServerModel(
+                endpoint.name(),
+                ServerModel.Role.valueOf(endpoint.kind().name()),
+                maxTransfers * endpoint.weight(),
+                settings.fleet().transferBytesPerS(),
+                MAX_REQUESTS,
+                MAX_COPIES,
+                parent ? invariants.parentColdStartShare() : invariants.coldStartShare(),
+                parent ? invariants.parentWarmUpNs() : invariants.warmUpNs(),
+                parent ? invariants.parentOverloadMultiple() : invariants.overloadMultiple(),
+                invariants.overloadWindowNs(),
+                BASE_LATENCY_NS,
+                0);
+    }
 }
