--- a/src/main/java/brooklock/authorization/PolicyReader.java
+++ b/src/main/java/brooklock/authorization/PolicyReader.java
@@ -56,7 +56,7 @@
         String[] lines = text.split("\r?\n", -1);
         for (int i = 0; i < lines.length; i++) {
             try {
-                Statement line = Statement.parse(file, i + 1, lines[i]);
+                Statement line = Statement.parse(i + 1, lines[i]);
                 if (line != null) {
                     parseStatement(line, i + 1);
                 }
