--- a/src/main/java/brooklock/routing/RouterEvent.java
+++ b/src/main/java/brooklock/routing/RouterEvent.java
@@ -19,7 +19,7 @@
      *
      * @param id the request's identifier, not used by another open request
      * @param classIndex index of its class in the settings
-     * @param object the object it asks for
+     * @param object the requested object
      * @param part the part of the object
      * @param group the purge group of the object
      * @param sizeKb size of the response in KB; 0 if not known
--- /dev/null
+++ b/src/test/java/brooklock/routing/ConcurrencyLimitTest.java
@@ -0,0 +1,87 @@
+package brooklock.routing;
+
+import static brooklock.routing.RouterFixture.MS;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import org.junit.jupiter.api.Test;
+
+/** The limit on the work in flight on one link. */
+class ConcurrencyLimitTest {
+    private static final double REQUEST_NS = 10 * MS;
+
+    @Test
+    void aLinkWhoseResponsesAreInTimeHasNoLimit() {
+        ConcurrencyLimit limit = ConcurrencyLimit.forCache();
+        respond(limit, true, 100);
+        limit.acquire(1000 * REQUEST_NS);
+        assertTrue(limit.admits(REQUEST_NS, 0));
+        assertFalse(limit.isLate());
+    }
+
+    /**
+     * A link jams: all its responses are late. The limit shrinks, yet two mean requests always stay
+     * admitted, because only their responses can show that the jam is over.
+     */
+    @Test
+    void aJammedLinkStaysOpenForTwoMeanRequests() {
+        ConcurrencyLimit limit = ConcurrencyLimit.forCache();
+        respond(limit, false, 100);
+        assertTrue(limit.isLate());
+        assertTrue(limit.isWiderThan(2 * REQUEST_NS));
+        assertFalse(limit.isWiderThan(2 * REQUEST_NS + 1));
+        limit.acquire(REQUEST_NS);
+        assertTrue(limit.admits(REQUEST_NS, 0));
+        limit.acquire(REQUEST_NS);
+        assertFalse(limit.admits(REQUEST_NS, 0), "a third waits");
+    }
+
+    /** The jam is over: responses in time widen the limit again while it is used. */
+    @Test
+    void responsesInTimeWidenTheLimitAgain() {
+        ConcurrencyLimit limit = ConcurrencyLimit.forCache();
+        respond(limit, false, 100);
+        limit.acquire(2 * REQUEST_NS);
+        respond(limit, true, 100);
+        assertTrue(limit.isWiderThan(4 * REQUEST_NS));
+        assertFalse(limit.isLate());
+    }
+
+    /**
+     * Four hundred dispatchers share an origin that fails, so each one's part of its floor is far
+     * less than a request. One request is admitted, then the limit pauses until its mean is kept.
+     */
+    @Test
+    void aLimitNarrowerThanARequestAdmitsOneAndThenPauses() {
+        ConcurrencyLimit limit = ConcurrencyLimit.forOrigin(400);
+        respond(limit, false, 200);
+        assertFalse(limit.isWiderThan(REQUEST_NS));
+        assertTrue(limit.admits(REQUEST_NS, 0));
+        limit.acquire(REQUEST_NS);
+        assertFalse(limit.admits(REQUEST_NS, 0), "one is in flight");
+        limit.release(REQUEST_NS, 0);
+        assertFalse(limit.admits(REQUEST_NS, 989 * MS), "the mean is not kept yet");
+        assertTrue(limit.admits(REQUEST_NS, 991 * MS));
+    }
+
+    /**
+     * The sizes of responses are not known, and large ones take long. They show whether the link is
+     * late, but must not shut it.
+     */
+    @Test
+    void responsesOfUnknownSizeMoveNoLimit() {
+        ConcurrencyLimit limit = ConcurrencyLimit.forFills();
+        for (int i = 0; i < 100; i++) {
+            limit.onUnsizedResponse(false);
+        }
+        limit.acquire(1000 * REQUEST_NS);
+        assertTrue(limit.isLate());
+        assertTrue(limit.admits(REQUEST_NS, 0));
+    }
+
+    private static void respond(ConcurrencyLimit limit, boolean onTime, int responses) {
+        for (int i = 0; i < responses; i++) {
+            limit.onResponse(onTime, REQUEST_NS, REQUEST_NS);
+        }
+    }
+}
--- a/src/test/java/brooklock/routing/EndpointTableTest.java
+++ b/src/test/java/brooklock/routing/EndpointTableTest.java
@@ -48,7 +48,7 @@
 
     /**
      * The subscription to the list failed. The last list stays in force, and a new subscription is
-     * asked for.
+     * requested.
      */
     @Test
     void aFailedSubscriptionIsRenewedAndTheListStays() {
