--- a/src/main/java/brooklock/routing/ConcurrencyLimit.java
+++ b/src/main/java/brooklock/routing/ConcurrencyLimit.java
@@ -90,7 +90,7 @@
      * mean.
      */
     boolean admits(double workNs, long now) {
-        return inFlightNs + workNs <= limitNs || inFlightNs <= 0 && now >= pausedUntilNs;
+        return inFlightNs + workNs <= limitNs || (inFlightNs <= 0 && now >= pausedUntilNs);
     }
 
     void acquire(double workNs) {
--- a/src/main/java/brooklock/routing/FillAdmission.java
+++ b/src/main/java/brooklock/routing/FillAdmission.java
@@ -58,8 +58,8 @@
                         now);
         origin &= request.hot || originLimit.isWiderThan(work);
         if (!target.limit.admits(work, now)
-                || request.missed && !fill
-                || request.parentMissed && !origin) {
+                || (request.missed && !fill)
+                || (request.parentMissed && !origin)) {
             return FillReach.NONE;
         }
         return !fill ? FillReach.CACHE : origin ? FillReach.ORIGIN : FillReach.PARENT;
@@ -105,7 +105,7 @@
             long now) {
         boolean early = now < request.objectiveAtNs;
         if (completed.outcome().neverStarted()
-                || completed.outcome() == AttemptOutcome.CANCELLED && early) {
+                || (completed.outcome() == AttemptOutcome.CANCELLED && early)) {
             return;
         }
         boolean onTime = completed.outcome() == AttemptOutcome.OK && request.isOnTime(completed);
@@ -137,8 +137,8 @@
         if (ok && (!attempt.endpoint.isCache || status == CacheStatus.FILLED_BY_PARENT)) {
             return fillLimit;
         }
-        if (ok && status == CacheStatus.FILLED_BY_ORIGIN
-                || status.isFillSourceFailure() && !outliers.isFillSourceUnreached(completed)) {
+        if ((ok && status == CacheStatus.FILLED_BY_ORIGIN)
+                || (status.isFillSourceFailure() && !outliers.isFillSourceUnreached(completed))) {
             return originLimit;
         }
         if (ok || excused) {
--- a/src/main/java/brooklock/routing/FillSourceSelector.java
+++ b/src/main/java/brooklock/routing/FillSourceSelector.java
@@ -40,12 +40,11 @@
                 near == null || penalty(near, request, now) > 0
                         ? bestOf(endpoints.farParents(), request, now)
                         : null;
-        RoutedEndpoint best =
-                near == null
-                                || far != null
-                                        && penalty(far, request, now) < penalty(near, request, now)
-                        ? far
-                        : near;
+        RoutedEndpoint best = near;
+        if (near == null
+                || (far != null && penalty(far, request, now) < penalty(near, request, now))) {
+            best = far;
+        }
         return best != null ? best : endpoints.origin();
     }
 
--- a/src/main/java/brooklock/routing/HedgingPolicy.java
+++ b/src/main/java/brooklock/routing/HedgingPolicy.java
@@ -61,7 +61,7 @@
         boolean ok = completed.outcome() == AttemptOutcome.OK;
         boolean overdue = attempt.isOvertaken() && now >= request.finalResponseAtNs;
         Attempt first = request.attempts.get(0);
-        boolean lost = overdue && !ok || ok && first != attempt && first.isOvertaken();
+        boolean lost = (overdue && !ok) || (ok && first != attempt && first.isOvertaken());
         if (overdue || ok) {
             lostRate += LOST_RATE_WEIGHT * ((lost ? 1 : 0) - lostRate);
         }
--- a/src/main/java/brooklock/routing/HotList.java
+++ b/src/main/java/brooklock/routing/HotList.java
@@ -73,7 +73,7 @@
                 current.remove(current.keySet().iterator().next());
             }
         }
-        if (!request.clientRetry() && request.part() <= demand.lastPart || demand.lastPart < 0) {
+        if ((!request.clientRetry() && request.part() <= demand.lastPart) || demand.lastPart < 0) {
             demand.requests++;
         }
         demand.lastPart = request.part();
--- a/src/main/java/brooklock/routing/OutlierDetector.java
+++ b/src/main/java/brooklock/routing/OutlierDetector.java
@@ -55,7 +55,9 @@
         double longestObjectiveNs = 0;
         for (int i = 0; i < settings.classes().size(); i++) {
             longestObjectiveNs =
-                    Math.max(longestObjectiveNs, settings.classes().get(i).latencyObjectiveNs());
+                    Math.max(
+                            longestObjectiveNs,
+                            (double) settings.classes().get(i).latencyObjectiveNs());
         }
         silentAfterNs = SILENT_OBJECTIVES * longestObjectiveNs;
         unreachedWithinNs = UNREACHED_CONNECT_TIMEOUTS * settings.limits().connectTimeoutNs();
@@ -71,8 +73,8 @@
     boolean isEjected(RoutedEndpoint endpoint, long now) {
         EndpointHealth health = endpoint.health;
         return health.errorRate > MAX_ERROR_RATE
-                || health.openAttempts >= MIN_SILENT_ATTEMPTS
-                        && now - health.unansweredSinceNs > silentAfterNs;
+                || (health.openAttempts >= MIN_SILENT_ATTEMPTS
+                        && now - health.unansweredSinceNs > silentAfterNs);
     }
 
     /** An attempt goes out to the endpoint. */
@@ -121,8 +123,8 @@
         } else if (status.isFillSourceFailure()) {
             recordOutcome(endpoint, true, now);
             recordOutcome(attempt.fillSource, status == CacheStatus.ORIGIN_FAILED, now);
-        } else if (outcome == AttemptOutcome.TIMEOUT
-                        && endpoint.health.unansweredSinceNs <= attempt.sentAtNs
+        } else if ((outcome == AttemptOutcome.TIMEOUT
+                        && endpoint.health.unansweredSinceNs <= attempt.sentAtNs)
                 || outcome == AttemptOutcome.RESET
                 || outcome == AttemptOutcome.CONNECT_FAILED) {
             recordOutcome(endpoint, false, now);
--- a/src/main/java/brooklock/routing/RetryPolicy.java
+++ b/src/main/java/brooklock/routing/RetryPolicy.java
@@ -43,8 +43,8 @@
             case IDEMPOTENT -> true;
             case IDEMPOTENCY_KEY ->
                     !request.mayHaveExecuted
-                            || request.requestClass.idempotencyScope() == IdempotencyScope.ALL
-                                    && keyWindowLeftNs(request, now) > 0;
+                            || (request.requestClass.idempotencyScope() == IdempotencyScope.ALL
+                                    && keyWindowLeftNs(request, now) > 0);
             case NOT_IDEMPOTENT -> !request.mayHaveExecuted;
         };
     }
@@ -63,9 +63,9 @@
     static boolean mayReject(PendingRequest request) {
         RequestClass requestClass = request.requestClass;
         return requestClass.idempotency() == Idempotency.IDEMPOTENT
-                || !request.mayHaveExecuted && request.openAttempts == 0
-                || requestClass.idempotency() == Idempotency.IDEMPOTENCY_KEY
-                        && requestClass.idempotencyScope() == IdempotencyScope.ALL;
+                || (!request.mayHaveExecuted && request.openAttempts == 0)
+                || (requestClass.idempotency() == Idempotency.IDEMPOTENCY_KEY
+                        && requestClass.idempotencyScope() == IdempotencyScope.ALL);
     }
 
     private static long keyWindowLeftNs(PendingRequest request, long now) {
--- a/src/main/java/brooklock/routing/SlowStart.java
+++ b/src/main/java/brooklock/routing/SlowStart.java
@@ -86,7 +86,7 @@
     boolean canAfford(RoutedEndpoint endpoint, PendingRequest request, long now) {
         Peers peers = peersOf(endpoint);
         double capacity = peers.capacityOf(endpoint, now);
-        if (capacity >= 1 || !endpoint.isCache && !endpoint.isParent) {
+        if (capacity >= 1 || (!endpoint.isCache && !endpoint.isParent)) {
             return true;
         }
         // While none is warm the rate stands as it was measured last: decay would shut the budgets.
--- a/src/test/java/brooklock/routing/RandomTraffic.java
+++ b/src/test/java/brooklock/routing/RandomTraffic.java
@@ -48,7 +48,7 @@
             if (choice == 0) {
                 changeEndpoint();
             } else if (choice == 1) {
-                long object = 1 + random.nextInt(30);
+                long object = 1L + random.nextInt(30);
                 feed(new PurgeReceived(object, 3, 50 * RouterFixture.MS));
                 purged.put(object, fixture.now - 50 * RouterFixture.MS);
             } else if (choice < 32) {
@@ -68,7 +68,7 @@
     }
 
     private void changeEndpoint() {
-        long id = random.nextBoolean() ? 11 + random.nextInt(4) : 801 + random.nextInt(2);
+        long id = random.nextBoolean() ? 11L + random.nextInt(4) : 801L + random.nextInt(2);
         boolean isParent = id > 800;
         boolean back = leaving.remove(id);
         if (!back) {
@@ -136,8 +136,8 @@
             assertTrue(request != null && fixture.now <= request.deadlineNs());
             assertTrue(
                     request.classIndex() != RouterFixture.NOT_IDEMPOTENT
-                            || !mayHaveExecutedSince.containsKey(rejected.id())
-                                    && openAttempts.getOrDefault(rejected.id(), 0) == 0);
+                            || (!mayHaveExecutedSince.containsKey(rejected.id())
+                                    && openAttempts.getOrDefault(rejected.id(), 0) == 0));
             finish(rejected.id());
         } else if (action instanceof FailRequest failed) {
             assertTrue(open.containsKey(failed.id()));
--- a/src/test/java/brooklock/routing/SlowStartTest.java
+++ b/src/test/java/brooklock/routing/SlowStartTest.java
@@ -111,7 +111,7 @@
             }
             int warm = sentTo(dispatchers, 11, 15, 20, 0) / 4 / 20;
             for (RouterFixture dispatcher : dispatchers) {
-                for (long id = 15 - restarted; id <= 14; id++) {
+                for (long id = 15L - restarted; id <= 14; id++) {
                     dispatcher.changeEndpoints(
                             RouterFixture.cache(id, EndpointState.READY, dispatcher.now));
                 }
