--- a/src/main/java/brooklock/proxy/AccessFiles.java
+++ b/src/main/java/brooklock/proxy/AccessFiles.java
@@ -185,7 +185,7 @@
         if (watchedFiles.isEmpty()) {
             return;
         }
-        Thread thread = new Thread(() -> pollLoop(listener, onPoll), name + "-watch");
+        Thread thread = new Thread(() -> pollLoop(listener, onPoll), name + "-file-poll");
         thread.setDaemon(true);
         thread.start();
     }
--- a/src/main/java/brooklock/proxy/BackgroundFileWriter.java
+++ b/src/main/java/brooklock/proxy/BackgroundFileWriter.java
@@ -16,7 +16,7 @@
     private final ExecutorService executor =
             Executors.newSingleThreadExecutor(
                     task -> {
-                        Thread thread = new Thread(task, "list-writer");
+                        Thread thread = new Thread(task, "file-writer");
                         thread.setDaemon(true);
                         return thread;
                     });
--- a/src/main/java/brooklock/proxy/ControlHandler.java
+++ b/src/main/java/brooklock/proxy/ControlHandler.java
@@ -97,7 +97,7 @@
 
     private static Map<String, String> parseQuery(String text) {
         Map<String, String> parameters = new HashMap<>();
-        for (String pair : text.split("&")) {
+        for (String pair : text.split("&", -1)) {
             int equals = pair.indexOf('=');
             if (equals > 0) {
                 parameters.put(
--- a/src/main/java/brooklock/proxy/EndpointListStore.java
+++ b/src/main/java/brooklock/proxy/EndpointListStore.java
@@ -106,7 +106,7 @@
             lastSaved = pending.state();
         } catch (IOException e) {
             failure = Optional.of(e);
-            LOG.error("the list cannot be saved; after a restart the one before is taken", e);
+            LOG.error("the list cannot be saved; the previous one is used after a restart", e);
         }
         for (SaveListener listener : pending.listeners()) {
             listener.onSaved(failure);
--- a/src/main/java/brooklock/proxy/EndpointListUpdater.java
+++ b/src/main/java/brooklock/proxy/EndpointListUpdater.java
@@ -73,7 +73,9 @@
         try {
             return store.load();
         } catch (IOException e) {
-            LOG.error("the saved list cannot be used, the settings' hosts are taken instead", e);
+            LOG.error(
+                    "the saved list cannot be used; the endpoints of the settings are used instead",
+                    e);
             return Optional.empty();
         }
     }
@@ -152,7 +154,7 @@
             result = context.endpointRegistry().apply(change);
         } catch (RuntimeException failure) {
             // One event that can't be applied must not stop the others, nor routing.
-            LOG.error("notice failed: {}", description, failure);
+            LOG.error("endpoint list update failed: {}", description, failure);
             result = UpdateResult.internalError(failure);
         }
         LOG.atInfo()
--- a/src/main/java/brooklock/proxy/LoadReportParser.java
+++ b/src/main/java/brooklock/proxy/LoadReportParser.java
@@ -43,7 +43,7 @@
         double utilization = NOT_REPORTED;
         double hitRatio = NOT_REPORTED;
         int inFlight = (int) NOT_REPORTED;
-        for (String pair : text.split(", *")) {
+        for (String pair : text.split(", *", -1)) {
             int equals = pair.indexOf('=');
             if (equals > 0 && pair.substring(equals + 1).matches(NUMBER)) {
                 double number = Double.parseDouble(pair.substring(equals + 1));
--- a/src/main/java/brooklock/proxy/RouterSettingsMapper.java
+++ b/src/main/java/brooklock/proxy/RouterSettingsMapper.java
@@ -12,6 +12,8 @@
     private RouterSettingsMapper() {}
 
     /** Returns the router's settings; nothing is added to what the file says. */
+    // To the router a kind is a number; EndpointRegistry numbers kinds in the same way.
+    @SuppressWarnings("EnumOrdinal")
     public static RouterSettings toRouterSettings(Settings settings) {
         List<RouterSettings.RequestClass> classes =
                 settings.classes().stream()
--- a/src/main/java/brooklock/proxy/RoutingThread.java
+++ b/src/main/java/brooklock/proxy/RoutingThread.java
@@ -34,7 +34,6 @@
     // A wake-up that is missed costs no more than this.
     private static final long MAX_PARK_NS = 50_000_000L;
     private static final long STOP_TIMEOUT_MS = 1000;
-    private static final Runnable NOTHING = () -> {};
 
     /** Carries actions out. Called on the routing thread; must not block. */
     interface ActionHandler {
@@ -102,7 +101,7 @@
         this.clock = clock;
         this.trace = trace;
         queue = new MpscArrayQueue<>(capacity);
-        thread = new Thread(this::runLoop, name + "-decisions");
+        thread = new Thread(this::runLoop, name + "-routing");
         thread.setDaemon(true);
     }
 
@@ -136,7 +135,7 @@
      * Submits an event that must not be lost; the half of the queue closed to requests is for it.
      */
     void submit(RouterEvent event) {
-        enqueue(new EventEntry(event, NOTHING));
+        enqueue(new EventEntry(event, RoutingThread::doNothing));
     }
 
     /** Submits an event and a task that runs on the routing thread once the event is processed. */
@@ -160,6 +159,8 @@
         enqueue(new TaskEntry(task));
     }
 
+    private static void doNothing() {}
+
     private void enqueue(QueueEntry entry) {
         while (!queue.offer(entry) && !stopping) {
             Thread.onSpinWait();
--- a/src/main/java/brooklock/proxy/UpstreamAttempt.java
+++ b/src/main/java/brooklock/proxy/UpstreamAttempt.java
@@ -198,7 +198,8 @@
     // ---- What ends it from this side
 
     private void onTimeout() {
-        if (ended || committed && exchange.request.match().requestClass().streamed()) {
+        boolean streamed = exchange.request.match().requestClass().streamed();
+        if (ended || (committed && streamed)) {
             return;
         }
         endCall(AttemptOutcome.TIMEOUT);
--- a/src/main/java/brooklock/proxy/WarmingSnapshotStore.java
+++ b/src/main/java/brooklock/proxy/WarmingSnapshotStore.java
@@ -36,7 +36,7 @@
                     try {
                         EndpointListFile.replaceAtomically(path, text, false);
                     } catch (IOException e) {
-                        LOG.error("what was learned of cold caches cannot be written down", e);
+                        LOG.error("the warming snapshot cannot be saved", e);
                     }
                 });
     }
@@ -51,7 +51,7 @@
         } catch (NoSuchFileException ignored) {
             return Optional.empty();
         } catch (IOException | IllegalArgumentException e) {
-            LOG.warn("what was written down of cold caches is not used: {}", e.getMessage());
+            LOG.warn("the warming snapshot is not used: {}", e.getMessage());
             return Optional.empty();
         }
     }
--- a/src/test/java/brooklock/proxy/CertificateAuthorizationTest.java
+++ b/src/test/java/brooklock/proxy/CertificateAuthorizationTest.java
@@ -13,6 +13,7 @@
 import brooklock.net.IoThreads;
 import brooklock.net.ServerLimits;
 import java.io.IOException;
+import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.nio.file.Files;
 import java.security.cert.X509Certificate;
@@ -210,7 +211,7 @@
                         try {
                             return HttpListener.openTls(
                                     net,
-                                    new InetSocketAddress("127.0.0.1", 0),
+                                    new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
                                     ServerLimits.STANDARD,
                                     x -> {
                                         shown.add(
--- a/src/test/java/brooklock/proxy/EndpointListStoreTest.java
+++ b/src/test/java/brooklock/proxy/EndpointListStoreTest.java
@@ -9,6 +9,7 @@
 import brooklock.membership.Membership;
 import brooklock.routing.EndpointState;
 import java.io.IOException;
+import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -40,7 +41,7 @@
                         EndpointId.of("c1"),
                         EndpointKind.CACHE,
                         "here",
-                        new InetSocketAddress("127.0.0.1", 80),
+                        new InetSocketAddress(InetAddress.getLoopbackAddress(), 80),
                         EndpointState.READY,
                         weight,
                         0);
--- a/src/test/java/brooklock/proxy/LoopbackFleet.java
+++ b/src/test/java/brooklock/proxy/LoopbackFleet.java
@@ -94,20 +94,31 @@
     public String settingsText() {
         StringBuilder settings =
                 new StringBuilder(
-                        "name d1\nlisten 127.0.0.1:0\ncontrol 127.0.0.1:0\nzone hub\n"
-                                + "zone here hub hub\nhere here\n"
-                                + "class scans safe aim 500ms stretch 2 deadline 2s\n"
-                                + "class big safe aim 3s deadline 6s\n"
-                                + "class huge safe aim 3s deadline 6s streamed\n"
-                                + "class orders keyed all window 3s through aim 1s deadline 2s\n"
-                                + "class notes unsafe through aim 1s deadline 2s\n"
-                                + "route GET,HEAD /scans/{group}/{object}/{part} scans\n"
-                                + "route GET /big/{object} big\nroute GET /huge/{object} huge\n"
-                                + "route POST /orders/{object} orders unkeyed notes\nroute POST /notes/{object} notes\n"
-                                + (extraSettings.contains("rights ")
-                                        ? "route GET,HEAD /own/{group}/{object}/{part} scans rights\n"
-                                                + "route GET /ownbig/{group}/{object} big rights\n"
-                                        : ""));
+                        """
+                        name d1
+                        listen 127.0.0.1:0
+                        control 127.0.0.1:0
+                        zone hub
+                        zone here hub hub
+                        here here
+                        class scans safe aim 500ms stretch 2 deadline 2s
+                        class big safe aim 3s deadline 6s
+                        class huge safe aim 3s deadline 6s streamed
+                        class orders keyed all window 3s through aim 1s deadline 2s
+                        class notes unsafe through aim 1s deadline 2s
+                        route GET,HEAD /scans/{group}/{object}/{part} scans
+                        route GET /big/{object} big
+                        route GET /huge/{object} huge
+                        route POST /orders/{object} orders unkeyed notes
+                        route POST /notes/{object} notes
+                        """);
+        if (extraSettings.contains("rights ")) {
+            settings.append(
+                    """
+                    route GET,HEAD /own/{group}/{object}/{part} scans rights
+                    route GET /ownbig/{group}/{object} big rights
+                    """);
+        }
         servers.forEach(
                 (name, server) ->
                         settings.append("host ")
@@ -149,10 +160,18 @@
      * @param head the head as text, also where it is not whole
      * @param aborted whether the connection ended before the response
      */
+    // Tests read the body; none compares two responses.
+    @SuppressWarnings("ArrayRecordComponent")
     public record Response(String head, byte[] body, boolean aborted) {
+        /** Returns the status; 0 if there was no whole status line. */
         public int status() {
             return head.length() < 12 ? 0 : Integer.parseInt(head.substring(9, 12));
         }
+
+        /** Returns the body as text. */
+        public String text() {
+            return new String(body, StandardCharsets.UTF_8);
+        }
     }
 
     /** Connects to the dispatcher as a client. */
--- a/src/test/java/brooklock/proxy/StatePageTest.java
+++ b/src/test/java/brooklock/proxy/StatePageTest.java
@@ -26,8 +26,8 @@
             assertEquals(404, fleet.send(get("/nowhere", "")).status());
             assertEquals(200, fleet.sendControl("POST", "/drain?host=c1", "").status());
             LoopbackFleet.await("the end", () -> fleet.dispatcher.openRequests() == 0);
-            String page = new String(fleet.sendControl("GET", "/state", "").body());
-            List<String> words = page.lines().map(line -> line.split(" ")[0]).toList();
+            String page = fleet.sendControl("GET", "/state", "").text();
+            List<String> words = page.lines().map(line -> line.split(" ", 2)[0]).toList();
             assertEquals(
                     List.of(
                             "name",
--- a/src/test/java/brooklock/proxy/TenantBoundaryTest.java
+++ b/src/test/java/brooklock/proxy/TenantBoundaryTest.java
@@ -12,6 +12,7 @@
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.List;
+import java.util.Locale;
 import org.junit.jupiter.api.Test;
 
 /** What goes no further than the dispatcher: credentials, and requests over a tenant's limits. */
@@ -62,7 +63,7 @@
                                     bearer("acme")
                                             + "Cookie: pass=secret\r\nBrooklock-Get: keep=3\r\n"));
             assertEquals(200, response.status());
-            String head = heads.get(0).toLowerCase(java.util.Locale.ROOT);
+            String head = heads.get(0).toLowerCase(Locale.ROOT);
             assertFalse(
                     head.contains("authorization")
                             || head.contains("cookie")
--- a/src/test/java/brooklock/proxy/WarmingCoordinatorTest.java
+++ b/src/test/java/brooklock/proxy/WarmingCoordinatorTest.java
@@ -33,17 +33,14 @@
 
     @TempDir Path dir;
 
-    private static void requestAllObjects(LoopbackFleet fleet, Socket s, int times)
-            throws IOException {
+    private static void requestAllObjects(Socket s, int times) throws IOException {
         for (int t = 0; t < times; t++) {
             for (int i = 0; i < OBJECTS; i++) {
                 String path = "/scans/g" + i % 5 + "/o" + i + "/0";
                 LoopbackFleet.write(s, get(path, ""));
                 LoopbackFleet.Response response = LoopbackFleet.readResponse(s.getInputStream());
                 assertEquals(200, response.status(), response.head());
-                assertTrue(
-                        new String(response.body()).startsWith(path),
-                        "the bytes are those of its path");
+                assertTrue(response.text().startsWith(path), "the bytes are those of its path");
             }
         }
     }
@@ -78,10 +75,10 @@
                 new LoopbackFleet(dir, 3, 1, warming + "guards cold-from 0.2 cold-for 2s\n")
                         .start();
         try (Socket s = fleet.connect()) {
-            requestAllObjects(fleet, s, 6);
+            requestAllObjects(s, 6);
             fleet.servers.get("c1").kill();
             sendDelta(fleet, "c1", EndpointState.GONE);
-            requestAllObjects(fleet, s, 4);
+            requestAllObjects(s, 4);
             fleet.servers.get("c1").restart();
             sendDelta(fleet, "c1", EndpointState.READY);
         }
@@ -103,7 +100,7 @@
         long end = System.nanoTime() + 20_000 * LoopbackFleet.NS_PER_MS;
         try (Socket s = fleet.connect()) {
             while (peerFillsAfter(fleet, after) < min && System.nanoTime() - end < 0) {
-                requestAllObjects(fleet, s, 1);
+                requestAllObjects(s, 1);
             }
         }
     }
@@ -123,7 +120,7 @@
         }
         try (LoopbackFleet fleet = fleetWithOneColdCache("")) {
             try (Socket s = fleet.connect()) {
-                requestAllObjects(fleet, s, 5);
+                requestAllObjects(s, 5);
             }
             assertTrue(
                     fleet.recorder.requests().stream()
@@ -145,7 +142,7 @@
                 // c3 also serves requests, whose transfers it cuts: only its peer fills count here.
                 sendDelta(fleet, "c3", EndpointState.DRAINING);
                 long acknowledgedAtNs = System.nanoTime();
-                requestAllObjects(fleet, s, 4);
+                requestAllObjects(s, 4);
                 assertTrue(
                         fleet.recorder.requests().stream()
                                 .noneMatch(
@@ -186,7 +183,7 @@
             }
             long acknowledgedAtNs = System.nanoTime();
             try (Socket s = fleet.connect()) {
-                requestAllObjects(fleet, s, 3);
+                requestAllObjects(s, 3);
             }
             for (RecordedRequest s : fleet.recorder.requests()) {
                 if (s.isDirect() && s.atNs - acknowledgedAtNs > 0 && s.copySerial != 0) {
@@ -211,7 +208,7 @@
                 // Responses to clients carry the load reports that prefetches wait for; a prefetch
                 // names no client's request.
                 while (System.nanoTime() - end < 0 && !prefetchSeen(fleet)) {
-                    requestAllObjects(fleet, s, 1);
+                    requestAllObjects(s, 1);
                 }
             }
             assertTrue(prefetchSeen(fleet), fleet.dispatcher.statePage());
@@ -278,7 +275,7 @@
                 Files.writeString(dir.resolve("warm"), bad);
                 fleet.start();
                 try (Socket s = fleet.connect()) {
-                    requestAllObjects(fleet, s, 1);
+                    requestAllObjects(s, 1);
                 }
                 fleet.dispatcher.close();
             }
--- a/src/test/java/brooklock/proxy/WatchEventOrderTest.java
+++ b/src/test/java/brooklock/proxy/WatchEventOrderTest.java
@@ -86,12 +86,12 @@
     }
 
     private static String state(LoopbackFleet fleet, String host) throws IOException {
-        String all = new String(fleet.sendControl("GET", "/state", "").body());
+        String all = fleet.sendControl("GET", "/state", "").text();
         return all.lines()
                 .filter(l -> l.startsWith("host " + host + " "))
                 .findFirst()
                 .orElseThrow()
-                .split(" ")[2];
+                .split(" ", -1)[2];
     }
 
     /**
@@ -124,7 +124,7 @@
                     overtaken++;
                     assertEquals(
                             "older\nsource registry epoch 1 number " + (2 * i + 1) + "\n",
-                            new String(toOlder.body()));
+                            toOlder.text());
                 }
                 assertEquals(
                         goneLast ? EndpointState.GONE : EndpointState.READY,
@@ -195,7 +195,8 @@
             assertEquals("GONE", state(fleet, "c1"));
             assertEquals("DRAINING", state(fleet, "c2"));
             assertTrue(
-                    new String(fleet.sendControl("GET", "/state", "").body())
+                    fleet.sendControl("GET", "/state", "")
+                            .text()
                             .contains("source registry epoch 3 number 8 heard-ms-ago "));
             assertEquals(
                     409, fleet.sendControl("POST", "/hosts", list(fleet, 3, 7, 0, null)).status());
