--- a/src/main/java/brooklock/authorization/FairShares.java
+++ b/src/main/java/brooklock/authorization/FairShares.java
@@ -3,8 +3,8 @@
 import java.util.Collection;
 
 /**
- * Divides a capacity among tenants by weighted max-min fairness: a tenant that asks for less than
- * its share leaves the rest to the others.
+ * Divides a capacity among tenants by weighted max-min fairness: a tenant with less demand than its
+ * share leaves the rest to the others.
  */
 final class FairShares {
     /**
@@ -12,9 +12,9 @@
      */
     static final double GROWTH_FACTOR = 1.1;
 
-    // Shares are only enforced while a tenant asks, by its weight, for more than this multiple of
-    // what the others ask for. Where all ask alike the router's own rejections are fair, and shares
-    // would only cost service, cache hits among it.
+    // Shares are only enforced while the demand of a tenant, by its weight, exceeds this multiple
+    // of the others' demand. Where all demands are alike the router's own rejections are fair, and
+    // shares would only cost service, cache hits among it.
     private static final double EXCESS_DEMAND_RATIO = 1.5;
     private static final double UNDECIDED = -1;
     private static final double MIN_WEIGHT_SUM = 1e-9;
--- a/src/main/java/brooklock/authorization/TenantUsage.java
+++ b/src/main/java/brooklock/authorization/TenantUsage.java
@@ -1,6 +1,6 @@
 package brooklock.authorization;
 
-/** What one tenant has used and asked for. Mutable; owned by its {@link TenantLimiter}. */
+/** Usage and demand of one tenant. Mutable; owned by its {@link TenantLimiter}. */
 final class TenantUsage {
     // Bursts of up to a second's worth of the tenant's own limits pass.
     private static final double TENANT_BURST_SECONDS = 1;
--- a/src/main/java/brooklock/credentials/KeySetFile.java
+++ b/src/main/java/brooklock/credentials/KeySetFile.java
@@ -1,5 +1,6 @@
 package brooklock.credentials;
 
+import brooklock.config.AtomicFile;
 import com.nimbusds.jose.jwk.Curve;
 import com.nimbusds.jose.jwk.ECKey;
 import com.nimbusds.jose.jwk.OctetKeyPair;
@@ -10,7 +11,6 @@
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
-import java.nio.file.StandardCopyOption;
 import java.nio.file.attribute.PosixFilePermissions;
 import java.security.GeneralSecurityException;
 import java.security.KeyPair;
@@ -155,13 +155,7 @@
             KeySet.parse(Files.readString(path))
                     .validateReplacement(next, System.currentTimeMillis());
         }
-        Path temporary = path.resolveSibling(path.getFileName() + ".new");
-        Files.writeString(temporary, text);
-        Files.move(
-                temporary,
-                path,
-                StandardCopyOption.ATOMIC_MOVE,
-                StandardCopyOption.REPLACE_EXISTING);
+        AtomicFile.replace(path, text, false);
     }
 
     /**
--- a/src/main/java/brooklock/membership/EndpointListFile.java
+++ b/src/main/java/brooklock/membership/EndpointListFile.java
@@ -1,13 +1,10 @@
 package brooklock.membership;
 
+import brooklock.config.AtomicFile;
 import java.io.IOException;
-import java.nio.ByteBuffer;
-import java.nio.channels.FileChannel;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
-import java.nio.file.StandardCopyOption;
-import java.nio.file.StandardOpenOption;
 import java.util.Optional;
 
 /**
@@ -47,36 +44,6 @@
      * @throws IOException if it cannot be written; the file is then as it was
      */
     public void save(Membership.State state) throws IOException {
-        replaceAtomically(path, EndpointRegistryCodec.encode(state), true);
-    }
-
-    /**
-     * Replaces a file's content in one step: a reader, or a restart after a crash, finds the old
-     * content or the new one and never a part. The text is first written to a file beside it, with
-     * the suffix {@code .new}.
-     *
-     * @param force whether to force the text to the disk before the old content goes
-     */
-    public static void replaceAtomically(Path path, String text, boolean force) throws IOException {
-        Path temporary = path.resolveSibling(path.getFileName() + ".new");
-        try (FileChannel channel =
-                FileChannel.open(
-                        temporary,
-                        StandardOpenOption.CREATE,
-                        StandardOpenOption.WRITE,
-                        StandardOpenOption.TRUNCATE_EXISTING)) {
-            ByteBuffer bytes = StandardCharsets.UTF_8.encode(text);
-            while (bytes.hasRemaining()) {
-                channel.write(bytes);
-            }
-            if (force) {
-                channel.force(true);
-            }
-        }
-        Files.move(
-                temporary,
-                path,
-                StandardCopyOption.ATOMIC_MOVE,
-                StandardCopyOption.REPLACE_EXISTING);
+        AtomicFile.replace(path, EndpointRegistryCodec.encode(state), true);
     }
 }
--- a/src/main/java/brooklock/membership/EndpointRegistry.java
+++ b/src/main/java/brooklock/membership/EndpointRegistry.java
@@ -55,7 +55,7 @@
     }
 
     /**
-     * Returns the event that tells the router of an update; empty if the update has changed
+     * Returns the event that announces an update to the router; empty if the update has changed
      * nothing.
      */
     public Optional<EndpointListReceived> toEndpointList(
--- a/src/main/java/brooklock/proxy/WarmingSnapshotStore.java
+++ b/src/main/java/brooklock/proxy/WarmingSnapshotStore.java
@@ -1,6 +1,6 @@
 package brooklock.proxy;
 
-import brooklock.membership.EndpointListFile;
+import brooklock.config.AtomicFile;
 import brooklock.warming.CacheWarming.SnapshotEntry;
 import brooklock.warming.WarmingSnapshotCodec;
 import java.io.IOException;
@@ -34,7 +34,7 @@
         writer.execute(
                 () -> {
                     try {
-                        EndpointListFile.replaceAtomically(path, text, false);
+                        AtomicFile.replace(path, text, false);
                     } catch (IOException e) {
                         LOG.error("what was learned of cold caches cannot be written down", e);
                     }
--- a/src/main/java/brooklock/warming/CacheState.java
+++ b/src/main/java/brooklock/warming/CacheState.java
@@ -18,7 +18,7 @@
     // Lost connections in a row that mean a restart, by the same rule as the router's.
     private static final int MAX_CONNECTION_FAILURES = 3;
     private static final int MAX_CACHED_PARTS = 20_000;
-    // Peers of the cache's own zone are asked first while they hit at least this share as often as
+    // Peers of the cache's own zone are tried first while they hit at least this share as often as
     // those elsewhere.
     private static final double SAME_ZONE_PREFERENCE = 0.5;
     // Which budget of a cache a permit phase is for.
@@ -30,7 +30,7 @@
     private final HitRatio sameZoneFills = new HitRatio();
     private final HitRatio otherZoneFills = new HitRatio();
     private CacheEndpoint endpoint;
-    // As the list or its lost connections tell, whichever is later.
+    // By the endpoint list or by its lost connections, whichever is later.
     private long startedNs;
     private int connectionFailures;
     // Both null unless the cache has started lately.
@@ -127,7 +127,7 @@
         (isInZoneOf(peer) ? sameZoneFills : otherZoneFills).recordOutcome(filled, nowNs);
     }
 
-    /** This cache, as a peer, was asked for a part. */
+    /** A part was requested from this cache as a peer. */
     void onPeerResult(PeerResult result, long nowNs) {
         switch (result) {
             case FILLED -> loadLimit.onFilled();
@@ -237,7 +237,7 @@
         return prefetchBudget;
     }
 
-    /** Whether peers in other zones have recently held so much more that they are asked first. */
+    /** Whether peers in other zones have recently held so much more that they are tried first. */
     boolean prefersOtherZones(long nowNs) {
         return sameZoneFills.estimate(nowNs)
                 < SAME_ZONE_PREFERENCE * otherZoneFills.estimate(nowNs);
--- a/src/main/java/brooklock/warming/CacheWarming.java
+++ b/src/main/java/brooklock/warming/CacheWarming.java
@@ -9,8 +9,8 @@
 import java.util.function.BiPredicate;
 
 /**
- * Brings caches that have started lately up to their full load. It is told what the dispatcher sees
- * and decides three things: the share of its load that such a cache gets, the peer that a miss
+ * Brings caches that have started lately up to their full load. It receives what the dispatcher
+ * sees and decides three things: the share of its load that such a cache gets, the peer that a miss
  * there is filled from, and what is prefetched.
  *
  * <p>Deterministic and bounded, without a clock of its own: {@code nowNs} is the dispatcher's
@@ -29,8 +29,8 @@
     private static final int HOT_PARTS_SEED = 3;
 
     /**
-     * The weight of a cache for a part. It must be the router's own hash: by another order peers
-     * would be asked that never held the part.
+     * The weight of a cache for a part. It must be the router's own hash: by another order requests
+     * would go to peers that never held the part.
      */
     public interface EndpointScore {
         /** Returns the weight; of two caches the one with the greater weight is nearer. */
@@ -61,7 +61,7 @@
      */
     public record Prefetch<T>(long endpointId, long sourceId, long object, int part, T request) {}
 
-    /** How a peer answered when it was asked for a part. */
+    /** What became of the request of a part from a peer. */
     public enum PeerResult {
         /** It held the part. */
         FILLED,
@@ -108,7 +108,7 @@
         caches.onEndpointList(endpoints, nowNs);
     }
 
-    /** A client asked for a part that a cache will keep. */
+    /** A client has requested a part that a cache will store. */
     public void onRequest(long object, int part, T request, long nowNs) {
         prefetches.onRequest(new PartKey(object, part), request, nowNs);
     }
@@ -164,7 +164,7 @@
         }
     }
 
-    /** A peer was selected but not asked, because the cache had a copy. */
+    /** A peer was selected but not used, because the cache had a copy. */
     public void onPeerUnused(long peerId) {
         CacheState peer = caches.find(peerId);
         if (peer != null) {
@@ -172,7 +172,7 @@
         }
     }
 
-    /** A peer was asked for a part that a cache lacks, for a client or for a prefetch. */
+    /** A part that a cache lacks was requested from a peer, for a client or for a prefetch. */
     public void onPeerResult(long endpointId, long peerId, PeerResult result, long nowNs) {
         CacheState peer = caches.find(peerId);
         if (peer == null) {
@@ -230,7 +230,7 @@
 
     /**
      * Returns the id of the peer that a miss of a part at a cache is filled from first, or 0 if it
-     * is filled as usual. The peer counts as asked until {@link #onPeerUnused}.
+     * is filled as usual. The peer counts as used until {@link #onPeerUnused}.
      */
     public long selectFillPeer(long endpointId, long object, int part, long nowNs) {
         CacheState cache = caches.find(endpointId);
--- a/src/main/java/brooklock/warming/HitRatio.java
+++ b/src/main/java/brooklock/warming/HitRatio.java
@@ -1,6 +1,6 @@
 package brooklock.warming;
 
-/** How often peers of one kind recently held what they were asked for. */
+/** How often peers of one kind recently held what was requested from them. */
 final class HitRatio {
     private final DecayingRate requests = new DecayingRate();
     private final DecayingRate hits = new DecayingRate();
--- a/src/main/java/brooklock/warming/HotParts.java
+++ b/src/main/java/brooklock/warming/HotParts.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 
 /**
- * The parts that clients asked for in the previous interval and in this one, as candidates for
+ * The parts that clients requested in the previous interval and in this one, as candidates for
  * prefetching. The rule is that of the router's hot list, applied to parts of objects.
  *
  * @param <T> what is needed to request a part
@@ -25,7 +25,7 @@
     /** Identifies a part of an object. */
     record PartKey(long object, int part) {}
 
-    /** A part that clients asked for. */
+    /** A part that clients requested. */
     static final class HotPart<T> {
         private final PartKey key;
         private final T request;
@@ -107,7 +107,7 @@
     }
 
     /**
-     * Returns the parts that were asked for in the previous interval, or at least twice in this
+     * Returns the parts that were requested in the previous interval, or at least twice in this
      * one; the hottest first by powers of two of their requests, equally hot ones in this
      * dispatcher's own order.
      */
--- a/src/main/java/brooklock/warming/PeerLoadLimit.java
+++ b/src/main/java/brooklock/warming/PeerLoadLimit.java
@@ -13,8 +13,8 @@
 
     // Enough for a healthy peer to be used at once, and room to adapt both ways.
     private static final double INITIAL_FRACTION = 0.5;
-    // A peer in another zone reports only when it is asked for something, so without a report it
-    // still gets a little.
+    // A peer in another zone reports only in its responses, so without a report it still gets a
+    // little.
     private static final double UNREPORTED_FRACTION = 0.1;
     private static final double LOW_UTILIZATION = 0.6;
     private static final double HIGH_UTILIZATION = 0.75;
@@ -64,7 +64,7 @@
         consecutiveMisses = 0;
     }
 
-    /** The peer did not hold what it was asked for. */
+    /** The peer did not hold the part. */
     void onMiss(long nowNs) {
         consecutiveFailures = 0;
         consecutiveMisses++;
@@ -87,7 +87,8 @@
     }
 
     /**
-     * Returns whether the peer may be asked for one more part; {@link #acquire} takes the permit.
+     * Returns whether one more part may be requested from the peer; {@link #acquire} takes the
+     * permit.
      *
      * @param dispatcherSharePerNs this dispatcher's part of a warm cache's capacity, in requests
      *     per ns
@@ -116,7 +117,7 @@
     }
 
     /**
-     * Returns the permit of a peer that was named and then not asked, because the cache had a copy.
+     * Returns the permit of a peer that was named and then not used, because the cache had a copy.
      */
     void refund() {
         budget.refund();
--- a/src/main/java/brooklock/warming/PeerSelector.java
+++ b/src/main/java/brooklock/warming/PeerSelector.java
@@ -20,8 +20,8 @@
     }
 
     /**
-     * Returns the peer to ask first for a part that a cache lacks, or empty if no peer has
-     * capacity. The caller takes a permit of the peer's limit if it asks it.
+     * Returns the peer to try first for a part that a cache lacks, or empty if no peer has
+     * capacity. The caller takes a permit of the peer's limit if it uses the peer.
      *
      * <p>Candidates are the two nearest by hash of the cache's own zone, which took over its parts
      * while it was gone, and the nearest of the other zones, which holds the part for its own
--- a/src/main/java/brooklock/warming/PrefetchPlanner.java
+++ b/src/main/java/brooklock/warming/PrefetchPlanner.java
@@ -50,7 +50,7 @@
         this.hotParts = hotParts;
     }
 
-    /** A client asked for a part that a cache will keep. */
+    /** A client has requested a part that a cache will store. */
     void onRequest(PartKey key, T request, long nowNs) {
         hotParts.recordRequest(key, request, nowNs);
     }
--- a/src/test/java/brooklock/membership/MembershipPropertyTest.java
+++ b/src/test/java/brooklock/membership/MembershipPropertyTest.java
@@ -178,8 +178,7 @@
                     assertTrue(actual == null || actual == EndpointState.GONE, name + " " + actual);
                 } else if (actual != null || expected != EndpointState.GONE) {
                     // An endpoint that was only ever known as gone may be unknown: no list has
-                    // named it
-                    // here.
+                    // named it here.
                     EndpointState override = overrides.getOrDefault(name, EndpointState.READY);
                     assertEquals(
                             EndpointMerge.mostRestrictive(expected, override),
