--- a/src/main/java/brooklock/config/Units.java
+++ b/src/main/java/brooklock/config/Units.java
@@ -94,10 +94,11 @@
         int i = 0;
         int dots = 0;
         while (i < text.length()
-                && (text.charAt(i) >= '0' && text.charAt(i) <= '9' || text.charAt(i) == '.')) {
+                && ((text.charAt(i) >= '0' && text.charAt(i) <= '9') || text.charAt(i) == '.')) {
             dots += text.charAt(i) == '.' ? 1 : 0;
             i++;
         }
-        return dots > 1 || i == dots || i > 0 && text.charAt(i - 1) == '.' ? 0 : i;
+        boolean endsWithDot = i > 0 && text.charAt(i - 1) == '.';
+        return dots > 1 || i == dots || endsWithDot ? 0 : i;
     }
 }
--- a/src/main/java/brooklock/faulttest/ClientAttemptHandler.java
+++ b/src/main/java/brooklock/faulttest/ClientAttemptHandler.java
@@ -109,7 +109,7 @@
         boolean dispatcherGone =
                 dispatcher.incarnation() != attempt.incarnation
                         || !dispatcher.alive
-                        || attempt.sentNs != 0 && dispatcher.killedNs - attempt.sentNs > 0;
+                        || (attempt.sentNs != 0 && dispatcher.killedNs - attempt.sentNs > 0);
         if (failure == CallFailure.NOT_CONNECTED) {
             attempt.end(ClientAttempt.End.UNREACHED, nowNs);
             retryElsewhere.run();
--- a/src/main/java/brooklock/faulttest/DispatcherRunner.java
+++ b/src/main/java/brooklock/faulttest/DispatcherRunner.java
@@ -179,7 +179,7 @@
                 process.destroyForcibly();
                 throw new IOException("the dispatcher " + name + " did not start: " + line);
             }
-            String[] words = line.split(" ");
+            String[] words = line.split(" ", -1);
             setPorts(Integer.parseInt(words[1]), Integer.parseInt(words[3]));
         }
 
--- a/src/main/java/brooklock/faulttest/DrainCheck.java
+++ b/src/main/java/brooklock/faulttest/DrainCheck.java
@@ -66,7 +66,7 @@
         sent.forEach(DrainCheck::toRunningMax);
     }
 
-    private static void toRunningMax(TreeMap<Long, Long> versionsByMoment) {
+    private static void toRunningMax(NavigableMap<Long, Long> versionsByMoment) {
         long[] max = new long[1];
         versionsByMoment.replaceAll((moment, version) -> max[0] = Math.max(max[0], version));
     }
--- a/src/main/java/brooklock/faulttest/FaultReader.java
+++ b/src/main/java/brooklock/faulttest/FaultReader.java
@@ -46,7 +46,7 @@
         String word = statement.nextWord("to or for");
         long timeNs = statement.nextDurationNs("a time");
         long toNs = word.equals("for") ? fromNs + timeNs : timeNs;
-        if (!word.equals("for") && !word.equals("to") || toNs <= fromNs) {
+        if ((!word.equals("for") && !word.equals("to")) || toNs <= fromNs) {
             throw new InvalidStatementException(
                     "a trouble lasts 'from A to B' with B after A, or 'from A for D'");
         }
--- a/src/main/java/brooklock/faulttest/OracleRouter.java
+++ b/src/main/java/brooklock/faulttest/OracleRouter.java
@@ -169,11 +169,11 @@
         RequestClass requestClass = requestClass(open);
         return !open.possiblyExecuted
                 || requestClass.idempotency() == Idempotency.IDEMPOTENT
-                || requestClass.idempotency() == Idempotency.IDEMPOTENCY_KEY
+                || (requestClass.idempotency() == Idempotency.IDEMPOTENCY_KEY
                         && now - open.firstSentNs
                                 < requestClass.idempotencyWindowNs()
                                         - CLOCK_MARGIN_NS
-                                        - remainingNs;
+                                        - remainingNs);
     }
 
     private void giveUp(OracleRequest open, List<RouterAction> out) {
@@ -185,7 +185,7 @@
         }
         boolean safeToReject =
                 requestClass(open).idempotency() == Idempotency.IDEMPOTENT
-                        || !open.inFlight && !open.possiblyExecuted;
+                        || (!open.inFlight && !open.possiblyExecuted);
         out.add(
                 safeToReject
                         ? new RejectRequest(open.request.id(), 0)
--- a/src/main/java/brooklock/http/BodyDecoder.java
+++ b/src/main/java/brooklock/http/BodyDecoder.java
@@ -158,7 +158,7 @@
         // readers would end the number there and others would not.
         boolean extension = digits < line.length() && line.charAt(digits) == ';';
         if (digits == 0
-                || digits < line.length() && !extension
+                || (digits < line.length() && !extension)
                 || !HttpCharacters.isFieldValue(line.trim())) {
             throw new HttpProtocolException(badMessageStatus, "not a chunk size");
         }
--- a/src/main/java/brooklock/http/Fields.java
+++ b/src/main/java/brooklock/http/Fields.java
@@ -77,7 +77,7 @@
         if (combined == null) {
             return false;
         }
-        for (String element : combined.split(",")) {
+        for (String element : combined.split(",", -1)) {
             if (element.trim().equalsIgnoreCase(token)) {
                 return true;
             }
--- a/src/main/java/brooklock/http/Forwarding.java
+++ b/src/main/java/brooklock/http/Forwarding.java
@@ -25,7 +25,7 @@
         Set<String> dropped = new HashSet<>(HOP_BY_HOP);
         String connection = fields.combinedValue("Connection");
         if (connection != null) {
-            for (String option : connection.split(",")) {
+            for (String option : connection.split(",", -1)) {
                 dropped.add(option.trim().toLowerCase(Locale.ROOT));
             }
         }
@@ -54,8 +54,8 @@
         if (via == null) {
             return false;
         }
-        for (String hop : via.split(",")) {
-            String[] words = hop.trim().split("[ \t]+");
+        for (String hop : via.split(",", -1)) {
+            String[] words = hop.trim().split("[ \t]+", -1);
             if (words.length > 1 && words[1].equalsIgnoreCase(pseudonym)) {
                 return true;
             }
--- a/src/main/java/brooklock/http/HttpCharacters.java
+++ b/src/main/java/brooklock/http/HttpCharacters.java
@@ -33,12 +33,12 @@
     static boolean isFieldValue(String text) {
         for (int i = 0; i < text.length(); i++) {
             char c = text.charAt(i);
-            if (c < 32 && c != '\t' || c == 127 || c > 255) {
+            if ((c < 32 && c != '\t') || c == 127 || c > 255) {
                 return false;
             }
         }
         return text.isEmpty()
-                || !isSpace(text.charAt(0)) && !isSpace(text.charAt(text.length() - 1));
+                || (!isSpace(text.charAt(0)) && !isSpace(text.charAt(text.length() - 1)));
     }
 
     static boolean isSpace(char c) {
@@ -100,6 +100,6 @@
     }
 
     private static boolean isHostCharacter(char c) {
-        return c < 128 && Character.isLetterOrDigit(c) || "-._~%!$&'()*+,;=".indexOf(c) >= 0;
+        return (c < 128 && Character.isLetterOrDigit(c)) || "-._~%!$&'()*+,;=".indexOf(c) >= 0;
     }
 }
--- a/src/main/java/brooklock/http/RequestParser.java
+++ b/src/main/java/brooklock/http/RequestParser.java
@@ -81,7 +81,7 @@
         if (method.equals("CONNECT")) {
             throw new HttpProtocolException(HttpStatus.NOT_IMPLEMENTED, "no tunnels here");
         }
-        if (target.startsWith("/") || target.equals("*") && method.equals("OPTIONS")) {
+        if (target.startsWith("/") || (target.equals("*") && method.equals("OPTIONS"))) {
             return new RequestHead(method, target, hostField, minorVersion, fields);
         }
         return parseAbsoluteForm(method, target, minorVersion, fields);
@@ -114,7 +114,7 @@
 
     private static String parseHost(Fields fields, int minorVersion) throws HttpProtocolException {
         int hostCount = fields.count("Host");
-        if (hostCount > 1 || hostCount == 0 && minorVersion >= 1) {
+        if (hostCount > 1 || (hostCount == 0 && minorVersion >= 1)) {
             throw badRequest(hostCount == 0 ? "no Host" : "more than one Host");
         }
         String host = hostCount == 0 ? "" : fields.get("Host");
--- a/src/main/java/brooklock/http/ResponseParser.java
+++ b/src/main/java/brooklock/http/ResponseParser.java
@@ -50,7 +50,7 @@
     private static ResponseHead parseHead(String line, Fields fields) throws HttpProtocolException {
         if (line.length() < 12
                 || line.charAt(8) != ' '
-                || line.length() > 12 && line.charAt(12) != ' ') {
+                || (line.length() > 12 && line.charAt(12) != ' ')) {
             throw badGateway("not a status line");
         }
         int minorVersion;
--- a/src/main/java/brooklock/net/HttpClientConnection.java
+++ b/src/main/java/brooklock/net/HttpClientConnection.java
@@ -169,8 +169,8 @@
             body = BodyDecoder.ofResponse(framing, limits.http());
             boolean complete =
                     body.isComplete()
-                            || framing.kind() == Framing.Kind.FIXED
-                                    && input.remaining() >= framing.length();
+                            || (framing.kind() == Framing.Kind.FIXED
+                                    && input.remaining() >= framing.length());
             ClientCall activeCall = call;
             activeCall.handler.onHead(parsed, framing, complete);
             if (closed || call != activeCall) {
--- a/src/main/java/brooklock/net/HttpExchange.java
+++ b/src/main/java/brooklock/net/HttpExchange.java
@@ -147,7 +147,7 @@
                 head.isPersistent()
                         && connection.isReusable()
                         && (length >= 0 || chunked || noResponseBody)
-                        && (!hasBody || bodyConsumer != null && requestBody == null);
+                        && (!hasBody || (bodyConsumer != null && requestBody == null));
         Fields fields = response.fields();
         fields.remove("Transfer-Encoding").remove("Connection");
         if (chunked) {
--- a/src/main/java/brooklock/net/HttpServerConnection.java
+++ b/src/main/java/brooklock/net/HttpServerConnection.java
@@ -106,7 +106,7 @@
             }
             // The socket stays ready while there is more, but not for a TLS record that was read
             // from it and has not been decrypted.
-            if (bytesRead == 0 || !full && !tls) {
+            if (bytesRead == 0 || (!full && !tls)) {
                 return;
             }
         }
@@ -169,7 +169,7 @@
         inputEnded = true;
         releaseInput();
         if (exchange == null
-                || body != null && !body.isComplete()
+                || (body != null && !body.isComplete())
                 || listener.limits.halfCloseEndsExchange()) {
             closeNow();
         } else {
--- a/src/main/java/brooklock/testserver/CachedCopy.java
+++ b/src/main/java/brooklock/testserver/CachedCopy.java
@@ -7,6 +7,7 @@
  * @param bornNs when the origin created it, as far as its holder can know: never later than it was
  * @param group its purge group
  */
+@SuppressWarnings("ArrayRecordComponent") // Copies are never compared.
 record CachedCopy(Key key, long serial, long bornNs, int group, byte[] content) {
     /** Which part of which object. */
     record Key(long object, int part) {}
--- a/src/main/java/brooklock/testserver/ServerLoad.java
+++ b/src/main/java/brooklock/testserver/ServerLoad.java
@@ -92,7 +92,7 @@
                         + ", inflight="
                         + openRequests.get()
                         + ", x0="
-                        + twoDecimals(hitCount, Math.max(1, requestCount)));
+                        + twoDecimals((double) hitCount, (double) Math.max(1, requestCount)));
     }
 
     private static double twoDecimals(double part, double whole) {
--- a/src/main/java/brooklock/testserver/ServerRequest.java
+++ b/src/main/java/brooklock/testserver/ServerRequest.java
@@ -55,7 +55,7 @@
         Map<String, String> get = parseParameters(fields.get("Brooklock-Get"));
         Map<String, String> attempt = parseParameters(fields.get("Brooklock-Attempt"));
         String viaField = fields.combinedValue("Via");
-        String[] via = viaField == null ? new String[] {"- -"} : viaField.split(", *");
+        String[] via = viaField == null ? new String[] {"- -"} : viaField.split(", *", -1);
         return new ServerRequest(
                 viaName(via[0]),
                 viaName(via[via.length - 1]),
@@ -88,14 +88,14 @@
     }
 
     private static String viaName(String hop) {
-        String[] words = hop.trim().split(" ");
+        String[] words = hop.trim().split(" ", -1);
         return words[words.length - 1];
     }
 
     private static Map<String, String> parseParameters(String value) {
         Map<String, String> parameters = new HashMap<>();
         if (value != null) {
-            for (String word : value.split(", *")) {
+            for (String word : value.split(", *", -1)) {
                 int equalsIndex = word.indexOf('=');
                 String name = equalsIndex < 0 ? word : word.substring(0, equalsIndex);
                 String text = equalsIndex < 0 ? "" : word.substring(equalsIndex + 1);
