--- a/src/main/java/brooklock/proxy/RoutingThread.java
+++ b/src/main/java/brooklock/proxy/RoutingThread.java
@@ -257,7 +257,9 @@
         try {
             strategy.onEvent(nowNs, event, actions);
         } catch (RuntimeException failure) {
-            // One event that can't be routed must not stop all others.
+            // One event that can't be routed must not stop all others. The platform's executor adds
+            // a
+            // FailRequest here; in a trace that would be an action that the router never took.
             LOG.error("routing failed: {}", event, failure);
             actions.clear();
             if (event instanceof RequestReceived request) {
