--- /dev/null
+++ b/src/main/java/brooklock/cli/CredentialExplainer.java
@@ -0,0 +1,114 @@
+package brooklock.cli;
+
+import brooklock.authorization.AccessDecision;
+import brooklock.authorization.PathValidator;
+import brooklock.authorization.PathViolation;
+import brooklock.authorization.Policy;
+import brooklock.authorization.Tenant;
+import brooklock.credentials.Certificates;
+import brooklock.credentials.Identity;
+import brooklock.credentials.InvalidCredentialException;
+import brooklock.credentials.KeySet;
+import brooklock.credentials.TokenVerifier;
+import java.io.IOException;
+import java.io.InputStream;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.security.GeneralSecurityException;
+import java.security.cert.CertificateFactory;
+import java.security.cert.X509Certificate;
+import java.time.Instant;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Optional;
+
+/** Explains what a credential maps to, and what a policy allows it. */
+final class CredentialExplainer {
+    private static final int NO_CLOCK_SKEW_MS = 0;
+
+    private final Path keySet;
+    private final String issuer;
+    private final String audience;
+
+    /** Creates an explainer; what tokens need is null where it is not stated. */
+    CredentialExplainer(Path keySet, String issuer, String audience) {
+        this.keySet = keySet;
+        this.issuer = issuer;
+        this.audience = audience;
+    }
+
+    /**
+     * The identity that a token proves.
+     *
+     * @throws IllegalArgumentException if it proves none, or no file is given
+     */
+    Identity token(Path file) throws IOException {
+        if (file == null || keySet == null) {
+            throw new IllegalArgumentException("either --certificate, or --token and --keys");
+        }
+        try {
+            return new TokenVerifier(issuer, audience, NO_CLOCK_SKEW_MS)
+                    .verify(
+                            Files.readString(file).trim(),
+                            KeySet.parse(Files.readString(keySet)),
+                            System.currentTimeMillis(),
+                            "token")
+                    .identity();
+        } catch (InvalidCredentialException e) {
+            throw new IllegalArgumentException("401: " + e.getMessage(), e);
+        }
+    }
+
+    /** The identity of a certificate chain, PEM; the chain is not verified. */
+    static Identity certificate(Path file) throws IOException {
+        try (InputStream in = Files.newInputStream(file)) {
+            List<X509Certificate> chain =
+                    CertificateFactory.getInstance("X.509").generateCertificates(in).stream()
+                            .map(X509Certificate.class::cast)
+                            .toList();
+            return Certificates.identityOf(chain.toArray(new X509Certificate[0]));
+        } catch (GeneralSecurityException e) {
+            throw new IOException(file + ": " + e.getMessage(), e);
+        }
+    }
+
+    /** What the identity says, its tenant, and the policy's decision, one line each. */
+    static List<String> explain(
+            Identity identity, Policy policy, String method, String path, String className) {
+        List<String> lines = new ArrayList<>();
+        identity.attributes()
+                .forEach(
+                        attribute ->
+                                lines.add(
+                                        "says "
+                                                + attribute.kind().word()
+                                                + " "
+                                                + attribute.key()
+                                                + (attribute.value() == null
+                                                        ? ""
+                                                        : " = " + attribute.value())));
+        Optional<Tenant> tenant = identity.resolveTenant(policy);
+        lines.add(
+                tenant.map(known -> "is of tenant " + known.name()).orElse("is of no tenant: 403"));
+        Optional<PathViolation> violation = PathValidator.validate(path);
+        if (violation.isPresent()) {
+            lines.add("400: the path is not in form: " + violation.get().message());
+        } else if (tenant.isPresent()) {
+            AccessDecision decision =
+                    policy.decide(
+                            tenant.get().name(),
+                            method,
+                            path,
+                            className,
+                            System.currentTimeMillis());
+            lines.add(method + " " + path + ": " + decision.explain() + validity(decision));
+        }
+        return lines;
+    }
+
+    private static String validity(AccessDecision decision) {
+        return decision.validUntilMs() == Long.MAX_VALUE
+                ? ""
+                : ", until " + Instant.ofEpochMilli(decision.validUntilMs()) + " at least";
+    }
+}
--- a/src/main/java/brooklock/cli/KeysCommand.java
+++ b/src/main/java/brooklock/cli/KeysCommand.java
@@ -1,42 +1,31 @@
 package brooklock.cli;
 
-import brooklock.authorization.AccessDecision;
-import brooklock.authorization.PathValidator;
-import brooklock.authorization.PathViolation;
 import brooklock.authorization.Policy;
 import brooklock.authorization.PolicyReader;
-import brooklock.authorization.Tenant;
 import brooklock.config.SettingsException;
-import brooklock.credentials.Certificates;
 import brooklock.credentials.Identity;
-import brooklock.credentials.InvalidCredentialException;
 import brooklock.credentials.KeySet;
 import brooklock.credentials.KeySetFile;
 import brooklock.credentials.LocalCertificateAuthority;
 import brooklock.credentials.TokenSigner;
-import brooklock.credentials.TokenVerifier;
 import java.io.IOException;
-import java.io.InputStream;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.security.GeneralSecurityException;
 import java.security.KeyFactory;
 import java.security.KeyPair;
 import java.security.PrivateKey;
-import java.security.cert.CertificateFactory;
-import java.security.cert.X509Certificate;
 import java.security.spec.PKCS8EncodedKeySpec;
 import java.time.Instant;
 import java.util.Base64;
 import java.util.LinkedHashMap;
-import java.util.List;
+import java.util.Locale;
 import java.util.Map;
-import java.util.Optional;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** Key sets and what credentials come to. */
+/** {@code keys}: manages key sets, and shows what a credential allows. */
 @Command(
         name = "keys",
         mixinStandardHelpOptions = true,
@@ -46,13 +35,14 @@
 final class KeysCommand {
     private static final long MONTH_MS = 30L * 24 * 3600 * 1000;
 
-    private interface Work {
+    private interface Task {
         void run() throws IOException, SettingsException;
     }
 
-    private static int runGuarded(Work work) {
+    // What the user can mend is reported in plain words; anything else is a bug.
+    private static int runGuarded(Task task) {
         try {
-            work.run();
+            task.run();
             return 0;
         } catch (IOException | SettingsException | IllegalArgumentException e) {
             System.err.println("brooklock: " + e.getMessage());
@@ -114,17 +104,18 @@
     int list(@Parameters(paramLabel = "SET") Path set) {
         return runGuarded(
                 () -> {
-                    for (KeySet.Key k : KeySet.parse(Files.readString(set)).keys()) {
+                    for (KeySet.Key key : KeySet.parse(Files.readString(set)).keys()) {
                         System.out.println(
-                                k.kid()
+                                key.kid()
                                         + " "
-                                        + k.algorithm()
+                                        + key.algorithm()
                                         + " "
-                                        + k.state().name().toLowerCase(java.util.Locale.ROOT)
-                                        + (k.validUntilMs() == Long.MAX_VALUE
+                                        + key.state().name().toLowerCase(Locale.ROOT)
+                                        + (key.validUntilMs() == Long.MAX_VALUE
                                                 ? ""
                                                 : " until "
-                                                        + Instant.ofEpochMilli(k.validUntilMs())));
+                                                        + Instant.ofEpochMilli(
+                                                                key.validUntilMs())));
                     }
                 });
     }
@@ -139,10 +130,10 @@
                     long seconds) {
         return runGuarded(
                 () -> {
-                    Map<String, Object> all =
+                    Map<String, Object> content =
                             new LinkedHashMap<>(claims == null ? Map.of() : claims);
-                    all.put("exp", System.currentTimeMillis() / 1000 + seconds);
-                    System.out.println(TokenSigner.sign(privateKey(file, alg), kid, all));
+                    content.put("exp", System.currentTimeMillis() / 1000 + seconds);
+                    System.out.println(TokenSigner.sign(privateKey(file, alg), kid, content));
                 });
     }
 
@@ -155,7 +146,7 @@
                             alg.equals("EdDSA") ? "Ed25519" : alg.equals("ES256") ? "EC" : "RSA")
                     .generatePrivate(new PKCS8EncodedKeySpec(der));
         } catch (GeneralSecurityException e) {
-            throw new IOException(file + ": " + e.getMessage());
+            throw new IOException(file + ": " + e.getMessage(), e);
         }
     }
 
@@ -172,13 +163,14 @@
         return runGuarded(
                 () -> {
                     try {
-                        LocalCertificateAuthority a =
+                        LocalCertificateAuthority authority =
                                 new LocalCertificateAuthority("brooklock local authority");
-                        a.writeCaCertificate(Files.createDirectories(dir).resolve("ca.pem"));
+                        authority.writeCaCertificate(
+                                Files.createDirectories(dir).resolve("ca.pem"));
                         LocalCertificateAuthority.writeCertificate(
                                 dir.resolve("edge.pem"),
                                 dir.resolve("edge.key"),
-                                a.issue("edge", name, MONTH_MS));
+                                authority.issue("edge", name, MONTH_MS));
                     } catch (IOException e) {
                         throw e;
                     } catch (Exception e) {
@@ -201,81 +193,17 @@
             @Option(names = "--class", defaultValue = "-") String cls,
             @Parameters(paramLabel = "METHOD") String method,
             @Parameters(paramLabel = "PATH") String path) {
+        CredentialExplainer explainer = new CredentialExplainer(set, issuer, audience);
         return runGuarded(
                 () -> {
                     Policy policy =
                             PolicyReader.parse(policyFile.toString(), Files.readString(policyFile));
-                    long now = System.currentTimeMillis();
                     Identity identity =
                             certificate != null
-                                    ? certificate(certificate)
-                                    : token(token, set, issuer, audience, now);
-                    identity.attributes()
-                            .forEach(
-                                    n ->
-                                            System.out.println(
-                                                    "says "
-                                                            + n.kind().word()
-                                                            + " "
-                                                            + n.key()
-                                                            + (n.value() == null
-                                                                    ? ""
-                                                                    : " = " + n.value())));
-                    Tenant tenant = identity.resolveTenant(policy).orElse(null);
-                    System.out.println(
-                            tenant == null
-                                    ? "is of no tenant: 403"
-                                    : "is of tenant " + tenant.name());
-                    Optional<PathViolation> violation = PathValidator.validate(path);
-                    if (violation.isPresent()) {
-                        System.out.println(
-                                "400: the path is not in form: " + violation.get().message());
-                    } else if (tenant != null) {
-                        AccessDecision decision =
-                                policy.decide(tenant.name(), method, path, cls, now);
-                        System.out.println(
-                                method
-                                        + " "
-                                        + path
-                                        + ": "
-                                        + decision.explain()
-                                        + (decision.validUntilMs() == Long.MAX_VALUE
-                                                ? ""
-                                                : ", until "
-                                                        + Instant.ofEpochMilli(
-                                                                decision.validUntilMs())
-                                                        + " at least"));
-                    }
+                                    ? CredentialExplainer.certificate(certificate)
+                                    : explainer.token(token);
+                    CredentialExplainer.explain(identity, policy, method, path, cls)
+                            .forEach(System.out::println);
                 });
     }
-
-    private static Identity token(Path file, Path set, String issuer, String audience, long now)
-            throws IOException {
-        if (file == null || set == null) {
-            throw new IllegalArgumentException("either --certificate, or --token and --keys");
-        }
-        try {
-            return new TokenVerifier(issuer, audience, 0)
-                    .verify(
-                            Files.readString(file).trim(),
-                            KeySet.parse(Files.readString(set)),
-                            now,
-                            "token")
-                    .identity();
-        } catch (InvalidCredentialException e) {
-            throw new IllegalArgumentException("401: " + e.getMessage());
-        }
-    }
-
-    private static Identity certificate(Path file) throws IOException {
-        try (InputStream in = Files.newInputStream(file)) {
-            List<X509Certificate> all =
-                    CertificateFactory.getInstance("X.509").generateCertificates(in).stream()
-                            .map(X509Certificate.class::cast)
-                            .toList();
-            return Certificates.identityOf(all.toArray(new X509Certificate[0]));
-        } catch (GeneralSecurityException e) {
-            throw new IOException(file + ": " + e.getMessage());
-        }
-    }
 }
--- a/src/main/java/brooklock/config/Settings.java
+++ b/src/main/java/brooklock/config/Settings.java
@@ -154,7 +154,7 @@
      * @param stallTimeoutNs time in which a response makes no progress
      * @param tickNs how late the program may be at most: final responses are sent two of these
      *     before the deadline
-     * @param maxRetryAfterNs longest wait asked of a client
+     * @param maxRetryAfterNs longest Retry-After sent to a client
      * @param ioThreads number of I/O threads
      */
     public record ResourceLimits(
--- a/src/main/java/brooklock/faulttest/ClientPopulation.java
+++ b/src/main/java/brooklock/faulttest/ClientPopulation.java
@@ -16,7 +16,10 @@
  * they are told. The faults change their rates from another thread.
  */
 final class ClientPopulation implements AutoCloseable {
-    /** Time past the deadline that a client waits, so that a late response is told from none. */
+    /**
+     * Time past the deadline that a client waits, so that a late response can be told apart from
+     * none.
+     */
     static final long GRACE_NS = 300_000_000L;
 
     /** Threads that the clients share: one alone cannot make the handshakes of a test over TLS. */
--- a/src/main/java/brooklock/faulttest/ControlPublisher.java
+++ b/src/main/java/brooklock/faulttest/ControlPublisher.java
@@ -26,7 +26,7 @@
 final class ControlPublisher {
     private static final String SOURCE = "registry";
 
-    /** A reply that asks for the full list: the dispatcher lacks the one before. */
+    /** A reply that requests the full list: the dispatcher lacks the version before. */
     private static final String REPLY_GAP = "gap";
 
     /**
--- a/src/main/java/brooklock/faulttest/FaultTestRunner.java
+++ b/src/main/java/brooklock/faulttest/FaultTestRunner.java
@@ -63,7 +63,7 @@
     public record Recording(
             long startedNs, TrafficRecorder traffic, List<RecordedClientRequest> requests) {}
 
-    /** What came of a test. */
+    /** The result of a test. */
     public static final class Result {
         private static final int MAX_FAILURES_SHOWN = 5;
 
--- a/src/main/java/brooklock/net/HttpServerConnection.java
+++ b/src/main/java/brooklock/net/HttpServerConnection.java
@@ -296,7 +296,7 @@
         }
     }
 
-    // What came is not a request, or not a whole one; an exchange that has begun is lost.
+    // The input is not a request, or not a complete one; an exchange that has begun is lost.
     private void onInvalidRequest(HttpProtocolException error) {
         loseExchange();
         reject(error.status, error.getMessage());
--- a/src/main/java/brooklock/simulator/EventDecoder.java
+++ b/src/main/java/brooklock/simulator/EventDecoder.java
@@ -230,7 +230,7 @@
                 requestFinished);
     }
 
-    // No router asks for health checks; its fields are read, so that a wrong one is found.
+    // No router requests health checks; the fields are read so that a wrong one is found.
     private RouterEvent skipHealthCheck() {
         in.readInt();
         decodeOutcome(in.readShort());
--- a/src/main/java/brooklock/testserver/FillHandler.java
+++ b/src/main/java/brooklock/testserver/FillHandler.java
@@ -79,7 +79,7 @@
         failWaiters(waiter -> sendFailure(waiter, error, null, waitedNs));
     }
 
-    // A peer that was asked first and gives nothing: the source is asked instead.
+    // The peer that was tried first gives nothing: the source is tried instead.
     private boolean fallBackToSource(PeerResult result) {
         if (fill.peerResult != PeerResult.ASKED) {
             return false;
--- a/src/main/java/brooklock/testserver/FillTable.java
+++ b/src/main/java/brooklock/testserver/FillTable.java
@@ -24,7 +24,7 @@
         final List<Waiter> waiters = new ArrayList<>();
         long sentNs;
 
-        /** What came of asking a peer first; null where none was asked. */
+        /** How the peer responded that was tried first; null where none was. */
         PeerResult peerResult;
 
         /** The load report of that peer, or of the source for a prefetch. */
--- a/src/main/java/brooklock/testserver/LoadGenerator.java
+++ b/src/main/java/brooklock/testserver/LoadGenerator.java
@@ -78,7 +78,7 @@
     }
 
     /**
-     * What came of it.
+     * The result of a load.
      *
      * @param completed responses with status 200
      * @param otherStatus responses with another
--- a/src/main/java/brooklock/testserver/PeerResult.java
+++ b/src/main/java/brooklock/testserver/PeerResult.java
@@ -2,7 +2,9 @@
 
 import java.util.Locale;
 
-/** What came of asking a peer before the source; reported in the field Brooklock-First. */
+/**
+ * How a peer responded that was requested before the source; reported in the field Brooklock-First.
+ */
 enum PeerResult {
     /** It has not responded yet. */
     ASKED,
--- a/src/main/java/brooklock/testserver/RecordedRequest.java
+++ b/src/main/java/brooklock/testserver/RecordedRequest.java
@@ -38,7 +38,7 @@
     /** The server named to fill from, or null. */
     public final String source;
 
-    /** What came of asking a peer first; null where none was asked. */
+    /** How the peer responded that was tried first; null where none was. */
     volatile PeerResult peerResult;
 
     /** The load report of that peer. */
--- a/src/main/java/brooklock/testserver/ServerModel.java
+++ b/src/main/java/brooklock/testserver/ServerModel.java
@@ -1,7 +1,7 @@
 package brooklock.testserver;
 
 /**
- * What a server can do. No dispatcher is told of it.
+ * What a server can do. Dispatchers do not know it.
  *
  * @param name its name
  * @param role what it is
--- a/src/main/java/brooklock/testserver/ServerRequest.java
+++ b/src/main/java/brooklock/testserver/ServerRequest.java
@@ -16,7 +16,7 @@
  * @param attempt number of the attempt
  * @param group the purge group
  * @param passThrough whether it must run at the origin and is not cached
- * @param copyPriority priority with which the copy is kept; 0 keeps none
+ * @param copyPriority priority with which the copy is cached; 0 caches none
  * @param source name of the server to fill from; null for no fill
  * @param sourceAddress its address
  * @param peer name of a cache to try before the source; null for none
@@ -105,7 +105,7 @@
         return parameters;
     }
 
-    /** Which copy it asks for. */
+    /** The copy that it requests. */
     CachedCopy.Key copyKey() {
         return new CachedCopy.Key(object, part);
     }
--- a/src/main/java/brooklock/testserver/TrafficRecorder.java
+++ b/src/main/java/brooklock/testserver/TrafficRecorder.java
@@ -12,7 +12,8 @@
  */
 public final class TrafficRecorder {
     /**
-     * Requests kept: far more than a test makes; a server that runs on by hand drops the oldest.
+     * Requests recorded: far more than a test makes; a server that runs on by hand drops the
+     * oldest.
      */
     private static final int MAX_RECORDED = 2_000_000;
 
