--- a/benchmarks/BareRelay.java
+++ b/benchmarks/BareRelay.java
@@ -11,7 +11,7 @@
 import org.xnio.channels.AcceptingChannel;
 
 /**
- * Bytes from a client's connection to a server's and back, nothing read of them: what XNIO alone
+ * Relays bytes between a client's and a server's connection without parsing them: what XNIO alone
  * costs.
  */
 public final class BareRelay {
--- a/benchmarks/FixedServer.java
+++ b/benchmarks/FixedServer.java
@@ -8,7 +8,7 @@
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
 
-/** Answers every request as a cache that has it: /1k/..., /1m/..., /100m/... tell how much. */
+/** Responds to every request as a cache hit; /1k/..., /1m/..., /100m/... say of what size. */
 public final class FixedServer {
     private static final byte[] MEGABYTE = new byte[1_000_000];
 
--- a/benchmarks/Measure.java
+++ b/benchmarks/Measure.java
@@ -14,13 +14,13 @@
 import java.util.Map;
 
 /**
- * The figures of docs/measurements.md: the same load straight, through a bare relay, through the
- * dispatcher.
+ * Measures for docs/measurements.md: the same load without a proxy, through a bare relay, and
+ * through the dispatcher.
  */
 public final class Measure {
-    private static final long S = 1_000_000_000L;
+    private static final long SECOND_NS = 1_000_000_000L;
 
-    /** A process that listens. */
+    /** A server process. */
     private record Peer(Process process, int port, int control) {
         double cpuSeconds() {
             return process.info().totalCpuDuration().orElseThrow().toNanos() / 1e9;
@@ -139,7 +139,7 @@
                                     .getBytes(StandardCharsets.ISO_8859_1));
             slow.add(s);
         }
-        long until = System.nanoTime() + 5 * S;
+        long until = System.nanoTime() + 5 * SECOND_NS;
         while (System.nanoTime() - until < 0) {
             for (Socket s : slow) {
                 s.getInputStream().read(new byte[200]);
@@ -179,8 +179,8 @@
                         rate,
                         connections,
                         2,
-                        S,
-                        seconds * S,
+                        SECOND_NS,
+                        seconds * SECOND_NS,
                         i -> "/" + size + "/o" + i % 500));
     }
 
--- a/benchmarks/NewTokens.java
+++ b/benchmarks/NewTokens.java
@@ -17,8 +17,8 @@
 import java.util.Map;
 
 /**
- * What requests without rights wait for while new tokens come: 1,000 a second of them, beside so
- * many new tokens.
+ * Latency of requests without authorization, 1,000 a second, while so many new tokens a second are
+ * verified.
  */
 public final class NewTokens {
     public static void main(String[] args) throws Exception {
--- a/benchmarks/RevocationTime.java
+++ b/benchmarks/RevocationTime.java
@@ -54,7 +54,7 @@
                         c -> 1e7,
                         null,
                         1);
-        // A cache that gives 4 MB a second: the transfer would last ten seconds.
+        // A cache that sends 4 MB a second: the transfer would last ten seconds.
         TestServer cache =
                 new TestServer(
                         net,
@@ -123,7 +123,7 @@
                     last = System.nanoTime();
                 }
             } catch (IOException e) {
-                // Broken off.
+                // The transfer was aborted.
             }
             if (i >= 5) {
                 ms.add((last - moved) / 1e6);
--- a/benchmarks/RightsCost.java
+++ b/benchmarks/RightsCost.java
@@ -34,8 +34,8 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * What rights cost: a decision by number of lines, a token new and seen, handshakes a second, all
- * checks of a request.
+ * Cost of authorization: a decision by the number of policy lines, a new and a cached token, TLS
+ * handshakes a second.
  */
 public final class RightsCost {
     private static long sink;
@@ -208,7 +208,7 @@
                                     end.countDown();
                                     return;
                                 }
-                                // A context of its own each time: nothing is resumed.
+                                // A context of its own each time: no session is resumed.
                                 HttpClient one =
                                         new HttpClient(
                                                 loop,
--- a/benchmarks/WarmingReturn.java
+++ b/benchmarks/WarmingReturn.java
@@ -25,21 +25,28 @@
 import org.jfree.data.xy.XYSeriesCollection;
 
 /**
- * How fast cold caches are back, with warming and without: the same days with the same seeds, once
- * each way. Dispatchers, caches, parents, origin and clients are real sockets in one process;
- * caches and parents are stand-ins.
+ * How fast cold caches recover with peer filling and without it: the same scenarios with the same
+ * seeds, once each. Dispatchers, test servers and clients use real sockets in one process.
  *
- * <p>{@code play DIR FROM TO [TROUBLE...]} plays seeds and writes a file for each day; {@code show
+ * <p>{@code play DIR FROM TO [FAULT...]} plays seeds and writes a file for each run; {@code show
  * DIR PLOTS} reads them all, prints the table and draws the plots.
  */
 public final class WarmingReturn {
+    /** When the fault begins, and when the scenario ends, seconds. */
     private static final double STRIKE = 14;
+
     private static final double END = 26;
+
+    /** Length of one bin of the figures, seconds. */
     private static final double BIN = 0.25;
-    // What belongs to the struck caches is learned in this time before the trouble, the shares of
-    // before in the rest.
+
+    /**
+     * Until here, seconds, it is recorded which paths belong to the caches that will be struck;
+     * from here to the fault, what their shares are without it.
+     */
     private static final double LEARN = 10;
-    // Shares are taken over so many bins, that end with the one told.
+
+    /** Shares are taken over so many bins, the last of which is the one that they are shown at. */
     private static final int WINDOW = 4;
 
     private static final String DAY =
@@ -138,8 +145,8 @@
 
     private static void write(Result o, Path file) throws IOException {
         long begun = o.recording().startedNs();
-        // Those that were struck are those that were cold at some time (parents take no requests of
-        // clients).
+        // The struck caches are those that were cold at some time; parents get no requests of
+        // dispatchers.
         Set<String> struck =
                 o.recording().traffic().requests().stream()
                         .filter(s -> s.isDirect() && s.cold)
@@ -197,7 +204,7 @@
                 all.get(Line.PRESSED)[bin] = Math.max(all.get(Line.PRESSED)[bin], s.warmUpLoad);
             }
         }
-        // Rule 5 has no case on these days: that it was not seen is no breach.
+        // Invariant 5 has no case in these scenarios: that it was not seen is no violation.
         String report = o.report();
         String verdict =
                 report.contains("BREACHES")
@@ -256,7 +263,7 @@
         }
     }
 
-    /** Days of one kind, counted together. */
+    /** The runs of one kind, counted together. */
     private static final class Kind {
         final List<Day> days = new ArrayList<>();
 
@@ -286,7 +293,7 @@
             return mean(sum(part), LEARN, STRIKE) / mean(sum(whole), LEARN, STRIKE);
         }
 
-        /** Seconds after the trouble from which on a share is at 95% of before, and stays there. */
+        /** Seconds after the fault from which on a share is at 95% of before, and stays there. */
         double back(Line part, Line whole) {
             double[] s = share(part, whole);
             double needed = 0.95 * before(part, whole);
@@ -297,7 +304,7 @@
             return i == s.length - 1 ? Double.NaN : (i + 1) * BIN + BIN - STRIKE;
         }
 
-        /** What was lost to the trouble: the shortfall against before, in seconds of all of it. */
+        /** What the fault cost: the shortfall against before, in seconds of the whole. */
         double lost(Line part, Line whole) {
             double[] p = sum(part);
             double[] w = sum(whole);
@@ -391,7 +398,7 @@
         for (String way : kinds.keySet()) {
             XYSeriesCollection loads = new XYSeriesCollection();
             Kind k = kinds.get(way);
-            // Each cold cache's load over time, the worst of all days at each moment and host.
+            // Each cold cache's load over time, the worst of all runs at each moment.
             Map<String, double[]> hosts = new TreeMap<>();
             k.days.forEach(
                     d ->
