--- a/src/main/java/brooklock/config/Settings.java
+++ b/src/main/java/brooklock/config/Settings.java
@@ -45,11 +45,22 @@
     /** What an endpoint is for. The names in lower case are words of the settings. */
     public enum EndpointKind {
         /** Holds copies near the clients. */
-        CACHE,
+        CACHE(0),
         /** Holds copies for caches, in a hub. */
-        PARENT,
+        PARENT(1),
         /** Has every object. */
-        ORIGIN
+        ORIGIN(2);
+
+        private final int number;
+
+        EndpointKind(int number) {
+            this.number = number;
+        }
+
+        /** Returns the number by which the router knows this kind. */
+        public int number() {
+            return number;
+        }
     }
 
     /** Whether a request may run twice. The names in lower case are words of the settings. */
--- a/src/main/java/brooklock/membership/EndpointRegistry.java
+++ b/src/main/java/brooklock/membership/EndpointRegistry.java
@@ -80,7 +80,7 @@
                         new Endpoint(
                                 endpoint.id(),
                                 zone,
-                                endpoint.kind().ordinal(),
+                                endpoint.kind().number(),
                                 endpoint.state(),
                                 endpoint.weight(),
                                 startedAtNs(endpoint)));
--- /dev/null
+++ b/src/main/java/brooklock/package-info.java
@@ -0,0 +1,2 @@
+/** The program's entry point; it loads only the packages that the command needs. */
+package brooklock;
--- a/src/main/java/brooklock/proxy/RouterSettingsMapper.java
+++ b/src/main/java/brooklock/proxy/RouterSettingsMapper.java
@@ -12,8 +12,6 @@
     private RouterSettingsMapper() {}
 
     /** Returns the router's settings; nothing is added to what the file says. */
-    // To the router a kind is a number; EndpointRegistry numbers kinds in the same way.
-    @SuppressWarnings("EnumOrdinal")
     public static RouterSettings toRouterSettings(Settings settings) {
         List<RouterSettings.RequestClass> classes =
                 settings.classes().stream()
@@ -51,8 +49,8 @@
                 settings.dispatcherCount(),
                 settings.localZone(),
                 settings.zones().stream().map(Settings.Zone::hubIndex).toList(),
-                EndpointKind.PARENT.ordinal(),
-                EndpointKind.ORIGIN.ordinal(),
+                EndpointKind.PARENT.number(),
+                EndpointKind.ORIGIN.number(),
                 settings.fleet().weighted() || settings.warming().enabled(),
                 false,
                 settings.fleet().requestCollapsing(),
--- a/src/main/java/brooklock/warming/WarmingSnapshotCodec.java
+++ b/src/main/java/brooklock/warming/WarmingSnapshotCodec.java
@@ -60,7 +60,7 @@
         }
         List<SnapshotEntry> entries = new ArrayList<>();
         for (int i = 1; i < lines.length; i++) {
-            String[] fields = lines[i].split(" ");
+            String[] fields = lines[i].split(" ", 0);
             entries.add(
                     new SnapshotEntry(
                             Long.parseUnsignedLong(fields[0], 16),
