--- a/src/main/java/brooklock/platform/PlatformDispatcher.java
+++ b/src/main/java/brooklock/platform/PlatformDispatcher.java
@@ -168,9 +168,9 @@
 
     /**
      * Shuts down gracefully and returns once that is done. Health checks say at once that no new
-     * clients are wanted. Requests are still accepted for {@value #DRAIN_NS} ns, then rejected;
-     * connections that were accepted meanwhile are taken and the listening socket closes. Each
-     * client's connection closes gracefully once all of its requests have their responses.
+     * clients are wanted. Requests are still accepted for 0.65 s, then rejected; connections that
+     * were accepted meanwhile are taken and the listening socket closes. Each client's connection
+     * closes gracefully once all of its requests have their responses.
      *
      * @throws InterruptedException if the caller is interrupted; the shutdown goes on
      */
