--- a/src/main/java/brooklock/config/SettingsReader.java
+++ b/src/main/java/brooklock/config/SettingsReader.java
@@ -16,7 +16,6 @@
  */
 public final class SettingsReader {
     private static final long MILLISECOND_NS = 1_000_000L;
-    private static final String NAME_FORM = "[A-Za-z0-9][A-Za-z0-9._-]{0,62}";
 
     private final Problems problems;
     private final StatementIndex index = new StatementIndex();
@@ -146,7 +145,7 @@
         topology.validate();
         routes.validate();
         topology.validateOrigin();
-        if (name != null && !name.matches(NAME_FORM)) {
+        if (name != null && !name.matches(TopologyReader.NAME_FORM)) {
             problems.add(
                     index.lineOf("name"), "a name is up to 63 letters, digits, dots and dashes");
         }
--- a/src/main/java/brooklock/config/TopologyReader.java
+++ b/src/main/java/brooklock/config/TopologyReader.java
@@ -12,7 +12,11 @@
 
 /** Reads the statements about what the fleet is made of: zone, host, here, dispatchers. */
 final class TopologyReader {
-    private static final String NAME_FORM = "[A-Za-z0-9][A-Za-z0-9._-]{0,62}";
+    /**
+     * The form of the names of endpoints and dispatchers, which stand in Via, Cache-Status and
+     * lists.
+     */
+    static final String NAME_FORM = "[A-Za-z0-9][A-Za-z0-9._-]{0,62}";
 
     /** An endpoint whose zone may be named only further down. */
     private record UnresolvedEndpoint(
