--- a/src/main/java/brooklock/proxy/AccessFiles.java
+++ b/src/main/java/brooklock/proxy/AccessFiles.java
@@ -145,7 +145,7 @@
         return keySet.map(WatchedFile::get);
     }
 
-    /** Returns the trust in clients' certificates; empty where none are asked for. */
+    /** Returns the trust in clients' certificates; empty where none are requested. */
     Optional<CertificateTrust> clientTrust() {
         return clientTrust.map(WatchedFile::get);
     }
--- a/src/main/java/brooklock/proxy/AttemptObservation.java
+++ b/src/main/java/brooklock/proxy/AttemptObservation.java
@@ -15,7 +15,7 @@
  * @param endpointLoad what the endpoint says of its load
  * @param peerId the peer that a cache miss was to be filled from first, or {@link
  *     UpstreamAttempt#NO_PEER}
- * @param peerResult what came of that; empty if the peer was not asked
+ * @param peerResult what came of that; empty if the peer got no request
  * @param peerLoad what the peer says of its load
  */
 record AttemptObservation(
--- a/src/main/java/brooklock/proxy/ErrorResponse.java
+++ b/src/main/java/brooklock/proxy/ErrorResponse.java
@@ -172,7 +172,7 @@
      *
      * @param dispatcherName who speaks in Proxy-Status
      * @param retryAfterNs when the client may retry, ns; 0 says nothing, except to a tenant over
-     *     its limits, who is asked for a second at least
+     *     its limits, who gets a second at least
      */
     Fields fieldsAfterAdmission(String dispatcherName, long retryAfterNs) {
         Fields fields = new Fields();
--- a/src/main/java/brooklock/proxy/LoadReportParser.java
+++ b/src/main/java/brooklock/proxy/LoadReportParser.java
@@ -17,12 +17,12 @@
         return parse(fields.get("Brooklock-Load"), requestSentNs, nowNs);
     }
 
-    /** Reads what the peer or fill source that it asked says of itself. */
+    /** Reads what the peer or fill source behind it says of itself. */
     static Optional<LoadReport> ofPeer(Fields fields, long requestSentNs, long nowNs) {
         return parse(fields.get("Brooklock-First-Load"), requestSentNs, nowNs);
     }
 
-    /** Reads what came of asking the peer; empty if it was not asked. */
+    /** Reads what came of the request to the peer; empty if there was none. */
     static Optional<PeerResult> peerResult(Fields fields) {
         String word = fields.get("Brooklock-First");
         if (word == null) {
--- a/src/main/java/brooklock/proxy/PrefetchSender.java
+++ b/src/main/java/brooklock/proxy/PrefetchSender.java
@@ -72,7 +72,7 @@
         return new RequestHead("GET", target.target(), authority, 1, fields);
     }
 
-    /** Returns what a response says of the peer; empty if the peer was not asked. */
+    /** Returns what a response says of the peer; empty if the peer got no request. */
     Optional<PeerResult> peerResult(PrefetchRequest.Response response) {
         return switch (response.status()) {
             case 204 -> Optional.of(PeerResult.FILLED);
--- a/src/main/java/brooklock/proxy/RequestAuthorizer.java
+++ b/src/main/java/brooklock/proxy/RequestAuthorizer.java
@@ -181,7 +181,7 @@
         return Optional.of(Certificates.identityOf(chain));
     }
 
-    /** The question to the policy, asked once the caller is known. */
+    /** The check against the policy, made once the caller is known. */
     private record PolicyCheck(
             Policy policy, RequestHead head, RouteTable.Match match, long nowMs) {
 
--- a/src/main/java/brooklock/proxy/RouteTable.java
+++ b/src/main/java/brooklock/proxy/RouteTable.java
@@ -24,7 +24,7 @@
      * @param object hash of host, path without the part, and query; the same for all parts
      * @param part number of the part, 0 where the route has none
      * @param group identifier of the purge group, 0 for none
-     * @param needsAuthorization whether the policy is to be asked
+     * @param needsAuthorization whether the policy decides on it
      * @param needsCertificate whether only a client certificate may say who the caller is
      */
     record Match(
--- a/src/main/java/brooklock/proxy/RoutingThread.java
+++ b/src/main/java/brooklock/proxy/RoutingThread.java
@@ -116,7 +116,7 @@
     /**
      * Offers a new request.
      *
-     * @param admission asked on the routing thread first; if it says no there is no event
+     * @param admission evaluated on the routing thread first; if it is false there is no event
      * @return false if the queue is too full for a new request
      */
     boolean offerRequest(RequestReceived request, BooleanSupplier admission) {
--- a/src/main/java/brooklock/proxy/UpstreamRequestBuilder.java
+++ b/src/main/java/brooklock/proxy/UpstreamRequestBuilder.java
@@ -36,7 +36,7 @@
      *
      * @param endpoint gets the request
      * @param source fills a cache miss; the endpoint itself for no fill
-     * @param peer is asked before the source; null for none
+     * @param peer is tried before the source; null for none
      */
     record Target(ListedEndpoint endpoint, ListedEndpoint source, ListedEndpoint peer) {}
 
--- a/src/main/java/brooklock/proxy/WarmingCoordinator.java
+++ b/src/main/java/brooklock/proxy/WarmingCoordinator.java
@@ -49,7 +49,7 @@
     private int ticks;
     private volatile boolean closed;
 
-    // Written by the routing thread, read by whoever asks for the state page.
+    // Written by the routing thread, read by the thread that writes the state page.
     private final LongAdder peerHits = new LongAdder();
     private final LongAdder peerMisses = new LongAdder();
     private final LongAdder prefetches = new LongAdder();
