--- a/src/main/java/brooklock/Main.java
+++ b/src/main/java/brooklock/Main.java
@@ -44,7 +44,7 @@
                 System.exit(
                         what.equals("node")
                                 ? brooklock.platform.PlatformMain.run(System.getenv("NODE_CONFIG"))
-                                : brooklock.platform.PlatformMain.warmUp());
+                                : brooklock.platform.PlatformMain.runForClassArchive());
             } catch (InterruptedException e) {
                 System.exit(1);
             }
--- a/src/main/java/brooklock/cli/TestServersCommand.java
+++ b/src/main/java/brooklock/cli/TestServersCommand.java
@@ -78,7 +78,7 @@
     }
 
     private ServerModel model(Settings.EndpointSettings endpoint, Settings settings) {
-        Settings.InvariantSettings invariants = settings.invariants();
+        Settings.SafetyLimitSettings invariants = settings.safetyLimits();
         boolean parent = endpoint.kind() == Settings.EndpointKind.PARENT;
         return new ServerModel(
                 endpoint.name(),
@@ -87,7 +87,7 @@
                 settings.fleet().transferBytesPerS(),
                 MAX_REQUESTS,
                 MAX_COPIES,
-                parent ? invariants.parentColdStartShare() : invariants.coldStartShare(),
+                parent ? invariants.parentInitialCapacity() : invariants.initialCapacity(),
                 parent ? invariants.parentWarmUpNs() : invariants.warmUpNs(),
                 parent ? invariants.parentOverloadMultiple() : invariants.overloadMultiple(),
                 invariants.overloadWindowNs(),
--- a/src/main/java/brooklock/config/FleetReader.java
+++ b/src/main/java/brooklock/config/FleetReader.java
@@ -1,7 +1,7 @@
 package brooklock.config;
 
 import brooklock.config.Settings.FleetSettings;
-import brooklock.config.Settings.InvariantSettings;
+import brooklock.config.Settings.SafetyLimitSettings;
 import brooklock.config.Settings.WarmingSettings;
 import java.nio.file.Path;
 import java.util.List;
@@ -12,8 +12,8 @@
     private static final long SECOND_NS = 1000 * MILLISECOND_NS;
 
     private final Path base;
-    private InvariantSettings invariants =
-            new InvariantSettings(
+    private SafetyLimitSettings invariants =
+            new SafetyLimitSettings(
                     0.2,
                     20 * SECOND_NS,
                     2,
@@ -40,14 +40,14 @@
     }
 
     private void readInvariants(Statement statement) {
-        double coldStartShare = invariants.coldStartShare();
+        double coldStartShare = invariants.initialCapacity();
         long warmUpNs = invariants.warmUpNs();
         double overloadMultiple = invariants.overloadMultiple();
         long overloadWindowNs = invariants.overloadWindowNs();
-        double parentColdStartShare = invariants.parentColdStartShare();
+        double parentColdStartShare = invariants.parentInitialCapacity();
         long parentWarmUpNs = invariants.parentWarmUpNs();
         double parentOverloadMultiple = invariants.parentOverloadMultiple();
-        long purgeCompletionNs = invariants.purgeCompletionNs();
+        long purgeCompletionNs = invariants.purgeWindowNs();
         long drainGraceNs = invariants.drainGraceNs();
         long purgeGraceNs = invariants.purgeGraceNs();
         while (statement.hasMore()) {
@@ -68,7 +68,7 @@
             }
         }
         invariants =
-                new InvariantSettings(
+                new SafetyLimitSettings(
                         coldStartShare,
                         warmUpNs,
                         overloadMultiple,
@@ -84,7 +84,7 @@
     private void readFleet(Statement statement) {
         double transferBytesPerS = fleet.transferBytesPerS();
         boolean requestCollapsing = fleet.requestCollapsing();
-        boolean directRequests = fleet.directRequests();
+        boolean directRequests = fleet.directOriginAllowed();
         boolean hedging = fleet.hedging();
         boolean weighted = fleet.weighted();
         while (statement.hasMore()) {
@@ -149,7 +149,7 @@
         return perSecond;
     }
 
-    InvariantSettings invariants() {
+    SafetyLimitSettings invariants() {
         return invariants;
     }
 
--- a/src/main/java/brooklock/config/RouteReader.java
+++ b/src/main/java/brooklock/config/RouteReader.java
@@ -1,7 +1,7 @@
 package brooklock.config;
 
-import brooklock.config.Settings.DeduplicationScope;
 import brooklock.config.Settings.Effect;
+import brooklock.config.Settings.IdempotencyScopeSetting;
 import brooklock.config.Settings.RequestClassSettings;
 import brooklock.config.Settings.Route;
 import java.util.ArrayList;
@@ -51,11 +51,11 @@
         String className = statement.nextWord("a name");
         classNames.add(className);
         Effect effect = statement.nextEnum(Effect.class, "an effect");
-        DeduplicationScope scope =
+        IdempotencyScopeSetting scope =
                 effect == Effect.KEYED
                         ? statement.nextEnum(
-                                DeduplicationScope.class, "the hosts that drop repeats")
-                        : DeduplicationScope.ALL;
+                                IdempotencyScopeSetting.class, "the hosts that drop repeats")
+                        : IdempotencyScopeSetting.ALL;
         long idempotencyWindowNs = 0;
         long latencyObjectiveNs = 0;
         double transferStretch = 0;
--- a/src/main/java/brooklock/config/Settings.java
+++ b/src/main/java/brooklock/config/Settings.java
@@ -18,7 +18,7 @@
  * @param classes the classes of requests
  * @param routes which request is of which class; the first match counts
  * @param limits limits of this program
- * @param invariants the figures of the fleet's invariants
+ * @param safetyLimits the figures of the fleet's invariants
  * @param fleet what holds for the whole fleet
  * @param files where things are written
  * @param access who is authenticated and authorized, and by what
@@ -35,7 +35,7 @@
         List<RequestClassSettings> classes,
         List<Route> routes,
         ResourceLimits limits,
-        InvariantSettings invariants,
+        SafetyLimitSettings safetyLimits,
         FleetSettings fleet,
         OutputFiles files,
         AccessSettings access,
@@ -77,7 +77,7 @@
      * The endpoints among which repeats of a request with an idempotency key are dropped. The names
      * in lower case are words of the settings.
      */
-    public enum DeduplicationScope {
+    public enum IdempotencyScopeSetting {
         /** All endpoints. */
         ALL,
         /** The endpoints of one location. */
@@ -89,9 +89,10 @@
     /**
      * A location.
      *
-     * @param hubIndex the location whose parents its caches fill from; its own where it is a hub
+     * @param parentZoneIndex the location whose parents its caches fill from; its own where it is a
+     *     hub
      */
-    public record Zone(String name, int hubIndex) {}
+    public record Zone(String name, int parentZoneIndex) {}
 
     /**
      * An endpoint.
@@ -111,25 +112,25 @@
     /**
      * A class of requests.
      *
-     * @param deduplicationScope where repeats of a request with an idempotency key are dropped
+     * @param idempotencyScope where repeats of a request with an idempotency key are dropped
      * @param idempotencyWindowNs how long they are dropped
-     * @param latencyObjectiveNs a response is in time within this, plus {@code transferStretch}
-     *     times what its bytes need at the fleet's pace
+     * @param latencyObjectiveNs a response is in time within this, plus {@code
+     *     latencyObjectiveWorkFactor} times what its bytes need at the fleet's pace
      * @param deadlineNs time after which the client gives up
      * @param passThrough whether it runs at the origin and is never cached
-     * @param freshnessNs how long a copy may be served; 0: until it is purged
+     * @param freshnessLifetimeNs how long a copy may be served; 0: until it is purged
      * @param streamed whether a response that has started may last as long as it makes progress
      */
     public record RequestClassSettings(
             String name,
             Effect effect,
-            DeduplicationScope deduplicationScope,
+            IdempotencyScopeSetting idempotencyScope,
             long idempotencyWindowNs,
             long latencyObjectiveNs,
-            double transferStretch,
+            double latencyObjectiveWorkFactor,
             long deadlineNs,
             boolean passThrough,
-            long freshnessNs,
+            long freshnessLifetimeNs,
             boolean streamed) {}
 
     /**
@@ -187,26 +188,26 @@
     /**
      * The figures of the fleet's invariants.
      *
-     * @param coldStartShare share of its capacity that a cache has right after a start
+     * @param initialCapacity share of its capacity that a cache has right after a start
      * @param warmUpNs time until it has all of it
      * @param overloadMultiple multiple of its present capacity that makes it fail
      * @param overloadWindowNs the time over which that load is summed up
-     * @param parentColdStartShare the same as {@code coldStartShare}, of a parent
+     * @param parentInitialCapacity the same as {@code initialCapacity}, of a parent
      * @param parentWarmUpNs the same as {@code warmUpNs}, of a parent
      * @param parentOverloadMultiple the same as {@code overloadMultiple}, of a parent
-     * @param purgeCompletionNs time until every copy older than a purge is gone
+     * @param purgeWindowNs time until every copy older than a purge is gone
      * @param drainGraceNs time after a drain in which requests may still be sent
      * @param purgeGraceNs time after a purge in which older copies may still be served
      */
-    public record InvariantSettings(
-            double coldStartShare,
+    public record SafetyLimitSettings(
+            double initialCapacity,
             long warmUpNs,
             double overloadMultiple,
             long overloadWindowNs,
-            double parentColdStartShare,
+            double parentInitialCapacity,
             long parentWarmUpNs,
             double parentOverloadMultiple,
-            long purgeCompletionNs,
+            long purgeWindowNs,
             long drainGraceNs,
             long purgeGraceNs) {}
 
@@ -215,14 +216,14 @@
      *
      * @param transferBytesPerS rate of one transfer to a client
      * @param requestCollapsing whether caches let a request join a fill that is in flight
-     * @param directRequests whether parents and the origin accept requests from dispatchers
+     * @param directOriginAllowed whether parents and the origin accept requests from dispatchers
      * @param hedging whether two attempts of an idempotent request may be in flight at once
      * @param weighted whether the weights of endpoints count
      */
     public record FleetSettings(
             double transferBytesPerS,
             boolean requestCollapsing,
-            boolean directRequests,
+            boolean directOriginAllowed,
             boolean hedging,
             boolean weighted) {}
 
--- a/src/main/java/brooklock/faulttest/ClientWorker.java
+++ b/src/main/java/brooklock/faulttest/ClientWorker.java
@@ -164,7 +164,11 @@
         String target = arrival.path() + part;
         double bytes = scenario.sizeBytes(target, requestClass.name());
         long transferNs =
-                (long) (requestClass.transferStretch() * bytes / scenario.transferBytesPerS * 1e9);
+                (long)
+                        (requestClass.latencyObjectiveWorkFactor()
+                                * bytes
+                                / scenario.transferBytesPerS
+                                * 1e9);
         PartRequest request =
                 new PartRequest(
                         requestClass.name(),
--- a/src/main/java/brooklock/faulttest/Scenario.java
+++ b/src/main/java/brooklock/faulttest/Scenario.java
@@ -124,8 +124,8 @@
     }
 
     /** The figures of the invariants. */
-    Settings.InvariantSettings invariants() {
-        return commonSettings.invariants();
+    Settings.SafetyLimitSettings invariants() {
+        return commonSettings.safetyLimits();
     }
 
     /** The class of a name, which must be one of the scenario. */
--- a/src/main/java/brooklock/faulttest/TestFleet.java
+++ b/src/main/java/brooklock/faulttest/TestFleet.java
@@ -151,7 +151,7 @@
     }
 
     private ServerModel model(String name, Role role, double maxTransfers) {
-        Settings.InvariantSettings invariants = scenario.invariants();
+        Settings.SafetyLimitSettings invariants = scenario.invariants();
         boolean parent = role == Role.PARENT;
         double overloadMultiple =
                 parent ? invariants.parentOverloadMultiple() : invariants.overloadMultiple();
@@ -162,7 +162,7 @@
                 scenario.transferBytesPerS,
                 scenario.maxRequestsPerEndpoint,
                 scenario.maxCopiesPerCache * (parent ? PARENT_COPIES_MULTIPLE : 1),
-                parent ? invariants.parentColdStartShare() : invariants.coldStartShare(),
+                parent ? invariants.parentInitialCapacity() : invariants.initialCapacity(),
                 parent ? invariants.parentWarmUpNs() : invariants.warmUpNs(),
                 role == Role.ORIGIN ? 0 : overloadMultiple,
                 invariants.overloadWindowNs(),
@@ -285,7 +285,7 @@
                         group,
                         momentNs,
                         wall.getEpochSecond() * 1e3 + wall.getNano() / 1e6);
-        long completionNs = scenario.invariants().purgeCompletionNs();
+        long completionNs = scenario.invariants().purgeWindowNs();
         for (TestServer server : servers.values()) {
             schedule(
                     (long) (random.nextDouble() * completionNs * PURGE_SPREAD),
@@ -314,7 +314,7 @@
         try {
             Thread.sleep(delayNs / 1_000_000);
             dispatcher.start();
-            long purgeWindowNs = scenario.invariants().purgeCompletionNs();
+            long purgeWindowNs = scenario.invariants().purgeWindowNs();
             loop.execute(
                     () -> publisher.onDispatcherStarted(index, System.nanoTime() - purgeWindowNs));
         } catch (IOException e) {
--- a/src/main/java/brooklock/membership/EndpointRegistry.java
+++ b/src/main/java/brooklock/membership/EndpointRegistry.java
@@ -60,7 +60,7 @@
      */
     public Optional<EndpointListReceived> toEndpointList(
             UpdateResult result, EndpointListKind kind) {
-        return result.affected().isEmpty() && !result.complete()
+        return result.affected().isEmpty() && !result.coversWholeList()
                 ? Optional.empty()
                 : Optional.of(translate(result.affected(), kind));
     }
--- a/src/main/java/brooklock/membership/UpdateResult.java
+++ b/src/main/java/brooklock/membership/UpdateResult.java
@@ -9,10 +9,10 @@
  * @param detail what is in force now, for the sender
  * @param affected the endpoints it was about, as they are in force now; empty if nothing was
  *     applied
- * @param complete whether {@code affected} holds every endpoint in force
+ * @param coversWholeList whether {@code affected} holds every endpoint in force
  */
 public record UpdateResult(
-        Status status, String detail, List<ListedEndpoint> affected, boolean complete) {
+        Status status, String detail, List<ListedEndpoint> affected, boolean coversWholeList) {
     /** The outcome, with the word and the HTTP status that the control listener answers. */
     public enum Status {
         /** It is in force now. */
@@ -66,7 +66,8 @@
      * force, but a dispatcher that is killed restarts without it.
      */
     public UpdateResult withSaveError(String problem) {
-        return new UpdateResult(status, detail + "\nnot saved: " + problem, affected, complete);
+        return new UpdateResult(
+                status, detail + "\nnot saved: " + problem, affected, coversWholeList);
     }
 
     /**
--- a/src/main/java/brooklock/net/HttpServerConnection.java
+++ b/src/main/java/brooklock/net/HttpServerConnection.java
@@ -307,7 +307,7 @@
             return;
         }
         lingering = true;
-        if (write(ErrorResponse.encode(status, reason)) && !closed) {
+        if (write(ProtocolErrorResponse.encode(status, reason)) && !closed) {
             startLingering();
         }
     }
--- a/src/main/java/brooklock/net/ErrorResponse.java
+++ b/src/main/java/brooklock/net/ProtocolErrorResponse.java
@@ -10,10 +10,10 @@
  * The response to what is not a request, or comes at the wrong time; the connection closes after
  * it.
  */
-final class ErrorResponse {
+final class ProtocolErrorResponse {
     private static final int SERVICE_UNAVAILABLE = 503;
 
-    private ErrorResponse() {}
+    private ProtocolErrorResponse() {}
 
     /** The response's head and body, ready to be written. */
     static ByteBuffer[] encode(int status, String reason) {
--- a/src/main/java/brooklock/platform/ClientListener.java
+++ b/src/main/java/brooklock/platform/ClientListener.java
@@ -16,9 +16,9 @@
 /**
  * Accepts clients and holds their connections within the bounds. Owned by the I/O thread.
  *
- * <p>It serves until {@link #startDraining}, after which health checks say that no new clients are
- * wanted while requests are still accepted, and until {@link #shutDown}, after which requests are
- * rejected and connections close as they become idle.
+ * <p>It serves until {@link #reportUnhealthy}, after which health checks say that no new clients
+ * are wanted while requests are still accepted, and until {@link #shutDown}, after which requests
+ * are rejected and connections close as they become idle.
  */
 final class ClientListener {
     private static final Logger LOG = LoggerFactory.getLogger(ClientListener.class);
@@ -44,7 +44,7 @@
     static final int MAX_CLOSING_CONNECTIONS = 16;
 
     private final IoLoop loop;
-    private final Map<String, RequestClass> classes;
+    private final Map<String, RequestClassRules> classes;
     private final int maxConnections;
     private final RequestExecutor executor;
     private final Set<ClientConnection> connections = new LinkedHashSet<>();
@@ -67,7 +67,7 @@
      */
     ClientListener(
             IoLoop loop,
-            Map<String, RequestClass> classes,
+            Map<String, RequestClassRules> classes,
             int maxConnections,
             RequestExecutor executor) {
         this.loop = loop;
@@ -186,7 +186,7 @@
     }
 
     /** Returns what is known of each class of requests, by its name. */
-    Map<String, RequestClass> classes() {
+    Map<String, RequestClassRules> classes() {
         return classes;
     }
 
@@ -201,7 +201,7 @@
     }
 
     /** Tells health checks that no new clients are wanted; those that come are served. */
-    void startDraining() {
+    void reportUnhealthy() {
         healthy = false;
     }
 
--- a/src/main/java/brooklock/platform/ClientRequestParser.java
+++ b/src/main/java/brooklock/platform/ClientRequestParser.java
@@ -54,9 +54,9 @@
      * @throws InvalidRequestException if the class is not known, a field is missing or can't be
      *     used, or there is a body where the class has none
      */
-    static ClientRequest parse(RpcMessage.Call call, Map<String, RequestClass> classes)
+    static ClientRequest parse(RpcMessage.Call call, Map<String, RequestClassRules> classes)
             throws InvalidRequestException {
-        RequestClass requestClass = classes.get(call.method());
+        RequestClassRules requestClass = classes.get(call.method());
         if (requestClass == null) {
             throw new InvalidRequestException("no such class");
         }
--- a/src/main/java/brooklock/platform/Frame.java
+++ b/src/main/java/brooklock/platform/Frame.java
@@ -34,13 +34,13 @@
     static final int MISS = 66;
 
     /** Code: overloaded; the request was not executed. */
-    static final int FULL = 67;
+    static final int OVERLOADED = 67;
 
     /** Code: failed; the request may have been executed. */
     static final int ERROR = 68;
 
     /** Code: the request came after its time limit and was not executed. */
-    static final int EXPIRED = 69;
+    static final int TOO_LATE = 69;
 
     /** Code: the connection works. */
     static final int HEALTHY = 70;
--- a/src/main/java/brooklock/platform/PlatformConfig.java
+++ b/src/main/java/brooklock/platform/PlatformConfig.java
@@ -31,7 +31,7 @@
         long lastSequence,
         List<DiscoveryEvent> initialEvents,
         RouterSettings routerSettings,
-        Map<String, RequestClass> requestClasses,
+        Map<String, RequestClassRules> requestClasses,
         List<String> zones,
         List<String> kinds,
         long idleTimeoutNs,
--- a/src/main/java/brooklock/platform/PlatformConfigReader.java
+++ b/src/main/java/brooklock/platform/PlatformConfigReader.java
@@ -102,16 +102,16 @@
                 : DEFAULT_MAX_DESCRIPTORS;
     }
 
-    private static Map<String, RequestClass> requestClasses(
+    private static Map<String, RequestClassRules> requestClasses(
             JsonArray lanes, RouterSettings routerSettings) throws InvalidConfigurationException {
-        Map<String, RequestClass> classes = new HashMap<>();
+        Map<String, RequestClassRules> classes = new HashMap<>();
         for (int i = 0; i < lanes.size(); i++) {
             JsonObject lane = lanes.get(i).getAsJsonObject();
             RouterSettings.RequestClass settings = routerSettings.classes().get(i);
             double maxTimeoutNs = required(lane, "giveUpNs").getAsDouble();
             classes.put(
                     text(lane, "name"),
-                    new RequestClass(
+                    new RequestClassRules(
                             i,
                             settings.idempotency() == Idempotency.IDEMPOTENCY_KEY,
                             settings.passThrough(),
--- a/src/main/java/brooklock/platform/PlatformDispatcher.java
+++ b/src/main/java/brooklock/platform/PlatformDispatcher.java
@@ -174,9 +174,9 @@
      *
      * @throws InterruptedException if the caller is interrupted; the shutdown goes on
      */
-    public void drain() throws InterruptedException {
+    public void shutDownGracefully() throws InterruptedException {
         CountDownLatch drained = new CountDownLatch(1);
-        loop.execute(clientListener::startDraining);
+        loop.execute(clientListener::reportUnhealthy);
         loop.schedule(DRAIN_NS, () -> clientListener.shutDown(drained::countDown));
         drained.await();
     }
--- a/src/main/java/brooklock/platform/PlatformMain.java
+++ b/src/main/java/brooklock/platform/PlatformMain.java
@@ -92,7 +92,7 @@
 
     private static void drainAndHalt(PlatformDispatcher dispatcher) {
         try {
-            dispatcher.drain();
+            dispatcher.shutDownGracefully();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } finally {
@@ -106,7 +106,7 @@
      *
      * @return the exit status
      */
-    public static int warmUp() {
+    public static int runForClassArchive() {
         PlatformLogging.enable();
         try {
             Path configFile = Files.createTempFile("startup-warmup", ".json");
@@ -142,7 +142,7 @@
             healthCheck.get(bytes);
             socket.getOutputStream().write(bytes);
             boolean answered = socket.getInputStream().read() >= 0;
-            dispatcher.drain();
+            dispatcher.shutDownGracefully();
             return answered;
         }
     }
--- a/src/main/java/brooklock/platform/RequestClass.java
+++ b/src/main/java/brooklock/platform/RequestClassRules.java
@@ -8,5 +8,5 @@
  * @param acceptsBody whether requests may carry a body
  * @param maxTimeoutMs longest that a client of the class waits, ms
  */
-record RequestClass(
+record RequestClassRules(
         int index, boolean requiresIdempotencyKey, boolean acceptsBody, long maxTimeoutMs) {}
--- a/src/main/java/brooklock/platform/ResponseFrameDecoder.java
+++ b/src/main/java/brooklock/platform/ResponseFrameDecoder.java
@@ -39,9 +39,9 @@
         return switch (code) {
             case Frame.OK, Frame.NOT_MODIFIED -> AttemptOutcome.OK;
             case Frame.MISS -> AttemptOutcome.CACHE_MISS;
-            case Frame.FULL -> AttemptOutcome.OVERLOADED;
+            case Frame.OVERLOADED -> AttemptOutcome.OVERLOADED;
             case Frame.ERROR -> AttemptOutcome.ERROR;
-            case Frame.EXPIRED -> AttemptOutcome.NOT_STARTED;
+            case Frame.TOO_LATE -> AttemptOutcome.NOT_STARTED;
             default -> throw new MalformedMessageException("code " + code + " answers no request");
         };
     }
--- a/src/main/java/brooklock/proxy/ControlHandler.java
+++ b/src/main/java/brooklock/proxy/ControlHandler.java
@@ -32,7 +32,7 @@
  * docs/operating.md} has every request.
  */
 final class ControlHandler {
-    private static final int NS_PER_MS_SCALE = 6;
+    private static final int MS_TO_NS_DIGITS = 6;
 
     private final ProxyContext context;
     private final EndpointListUpdater endpointListUpdater;
@@ -83,9 +83,9 @@
     private void post(HttpExchange exchange, String path, Map<String, String> query) {
         switch (path) {
             case "/hosts" -> exchange.readBody(body -> applyWatchEvent(exchange, body));
-            case "/drain" -> setByHand(exchange, query, EndpointState.DRAINING);
-            case "/gone" -> setByHand(exchange, query, EndpointState.GONE);
-            case "/ready" -> setByHand(exchange, query, EndpointState.READY);
+            case "/drain" -> setOverride(exchange, query, EndpointState.DRAINING);
+            case "/gone" -> setOverride(exchange, query, EndpointState.GONE);
+            case "/ready" -> setOverride(exchange, query, EndpointState.READY);
             case "/reset" ->
                     updateSource(exchange, "reset", m -> m.resetSource(query.get("source")));
             case "/forget" ->
@@ -126,7 +126,8 @@
         }
     }
 
-    private void setByHand(HttpExchange exchange, Map<String, String> query, EndpointState state) {
+    private void setOverride(
+            HttpExchange exchange, Map<String, String> query, EndpointState state) {
         String name = query.get("host");
         exchange.readBody(
                 body ->
@@ -190,9 +191,9 @@
         BigDecimal nowMs =
                 BigDecimal.valueOf(now.getEpochSecond())
                         .scaleByPowerOfTen(3)
-                        .add(BigDecimal.valueOf(now.getNano(), NS_PER_MS_SCALE));
+                        .add(BigDecimal.valueOf(now.getNano(), MS_TO_NS_DIGITS));
         BigDecimal ageMs = nowMs.subtract(issuedAtMs);
-        return Math.max(0, ageMs.scaleByPowerOfTen(NS_PER_MS_SCALE).longValue());
+        return Math.max(0, ageMs.scaleByPowerOfTen(MS_TO_NS_DIGITS).longValue());
     }
 
     // On the routing thread. The first time that a purge is seen fixes its moment: when it is
--- a/src/main/java/brooklock/proxy/Dispatcher.java
+++ b/src/main/java/brooklock/proxy/Dispatcher.java
@@ -227,7 +227,7 @@
      * @return whether no request is open any more
      */
     public boolean drain() throws InterruptedException {
-        admission.drain();
+        admission.rejectNewRequests();
         clientListener.drain();
         long longestNs =
                 settings.classes().stream()
--- a/src/main/java/brooklock/proxy/EndpointListUpdater.java
+++ b/src/main/java/brooklock/proxy/EndpointListUpdater.java
@@ -162,7 +162,7 @@
                 .addKeyValue("result", result.status())
                 .addKeyValue(
                         "news",
-                        result.complete()
+                        result.coversWholeList()
                                 ? result.affected().size() + " hosts"
                                 : result.affected().stream()
                                         .map(e -> e.name() + " " + e.state())
--- a/src/main/java/brooklock/proxy/PrefetchSender.java
+++ b/src/main/java/brooklock/proxy/PrefetchSender.java
@@ -43,7 +43,7 @@
     private RequestHead buildHead(
             Prefetch<PrefetchTarget> prefetch, ListedEndpoint endpoint, ListedEndpoint source) {
         PrefetchTarget target = prefetch.request();
-        long maxAgeNs = target.requestClass().freshnessNs();
+        long maxAgeNs = target.requestClass().freshnessLifetimeNs();
         Fields fields =
                 new Fields()
                         .add("Via", "1.1 " + context.settings().name())
--- a/src/main/java/brooklock/proxy/RequestAdmission.java
+++ b/src/main/java/brooklock/proxy/RequestAdmission.java
@@ -50,7 +50,7 @@
     }
 
     /** Rejects every request from now on; those that are open go on. */
-    void drain() {
+    void rejectNewRequests() {
         draining = true;
     }
 
--- a/src/main/java/brooklock/proxy/RouterSettingsMapper.java
+++ b/src/main/java/brooklock/proxy/RouterSettingsMapper.java
@@ -19,15 +19,15 @@
                                 requestClass ->
                                         new RouterSettings.RequestClass(
                                                 requestClass.latencyObjectiveNs(),
-                                                requestClass.transferStretch(),
+                                                requestClass.latencyObjectiveWorkFactor(),
                                                 idempotency(requestClass.effect()),
                                                 IdempotencyScope.valueOf(
-                                                        requestClass.deduplicationScope().name()),
+                                                        requestClass.idempotencyScope().name()),
                                                 requestClass.idempotencyWindowNs(),
                                                 requestClass.passThrough(),
-                                                requestClass.freshnessNs()))
+                                                requestClass.freshnessLifetimeNs()))
                         .toList();
-        Settings.InvariantSettings invariants = settings.invariants();
+        Settings.SafetyLimitSettings invariants = settings.safetyLimits();
         return new RouterSettings(
                 classes,
                 new RouterSettings.Limits(
@@ -38,23 +38,23 @@
                         settings.limits().maxRetryAfterNs(),
                         settings.limits().connectTimeoutNs()),
                 new RouterSettings.SafetyLimits(
-                        invariants.coldStartShare(),
+                        invariants.initialCapacity(),
                         invariants.warmUpNs(),
                         invariants.overloadMultiple(),
                         invariants.overloadWindowNs(),
-                        invariants.parentColdStartShare(),
+                        invariants.parentInitialCapacity(),
                         invariants.parentWarmUpNs(),
                         invariants.parentOverloadMultiple(),
-                        invariants.purgeCompletionNs()),
+                        invariants.purgeWindowNs()),
                 settings.dispatcherCount(),
                 settings.localZone(),
-                settings.zones().stream().map(Settings.Zone::hubIndex).toList(),
+                settings.zones().stream().map(Settings.Zone::parentZoneIndex).toList(),
                 EndpointKind.PARENT.number(),
                 EndpointKind.ORIGIN.number(),
                 settings.fleet().weighted() || settings.warming().enabled(),
                 false,
                 settings.fleet().requestCollapsing(),
-                settings.fleet().directRequests(),
+                settings.fleet().directOriginAllowed(),
                 settings.fleet().transferBytesPerS() / 1000,
                 settings.limits().tickNs());
     }
--- a/src/main/java/brooklock/proxy/UpstreamAttempt.java
+++ b/src/main/java/brooklock/proxy/UpstreamAttempt.java
@@ -231,16 +231,16 @@
     }
 
     private void completeByResult() {
-        complete(result.outcome(), result.cacheStatus(), result.sourceWaitNs());
+        complete(result.outcome(), result.cacheStatus(), result.fillDurationNs());
     }
 
     /**
      * Ends it and tells the router, once. The time in which the client read nothing does not count:
      * a slow client must not make an endpoint look slow.
      *
-     * @param sourceWaitNs how long the endpoint waited for its fill source, ns
+     * @param fillDurationNs how long the endpoint waited for its fill source, ns
      */
-    void complete(AttemptOutcome how, CacheStatus cacheStatus, long sourceWaitNs) {
+    void complete(AttemptOutcome how, CacheStatus cacheStatus, long fillDurationNs) {
         if (ended) {
             return;
         }
@@ -261,7 +261,7 @@
                         how,
                         cacheStatus,
                         durationNs,
-                        sourceWaitNs,
+                        fillDurationNs,
                         how == AttemptOutcome.OK || committed);
         if (warming.isPresent()) {
             AttemptObservation observation = observe(event);
@@ -278,7 +278,7 @@
         boolean missedLatencyObjective =
                 durationNs
                         > requestClass.latencyObjectiveNs()
-                                + requestClass.transferStretch()
+                                + requestClass.latencyObjectiveWorkFactor()
                                         * exchange.responseBytes()
                                         / context.settings().fleet().transferBytesPerS()
                                         * 1e9;
--- a/src/main/java/brooklock/proxy/UpstreamRequestBuilder.java
+++ b/src/main/java/brooklock/proxy/UpstreamRequestBuilder.java
@@ -64,7 +64,8 @@
         if (exchange.body.length > 0 || exchange.client().hasBody()) {
             fields.add("Content-Length", Integer.toString(exchange.body.length));
         }
-        long maxAgeNs = action.maxAgeNs() > 0 ? action.maxAgeNs() : requestClass.freshnessNs();
+        long maxAgeNs =
+                action.maxAgeNs() > 0 ? action.maxAgeNs() : requestClass.freshnessLifetimeNs();
         boolean fills = action.fillSource() != action.endpoint();
         String cacheControl = cacheControl(fills, maxAgeNs);
         if (!cacheControl.isEmpty() && !requestClass.passThrough()) {
--- a/src/main/java/brooklock/proxy/UpstreamResult.java
+++ b/src/main/java/brooklock/proxy/UpstreamResult.java
@@ -8,6 +8,6 @@
  *
  * @param outcome how the attempt ends, if its body comes whole
  * @param cacheStatus where the bytes came from, or why there are none
- * @param sourceWaitNs how long the endpoint waited for its fill source, ns; 0 if it does not say
+ * @param fillDurationNs how long the endpoint waited for its fill source, ns; 0 if it does not say
  */
-record UpstreamResult(AttemptOutcome outcome, CacheStatus cacheStatus, long sourceWaitNs) {}
+record UpstreamResult(AttemptOutcome outcome, CacheStatus cacheStatus, long fillDurationNs) {}
--- a/src/main/java/brooklock/proxy/WarmingCoordinator.java
+++ b/src/main/java/brooklock/proxy/WarmingCoordinator.java
@@ -71,7 +71,7 @@
         this.prefetchSender = prefetchSender;
         this.snapshotStore = snapshotStore;
         settings = context.settings();
-        recentPurges = new RecentPurges(settings.invariants().purgeCompletionNs());
+        recentPurges = new RecentPurges(settings.safetyLimits().purgeWindowNs());
         warming =
                 new CacheWarming<>(
                         limits(settings),
@@ -85,13 +85,13 @@
 
     private static WarmingLimits limits(Settings settings) {
         Settings.WarmingSettings warming = settings.warming();
-        Settings.InvariantSettings invariants = settings.invariants();
+        Settings.SafetyLimitSettings invariants = settings.safetyLimits();
         return new WarmingLimits(
                 warming.acrossZones(),
                 warming.peerLoadShare(),
                 warming.warmCapacityPerS() / 1e9,
                 settings.dispatcherCount(),
-                invariants.coldStartShare(),
+                invariants.initialCapacity(),
                 invariants.warmUpNs(),
                 invariants.overloadMultiple(),
                 invariants.overloadWindowNs());
--- a/src/main/java/brooklock/routing/Attempt.java
+++ b/src/main/java/brooklock/routing/Attempt.java
@@ -8,7 +8,7 @@
     final RoutedEndpoint fillSource;
 
     final FillReach reach;
-    final long sentAtNs;
+    final long decidedAtNs;
 
     /** Work reserved on the endpoint's link, ns; 0 once released. */
     double endpointWorkNs;
@@ -29,7 +29,7 @@
         this.endpoint = endpoint;
         this.fillSource = fillSource;
         this.reach = reach;
-        this.sentAtNs = sentAtNs;
+        this.decidedAtNs = sentAtNs;
     }
 
     /**
@@ -37,6 +37,6 @@
      * endpoint.
      */
     boolean isOvertaken() {
-        return !completed && endpoint.health.unansweredSinceNs > sentAtNs;
+        return !completed && endpoint.health.silentSinceNs > decidedAtNs;
     }
 }
--- a/src/main/java/brooklock/routing/CacheSelector.java
+++ b/src/main/java/brooklock/routing/CacheSelector.java
@@ -57,7 +57,7 @@
     RoutedEndpoint select(PendingRequest request, long now) {
         double bound = scoreAll(RendezvousHash.copy(request.event.object(), request.event.part()));
         RoutedEndpoint best = null;
-        int left = HotList.copies(request.demand);
+        int left = HotList.cacheCount(request.demand);
         for (int i = 0; i < caches.size(); i++) {
             RoutedEndpoint cache = bringNearest(i);
             double load = loadOf(cache);
--- a/src/main/java/brooklock/routing/ConcurrencyLimit.java
+++ b/src/main/java/brooklock/routing/ConcurrencyLimit.java
@@ -81,7 +81,7 @@
     }
 
     /** Whether the limit is at least so much work; else such a request passes only alone. */
-    boolean isWiderThan(double workNs) {
+    boolean admitsAlone(double workNs) {
         return limitNs >= workNs;
     }
 
--- a/src/main/java/brooklock/routing/EndpointHealth.java
+++ b/src/main/java/brooklock/routing/EndpointHealth.java
@@ -11,13 +11,13 @@
     /**
      * Since when it owes a response: its last response, or the first attempt after an idle time.
      */
-    long unansweredSinceNs;
+    long silentSinceNs;
 
     /** Connections lost or refused without another outcome between. */
     int connectionFailures;
 
     /** Health-check requests that failed one after the other, up to the bound of the backoff. */
-    int failedHealthChecks;
+    int failuresWhileEjected;
 
     /** When an ejected endpoint gets its next health-check request. */
     long nextHealthCheckNs;
--- a/src/main/java/brooklock/routing/FillAdmission.java
+++ b/src/main/java/brooklock/routing/FillAdmission.java
@@ -56,7 +56,7 @@
                                                 ? parentMissRatio
                                                 : missRatio * parentMissRatio),
                         now);
-        origin &= request.hot || originLimit.isWiderThan(work);
+        origin &= request.hot || originLimit.admitsAlone(work);
         if (!target.limit.admits(work, now)
                 || (request.missed && !fill)
                 || (request.parentMissed && !origin)) {
--- a/src/main/java/brooklock/routing/HotList.java
+++ b/src/main/java/brooklock/routing/HotList.java
@@ -101,7 +101,7 @@
     }
 
     /** Over how many caches an object is spread, so that no single link carries a very hot one. */
-    static int copies(ObjectDemand demand) {
+    static int cacheCount(ObjectDemand demand) {
         return demand.requests > REQUESTS_FOR_THREE_CACHES
                 ? 3
                 : demand.requests > REQUESTS_FOR_TWO_CACHES ? 2 : 1;
--- a/src/main/java/brooklock/routing/OutlierDetector.java
+++ b/src/main/java/brooklock/routing/OutlierDetector.java
@@ -31,7 +31,7 @@
     private static final double MAX_ERROR_RATE = 0.4;
 
     /** Pause before the first health check, ns. */
-    private static final long HEALTH_CHECK_PAUSE_NS = 1_000_000_000L;
+    private static final long BASE_PAUSE_NS = 1_000_000_000L;
 
     /** How often the pause is doubled at most. */
     private static final int MAX_PAUSE_DOUBLINGS = 4;
@@ -74,13 +74,13 @@
         EndpointHealth health = endpoint.health;
         return health.errorRate > MAX_ERROR_RATE
                 || (health.openAttempts >= MIN_SILENT_ATTEMPTS
-                        && now - health.unansweredSinceNs > silentAfterNs);
+                        && now - health.silentSinceNs > silentAfterNs);
     }
 
     /** An attempt goes out to the endpoint. */
     void onAttemptStarted(RoutedEndpoint endpoint, long now) {
         if (endpoint.health.openAttempts++ == 0) {
-            endpoint.health.unansweredSinceNs = now;
+            endpoint.health.silentSinceNs = now;
         }
     }
 
@@ -124,15 +124,15 @@
             recordOutcome(endpoint, true, now);
             recordOutcome(attempt.fillSource, status == CacheStatus.ORIGIN_FAILED, now);
         } else if ((outcome == AttemptOutcome.TIMEOUT
-                        && endpoint.health.unansweredSinceNs <= attempt.sentAtNs)
+                        && endpoint.health.silentSinceNs <= attempt.decidedAtNs)
                 || outcome == AttemptOutcome.RESET
                 || outcome == AttemptOutcome.CONNECT_FAILED) {
             recordOutcome(endpoint, false, now);
         } else if (outcome == AttemptOutcome.ERROR) {
-            endpoint.health.unansweredSinceNs = now;
+            endpoint.health.silentSinceNs = now;
             request.failedEndpoints.add(endpoint);
         } else if (outcome == AttemptOutcome.OVERLOADED || outcome == AttemptOutcome.CACHE_MISS) {
-            endpoint.health.unansweredSinceNs = now;
+            endpoint.health.silentSinceNs = now;
         }
     }
 
@@ -152,19 +152,19 @@
 
     private void recordOutcome(RoutedEndpoint endpoint, boolean success, long now) {
         EndpointHealth health = endpoint.health;
-        health.unansweredSinceNs = now;
+        health.silentSinceNs = now;
         health.errorRate +=
                 success
                         ? -SUCCESS_WEIGHT * health.errorRate
                         : FAILURE_WEIGHT * (1 - health.errorRate);
-        health.failedHealthChecks =
+        health.failuresWhileEjected =
                 success || !isEjected(endpoint, now)
                         ? 0
-                        : Math.min(health.failedHealthChecks + 1, MAX_PAUSE_DOUBLINGS);
+                        : Math.min(health.failuresWhileEjected + 1, MAX_PAUSE_DOUBLINGS);
         health.nextHealthCheckNs = success ? now : now + pauseNs(health);
     }
 
     private static long pauseNs(EndpointHealth health) {
-        return HEALTH_CHECK_PAUSE_NS << health.failedHealthChecks;
+        return BASE_PAUSE_NS << health.failuresWhileEjected;
     }
 }
--- a/src/main/java/brooklock/routing/PendingRequest.java
+++ b/src/main/java/brooklock/routing/PendingRequest.java
@@ -43,7 +43,7 @@
     int openAttempts;
 
     /** When its first attempt was sent: the start of the window of its idempotency key. */
-    long firstSentAtNs;
+    long firstDecidedAtNs;
 
     /** Whether it has its final response, or its client has left. */
     boolean finished;
--- a/src/main/java/brooklock/routing/RetryPolicy.java
+++ b/src/main/java/brooklock/routing/RetryPolicy.java
@@ -69,6 +69,6 @@
     }
 
     private static long keyWindowLeftNs(PendingRequest request, long now) {
-        return request.firstSentAtNs + request.requestClass.idempotencyWindowNs() - now;
+        return request.firstDecidedAtNs + request.requestClass.idempotencyWindowNs() - now;
     }
 }
--- a/src/main/java/brooklock/routing/RoutedEndpoint.java
+++ b/src/main/java/brooklock/routing/RoutedEndpoint.java
@@ -38,7 +38,7 @@
     void update(Endpoint newEntry, RouterSettings settings, long now) {
         if (entry == null || entry.startedAtNs() != newEntry.startedAtNs()) {
             health.errorRate = 0;
-            health.unansweredSinceNs = now;
+            health.silentSinceNs = now;
             slowStartBudgetNs = 0;
             slowStartUpdatedAtNs = now;
         }
--- a/src/main/java/brooklock/routing/Router.java
+++ b/src/main/java/brooklock/routing/Router.java
@@ -179,7 +179,7 @@
         RoutedEndpoint endpoint = attempt.endpoint;
         RoutedEndpoint fillSource = attempt.fillSource;
         if (request.attempts.isEmpty()) {
-            request.firstSentAtNs = now;
+            request.firstDecidedAtNs = now;
         }
         request.attempts.add(attempt);
         request.openAttempts++;
--- a/src/main/java/brooklock/testserver/FillTable.java
+++ b/src/main/java/brooklock/testserver/FillTable.java
@@ -37,7 +37,7 @@
 
     final ServerModel model;
     final CopyStore store;
-    final PurgeTimes purges;
+    final PurgeRecord purges;
     final ResponseSender sender;
     private final HttpClient client;
     private final InetSocketAddress origin;
@@ -51,7 +51,7 @@
             ServerModel model,
             HttpClient client,
             CopyStore store,
-            PurgeTimes purges,
+            PurgeRecord purges,
             ResponseSender sender,
             InetSocketAddress origin) {
         this.model = model;
--- a/src/main/java/brooklock/testserver/PurgeTimes.java
+++ b/src/main/java/brooklock/testserver/PurgeRecord.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 
 /** The latest purge of each object and group. Used on the server's I/O thread only. */
-final class PurgeTimes {
+final class PurgeRecord {
     private final Map<Long, Long> objectPurgesNs = new HashMap<>();
     private final Map<Integer, Long> groupPurgesNs = new HashMap<>();
 
--- a/src/main/java/brooklock/testserver/TestServer.java
+++ b/src/main/java/brooklock/testserver/TestServer.java
@@ -40,7 +40,7 @@
     private final OverloadModel overloadModel;
     private final ServerLoad load;
     private final CopyStore store;
-    private final PurgeTimes purges = new PurgeTimes();
+    private final PurgeRecord purges = new PurgeRecord();
     private final FillTable fills;
     private final ResponseSender sender;
 
--- a/src/test/java/brooklock/config/SettingsReaderTest.java
+++ b/src/test/java/brooklock/config/SettingsReaderTest.java
@@ -44,15 +44,15 @@
     void aRightFileIsReadWithItsUnits() throws SettingsException {
         Settings settings = SettingsReader.parse("f.conf", Path.of("/base"), RIGHT);
         assertEquals(1, settings.localZone());
-        assertEquals(0, settings.zones().get(1).hubIndex());
-        assertEquals(0, settings.zones().get(0).hubIndex(), "a hub is its own");
+        assertEquals(0, settings.zones().get(1).parentZoneIndex());
+        assertEquals(0, settings.zones().get(0).parentZoneIndex(), "a hub is its own");
         assertEquals(300_000_000L, settings.classes().get(0).latencyObjectiveNs());
         assertEquals(5e6, settings.fleet().transferBytesPerS());
         assertEquals(1_000_000, settings.limits().maxRequestBodyBytes());
         assertEquals(EndpointId.of("c1"), settings.endpoints().get(0).id());
         assertEquals(2, settings.routes().get(1).unkeyedClassIndex());
         assertEquals(Path.of("/base/trace.log"), settings.files().traceFile());
-        assertEquals(17_000_000_000L, settings.invariants().warmUpNs());
+        assertEquals(17_000_000_000L, settings.safetyLimits().warmUpNs());
         assertEquals(
                 250,
                 SettingsReader.parse(
--- a/src/test/java/brooklock/platform/ClientRequestParserTest.java
+++ b/src/test/java/brooklock/platform/ClientRequestParserTest.java
@@ -16,12 +16,12 @@
 
 /** Calls as requests, and calls that are none. */
 class ClientRequestParserTest {
-    private static final Map<String, RequestClass> CLASSES =
+    private static final Map<String, RequestClassRules> CLASSES =
             Map.of(
                     "pages",
-                    new RequestClass(0, false, false, 2500),
+                    new RequestClassRules(0, false, false, 2500),
                     "orders",
-                    new RequestClass(1, true, true, 3000));
+                    new RequestClassRules(1, true, true, 3000));
 
     private static Map<String, String> validFields() {
         return new HashMap<>(
--- a/src/test/java/brooklock/platform/ConnectionCloseTest.java
+++ b/src/test/java/brooklock/platform/ConnectionCloseTest.java
@@ -209,7 +209,7 @@
         client.getOutputStream().write(read(1, 0x27));
         DispatcherFixture.EndpointPeer endpoint = fixture.connect(fixture.nextConnectRequest());
         endpoint.nextFrame();
-        endpoint.respond(Frame.FULL, 0x27, "");
+        endpoint.respond(Frame.OVERLOADED, 0x27, "");
         fixture.nextEvent(RouterEvent.AttemptCompleted.class);
         Runnable release = fixture.holdIoThread();
         byte[] noise = new byte[100_000];
--- a/src/test/java/brooklock/platform/GracefulShutdownTest.java
+++ b/src/test/java/brooklock/platform/GracefulShutdownTest.java
@@ -51,7 +51,7 @@
 
     private void drain() {
         try {
-            loopback.dispatcher().drain();
+            loopback.dispatcher().shutDownGracefully();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
--- a/src/test/java/brooklock/proxy/CacheStatusParserTest.java
+++ b/src/test/java/brooklock/proxy/CacheStatusParserTest.java
@@ -115,6 +115,6 @@
     @ParameterizedTest
     @CsvSource({"1500, 1500000", "0, 0", "-1, 0", "1.5, 0", "1234567890123, 0"})
     void waitForTheFillSourceIsReadInMicroseconds(String value, long expectedNs) {
-        assertEquals(expectedNs, parse(200, "Brooklock-Waited", value).sourceWaitNs());
+        assertEquals(expectedNs, parse(200, "Brooklock-Waited", value).fillDurationNs());
     }
 }
--- a/src/test/java/brooklock/routing/ConcurrencyLimitTest.java
+++ b/src/test/java/brooklock/routing/ConcurrencyLimitTest.java
@@ -28,8 +28,8 @@
         ConcurrencyLimit limit = ConcurrencyLimit.forCache();
         respond(limit, false, 100);
         assertTrue(limit.isLate());
-        assertTrue(limit.isWiderThan(2 * REQUEST_NS));
-        assertFalse(limit.isWiderThan(2 * REQUEST_NS + 1));
+        assertTrue(limit.admitsAlone(2 * REQUEST_NS));
+        assertFalse(limit.admitsAlone(2 * REQUEST_NS + 1));
         limit.acquire(REQUEST_NS);
         assertTrue(limit.admits(REQUEST_NS, 0));
         limit.acquire(REQUEST_NS);
@@ -43,7 +43,7 @@
         respond(limit, false, 100);
         limit.acquire(2 * REQUEST_NS);
         respond(limit, true, 100);
-        assertTrue(limit.isWiderThan(4 * REQUEST_NS));
+        assertTrue(limit.admitsAlone(4 * REQUEST_NS));
         assertFalse(limit.isLate());
     }
 
@@ -55,7 +55,7 @@
     void aLimitNarrowerThanARequestAdmitsOneAndThenPauses() {
         ConcurrencyLimit limit = ConcurrencyLimit.forOrigin(400);
         respond(limit, false, 200);
-        assertFalse(limit.isWiderThan(REQUEST_NS));
+        assertFalse(limit.admitsAlone(REQUEST_NS));
         assertTrue(limit.admits(REQUEST_NS, 0));
         limit.acquire(REQUEST_NS);
         assertFalse(limit.admits(REQUEST_NS, 0), "one is in flight");
