--- a/src/main/java/brooklock/authorization/PolicyReader.java
+++ b/src/main/java/brooklock/authorization/PolicyReader.java
@@ -1,5 +1,6 @@
 package brooklock.authorization;
 
+import brooklock.config.InvalidStatementException;
 import brooklock.config.PathPattern;
 import brooklock.config.Problem;
 import brooklock.config.SettingsException;
@@ -89,7 +90,7 @@
             case "map" -> parseMapping(line, number);
             case "allow", "deny" -> parseRule(line, number, verb.equals("allow"));
             default ->
-                    throw new PolicyStatementException(
+                    throw new InvalidStatementException(
                             "'"
                                     + verb
                                     + "' is not a statement of a policy "
@@ -114,7 +115,7 @@
                         bytesPerSecond =
                                 Units.parseBytesPerSecond(line.nextWord("a pace, as in 20MB/s"));
                 default ->
-                        throw new PolicyStatementException(
+                        throw new InvalidStatementException(
                                 "'"
                                         + option
                                         + "' is not an option of a tenant "
@@ -122,11 +123,11 @@
             }
         }
         if (weight <= 0) {
-            throw new PolicyStatementException("a weight is above 0");
+            throw new InvalidStatementException("a weight is above 0");
         }
         requireUnusedName(name);
         if (tenants.size() == MAX_TENANTS) {
-            throw new PolicyStatementException("a policy has " + MAX_TENANTS + " tenants at most");
+            throw new InvalidStatementException("a policy has " + MAX_TENANTS + " tenants at most");
         }
         Tenant tenant =
                 new Tenant(
@@ -142,7 +143,8 @@
 
     private static double parseRate(String rate) {
         if (!rate.endsWith("/s")) {
-            throw new PolicyStatementException("'" + rate + "': a rate needs its unit, as in 50/s");
+            throw new InvalidStatementException(
+                    "'" + rate + "': a rate needs its unit, as in 50/s");
         }
         return Units.parseNumber(rate.substring(0, rate.length() - 2));
     }
@@ -151,7 +153,7 @@
         if (name.equals(ALL_TENANTS)
                 || groups.containsKey(name)
                 || tenantByName.containsKey(name)) {
-            throw new PolicyStatementException("the name '" + name + "' is taken already");
+            throw new InvalidStatementException("the name '" + name + "' is taken already");
         }
     }
 
@@ -173,7 +175,7 @@
         } else if (tenantByName.containsKey(name)) {
             named.set(tenantByName.get(name).index());
         } else {
-            throw new PolicyStatementException(
+            throw new InvalidStatementException(
                     "there is no tenant or group '" + name + "' above this line");
         }
         return named;
@@ -183,7 +185,7 @@
         String kindWord = line.nextWord("claim, san or subject");
         Optional<NameKind> kind = NameKind.ofWord(kindWord);
         if (kind.isEmpty()) {
-            throw new PolicyStatementException(
+            throw new InvalidStatementException(
                     "'" + kindWord + "' is not a kind of name (claim, san, subject)");
         }
         String key = line.nextWord("a name");
@@ -191,14 +193,14 @@
         String tenantName = line.nextWord("a tenant");
         Tenant tenant = tenantByName.get(tenantName);
         if (tenant == null) {
-            throw new PolicyStatementException(
+            throw new InvalidStatementException(
                     "there is no tenant '" + tenantName + "' above this line");
         }
         for (Policy.Mapping mapping : mappings) {
             if (mapping.kind() == kind.get()
                     && mapping.key().equals(key)
                     && Objects.equals(mapping.value(), value)) {
-                throw new PolicyStatementException(
+                throw new InvalidStatementException(
                         "line " + mapping.line() + " maps this name already");
             }
         }
@@ -226,15 +228,15 @@
                 case "from" -> fromMs = parseInstantMs(line.nextWord("a moment"));
                 case "until" -> untilMs = parseInstantMs(line.nextWord("a moment"));
                 default ->
-                        throw new PolicyStatementException(
+                        throw new InvalidStatementException(
                                 "'" + option + "' is not an option here (class, from, until)");
             }
         }
         if (untilMs <= fromMs) {
-            throw new PolicyStatementException("this holds at no time: it ends before it begins");
+            throw new InvalidStatementException("this holds at no time: it ends before it begins");
         }
         if (++ruleCount > MAX_RULES) {
-            throw new PolicyStatementException(
+            throw new InvalidStatementException(
                     "a policy has " + MAX_RULES + " lines that allow or deny at most");
         }
         Set<String> methodSet = methods.equals("*") ? Set.of() : Set.of(methods.split(","));
@@ -258,7 +260,7 @@
         Optional<PathViolation> violation =
                 PathValidator.validate(path.replaceAll("\\{[^}]*\\}", "x"));
         if (violation.isPresent()) {
-            throw new PolicyStatementException(
+            throw new InvalidStatementException(
                     "the path is not in form: " + violation.get().message());
         }
     }
@@ -267,7 +269,7 @@
         try {
             return Instant.parse(text).toEpochMilli();
         } catch (DateTimeException e) {
-            throw new PolicyStatementException(
+            throw new InvalidStatementException(
                     "'" + text + "' is not a moment, as in 2027-01-31T08:00:00Z", e);
         }
     }
--- a/src/main/java/brooklock/config/InvalidStatementException.java
+++ b/src/main/java/brooklock/config/InvalidStatementException.java
@@ -12,4 +12,9 @@
     public InvalidStatementException(String message) {
         super(message);
     }
+
+    /** As above, with the error that showed it. */
+    public InvalidStatementException(String message, Throwable cause) {
+        super(message, cause);
+    }
 }
--- a/src/main/java/brooklock/routing/SlowStart.java
+++ b/src/main/java/brooklock/routing/SlowStart.java
@@ -66,6 +66,15 @@
                 : initialCapacity + (1 - initialCapacity) * Math.max(0, ageNs) / warmUpNs;
     }
 
+    /**
+     * Multiple of its present capacity that all dispatchers together plan to give an endpoint.
+     *
+     * @param overloadMultiple multiple that overloads it
+     */
+    public static double plannedMultiple(double overloadMultiple) {
+        return Math.min(MAX_PLANNED_MULTIPLE, overloadMultiple * PLANNED_OVERLOAD_SHARE);
+    }
+
     /** The endpoints that are warm have changed with the list. */
     void onListChanged() {
         caches.warmUntilNs = Long.MIN_VALUE;
@@ -149,8 +158,7 @@
             this.endpoints = endpoints;
             this.initialCapacity = initialCapacity;
             this.warmUpNs = warmUpNs;
-            plannedMultiple =
-                    Math.min(MAX_PLANNED_MULTIPLE, overloadMultiple * PLANNED_OVERLOAD_SHARE);
+            plannedMultiple = plannedMultiple(overloadMultiple);
         }
 
         /** Share of its capacity that an endpoint surely has by now. */
--- a/src/main/java/brooklock/warming/CacheTable.java
+++ b/src/main/java/brooklock/warming/CacheTable.java
@@ -1,5 +1,6 @@
 package brooklock.warming;
 
+import brooklock.routing.DecayingRate;
 import brooklock.warming.CacheWarming.CacheEndpoint;
 import java.util.Collection;
 import java.util.HashMap;
@@ -14,6 +15,9 @@
  * traffic to them.
  */
 final class CacheTable {
+    /** The span of measured rates, in ns: longer than a burst, shorter than a cache's start. */
+    static final double RATE_SPAN_NS = 8e9;
+
     // Share of its peers' hit ratio at which a cache counts as refilled.
     private static final double REFILLED_FRACTION = 0.9;
     // Summaries run over all caches, so they are made a few times a second and not for each
@@ -30,7 +34,7 @@
     private int warmCacheCount;
     private long summaryDueNs;
     // Requests to one warm cache of the own zone.
-    private final DecayingRate warmCacheRate = new DecayingRate();
+    private final DecayingRate warmCacheRate = new DecayingRate(RATE_SPAN_NS);
 
     CacheTable(WarmingLimits limits, int ownZone, String dispatcherName) {
         this.limits = limits;
@@ -81,7 +85,7 @@
 
     /** This dispatcher's part of what a warm cache can serve, in requests per ns. */
     double dispatcherSharePerNs(long nowNs) {
-        return limits.dispatcherSharePerNs(warmCacheRate.ratePerNs(nowNs));
+        return limits.dispatcherSharePerNs(warmCacheRate.perNs(nowNs));
     }
 
     /** Whether a cache lacks the copies that it had before its last start. */
--- a/src/main/java/brooklock/warming/HitRatio.java
+++ b/src/main/java/brooklock/warming/HitRatio.java
@@ -1,9 +1,11 @@
 package brooklock.warming;
 
+import brooklock.routing.DecayingRate;
+
 /** How often peers of one kind recently held what was requested from them. */
 final class HitRatio {
-    private final DecayingRate requests = new DecayingRate();
-    private final DecayingRate hits = new DecayingRate();
+    private final DecayingRate requests = new DecayingRate(CacheTable.RATE_SPAN_NS);
+    private final DecayingRate hits = new DecayingRate(CacheTable.RATE_SPAN_NS);
 
     void recordOutcome(boolean hit, long nowNs) {
         requests.add(1, nowNs);
--- a/src/main/java/brooklock/warming/PrefetchBudget.java
+++ b/src/main/java/brooklock/warming/PrefetchBudget.java
@@ -1,16 +1,14 @@
 package brooklock.warming;
 
+import brooklock.routing.SlowStart;
+
 /**
- * How many parts may be prefetched at one cache that is warming up. With m the overload multiple,
- * the router plans up to {@code min(1.3, 0.6 m)} of the cache's capacity for clients; prefetching
- * gets half of what is left up to m, and never more than half of the capacity. Clients and
- * prefetching together so stay below m for every m.
+ * How many parts may be prefetched at one cache that is warming up. Clients get up to {@link
+ * SlowStart#plannedMultiple} of the cache's present capacity; prefetching gets half of what is left
+ * up to the overload multiple, and never more than half of the capacity. So clients and prefetching
+ * together stay below every overload multiple.
  */
 final class PrefetchBudget {
-    // What the router's slow start plans with: a share of the overload multiple, up to a multiple
-    // of the capacity.
-    private static final double ROUTER_SHARE_OF_MULTIPLE = 0.6;
-    private static final double MAX_ROUTER_LOAD = 1.3;
     // Not all that the router leaves: permits from just before the window, and chance, come on top.
     private static final double SHARE_OF_REST = 0.5;
     // However large the multiple: clients come first.
@@ -56,7 +54,7 @@
      */
     static double maxPrefetchShare(WarmingLimits limits, double capacity) {
         double multiple = limits.overloadMultiple();
-        double router = Math.min(MAX_ROUTER_LOAD, ROUTER_SHARE_OF_MULTIPLE * multiple);
+        double router = SlowStart.plannedMultiple(multiple);
         double share = Math.min(MAX_CAPACITY_SHARE, SHARE_OF_REST * Math.max(0, multiple - router));
         return capacity * share;
     }
--- a/src/main/java/brooklock/warming/WarmingLimits.java
+++ b/src/main/java/brooklock/warming/WarmingLimits.java
@@ -1,5 +1,7 @@
 package brooklock.warming;
 
+import brooklock.routing.SlowStart;
+
 /**
  * What the settings allow, and the capacity of caches that are warming up.
  *
@@ -61,8 +63,6 @@
 
     /** Share of its capacity that a cache has for certain at an age, given in ns. */
     public double capacityAt(long ageNs) {
-        return ageNs >= warmUpNs
-                ? 1
-                : initialCapacity + (1 - initialCapacity) * Math.max(0, ageNs) / warmUpNs;
+        return SlowStart.capacityAt(ageNs, initialCapacity, warmUpNs);
     }
 }
--- a/src/test/java/brooklock/membership/MembershipPropertyTest.java
+++ b/src/test/java/brooklock/membership/MembershipPropertyTest.java
@@ -23,6 +23,7 @@
  * the overrides.
  */
 class MembershipPropertyTest {
+    private static final List<EndpointState> STATES = List.of(EndpointState.values());
     // Each of the first two belongs to one source, which leaves it out of its full lists once it is
     // gone.
     private static final List<String> NAMES = List.of("a-1", "b-1", "c1", "c2", "c3");
@@ -57,7 +58,7 @@
                 int which = random.nextInt(4);
                 current.put(
                         which == 3 ? name + "-1" : NAMES.get(2 + which),
-                        EndpointState.values()[random.nextInt(3)]);
+                        STATES.get(random.nextInt(3)));
             }
             ofEpoch.put(++sequence, current);
             long base =
@@ -119,7 +120,7 @@
         }
 
         private void override() {
-            EndpointState state = EndpointState.values()[random.nextInt(3)];
+            EndpointState state = STATES.get(random.nextInt(3));
             String name = NAMES.get(random.nextInt(NAMES.size()));
             if (membership.setOverride(name, state).applied()) {
                 overrides.put(name, state);
@@ -149,8 +150,8 @@
             boolean newer =
                     before == null
                             || version.epoch() > before.epoch()
-                            || version.epoch() == before.epoch()
-                                    && version.sequence() > before.sequence();
+                            || (version.epoch() == before.epoch()
+                                    && version.sequence() > before.sequence());
             if (newer && event.full()) {
                 assertEquals(
                         Status.APPLIED, result.status(), "a newer full list is always applied");
