--- a/src/main/java/brooklock/credentials/TokenVerifier.java
+++ b/src/main/java/brooklock/credentials/TokenVerifier.java
@@ -136,9 +136,9 @@
     }
 
     private static boolean isTokenChar(int c) {
-        return c >= 'a' && c <= 'z'
-                || c >= 'A' && c <= 'Z'
-                || c >= '0' && c <= '9'
+        return (c >= 'a' && c <= 'z')
+                || (c >= 'A' && c <= 'Z')
+                || (c >= '0' && c <= '9')
                 || c == '-'
                 || c == '_'
                 || c == '.';
--- a/src/main/java/brooklock/warming/SlowStartRamp.java
+++ b/src/main/java/brooklock/warming/SlowStartRamp.java
@@ -48,7 +48,7 @@
     void onReport(LoadReport report) {
         if (!report.isPlausible()
                 || report.requestSentNs() < startedNs
-                || lastReport != null && report.receivedNs() < lastReport.receivedNs()) {
+                || (lastReport != null && report.receivedNs() < lastReport.receivedNs())) {
             return;
         }
         countUnchanged(report);
