--- a/src/main/java/brooklock/platform/RequestFrameEncoder.java
+++ b/src/main/java/brooklock/platform/RequestFrameEncoder.java
@@ -34,7 +34,7 @@
         if (request.idempotencyKey() != null) {
             fields.append(",nonce=").append(request.idempotencyKey());
         }
-        if (decision.fillSource() != decision.endpoint()) {
+        if (decision.fills()) {
             fields.append(",up=").append(fillSourceName);
         }
         if (decision.cachePriority() > 0) {
--- a/src/main/java/brooklock/proxy/UpstreamAttempt.java
+++ b/src/main/java/brooklock/proxy/UpstreamAttempt.java
@@ -295,8 +295,7 @@
 
     /** Returns endpoint, fill source, outcome, cache status and duration, for the access log. */
     String describe() {
-        String source =
-                action.fillSource() == action.endpoint() ? "" : "<" + nameOf(action.fillSource());
+        String source = action.fills() ? "<" + nameOf(action.fillSource()) : "";
         String cacheStatus =
                 result == null ? "" : "/" + TraceVocabulary.wordOf(result.cacheStatus());
         return nameOf(action.endpoint())
--- a/src/main/java/brooklock/proxy/WarmingCoordinator.java
+++ b/src/main/java/brooklock/proxy/WarmingCoordinator.java
@@ -161,7 +161,7 @@
      */
     long selectFillPeer(StartAttempt action, RouteTable.Match match) {
         boolean fillsCopy =
-                action.fillSource() != action.endpoint()
+                action.fills()
                         && action.cachePriority() != 0
                         && !match.requestClass().passThrough();
         return fillsCopy
--- a/src/main/java/brooklock/routing/Attempt.java
+++ b/src/main/java/brooklock/routing/Attempt.java
@@ -8,6 +8,8 @@
     final RoutedEndpoint fillSource;
 
     final FillReach reach;
+
+    /** When the router decided it; the endpoint gets it later if it waits for a connection. */
     final long decidedAtNs;
 
     /** Work reserved on the endpoint's link, ns; 0 once released. */
@@ -25,16 +27,21 @@
     /** Whether its response has begun to go to the client. */
     boolean responseStarted;
 
-    Attempt(RoutedEndpoint endpoint, RoutedEndpoint fillSource, FillReach reach, long sentAtNs) {
+    Attempt(RoutedEndpoint endpoint, RoutedEndpoint fillSource, FillReach reach, long decidedAtNs) {
         this.endpoint = endpoint;
         this.fillSource = fillSource;
         this.reach = reach;
-        this.decidedAtNs = sentAtNs;
+        this.decidedAtNs = decidedAtNs;
+    }
+
+    /** Whether a cache miss at its endpoint is filled. */
+    boolean fills() {
+        return fillSource != endpoint;
     }
 
     /**
-     * Whether its endpoint has responded to others since: the response is missing, not the
-     * endpoint.
+     * Whether an outcome of its endpoint has been counted since it was decided: the response is
+     * taken to be missing, not the endpoint. The reset or timeout of another attempt counts too.
      */
     boolean isOvertaken() {
         return !completed && endpoint.health.silentSinceNs > decidedAtNs;
--- a/src/main/java/brooklock/routing/Router.java
+++ b/src/main/java/brooklock/routing/Router.java
@@ -142,7 +142,8 @@
     // ---- An attempt starts
 
     /**
-     * Starts an attempt, or gives the request up if none is open. Returns whether one was started.
+     * Starts an attempt, or gives the request up where it may reach nothing and no attempt is open.
+     * Returns whether one was started; one that has no attempt left is left as it is.
      */
     private boolean startAttempt(PendingRequest request) {
         if (!retryPolicy.hasAttemptLeft(request)) {
@@ -186,7 +187,7 @@
         outliers.onAttemptStarted(endpoint, now);
         admission.acquire(request, attempt);
         charge(endpoint, request);
-        if (fillSource != endpoint) {
+        if (attempt.fills()) {
             charge(fillSource, request);
         }
         long timeoutNs = Math.max(1, request.event.deadlineNs() - now);
@@ -274,7 +275,7 @@
         }
         if (fillSource.isParent && status.isFilled()) {
             slowStart.onServed(fillSource, request, now);
-        } else if (fillSource.isParent && fillSource != endpoint && ok) {
+        } else if (fillSource.isParent && attempt.fills() && ok) {
             slowStart.refund(fillSource, request);
         }
         admission.onCompleted(
@@ -327,13 +328,14 @@
     }
 
     /**
-     * Hedges a request whose endpoint is ejected by now, or, out of the retry budget, whose
-     * response was lost.
+     * Hedges a request whose endpoint is ejected by now, or, if the retry budget has an attempt
+     * left, one whose response was lost.
      */
     private void hedge(PendingRequest request) {
         Attempt attempt = request.lastAttempt();
         boolean responseLost = hedging.isResponseLost(attempt, admission);
         if (responseLost) {
+            // Its work is done and loads no link any more; its later outcome releases nothing.
             admission.release(attempt, now);
         }
         if (outliers.isEjected(attempt.endpoint, now)) {
--- a/src/main/java/brooklock/routing/RouterAction.java
+++ b/src/main/java/brooklock/routing/RouterAction.java
@@ -30,10 +30,17 @@
             boolean collapse,
             boolean onlyIfCached,
             long startWithinNs)
-            implements RouterAction {}
+            implements RouterAction {
+
+        /** Returns whether a cache miss is filled. */
+        public boolean fills() {
+            return fillSource != endpoint;
+        }
+    }
 
     /**
-     * Final response: rejected, and a retry by the client is harmless.
+     * Final response: rejected. A retry by the client is harmless, though attempts of an idempotent
+     * request or of one with an idempotency key may have been executed.
      *
      * @param id the request
      * @param retryAfterNs when the client may retry; 0 if nothing is said
--- a/src/test/java/brooklock/faulttest/InvariantCheckerTest.java
+++ b/src/test/java/brooklock/faulttest/InvariantCheckerTest.java
@@ -145,8 +145,7 @@
 
         @Override
         protected void interceptAction(RouterAction action, List<RouterAction> forwarded) {
-            boolean fill =
-                    action instanceof StartAttempt start && start.fillSource() != start.endpoint();
+            boolean fill = action instanceof StartAttempt start && start.fills();
             forwarded.add(
                     coldEndpoint != 0 && fill ? toColdEndpoint((StartAttempt) action) : action);
         }
--- a/src/test/java/brooklock/routing/FillAdmissionTest.java
+++ b/src/test/java/brooklock/routing/FillAdmissionTest.java
@@ -27,7 +27,7 @@
         boolean cachedOnly = false;
         for (int i = 0; i < 30; i++) {
             StartAttempt attempt = fixture.request(PAGE, 5000 + i);
-            cachedOnly |= attempt != null && attempt.fillSource() == attempt.endpoint();
+            cachedOnly |= attempt != null && !attempt.fills();
         }
         assertTrue(cachedOnly);
     }
@@ -63,9 +63,7 @@
         for (int i = 0; i < 20; i++) {
             RequestReceived request = withoutSize(fixture.newRequest(PAGE, 12_000 + i));
             StartAttempt attempt = attemptIn(fixture.onEvent(request));
-            assertTrue(
-                    attempt.fillSource() != attempt.endpoint(),
-                    "a fill is allowed with the request");
+            assertTrue(attempt.fills(), "a fill is allowed with the request");
         }
     }
 
@@ -137,8 +135,7 @@
             fixture.now += 100 * MS;
             StartAttempt attempt = fixture.request(PAGE, 1000 + i);
             while (attempt != null) {
-                boolean cachedOnly =
-                        attempt.onlyIfCached() || attempt.fillSource() == attempt.endpoint();
+                boolean cachedOnly = attempt.onlyIfCached() || !attempt.fills();
                 attempt =
                         attemptIn(
                                 fixture.complete(
