--- a/src/main/java/brooklock/routing/FillAdmission.java
+++ b/src/main/java/brooklock/routing/FillAdmission.java
@@ -3,7 +3,7 @@
 import brooklock.routing.RouterEvent.AttemptCompleted;
 
 /**
- * Admission: how far a request may reach, to its cache's copy only, to a parent, to the origin, or
+ * How far a request may reach by the load: to its cache's copy only, to a parent, to the origin, or
  * not at all.
  *
  * <p>Inputs: the work of the request, the limits of the links, the hot list, and the miss ratios
@@ -48,15 +48,8 @@
         }
         boolean fill = fillLimit.admits(work * (request.missed ? 1 : missRatio), now);
         boolean origin =
-                originLimit.admits(
-                        work
-                                * (request.parentMissed
-                                        ? 1
-                                        : request.missed
-                                                ? parentMissRatio
-                                                : missRatio * parentMissRatio),
-                        now);
-        origin &= request.hot || originLimit.admitsAlone(work);
+                originLimit.admits(work * originShare(request), now)
+                        && (request.hot || originLimit.admitsAlone(work));
         if (!target.limit.admits(work, now)
                 || (request.missed && !fill)
                 || (request.parentMissed && !origin)) {
@@ -65,6 +58,14 @@
         return !fill ? FillReach.CACHE : origin ? FillReach.ORIGIN : FillReach.PARENT;
     }
 
+    /** Share of the request's work that is expected at the origin, by the misses known so far. */
+    private double originShare(PendingRequest request) {
+        if (request.parentMissed) {
+            return 1;
+        }
+        return request.missed ? parentMissRatio : missRatio * parentMissRatio;
+    }
+
     /** Reserves an attempt's work on the three links. */
     void acquire(PendingRequest request, Attempt attempt) {
         attempt.endpointWorkNs = request.workNs;
