--- a/src/main/java/brooklock/routing/CacheSelector.java
+++ b/src/main/java/brooklock/routing/CacheSelector.java
@@ -14,6 +14,9 @@
  * does not cover the request. The bound on the share prevents that one popular copy fills a cache's
  * link while its peers idle, which shows as late hits at one cache. It holds because what a cache
  * may not take goes on to the next in the order.
+ *
+ * <p>Where all are passed over, only slow start still binds: of the caches that it allows the least
+ * loaded is chosen, an ejected one after the others and one that the request has tried last.
  */
 final class CacheSelector {
     /** A cache is passed over above this multiple of its peers' mean work in flight ... */
@@ -53,7 +56,10 @@
         this.workEstimator = workEstimator;
     }
 
-    /** The cache for the request, or null where the rules allow none. */
+    /**
+     * The cache for the request; where all are passed over, the least loaded that slow start
+     * allows, even an ejected one. Null only where slow start allows none.
+     */
     RoutedEndpoint select(PendingRequest request, long now) {
         double bound = scoreAll(RendezvousHash.copy(request.event.object(), request.event.part()));
         RoutedEndpoint best = null;
--- a/src/main/java/brooklock/routing/CacheStatus.java
+++ b/src/main/java/brooklock/routing/CacheStatus.java
@@ -1,6 +1,10 @@
 package brooklock.routing;
 
-/** What a response says of the cached copy, or of the fill that failed. */
+/**
+ * What a response says of the cached copy, or of the fill that failed.
+ *
+ * <p>The order is that of the simulator's wire: append only.
+ */
 public enum CacheStatus {
     /** Nothing is said. */
     NONE,
--- a/src/main/java/brooklock/routing/ConcurrencyLimit.java
+++ b/src/main/java/brooklock/routing/ConcurrencyLimit.java
@@ -7,10 +7,10 @@
  * <p>Inputs: work in nanoseconds of transfer, as attempts start and end, and whether responses met
  * their objective.
  *
- * <p>There is no limit until responses come late. Then it grows by a part of the work that was
- * answered in time and shrinks by the rest of the work that was late, so that it settles at a
- * tolerated share of late responses. That share is higher where responses are late for other
- * reasons too.
+ * <p>There is no limit until responses come late. Then, with a tolerated share {@code s} of late
+ * responses, one in time adds {@code s} times its work to the limit and a late one takes {@code 1 -
+ * s} times its work from it: the limit rests where the share of late responses is {@code s}. That
+ * share is higher where responses are late for other reasons too.
  *
  * <p>This prevents a jam: on a full link more work makes all of it late, which shows as latencies
  * that grow together while throughput stands still. It holds because work over the limit is sent
@@ -80,14 +80,18 @@
         return lateShare >= LATE_SHARE_TO_LIMIT;
     }
 
-    /** Whether the limit is at least so much work; else such a request passes only alone. */
+    /**
+     * Whether the limit is at least this work, so that it lets such a request pass on an idle link
+     * without a pause after it.
+     */
     boolean admitsAlone(double workNs) {
         return limitNs >= workNs;
     }
 
     /**
-     * Whether work may start. A limit narrower than one request admits one, then pauses to the same
-     * mean.
+     * Whether work may start. A limit narrower than one request admits one on an idle link, as
+     * nothing would pass otherwise, and then nothing for a pause. The pause is so long that the
+     * mean work in flight over both is the limit.
      */
     boolean admits(double workNs, long now) {
         return inFlightNs + workNs <= limitNs || (inFlightNs <= 0 && now >= pausedUntilNs);
--- a/src/main/java/brooklock/routing/EndpointHealth.java
+++ b/src/main/java/brooklock/routing/EndpointHealth.java
@@ -9,14 +9,20 @@
     double errorRate;
 
     /**
-     * Since when it owes a response: its last response, or the first attempt after an idle time.
+     * Since when no outcome has been counted for it while attempts are open: the latest of an
+     * outcome of any kind, also a timeout, a reset or one as fill source, the first attempt after
+     * an idle time, and a new start on the endpoint list.
      */
     long silentSinceNs;
 
     /** Connections lost or refused without another outcome between. */
     int connectionFailures;
 
-    /** Health-check requests that failed one after the other, up to the bound of the backoff. */
+    /**
+     * Failures in a row that left it ejected, up to the bound of the backoff: the one that ejects
+     * it is the first, and late failures of attempts sent before its ejection count like health
+     * checks.
+     */
     int failuresWhileEjected;
 
     /** When an ejected endpoint gets its next health-check request. */
--- a/src/main/java/brooklock/routing/EndpointListKind.java
+++ b/src/main/java/brooklock/routing/EndpointListKind.java
@@ -1,6 +1,10 @@
 package brooklock.routing;
 
-/** How an endpoint list is to be applied. */
+/**
+ * How an endpoint list is to be applied.
+ *
+ * <p>The order is that of the simulator's wire: append only.
+ */
 public enum EndpointListKind {
     /** Only the endpoints that changed. */
     DELTA,
--- a/src/main/java/brooklock/routing/EndpointState.java
+++ b/src/main/java/brooklock/routing/EndpointState.java
@@ -1,6 +1,10 @@
 package brooklock.routing;
 
-/** What the endpoint list says of an endpoint. */
+/**
+ * What the endpoint list says of an endpoint.
+ *
+ * <p>The order is that of the simulator's wire: append only.
+ */
 public enum EndpointState {
     /** Removed from the list: it gets no attempt. */
     GONE,
--- a/src/main/java/brooklock/routing/HedgingPolicy.java
+++ b/src/main/java/brooklock/routing/HedgingPolicy.java
@@ -5,8 +5,8 @@
 /**
  * Hedged requests: a second attempt beside the first, where the first response was lost.
  *
- * <p>Inputs: outcomes, whether their endpoints have responded to others since, and whether links
- * are late.
+ * <p>Inputs: outcomes, whether their endpoints have had other outcomes since, and whether links are
+ * late.
  *
  * <p>This prevents that requests wait for their deadline when responses get lost, which shows as
  * timeouts at endpoints that respond to others. Until its deadline a large response looks like a
--- a/src/main/java/brooklock/routing/HotList.java
+++ b/src/main/java/brooklock/routing/HotList.java
@@ -6,7 +6,8 @@
 import java.util.Map;
 
 /**
- * Cache admission: whether an edge cache keeps a copy, with which priority, and on how many caches.
+ * Which objects are requested often enough to be cached at the edge, with which priority, and on
+ * how many caches.
  *
  * <p>Inputs: requests and the time. No response is used, so none that is late or lost can empty the
  * list.
--- a/src/main/java/brooklock/routing/OutlierDetector.java
+++ b/src/main/java/brooklock/routing/OutlierDetector.java
@@ -9,16 +9,20 @@
  * endpoint list.
  *
  * <p>An endpoint is ejected while its error rate is above {@link #MAX_ERROR_RATE}, or while it is
- * silent, which finds a dead endpoint before the list says so. An ejected endpoint gets one real
- * request as its health check, after a pause that doubles with each check that fails. A good
- * response ends the pause; with each one the error rate falls, and the endpoint is let back once it
- * is under the bound. This prevents that a failing endpoint takes its share of all requests, which
- * shows as a steady share of errors or timeouts.
+ * silent, which finds a dead endpoint before the list says so: several attempts are open and no
+ * outcome of any kind has been counted for some time. An ejected endpoint gets one real request as
+ * its health check, after a pause that doubles with each failure, beginning with the one that
+ * ejects it. A good response ends the pause; with each one the error rate falls, and the endpoint
+ * is let back once it is not above the bound. This prevents that a failing endpoint takes its share
+ * of all requests, which shows as a steady share of errors or timeouts.
  *
- * <p>An error is attributed to its endpoint only once another endpoint has served the request, or
- * where no other was tried. This prevents that requests which no endpoint can serve eject healthy
- * ones, which shows as endpoints ejected one after the other by a single client. It holds because
- * such a request is served by none.
+ * <p>An ejected endpoint is the last choice, not an excluded one: the selectors name it where all
+ * others are passed over. The origin is used without a look at its health.
+ *
+ * <p>An error is attributed to its endpoint only once a later attempt has served the request, or
+ * where the request is given up and that error was its only one. This prevents that requests which
+ * no endpoint can serve eject healthy ones, which shows as endpoints ejected one after the other by
+ * a single client. It holds because such a request is served by none.
  */
 final class OutlierDetector {
     /** Weight of one failure in the error rate. */
@@ -30,7 +34,7 @@
     /** Error rate above which an endpoint is ejected. */
     private static final double MAX_ERROR_RATE = 0.4;
 
-    /** Pause before the first health check, ns. */
+    /** Pause before a health check, ns, doubled once for each failure that left it ejected. */
     private static final long BASE_PAUSE_NS = 1_000_000_000L;
 
     /** How often the pause is doubled at most. */
@@ -39,7 +43,7 @@
     /** Open attempts from which on an endpoint can be silent. */
     private static final int MIN_SILENT_ATTEMPTS = 3;
 
-    /** Multiple of the longest latency objective without a response after which it is silent. */
+    /** Multiple of the longest latency objective without an outcome after which it is silent. */
     private static final double SILENT_OBJECTIVES = 2;
 
     /** Connections lost one after the other that mean a restart. */
--- a/src/main/java/brooklock/routing/RetryBudget.java
+++ b/src/main/java/brooklock/routing/RetryBudget.java
@@ -1,12 +1,15 @@
 package brooklock.routing;
 
 /**
- * The budget of extra attempts, for retries and hedged requests alike.
+ * The budget of extra attempts, for retries and for hedges of lost responses.
  *
  * <p>Each request earns a part of an extra attempt. This prevents that failures multiply the load
  * on the endpoints that are left, which shows as attempts that rise while responses fall. It holds
- * because extra attempts can never be more than the earned share of requests, and the few saved
+ * because these attempts can never be more than the earned share of requests, and the few saved
  * before.
+ *
+ * <p>Two kinds are not counted and bounded by the attempts of a request alone: the hedge of a
+ * request whose endpoint is ejected, and the attempt that reaches further after a miss.
  */
 final class RetryBudget {
     /** Extra attempts that one request earns. */
--- a/src/main/java/brooklock/routing/RetryPolicy.java
+++ b/src/main/java/brooklock/routing/RetryPolicy.java
@@ -58,7 +58,10 @@
     }
 
     /**
-     * Whether a rejection is true, as the client's retry would be harmless; else the request fails.
+     * Whether the request may be rejected, as the client's retry would be harmless; else it fails.
+     * What is idempotent, or has a key that all endpoints share, may be rejected even if an attempt
+     * has run or is open. The key's window is not looked at: the retry is harmless only in a window
+     * that outlasts the deadline and the time in which the client retries.
      */
     static boolean mayReject(PendingRequest request) {
         RequestClass requestClass = request.requestClass;
--- a/src/main/java/brooklock/routing/RoutedEndpoint.java
+++ b/src/main/java/brooklock/routing/RoutedEndpoint.java
@@ -34,7 +34,12 @@
     /** When that budget was updated last. */
     long slowStartUpdatedAtNs;
 
-    /** Takes over a new entry; a new start forgets the health and the budget of the one before. */
+    /**
+     * Takes over a new entry. A new start forgets the error rate, the silence and the budget of the
+     * one before; lost connections and the pause of the health checks stay. A restart that is only
+     * inferred from lost connections ({@link SlowStart#restart}) empties the budget alone: the
+     * error rate that it has earned must keep it ejected.
+     */
     void update(Endpoint newEntry, RouterSettings settings, long now) {
         if (entry == null || entry.startedAtNs() != newEntry.startedAtNs()) {
             health.errorRate = 0;
