--- a/src/main/java/brooklock/routing/PendingRequest.java
+++ b/src/main/java/brooklock/routing/PendingRequest.java
@@ -42,7 +42,10 @@
     /** Attempts whose outcome is not known yet. */
     int openAttempts;
 
-    /** When its first attempt was sent: the start of the window of its idempotency key. */
+    /**
+     * When the router decided its first attempt, which may be sent later: the window of its
+     * idempotency key is counted from here, so that it ends no later than at the endpoints.
+     */
     long firstDecidedAtNs;
 
     /** Whether it has its final response, or its client has left. */
--- a/src/main/java/brooklock/routing/SlowStart.java
+++ b/src/main/java/brooklock/routing/SlowStart.java
@@ -4,7 +4,7 @@
 import java.util.List;
 
 /**
- * Slow start: the budget of a cache or parent that is warming up, and its recovery ramp.
+ * Slow start: the budget of a cache or parent that is warming up.
  *
  * <p>Inputs: start times from the endpoint list or from lost connections, the stated capacities,
  * and what warm peers served through this dispatcher.
@@ -80,8 +80,8 @@
     }
 
     /**
-     * Whether an endpoint is warm, or its budget covers a request of this class; updates the
-     * budget.
+     * Whether an endpoint is warm, or its budget covers a request of this class; refills the budget
+     * up to now first.
      */
     boolean canAfford(RoutedEndpoint endpoint, PendingRequest request, long now) {
         Peers peers = peersOf(endpoint);
@@ -89,20 +89,33 @@
         if (capacity >= 1 || (!endpoint.isCache && !endpoint.isParent)) {
             return true;
         }
+        double cost = workEstimator.classMeanNs(request);
+        refill(endpoint, peers, capacity, cost, now);
+        return endpoint.slowStartBudgetNs >= cost;
+    }
+
+    /**
+     * Adds what the budget has earned since it was refilled last; it may always hold one request.
+     */
+    private void refill(
+            RoutedEndpoint endpoint, Peers peers, double capacity, double costNs, long now) {
         // While none is warm the rate stands as it was measured last: decay would shut the budgets.
         long measuredAt = peers.warmWeight(now) > 0 ? now : peers.rate.updatedAtNs();
-        double unit = peers.rate.perNs(measuredAt) * endpoint.weight;
-        double rate = unit * capacity * peers.plannedMultiple;
-        double cost = workEstimator.classMeanNs(request);
-        double max = Math.max(rate * overloadWindowNs / 2, cost);
-        long since = Math.max(endpoint.slowStartUpdatedAtNs, endpoint.startedAtNs);
+        double warmPeerRate = peers.rate.perNs(measuredAt) * endpoint.weight;
+        double refillRate = warmPeerRate * capacity * peers.plannedMultiple;
+        double maxBudgetNs = Math.max(refillRate * overloadWindowNs / 2, costNs);
+        long refilledAtNs = Math.max(endpoint.slowStartUpdatedAtNs, endpoint.startedAtNs);
         endpoint.slowStartBudgetNs =
-                Math.min(max, endpoint.slowStartBudgetNs + rate * (now - since));
+                Math.min(
+                        maxBudgetNs,
+                        endpoint.slowStartBudgetNs + refillRate * (now - refilledAtNs));
         endpoint.slowStartUpdatedAtNs = now;
-        return endpoint.slowStartBudgetNs >= cost;
     }
 
-    /** Takes a request from the budget; what only looks for a copy counts too. */
+    /**
+     * Takes a request from the budget; what only looks for a copy counts too. The budget of a warm
+     * endpoint only falls and is not read; a new start sets it to 0.
+     */
     void spend(RoutedEndpoint endpoint, PendingRequest request) {
         endpoint.slowStartBudgetNs -= workEstimator.classMeanNs(request);
     }
