--- a/src/main/java/brooklock/credentials/CertificateTrust.java
+++ b/src/main/java/brooklock/credentials/CertificateTrust.java
@@ -12,6 +12,7 @@
 import java.security.cert.TrustAnchor;
 import java.security.cert.X509CRL;
 import java.security.cert.X509Certificate;
+import java.time.Instant;
 import java.util.ArrayList;
 import java.util.Date;
 import java.util.HashMap;
@@ -88,7 +89,7 @@
             for (X509CRL crl : CertificateFiles.readCrls(file)) {
                 requireSignedByAuthority(file, crl, authorities);
                 X509CRL other = crls.get(crl.getIssuerX500Principal());
-                if (other == null || other.getThisUpdate().before(crl.getThisUpdate())) {
+                if (other == null || isOlder(other, crl)) {
                     crls.put(crl.getIssuerX500Principal(), crl);
                 }
             }
@@ -96,6 +97,10 @@
         return crls;
     }
 
+    private static boolean isOlder(X509CRL crl, X509CRL than) {
+        return crl.getThisUpdate().toInstant().isBefore(than.getThisUpdate().toInstant());
+    }
+
     private static void requireSignedByAuthority(
             Path file, X509CRL crl, Set<X509Certificate> authorities) throws IOException {
         for (X509Certificate authority : authorities) {
@@ -116,7 +121,7 @@
             throws IOException {
         for (Map.Entry<X500Principal, X509CRL> entry : previous.entrySet()) {
             X509CRL crl = current.get(entry.getKey());
-            if (crl == null || crl.getThisUpdate().before(entry.getValue().getThisUpdate())) {
+            if (crl == null || isOlder(crl, entry.getValue())) {
                 throw new CredentialFileException(
                         "the list of revoked certificates of "
                                 + entry.getKey()
@@ -162,7 +167,7 @@
             PKIXParameters parameters = new PKIXParameters(anchors);
             // The validator knows nothing of our lists; recheck() looks at them.
             parameters.setRevocationEnabled(false);
-            parameters.setDate(new Date(nowMs));
+            parameters.setDate(Date.from(Instant.ofEpochMilli(nowMs)));
             List<X509Certificate> certificates = new ArrayList<>(List.of(chain));
             certificates.removeIf(authorities::contains);
             if (certificates.isEmpty()) {
@@ -195,7 +200,7 @@
      */
     public Optional<CertificateRejection> recheck(X509Certificate[] chain, long nowMs) {
         for (X509Certificate certificate : chain) {
-            if (nowMs >= certificate.getNotAfter().getTime()) {
+            if (nowMs >= certificate.getNotAfter().toInstant().toEpochMilli()) {
                 return CertificateRejection.of(Reason.EXPIRED);
             }
             X509CRL crl = crlByIssuer.get(certificate.getIssuerX500Principal());
@@ -215,7 +220,8 @@
     }
 
     private static boolean isStale(X509CRL crl, long nowMs) {
-        return crl.getNextUpdate() != null && nowMs >= crl.getNextUpdate().getTime();
+        return crl.getNextUpdate() != null
+                && nowMs >= crl.getNextUpdate().toInstant().toEpochMilli();
     }
 
     private boolean hasAuthority(X509Certificate[] chain) {
--- a/src/main/java/brooklock/credentials/Certificates.java
+++ b/src/main/java/brooklock/credentials/Certificates.java
@@ -30,7 +30,7 @@
                         NameKind.SUBJECT, leaf.getSubjectX500Principal().getName(), null));
         return new Identity(
                 attributes,
-                leaf.getNotAfter().getTime(),
+                leaf.getNotAfter().toInstant().toEpochMilli(),
                 "certificate " + CertificateTrust.fingerprint(leaf).substring(0, LABEL_DIGITS));
     }
 
--- a/src/main/java/brooklock/credentials/LocalCertificateAuthority.java
+++ b/src/main/java/brooklock/credentials/LocalCertificateAuthority.java
@@ -8,6 +8,7 @@
 import java.security.GeneralSecurityException;
 import java.security.KeyPair;
 import java.security.cert.X509Certificate;
+import java.time.Instant;
 import java.util.Base64;
 import java.util.Date;
 import java.util.List;
@@ -53,6 +54,10 @@
         certificate = signCertificate(name, keys, null, true, VALIDITY_MS);
     }
 
+    private static Date dateOf(long wallMs) {
+        return Date.from(Instant.ofEpochMilli(wallMs));
+    }
+
     private static BigInteger allocateSerial() {
         return BigInteger.valueOf(NEXT_SERIAL.getAndIncrement());
     }
@@ -69,8 +74,8 @@
                 new JcaX509v3CertificateBuilder(
                         name,
                         allocateSerial(),
-                        new Date(now - BACKDATING_MS),
-                        new Date(now + validityMs),
+                        dateOf(now - BACKDATING_MS),
+                        dateOf(now + validityMs),
                         subject,
                         subjectKeys.getPublic());
         builder.addExtension(Extension.basicConstraints, true, new BasicConstraints(authority));
@@ -116,9 +121,9 @@
      */
     public String createCrl(long nextUpdateMs, X509Certificate... revoked)
             throws GeneralSecurityException, IOException {
-        Date thisUpdate = new Date(System.currentTimeMillis() - 1000);
+        Date thisUpdate = dateOf(System.currentTimeMillis() - 1000);
         X509v2CRLBuilder builder = new X509v2CRLBuilder(name, thisUpdate);
-        builder.setNextUpdate(new Date(System.currentTimeMillis() + nextUpdateMs));
+        builder.setNextUpdate(dateOf(System.currentTimeMillis() + nextUpdateMs));
         for (X509Certificate certificate : revoked) {
             builder.addCRLEntry(certificate.getSerialNumber(), thisUpdate, CRLReason.keyCompromise);
         }
--- a/src/main/java/brooklock/credentials/TlsContexts.java
+++ b/src/main/java/brooklock/credentials/TlsContexts.java
@@ -41,6 +41,8 @@
      * @param chain the own certificate first
      * @param key the private key of the own certificate
      */
+    // The JDK's key managers hand out chains as arrays; identities are never compared.
+    @SuppressWarnings("ArrayRecordComponent")
     public record TlsIdentity(X509Certificate[] chain, PrivateKey key) {
         /**
          * Whether the certificate is for a host, given in lower case; wildcards stand for the first
--- a/src/main/java/brooklock/membership/EndpointListCodec.java
+++ b/src/main/java/brooklock/membership/EndpointListCodec.java
@@ -45,7 +45,7 @@
         String[] header = splitWords(lines[0]);
         if (header.length < 2
                 || !header[0].equals("list")
-                || !header[1].equals(FULL) && !header[1].equals(DELTA)) {
+                || (!header[1].equals(FULL) && !header[1].equals(DELTA))) {
             throw new MalformedEndpointListException(
                     1, "a list begins with 'list full' or 'list delta'");
         }
--- a/src/test/java/brooklock/authorization/TenantLimiterTest.java
+++ b/src/test/java/brooklock/authorization/TenantLimiterTest.java
@@ -53,9 +53,9 @@
                 admitted += admission.admitted() ? 1 : 0;
                 assertTrue(
                         admission.admitted()
-                                || admission.reason() == Reason.RATE
+                                || (admission.reason() == Reason.RATE
                                         && admission.retryAfterNs() > 0
-                                        && admission.retryAfterNs() < 200 * MS);
+                                        && admission.retryAfterNs() < 200 * MS));
             }
             assertEquals(10, admitted);
             assertTrue(
--- a/src/test/java/brooklock/credentials/TokenVerifierTest.java
+++ b/src/test/java/brooklock/credentials/TokenVerifierTest.java
@@ -58,7 +58,7 @@
     static Stream<Arguments> invalidTokens() {
         long nowSeconds = NOW_MS / 1000;
         String valid = token();
-        String[] parts = valid.split("\\.");
+        String[] parts = valid.split("\\.", -1);
         Base64URL noAlgorithm = Base64URL.encode("{\"alg\":\"none\",\"kid\":\"ed\"}");
         Base64URL otherTenant =
                 Base64URL.encode(JSONObjectUtils.toJSONString(claims("tenant", "beta")));
--- a/src/test/java/brooklock/membership/EndpointRegistryTest.java
+++ b/src/test/java/brooklock/membership/EndpointRegistryTest.java
@@ -12,6 +12,7 @@
 import brooklock.routing.EndpointListKind;
 import brooklock.routing.EndpointState;
 import brooklock.routing.RouterEvent.EndpointListReceived;
+import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.util.List;
 import java.util.Optional;
@@ -67,7 +68,7 @@
                         3,
                         EndpointKind.CACHE,
                         "south",
-                        new InetSocketAddress("127.0.0.1", 1),
+                        new InetSocketAddress(InetAddress.getLoopbackAddress(), 1),
                         EndpointState.READY,
                         1,
                         0);
--- a/src/test/java/brooklock/membership/TestEndpoints.java
+++ b/src/test/java/brooklock/membership/TestEndpoints.java
@@ -3,6 +3,7 @@
 import brooklock.config.EndpointId;
 import brooklock.config.Settings.EndpointKind;
 import brooklock.routing.EndpointState;
+import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.util.List;
 
@@ -20,7 +21,7 @@
                 EndpointId.of(name),
                 EndpointKind.CACHE,
                 "north",
-                new InetSocketAddress("127.0.0.1", 9000),
+                new InetSocketAddress(InetAddress.getLoopbackAddress(), 9000),
                 state,
                 1.5,
                 startedMs);
--- a/src/test/java/brooklock/warming/SlowStartRampTest.java
+++ b/src/test/java/brooklock/warming/SlowStartRampTest.java
@@ -35,7 +35,7 @@
         ramp.onReport(report(0.95, 0.5, 102 * S + 10 * MS));
         assertEquals(0.5, ramp.share(102 * S + 10 * MS), "one overload is one cut");
         for (int i = 1; i < 20; i++) {
-            ramp.onOverload(102 * S + i * 300 * MS);
+            ramp.onOverload(102 * S + i * 300L * MS);
         }
         assertEquals(SlowStartRamp.MIN_SHARE, ramp.share(108 * S));
         double before = SlowStartRamp.MIN_SHARE;
@@ -54,7 +54,7 @@
     void stuckReports() {
         SlowStartRamp ramp = new SlowStartRamp(0, START);
         for (int i = 0; i < 200; i++) {
-            long at = START + i * 300 * MS;
+            long at = START + i * 300L * MS;
             ramp.onReport(new LoadReport(1, i % 5, 0.5, at - MS, at));
         }
         assertEquals(1, ramp.share(200 * S), "only the router's own bound is left");
