--- a/src/main/java/brooklock/Main.java
+++ b/src/main/java/brooklock/Main.java
@@ -10,13 +10,15 @@
 import java.io.IOException;
 
 /**
- * The program's beginning. {@code wirehost} and {@code node} start without loading any of the rest.
+ * Entry point: picks the command, loading only its classes. {@code wirehost} and {@code node} start
+ * without loading any of the others.
  */
 public final class Main {
     private Main() {}
 
     /** Runs the command named by the first argument. */
     public static void main(String[] args) {
+        // "practice" is the former name of "warm-up", kept as an alias.
         if (args.length == 1
                 && (args[0].equals("node")
                         || args[0].equals("warm-up")
@@ -24,7 +26,7 @@
             Platform.run(args[0]);
         }
         if (args.length != 1 || !args[0].equals("wirehost")) {
-            Rest.run(args);
+            OtherCommands.run(args);
         }
         try {
             SimulatorHost host = new SimulatorHost();
@@ -39,10 +41,10 @@
 
     // Classes of their own, so that their references are resolved only where they are used.
     private static final class Platform {
-        static void run(String what) {
+        static void run(String command) {
             try {
                 System.exit(
-                        what.equals("node")
+                        command.equals("node")
                                 ? brooklock.platform.PlatformMain.run(System.getenv("NODE_CONFIG"))
                                 : brooklock.platform.PlatformMain.runForClassArchive());
             } catch (InterruptedException e) {
@@ -51,7 +53,7 @@
         }
     }
 
-    private static final class Rest {
+    private static final class OtherCommands {
         static void run(String[] args) {
             System.exit(brooklock.cli.Cli.run(args));
         }
--- a/src/main/java/brooklock/platform/Attempt.java
+++ b/src/main/java/brooklock/platform/Attempt.java
@@ -93,7 +93,7 @@
     }
 
     /** Sets the time of the first byte, on the router's clock. */
-    void startedAtNs(long nowNs) {
+    void setStartedAtNs(long nowNs) {
         startedAtNs = nowNs;
     }
 
--- a/src/main/java/brooklock/platform/BodyAccumulator.java
+++ b/src/main/java/brooklock/platform/ByteAccumulator.java
@@ -4,10 +4,11 @@
 import java.util.Arrays;
 
 /**
- * Collects a text or body of an announced length that comes in pieces. Memory grows with what has
- * come, not with what was announced, so that a peer which announces much costs nothing. Pure.
+ * Collects the bytes of a text or body of an announced length that comes in pieces. Memory grows
+ * with what has come, not with what was announced, so that a peer which announces much costs
+ * nothing. Pure.
  */
-final class BodyAccumulator {
+final class ByteAccumulator {
     // Most texts fit, and a body doubles it a few times.
     private static final int INITIAL_CAPACITY_BYTES = 4096;
 
@@ -20,7 +21,7 @@
      *
      * @param length the announced length, bytes
      */
-    BodyAccumulator(int length) {
+    ByteAccumulator(int length) {
         this.length = length;
         bytes = new byte[Math.min(length, INITIAL_CAPACITY_BYTES)];
     }
--- a/src/main/java/brooklock/platform/ClientListener.java
+++ b/src/main/java/brooklock/platform/ClientListener.java
@@ -170,8 +170,8 @@
         }
     }
 
-    /** Sets how many bytes may wait to be written to all clients together. */
-    void maxPendingWriteBytes(long bytes) {
+    /** Sets how many bytes may wait to be written to all clients together. For tests. */
+    void setMaxPendingWriteBytes(long bytes) {
         maxPendingWriteBytes = bytes;
     }
 
@@ -180,8 +180,8 @@
         return messageTimeoutNs;
     }
 
-    /** Sets the time for a whole message, ns. */
-    void messageTimeoutNs(long ns) {
+    /** Sets the time for a whole message, ns. For tests. */
+    void setMessageTimeoutNs(long ns) {
         messageTimeoutNs = ns;
     }
 
@@ -200,7 +200,10 @@
         return rejectingRequests;
     }
 
-    /** Tells health checks that no new clients are wanted; those that come are served. */
+    /**
+     * Answers health checks with false from now on, so that no new clients come. Connections and
+     * requests that come nevertheless are accepted until {@link #shutDown}.
+     */
     void reportUnhealthy() {
         healthy = false;
     }
--- a/src/main/java/brooklock/platform/ConnectionSettings.java
+++ b/src/main/java/brooklock/platform/ConnectionSettings.java
@@ -14,7 +14,7 @@
  */
 record ConnectionSettings(
         IoLoop loop,
-        ConnectionFactory factory,
+        EndpointConnectFunction factory,
         long connectTimeoutNs,
         long idleTimeoutNs,
         int maxInFlight,
@@ -25,7 +25,10 @@
 
     /** Returns what a configuration says. */
     static ConnectionSettings of(
-            IoLoop loop, ConnectionFactory factory, PlatformConfig config, int maxConnections) {
+            IoLoop loop,
+            EndpointConnectFunction factory,
+            PlatformConfig config,
+            int maxConnections) {
         return new ConnectionSettings(
                 loop,
                 factory,
--- a/src/main/java/brooklock/platform/ConnectionFactory.java
+++ b/src/main/java/brooklock/platform/EndpointConnectFunction.java
@@ -5,7 +5,7 @@
 import java.util.function.Consumer;
 
 /** Makes connections to endpoints. Called on the I/O thread. */
-interface ConnectionFactory {
+interface EndpointConnectFunction {
     /**
      * Begins to connect. Calls one of the two consumers later, once and on the I/O thread, unless
      * it is cancelled before.
--- a/src/main/java/brooklock/platform/EndpointPools.java
+++ b/src/main/java/brooklock/platform/EndpointConnectionPools.java
@@ -11,7 +11,7 @@
  * <p>Each endpoint may have its part of the descriptors, within bounds. When all are in use, a new
  * connection takes the place of the one that has been idle for longest, wherever it leads.
  */
-final class EndpointPools implements ConnectionBudget {
+final class EndpointConnectionPools implements ConnectionBudget {
     // Bounds on the connections to one endpoint, however many endpoints share the descriptors.
     private static final int MAX_CONNECTIONS_PER_ENDPOINT = 48;
     private static final int MIN_CONNECTIONS_PER_ENDPOINT = 2;
@@ -21,7 +21,8 @@
     private final AttemptHandler attemptHandler;
     private final Map<Long, EndpointConnectionPool> poolsById = new HashMap<>();
 
-    EndpointPools(ConnectionSettings settings, EndpointTable table, AttemptHandler attemptHandler) {
+    EndpointConnectionPools(
+            ConnectionSettings settings, EndpointTable table, AttemptHandler attemptHandler) {
         this.settings = settings;
         this.table = table;
         this.attemptHandler = attemptHandler;
--- a/src/main/java/brooklock/platform/EndpointConnector.java
+++ b/src/main/java/brooklock/platform/EndpointConnector.java
@@ -20,7 +20,7 @@
 
     private final IoLoop loop;
     private final EndpointTable table;
-    private final EndpointPools pools;
+    private final EndpointConnectionPools pools;
     private RequestExecutor executor;
     private boolean closed;
 
@@ -33,7 +33,7 @@
     EndpointConnector(EndpointTable table, ConnectionSettings settings) {
         loop = settings.loop();
         this.table = table;
-        pools = new EndpointPools(settings, table, this);
+        pools = new EndpointConnectionPools(settings, table, this);
     }
 
     /**
@@ -138,7 +138,7 @@
                 || !isCurrent(attempt)) {
             return Optional.empty();
         }
-        attempt.startedAtNs(nowNs);
+        attempt.setStartedAtNs(nowNs);
         return Optional.of(
                 RequestFrameEncoder.encode(
                         attempt.clientRequest(),
--- a/src/main/java/brooklock/platform/EndpointTable.java
+++ b/src/main/java/brooklock/platform/EndpointTable.java
@@ -18,7 +18,9 @@
  * The endpoint list, by name and by the id under which the router knows each endpoint. Pure; owned
  * by the I/O thread.
  *
- * <p>An id is made from the name alone, so that all dispatchers hash alike, also after a restart.
+ * <p>An id is the checksum of the name, so that all dispatchers hash alike, also after a restart.
+ * If two names have the same checksum, which is not expected, the one that comes later gets the
+ * next free id; another dispatcher may give it another.
  */
 final class EndpointTable {
     private static final long MAX_ID = 0xffffffffL;
--- a/src/main/java/brooklock/platform/FrameDecoder.java
+++ b/src/main/java/brooklock/platform/FrameDecoder.java
@@ -20,8 +20,8 @@
     private final int maxCode;
     private int code;
     private long id;
-    private BodyAccumulator fields;
-    private BodyAccumulator body;
+    private ByteAccumulator fields;
+    private ByteAccumulator body;
     private boolean inFrame;
     private boolean fieldsComplete;
     private boolean bodyComplete;
@@ -90,8 +90,8 @@
             throw new MalformedMessageException(
                     "a frame of " + fieldBytes + " and " + bodyBytes + " bytes");
         }
-        fields = new BodyAccumulator(fieldBytes);
-        body = new BodyAccumulator((int) bodyBytes);
+        fields = new ByteAccumulator(fieldBytes);
+        body = new ByteAccumulator((int) bodyBytes);
         fieldsComplete = false;
         bodyComplete = false;
         return true;
--- a/src/main/java/brooklock/platform/MessagePackReader.java
+++ b/src/main/java/brooklock/platform/MessagePackReader.java
@@ -47,7 +47,7 @@
 /**
  * Reads MessagePack token by token, incrementally from any cut of bytes. Strict: texts are UTF-8,
  * lengths within the bound that the caller states, and extension types are not accepted. The
- * numbers in the code are the formats of its specification. Pure.
+ * formats are those of {@link MessagePackFormat}. Pure.
  */
 final class MessagePackReader {
     /** The kinds of token. */
@@ -63,7 +63,7 @@
     }
 
     private final int maxPayloadBytes;
-    private BodyAccumulator payload;
+    private ByteAccumulator payload;
     private boolean payloadIsText;
     private TokenType tokenType;
     private long value;
@@ -183,7 +183,7 @@
                     "a string of " + length + " bytes, more than " + maxPayloadBytes);
         }
         payloadIsText = isText;
-        payload = new BodyAccumulator((int) length);
+        payload = new ByteAccumulator((int) length);
     }
 
     /** Returns the kind of the last token. */
--- a/src/main/java/brooklock/platform/PendingRequestTable.java
+++ b/src/main/java/brooklock/platform/PendingRequestTable.java
@@ -23,7 +23,7 @@
     private long maxBodyBytes = Runtime.getRuntime().maxMemory() / BODY_HEAP_DIVISOR;
 
     /** Sets how many bytes the bodies of all pending requests may take together. */
-    void maxBodyBytes(long bytes) {
+    void setMaxBodyBytes(long bytes) {
         maxBodyBytes = bytes;
     }
 
--- a/src/main/java/brooklock/platform/PlatformDispatcher.java
+++ b/src/main/java/brooklock/platform/PlatformDispatcher.java
@@ -29,10 +29,10 @@
     // Part of the other descriptors that clients may hold; endpoints have the rest. The protocol
     // lets clients have a third of all.
     private static final double CLIENT_DESCRIPTOR_FRACTION = 0.5;
-    // Time for which requests are still accepted after SIGTERM, ns. Clients send some for 0.6 s
-    // more; and what is accepted has to end before the platform kills the process, which it does no
-    // sooner than 0.7 s and the longest deadline after SIGTERM.
-    private static final long DRAIN_NS = 650_000_000L;
+    // Time for which requests are still accepted after SIGTERM, ns: above the 0.6 s for which
+    // clients still send some, and below the 0.7 s that the platform grants beyond the longest
+    // deadline before it kills the process.
+    private static final long ACCEPT_AFTER_SHUTDOWN_NS = 650_000_000L;
     // A configuration that can't be read may be half written: it is read again so often.
     private static final int MAX_RELOAD_RETRIES = 20;
     private static final long RELOAD_RETRY_DELAY_NS = 100_000_000L;
@@ -167,18 +167,25 @@
     }
 
     /**
-     * Shuts down gracefully and returns once that is done. Health checks say at once that no new
-     * clients are wanted. Requests are still accepted for 0.65 s, then rejected; connections that
-     * were accepted meanwhile are taken and the listening socket closes. Each client's connection
-     * closes gracefully once all of its requests have their responses.
+     * Shuts down gracefully and returns once no client connection is left, however long that takes:
+     *
+     * <ol>
+     *   <li>health checks are answered false at once, so that no new clients come;
+     *   <li>requests are accepted for another 0.65 s, then rejected;
+     *   <li>connections that the operating system has accepted by then are taken, and the listening
+     *       socket closes;
+     *   <li>each client's connection closes gracefully once all of its requests have their
+     *       responses.
+     * </ol>
      *
      * @throws InterruptedException if the caller is interrupted; the shutdown goes on
      */
     public void shutDownGracefully() throws InterruptedException {
-        CountDownLatch drained = new CountDownLatch(1);
+        CountDownLatch allClosed = new CountDownLatch(1);
         loop.execute(clientListener::reportUnhealthy);
-        loop.schedule(DRAIN_NS, () -> clientListener.shutDown(drained::countDown));
-        drained.await();
+        loop.schedule(
+                ACCEPT_AFTER_SHUTDOWN_NS, () -> clientListener.shutDown(allClosed::countDown));
+        allClosed.await();
     }
 
     /** Closes everything at once; open requests get no response. */
--- a/src/main/java/brooklock/platform/PlatformMain.java
+++ b/src/main/java/brooklock/platform/PlatformMain.java
@@ -21,16 +21,9 @@
  * <p>SIGHUP: the configuration is read again, and if the discovery service has another address, the
  * dispatcher moves there ({@link PlatformDispatcher#reload}).
  *
- * <p>SIGTERM: the dispatcher shuts down ({@link PlatformDispatcher#drain}):
- *
- * <ol>
- *   <li>health checks are answered false at once, so that no new clients come;
- *   <li>requests are accepted for another 0.65 s, then rejected;
- *   <li>connections that the operating system has accepted by then are taken, and the listening
- *       socket closes;
- *   <li>each client's connection closes gracefully once all of its requests have their responses;
- *   <li>the process ends with status 0 once no connection is left.
- * </ol>
+ * <p>SIGTERM: the dispatcher shuts down ({@link PlatformDispatcher#shutDownGracefully}) and the
+ * process ends with status 0. The wait has no bound of its own: a platform that wants the process
+ * gone kills it.
  *
  * <p>A signal that comes before the dispatcher serves waits until it does. A second SIGTERM changes
  * nothing.
@@ -79,7 +72,7 @@
                 new Signal("TERM"),
                 signal -> {
                     if (!terminating.getAndSet(true)) {
-                        whenStarted(started, PlatformMain::drainAndHalt);
+                        whenStarted(started, PlatformMain::shutDownAndHalt);
                     }
                 });
     }
@@ -90,7 +83,7 @@
         CompletableFuture<Void> unused = started.thenAccept(task);
     }
 
-    private static void drainAndHalt(PlatformDispatcher dispatcher) {
+    private static void shutDownAndHalt(PlatformDispatcher dispatcher) {
         try {
             dispatcher.shutDownGracefully();
         } catch (InterruptedException e) {
--- a/src/main/java/brooklock/platform/RequestExecutor.java
+++ b/src/main/java/brooklock/platform/RequestExecutor.java
@@ -64,8 +64,8 @@
     }
 
     /** Sets how many bytes the bodies of all pending requests may take together. */
-    void maxBodyBytes(long bytes) {
-        requests.maxBodyBytes(bytes);
+    void setMaxBodyBytes(long bytes) {
+        requests.setMaxBodyBytes(bytes);
     }
 
     /** Returns how many requests have no final response yet. */
--- a/src/main/java/brooklock/platform/RpcDecoder.java
+++ b/src/main/java/brooklock/platform/RpcDecoder.java
@@ -80,32 +80,13 @@
 
     private RpcMessage onToken() throws MalformedMessageException {
         switch (state) {
-            case MESSAGE -> {
-                long parts = expect(TokenType.ARRAY);
-                if (parts != NOTIFICATION_PARTS && parts != CALL_PARTS) {
-                    throw new MalformedMessageException("a message of " + parts + " parts");
-                }
-                notification = parts == NOTIFICATION_PARTS;
-                state = State.TYPE;
-            }
-            case TYPE -> {
-                if (expect(TokenType.INT) != (notification ? NOTIFICATION_TYPE : CALL_TYPE)) {
-                    throw new MalformedMessageException(
-                            "a message that is neither a call nor a notification");
-                }
-                state = notification ? State.METHOD : State.MESSAGE_ID;
-            }
+            case MESSAGE -> onPartCount();
+            case TYPE -> onType();
             case MESSAGE_ID -> {
                 messageId = readMessageId();
                 state = State.METHOD;
             }
-            case METHOD -> {
-                method = readShortText();
-                if (notification && !method.equals(CANCEL_METHOD)) {
-                    throw new MalformedMessageException("an unknown notification");
-                }
-                state = State.PARAMS;
-            }
+            case METHOD -> onMethod();
             case PARAMS -> {
                 return onParameterCount();
             }
@@ -117,10 +98,7 @@
                 state = State.FIELD_VALUE;
             }
             case FIELD_VALUE -> {
-                if (fields.put(fieldName, readShortText()) != null) {
-                    throw new MalformedMessageException("a field twice");
-                }
-                return onFieldComplete();
+                return onFieldValue();
             }
             case BODY -> {
                 expect(TokenType.BYTES);
@@ -133,6 +111,31 @@
         return null;
     }
 
+    private void onPartCount() throws MalformedMessageException {
+        long parts = expect(TokenType.ARRAY);
+        if (parts != NOTIFICATION_PARTS && parts != CALL_PARTS) {
+            throw new MalformedMessageException("a message of " + parts + " parts");
+        }
+        notification = parts == NOTIFICATION_PARTS;
+        state = State.TYPE;
+    }
+
+    private void onType() throws MalformedMessageException {
+        if (expect(TokenType.INT) != (notification ? NOTIFICATION_TYPE : CALL_TYPE)) {
+            throw new MalformedMessageException(
+                    "a message that is neither a call nor a notification");
+        }
+        state = notification ? State.METHOD : State.MESSAGE_ID;
+    }
+
+    private void onMethod() throws MalformedMessageException {
+        method = readShortText();
+        if (notification && !method.equals(CANCEL_METHOD)) {
+            throw new MalformedMessageException("an unknown notification");
+        }
+        state = State.PARAMS;
+    }
+
     private RpcMessage onParameterCount() throws MalformedMessageException {
         long count = expect(TokenType.ARRAY);
         if (notification ? count != 1 : count > 2) {
@@ -159,6 +162,13 @@
         return onFieldComplete();
     }
 
+    private RpcMessage onFieldValue() throws MalformedMessageException {
+        if (fields.put(fieldName, readShortText()) != null) {
+            throw new MalformedMessageException("a field twice");
+        }
+        return onFieldComplete();
+    }
+
     private RpcMessage onFieldComplete() {
         if (--fieldsLeft > 0) {
             state = State.FIELD_NAME;
--- a/src/main/java/brooklock/platform/StartupWarmup.java
+++ b/src/main/java/brooklock/platform/StartupWarmup.java
@@ -21,8 +21,8 @@
  * linked and its hottest methods compiled. It has a client, endpoints and a router of its own,
  * which are dropped afterwards, and uses pipes instead of sockets.
  *
- * <p>Without it the first requests take hundreds of milliseconds on half a core. The router would
- * take that for overloaded endpoints and reject requests for seconds after each start.
+ * <p>Without it the first requests would be late while their code is still interpreted. The router
+ * would take that for overloaded endpoints and reject requests after each start.
  *
  * <p>{@link #run} waits on the starting thread; everything else is on the I/O thread.
  */
--- a/src/test/java/brooklock/platform/ClientLimitTest.java
+++ b/src/test/java/brooklock/platform/ClientLimitTest.java
@@ -50,7 +50,7 @@
     void aMessageThatComesByteByByteHoldsNoConnectionForEver() throws Exception {
         fixture.onIoThread(
                 () -> {
-                    fixture.clientListener.messageTimeoutNs(100_000_000);
+                    fixture.clientListener.setMessageTimeoutNs(100_000_000);
                     return null;
                 });
         byte[] call = write(1, 0x28, RpcDecoder.MAX_BODY_BYTES);
@@ -76,7 +76,7 @@
     void bodiesThatTheHeapCannotHoldAreRejected() throws Exception {
         fixture.onIoThread(
                 () -> {
-                    fixture.executor.maxBodyBytes(1500);
+                    fixture.executor.setMaxBodyBytes(1500);
                     return null;
                 });
         try (RpcTestClient writer = new RpcTestClient(fixture.address)) {
@@ -101,7 +101,7 @@
     void aClientThatReadsNoResponsesIsClosedBeforeTheyFillTheHeap() throws Exception {
         fixture.onIoThread(
                 () -> {
-                    fixture.clientListener.maxPendingWriteBytes(300_000);
+                    fixture.clientListener.setMaxPendingWriteBytes(300_000);
                     return null;
                 });
         client.getOutputStream().write(RpcTestClient.encodeCall(1, "isWell", Map.of(), null));
