--- a/src/main/java/brooklock/config/FleetReader.java
+++ b/src/main/java/brooklock/config/FleetReader.java
@@ -12,7 +12,7 @@
     private static final long SECOND_NS = 1000 * MILLISECOND_NS;
 
     private final Path base;
-    private SafetyLimitSettings invariants =
+    private SafetyLimitSettings safetyLimits =
             new SafetyLimitSettings(
                     0.2,
                     20 * SECOND_NS,
@@ -33,50 +33,50 @@
 
     void read(String keyword, Statement statement) {
         switch (keyword) {
-            case "guards" -> readInvariants(statement);
+            case "guards" -> readSafetyLimits(statement);
             case "fleet" -> readFleet(statement);
             default -> readWarming(statement);
         }
     }
 
-    private void readInvariants(Statement statement) {
-        double coldStartShare = invariants.initialCapacity();
-        long warmUpNs = invariants.warmUpNs();
-        double overloadMultiple = invariants.overloadMultiple();
-        long overloadWindowNs = invariants.overloadWindowNs();
-        double parentColdStartShare = invariants.parentInitialCapacity();
-        long parentWarmUpNs = invariants.parentWarmUpNs();
-        double parentOverloadMultiple = invariants.parentOverloadMultiple();
-        long purgeCompletionNs = invariants.purgeWindowNs();
-        long drainGraceNs = invariants.drainGraceNs();
-        long purgeGraceNs = invariants.purgeGraceNs();
+    private void readSafetyLimits(Statement statement) {
+        double initialCapacity = safetyLimits.initialCapacity();
+        long warmUpNs = safetyLimits.warmUpNs();
+        double overloadMultiple = safetyLimits.overloadMultiple();
+        long overloadWindowNs = safetyLimits.overloadWindowNs();
+        double parentInitialCapacity = safetyLimits.parentInitialCapacity();
+        long parentWarmUpNs = safetyLimits.parentWarmUpNs();
+        double parentOverloadMultiple = safetyLimits.parentOverloadMultiple();
+        long purgeWindowNs = safetyLimits.purgeWindowNs();
+        long drainGraceNs = safetyLimits.drainGraceNs();
+        long purgeGraceNs = safetyLimits.purgeGraceNs();
         while (statement.hasMore()) {
             String word = statement.nextWord("a guard");
             switch (word) {
-                case "cold-from" -> coldStartShare = statement.nextFraction();
+                case "cold-from" -> initialCapacity = statement.nextFraction();
                 case "cold-for" -> warmUpNs = statement.nextDurationNs("a time");
                 case "falls-at" -> overloadMultiple = statement.nextNumber("a multiple");
                 case "overload-for" -> overloadWindowNs = statement.nextDurationNs("a time");
-                case "parent-cold-from" -> parentColdStartShare = statement.nextFraction();
+                case "parent-cold-from" -> parentInitialCapacity = statement.nextFraction();
                 case "parent-cold-for" -> parentWarmUpNs = statement.nextDurationNs("a time");
                 case "parent-falls-at" ->
                         parentOverloadMultiple = statement.nextNumber("a multiple");
-                case "purge-done" -> purgeCompletionNs = statement.nextDurationNs("a time");
+                case "purge-done" -> purgeWindowNs = statement.nextDurationNs("a time");
                 case "drain-grace" -> drainGraceNs = statement.nextDurationNs("a time");
                 case "purge-grace" -> purgeGraceNs = statement.nextDurationNs("a time");
                 default -> throw new InvalidStatementException("'" + word + "' is not a guard");
             }
         }
-        invariants =
+        safetyLimits =
                 new SafetyLimitSettings(
-                        coldStartShare,
+                        initialCapacity,
                         warmUpNs,
                         overloadMultiple,
                         overloadWindowNs,
-                        parentColdStartShare,
+                        parentInitialCapacity,
                         parentWarmUpNs,
                         parentOverloadMultiple,
-                        purgeCompletionNs,
+                        purgeWindowNs,
                         drainGraceNs,
                         purgeGraceNs);
     }
@@ -84,7 +84,7 @@
     private void readFleet(Statement statement) {
         double transferBytesPerS = fleet.transferBytesPerS();
         boolean requestCollapsing = fleet.requestCollapsing();
-        boolean directRequests = fleet.directOriginAllowed();
+        boolean directOriginAllowed = fleet.directOriginAllowed();
         boolean hedging = fleet.hedging();
         boolean weighted = fleet.weighted();
         while (statement.hasMore()) {
@@ -93,7 +93,7 @@
                 case "pace" ->
                         transferBytesPerS = Units.parseBytesPerSecond(statement.nextWord("a pace"));
                 case "joins" -> requestCollapsing = statement.nextBoolean(word);
-                case "straight" -> directRequests = statement.nextBoolean(word);
+                case "straight" -> directOriginAllowed = statement.nextBoolean(word);
                 case "second-copies" -> hedging = statement.nextBoolean(word);
                 case "weights" -> weighted = statement.nextBoolean(word);
                 default ->
@@ -106,7 +106,11 @@
         }
         fleet =
                 new FleetSettings(
-                        transferBytesPerS, requestCollapsing, directRequests, hedging, weighted);
+                        transferBytesPerS,
+                        requestCollapsing,
+                        directOriginAllowed,
+                        hedging,
+                        weighted);
     }
 
     private void readWarming(Statement statement) {
@@ -150,7 +154,7 @@
     }
 
     SafetyLimitSettings invariants() {
-        return invariants;
+        return safetyLimits;
     }
 
     FleetSettings fleet() {
--- a/src/main/java/brooklock/config/RouteReader.java
+++ b/src/main/java/brooklock/config/RouteReader.java
@@ -58,9 +58,9 @@
                         : IdempotencyScopeSetting.ALL;
         long idempotencyWindowNs = 0;
         long latencyObjectiveNs = 0;
-        double transferStretch = 0;
+        double latencyObjectiveWorkFactor = 0;
         long deadlineNs = 0;
-        long freshnessNs = 0;
+        long freshnessLifetimeNs = 0;
         boolean passThrough = false;
         boolean streamed = false;
         while (statement.hasMore()) {
@@ -68,9 +68,9 @@
             switch (word) {
                 case "window" -> idempotencyWindowNs = statement.nextDurationNs("a time");
                 case "aim" -> latencyObjectiveNs = statement.nextDurationNs("a time");
-                case "stretch" -> transferStretch = statement.nextNumber("a number");
+                case "stretch" -> latencyObjectiveWorkFactor = statement.nextNumber("a number");
                 case "deadline" -> deadlineNs = statement.nextDurationNs("a time");
-                case "fresh" -> freshnessNs = statement.nextDurationNs("a time");
+                case "fresh" -> freshnessLifetimeNs = statement.nextDurationNs("a time");
                 case "through" -> passThrough = true;
                 case "streamed" -> streamed = true;
                 default ->
@@ -88,10 +88,10 @@
                         scope,
                         idempotencyWindowNs,
                         latencyObjectiveNs,
-                        transferStretch,
+                        latencyObjectiveWorkFactor,
                         deadlineNs,
                         passThrough,
-                        freshnessNs,
+                        freshnessLifetimeNs,
                         streamed);
         validateClass(requestClass);
         if (classes.putIfAbsent(className, requestClass) != null) {
--- a/src/main/java/brooklock/config/Settings.java
+++ b/src/main/java/brooklock/config/Settings.java
@@ -11,8 +11,8 @@
  * @param name this dispatcher's name in Via, in logs and towards endpoints
  * @param listen where clients connect
  * @param control where purges, endpoint lists and state requests arrive
- * @param zones the locations in their order; a location without caches is a hub
- * @param localZone this dispatcher's location, an index of {@code zones}
+ * @param zones the zones in their order; a zone without caches is a hub
+ * @param localZone this dispatcher's zone, an index of {@code zones}
  * @param dispatcherCount number of dispatchers in the fleet
  * @param endpoints caches, parents and the origin, in the order of the file
  * @param classes the classes of requests
@@ -80,17 +80,16 @@
     public enum IdempotencyScopeSetting {
         /** All endpoints. */
         ALL,
-        /** The endpoints of one location. */
+        /** The endpoints of one zone. */
         ZONE,
         /** The endpoints of one cell. */
         CELL
     }
 
     /**
-     * A location.
+     * A zone.
      *
-     * @param parentZoneIndex the location whose parents its caches fill from; its own where it is a
-     *     hub
+     * @param parentZoneIndex the zone whose parents its caches fill from; its own where it is a hub
      */
     public record Zone(String name, int parentZoneIndex) {}
 
@@ -98,7 +97,7 @@
      * An endpoint.
      *
      * @param id its number, made of the name and so the same at every dispatcher
-     * @param zoneIndex its location, an index of the zones
+     * @param zoneIndex its zone, an index of the zones
      * @param weight its size in relation to others
      */
     public record EndpointSettings(
@@ -231,7 +230,7 @@
      * Whether and how caches may fill from one another.
      *
      * @param enabled whether they may
-     * @param acrossZones whether across locations too
+     * @param acrossZones whether across zones too
      * @param peerLoadShare the share of a peer's spare capacity that all dispatchers may use for it
      * @param warmCapacityPerS requests of mean size a second that a warm cache can process; 0 where
      *     that is not stated
--- a/src/main/java/brooklock/net/HttpClientConnection.java
+++ b/src/main/java/brooklock/net/HttpClientConnection.java
@@ -241,7 +241,7 @@
 
     private void onEndOfInput() {
         if (call == null || body == null) {
-            onConnectionLost("closed by the host");
+            onConnectionLost("closed by the endpoint");
             return;
         }
         try {
@@ -280,7 +280,7 @@
     @Override
     void onTimeout() {
         if (call != null) {
-            fail(CallFailure.CONNECTION_LOST, "the host stopped in the middle of its answer");
+            fail(CallFailure.CONNECTION_LOST, "the endpoint stopped in the middle of its response");
         } else {
             closeNow();
         }
--- a/src/main/java/brooklock/simulator/EventDecoder.java
+++ b/src/main/java/brooklock/simulator/EventDecoder.java
@@ -175,18 +175,18 @@
         for (int i = 0; i < count; i++) {
             long id = in.readUnsignedInt();
             int zone = in.readByte();
-            int kindOfMachine = in.readShort();
+            int endpointKind = in.readShort();
             in.readShort();
             EndpointState state = decodeState(in.readByte());
             endpoints.add(
-                    new Endpoint(id, zone, kindOfMachine, state, in.readFloat(), in.readLong()));
+                    new Endpoint(id, zone, endpointKind, state, in.readFloat(), in.readLong()));
         }
         return new RouterEvent.EndpointListReceived(LIST_KINDS[kind], endpoints);
     }
 
     private EndpointState decodeState(int word) {
         if (word >= STATES.length) {
-            throw malformed("unknown host state " + word);
+            throw malformed("unknown endpoint state " + word);
         }
         return STATES[word];
     }
