--- a/src/main/java/brooklock/cli/FaultTestCommand.java
+++ b/src/main/java/brooklock/cli/FaultTestCommand.java
@@ -1,6 +1,7 @@
 package brooklock.cli;
 
 import brooklock.config.SettingsException;
+import brooklock.faulttest.FaultTestResult;
 import brooklock.faulttest.FaultTestRunner;
 import brooklock.faulttest.FaultTestRunner.RouterKind;
 import java.io.IOException;
@@ -84,7 +85,7 @@
         if (mode.compareAll) {
             return compareAll(name, scenarioText, directory);
         }
-        FaultTestRunner.Result result =
+        FaultTestResult result =
                 mode.random || mode.oracle
                         ? FaultTestRunner.compare(
                                 name,
@@ -100,7 +101,7 @@
 
     private static int compareAll(String name, String text, Path directory)
             throws SettingsException, IOException, InterruptedException {
-        Map<RouterKind, FaultTestRunner.Result> results = new EnumMap<>(RouterKind.class);
+        Map<RouterKind, FaultTestResult> results = new EnumMap<>(RouterKind.class);
         for (RouterKind router : RouterKind.values()) {
             Path own =
                     Files.createDirectories(
@@ -115,7 +116,7 @@
         return exitStatus(results.get(RouterKind.MODULE));
     }
 
-    private static int exitStatus(FaultTestRunner.Result result) {
+    private static int exitStatus(FaultTestResult result) {
         return switch (result.verdict()) {
             case KEPT -> 0;
             case BROKEN -> Cli.EXIT_PROBLEM;
--- a/src/main/java/brooklock/faulttest/ArrivalSource.java
+++ b/src/main/java/brooklock/faulttest/ArrivalSource.java
@@ -23,7 +23,7 @@
      * @param authorized whether the policy allows the requests
      */
     record Arrival(
-            int location,
+            int zone,
             RequestClassSettings requestClass,
             String path,
             int parts,
@@ -70,7 +70,7 @@
     Arrival next() {
         int index = nextClassIndex();
         Scenario.ClassLoad load = classLoads.get(index);
-        int location = nextLocation();
+        int zone = nextZone();
         int object = floodedObject(popularity.get(index).sample());
         int group = object % scenario.groupCount;
         // Groups belong to the tenants in turn; now and then a client requests another's.
@@ -92,7 +92,7 @@
                         + (passThrough ? "-" + uniqueName() : "")
                         + "/";
         return new Arrival(
-                location,
+                zone,
                 requestClass,
                 path,
                 passThrough ? 1 : load.parts(),
@@ -111,13 +111,13 @@
     }
 
     // By the number of caches.
-    private int nextLocation() {
-        List<Scenario.Location> locations = scenario.locations;
+    private int nextZone() {
+        List<Scenario.Zone> zones = scenario.zones;
         double remaining =
-                random.nextDouble() * locations.stream().mapToInt(Scenario.Location::caches).sum();
+                random.nextDouble() * zones.stream().mapToInt(Scenario.Zone::caches).sum();
         int index = 0;
-        while (index < locations.size() - 1 && remaining >= locations.get(index).caches()) {
-            remaining -= locations.get(index++).caches();
+        while (index < zones.size() - 1 && remaining >= zones.get(index).caches()) {
+            remaining -= zones.get(index++).caches();
         }
         return index;
     }
--- a/src/main/java/brooklock/faulttest/ClientPopulation.java
+++ b/src/main/java/brooklock/faulttest/ClientPopulation.java
@@ -59,7 +59,7 @@
 
     ClientPopulation(
             Scenario scenario,
-            List<List<DispatcherRunner>> dispatchersByLocation,
+            List<List<DispatcherRunner>> dispatchersByZone,
             List<DispatcherRunner> dispatchers,
             CredentialIssuer issuer,
             HarnessMonitor monitor)
@@ -79,7 +79,7 @@
                             scenario,
                             ioThreads.loop(i),
                             new HttpClient(ioThreads.loop(i), limits, issuer.clientContext()),
-                            dispatchersByLocation,
+                            dispatchersByZone,
                             dispatchers,
                             issuer));
             monitor.watch("crowd " + i, ioThreads.loop(i));
--- a/src/main/java/brooklock/faulttest/ClientWorker.java
+++ b/src/main/java/brooklock/faulttest/ClientWorker.java
@@ -37,19 +37,19 @@
     /** One part that a client wants, from attempt to attempt. */
     private record PendingAttempt(
             PartRequest request,
-            int location,
+            int zone,
             RequestClassSettings requestClass,
             int retriesLeft,
             int dispatcherChanges,
             DispatcherRunner excluded) {
         PendingAttempt afterRejection() {
             return new PendingAttempt(
-                    request, location, requestClass, retriesLeft - 1, dispatcherChanges, null);
+                    request, zone, requestClass, retriesLeft - 1, dispatcherChanges, null);
         }
 
         PendingAttempt afterLoss(DispatcherRunner gone) {
             return new PendingAttempt(
-                    request, location, requestClass, retriesLeft, dispatcherChanges + 1, gone);
+                    request, zone, requestClass, retriesLeft, dispatcherChanges + 1, gone);
         }
     }
 
@@ -57,7 +57,7 @@
     private final Scenario scenario;
     private final IoLoop loop;
     private final HttpClient client;
-    private final List<List<DispatcherRunner>> dispatchersByLocation;
+    private final List<List<DispatcherRunner>> dispatchersByZone;
     private final List<DispatcherRunner> dispatchers;
     private final CredentialIssuer issuer;
     private final ArrivalSource arrivals;
@@ -73,14 +73,14 @@
             Scenario scenario,
             IoLoop loop,
             HttpClient client,
-            List<List<DispatcherRunner>> dispatchersByLocation,
+            List<List<DispatcherRunner>> dispatchersByZone,
             List<DispatcherRunner> dispatchers,
             CredentialIssuer issuer) {
         this.population = population;
         this.scenario = scenario;
         this.loop = loop;
         this.client = client;
-        this.dispatchersByLocation = dispatchersByLocation;
+        this.dispatchersByZone = dispatchersByZone;
         this.dispatchers = dispatchers;
         this.issuer = issuer;
         namePrefix = Character.toString('a' + number);
@@ -183,7 +183,7 @@
         }
         attempt(
                 new PendingAttempt(
-                        request, arrival.location(), requestClass, scenario.retries, 0, null));
+                        request, arrival.zone(), requestClass, scenario.retries, 0, null));
         if (part + 1 < arrival.parts()) {
             long nextNs = dueNs + arrival.gapNs();
             loop.schedule(
@@ -229,7 +229,7 @@
 
     private DispatcherRunner choose(PendingAttempt pending) {
         List<DispatcherRunner> candidates =
-                dispatchersByLocation.get(pending.location).stream()
+                dispatchersByZone.get(pending.zone).stream()
                         .filter(dispatcher -> dispatcher != pending.excluded)
                         .toList();
         return candidates.isEmpty()
--- a/src/main/java/brooklock/faulttest/FaultTestRunner.java
+++ b/src/main/java/brooklock/faulttest/FaultTestRunner.java
@@ -3,7 +3,6 @@
 import brooklock.config.SettingsException;
 import brooklock.proxy.RoutingStrategy;
 import brooklock.routing.RouterSettings;
-import brooklock.testserver.TrafficRecorder;
 import java.io.IOException;
 import java.io.InputStream;
 import java.nio.charset.StandardCharsets;
@@ -25,16 +24,6 @@
     private static final long PROGRESS_INTERVAL_MS = 100;
     private static final long START_POLL_MS = 5;
 
-    /** Whether the invariants hold. */
-    public enum Verdict {
-        /** Cases of every invariant were seen, and all were right. */
-        KEPT,
-        /** An invariant was violated, or no case of it was seen. */
-        BROKEN,
-        /** The harness itself failed, or was too late to judge. */
-        NOT_JUDGED
-    }
-
     /** The router that dispatchers run. */
     public enum RouterKind {
         /** The product's own. */
@@ -45,100 +34,6 @@
         INFORMED
     }
 
-    /**
-     * A part that a client requested.
-     *
-     * @param dueNs when it was due, {@link System#nanoTime}
-     * @param inTime whether it was served within its latency objective
-     */
-    public record RecordedClientRequest(String target, long dueNs, boolean inTime) {}
-
-    /**
-     * What a test has recorded.
-     *
-     * @param startedNs when the test began, {@link System#nanoTime}
-     * @param traffic what reached the servers
-     * @param requests what clients requested
-     */
-    public record Recording(
-            long startedNs, TrafficRecorder traffic, List<RecordedClientRequest> requests) {}
-
-    /** The result of a test. */
-    public static final class Result {
-        private static final int MAX_FAILURES_SHOWN = 5;
-
-        final List<CheckResult> checks;
-        final ServiceReport serviceReport;
-        private final List<String> harnessFailures;
-        private final String attemptSummary;
-        private final Recording recording;
-
-        Result(
-                List<CheckResult> checks,
-                ServiceReport serviceReport,
-                List<String> harnessFailures,
-                String attemptSummary,
-                Recording recording) {
-            this.checks = checks;
-            this.serviceReport = serviceReport;
-            this.harnessFailures = harnessFailures;
-            this.attemptSummary = attemptSummary;
-            this.recording = recording;
-        }
-
-        /** Whether every invariant was seen and holds. */
-        public Verdict verdict() {
-            if (!harnessFailures.isEmpty()) {
-                return Verdict.NOT_JUDGED;
-            }
-            if (checks.stream().allMatch(CheckResult::holds)) {
-                return Verdict.KEPT;
-            }
-            boolean violated = checks.stream().anyMatch(check -> !check.violations().isEmpty());
-            boolean inconclusive =
-                    checks.stream().anyMatch(check -> !check.inconclusive().isEmpty());
-            return !violated && inconclusive ? Verdict.NOT_JUDGED : Verdict.BROKEN;
-        }
-
-        /** Whether every invariant was seen and surely holds. */
-        public boolean passed() {
-            return verdict() == Verdict.KEPT;
-        }
-
-        /** Share of all requests that were served in time. */
-        public double servedShare() {
-            return serviceReport.all.share();
-        }
-
-        /** What the test has recorded. */
-        public Recording recording() {
-            return recording;
-        }
-
-        /** The served shares on the scale random router = 0, informed router = 1, as text. */
-        public String compareWith(Result random, Result oracle) {
-            return serviceReport.compareWith(random.serviceReport, oracle.serviceReport);
-        }
-
-        /** The report, as it is printed. */
-        public String report() {
-            StringBuilder text = new StringBuilder();
-            harnessFailures.stream()
-                    .limit(MAX_FAILURES_SHOWN)
-                    .forEach(
-                            failure ->
-                                    text.append("the rig itself failed, nothing can be judged: ")
-                                            .append(failure)
-                                            .append('\n'));
-            checks.forEach(check -> text.append(check).append('\n'));
-            return text.append(serviceReport.report())
-                    .append("tries: ")
-                    .append(attemptSummary)
-                    .append('\n')
-                    .toString();
-        }
-    }
-
     private FaultTestRunner() {}
 
     /**
@@ -161,7 +56,8 @@
      * @throws SettingsException if the scenario is wrong
      * @throws IOException if a dispatcher or a server does not start
      */
-    public static Result play(String file, String text, Path dir, Consumer<String> progress)
+    public static FaultTestResult play(
+            String file, String text, Path dir, Consumer<String> progress)
             throws SettingsException, IOException, InterruptedException {
         return play(Scenario.parse(file, text), dir, DispatcherRunner::ownProcess, progress);
     }
@@ -176,7 +72,7 @@
      * @throws SettingsException if the scenario is wrong
      * @throws IOException if a dispatcher or a server does not start
      */
-    public static Result compare(
+    public static FaultTestResult compare(
             String file, String text, Path dir, RouterKind router, Consumer<String> progress)
             throws SettingsException, IOException, InterruptedException {
         GroundTruth groundTruth = new GroundTruth();
@@ -196,7 +92,7 @@
                 fleet -> {});
     }
 
-    static Result play(
+    static FaultTestResult play(
             Scenario scenario,
             Path dir,
             TestFleet.RunnerFactory runnerFactory,
@@ -206,7 +102,7 @@
     }
 
     /** The same; {@code afterwards} may look at the fleet when the scenario is over. */
-    static Result play(
+    static FaultTestResult play(
             Scenario scenario,
             Path dir,
             TestFleet.RunnerFactory runnerFactory,
@@ -216,7 +112,7 @@
         return play(scenario, dir, runnerFactory, new GroundTruth(), progress, afterwards);
     }
 
-    private static Result play(
+    private static FaultTestResult play(
             Scenario scenario,
             Path dir,
             TestFleet.RunnerFactory runnerFactory,
@@ -296,21 +192,21 @@
                 second, tally.requested, 100 * tally.share(), openAttempts(fleet));
     }
 
-    private static Result judge(TestFleet fleet) {
-        List<RecordedClientRequest> requests =
+    private static FaultTestResult judge(TestFleet fleet) {
+        List<FaultTestResult.RecordedClientRequest> requests =
                 fleet.population.requests.stream()
                         .map(
                                 request ->
-                                        new RecordedClientRequest(
+                                        new FaultTestResult.RecordedClientRequest(
                                                 request.target, request.dueNs, request.isInTime()))
                         .toList();
-        return new Result(
+        return new FaultTestResult(
                 new InvariantChecker(fleet).checkAll(),
                 new ServiceReport(
                         fleet.scenario, fleet.startedNs, fleet.population.requests, fleet.monitor),
                 List.copyOf(fleet.monitor.harnessFailures),
                 attemptSummary(fleet),
-                new Recording(fleet.startedNs, fleet.traffic, requests));
+                new FaultTestResult.Recording(fleet.startedNs, fleet.traffic, requests));
     }
 
     private static String attemptSummary(TestFleet fleet) {
--- a/src/main/java/brooklock/faulttest/OracleRouter.java
+++ b/src/main/java/brooklock/faulttest/OracleRouter.java
@@ -164,7 +164,8 @@
     }
 
     // A request with an idempotency key only while every endpoint still remembers the first
-    // attempt.
+    // attempt. Unlike RetryPolicy this does not look at the class's idempotency scope, and requires
+    // that the rest of the deadline, too, lies within the key's window.
     private boolean mayRepeat(long now, OracleRequest open, long remainingNs) {
         RequestClass requestClass = requestClass(open);
         return !open.possiblyExecuted
@@ -183,6 +184,9 @@
         if (open.inFlight) {
             out.add(new CancelAttempt(open.request.id(), open.attemptsSent - 1));
         }
+        // Stricter than RetryPolicy: a request with an idempotency key is rejected only if no
+        // attempt
+        // may have been executed.
         boolean safeToReject =
                 requestClass(open).idempotency() == Idempotency.IDEMPOTENT
                         || (!open.inFlight && !open.possiblyExecuted);
--- a/src/main/java/brooklock/faulttest/OracleSelector.java
+++ b/src/main/java/brooklock/faulttest/OracleSelector.java
@@ -144,7 +144,7 @@
         return best;
     }
 
-    // A copy at a parent serves all locations, so that the origin is a source only where no parent
+    // A copy at a parent serves all zones, so that the origin is a source only where no parent
     // can be one.
     private double behindSourceCostNs(
             Endpoint source, OracleRequest open, boolean parent, boolean joinsFill, long maxAgeNs) {
--- a/src/main/java/brooklock/faulttest/Scenario.java
+++ b/src/main/java/brooklock/faulttest/Scenario.java
@@ -12,8 +12,8 @@
  * language. Filled by {@link ScenarioReader}, not changed after that.
  */
 final class Scenario {
-    /** A location with its numbers of caches and dispatchers. */
-    record Location(String name, int caches, int dispatchers) {}
+    /** A zone with its numbers of caches and dispatchers. */
+    record Zone(String name, int caches, int dispatchers) {}
 
     /**
      * The requests of one class.
@@ -69,7 +69,7 @@
     double transferBytesPerS = 400_000;
     int maxRequestsPerEndpoint = 200;
     int maxCopiesPerCache = 300;
-    final List<Location> locations = new ArrayList<>();
+    final List<Zone> zones = new ArrayList<>();
     final Map<String, ClassLoad> classLoads = new LinkedHashMap<>();
     final List<Fault> faults = new ArrayList<>();
 
@@ -93,20 +93,20 @@
     }
 
     /**
-     * The settings that the dispatchers of a location share; endpoints are still missing.
+     * The settings that the dispatchers of a zone share; endpoints are still missing.
      *
      * @param authorization whether routes authorize their callers
      * @param additionalLines whole lines that are added
      */
-    String settings(String location, boolean authorization, String additionalLines) {
+    String settings(String zone, boolean authorization, String additionalLines) {
         StringBuilder text = new StringBuilder();
         settingsLines.forEach(line -> text.append(line).append('\n'));
         text.append("zone hub\n");
-        locations.forEach(local -> text.append("zone ").append(local.name()).append(" hub hub\n"));
+        zones.forEach(local -> text.append("zone ").append(local.name()).append(" hub hub\n"));
         text.append("here ")
-                .append(location)
+                .append(zone)
                 .append("\ndispatchers ")
-                .append(locations.stream().mapToInt(Location::dispatchers).sum())
+                .append(zones.stream().mapToInt(Zone::dispatchers).sum())
                 .append("\nfleet pace ")
                 .append(transferBytesPerS / 1000)
                 .append("KB/s\n")
--- a/src/main/java/brooklock/faulttest/ScenarioReader.java
+++ b/src/main/java/brooklock/faulttest/ScenarioReader.java
@@ -26,7 +26,7 @@
 
     Scenario read(String text) throws SettingsException {
         problems.readStatements(text, this::onStatement);
-        if (scenario.locations.isEmpty() || scenario.classLoads.isEmpty()) {
+        if (scenario.zones.isEmpty() || scenario.classLoads.isEmpty()) {
             problems.add(Problems.WHOLE_FILE, "a day needs a zone and something to ask for");
         }
         if (scenario.tenantCount > scenario.groupCount) {
@@ -46,13 +46,11 @@
     private void checkSettings() {
         String head = "name d\nlisten 127.0.0.1:0\ncontrol 127.0.0.1:0\n";
         String origin = "host o1 origin hub 127.0.0.1:1\n";
-        String location = scenario.locations.isEmpty() ? "hub" : scenario.locations.get(0).name();
+        String zone = scenario.zones.isEmpty() ? "hub" : scenario.zones.get(0).name();
         try {
             scenario.commonSettings =
                     SettingsReader.parse(
-                            file,
-                            Path.of("."),
-                            head + scenario.settings(location, false, "") + origin);
+                            file, Path.of("."), head + scenario.settings(zone, false, "") + origin);
         } catch (SettingsException e) {
             int headLines = (int) head.lines().count();
             e.problems.forEach(
@@ -122,8 +120,8 @@
             case "list-delay" -> scenario.listDelayNs = statement.nextDurationNs("a time");
             case "purge-delay" -> scenario.purgeDelayNs = statement.nextDurationNs("a time");
             case "zone" ->
-                    scenario.locations.add(
-                            new Scenario.Location(
+                    scenario.zones.add(
+                            new Scenario.Zone(
                                     statement.nextWord("a name"),
                                     statement.nextPositiveInt("a number of caches"),
                                     statement.nextPositiveInt("a number of dispatchers")));
--- a/src/main/java/brooklock/faulttest/TestFleet.java
+++ b/src/main/java/brooklock/faulttest/TestFleet.java
@@ -96,11 +96,11 @@
                                 loop, ClientLimits.STANDARD.withConnections(4096, 4096, 256)),
                         dispatchers);
         servers.keySet().forEach(name -> publisher.addInitial(listed(name, EndpointState.READY)));
-        List<List<DispatcherRunner>> byLocation = createDispatchers(dir, runnerFactory);
+        List<List<DispatcherRunner>> byZone = createDispatchers(dir, runnerFactory);
         for (DispatcherRunner dispatcher : dispatchers) {
             dispatcher.start();
         }
-        population = new ClientPopulation(scenario, byLocation, dispatchers, issuer, monitor);
+        population = new ClientPopulation(scenario, byZone, dispatchers, issuer, monitor);
         monitor.watch("notices", loop);
         monitor.watchMachine();
         loop.execute(
@@ -125,10 +125,10 @@
         for (int i = 1; i <= scenario.parentCount; i++) {
             addServer("p" + i, Role.PARENT, HUB, scenario.parentTransfers, origin.address());
         }
-        for (Scenario.Location location : scenario.locations) {
-            for (int i = 1; i <= location.caches(); i++) {
-                String name = location.name() + "-" + i;
-                addServer(name, Role.CACHE, location.name(), scenario.cacheTransfers, null);
+        for (Scenario.Zone zone : scenario.zones) {
+            for (int i = 1; i <= zone.caches(); i++) {
+                String name = zone.name() + "-" + i;
+                addServer(name, Role.CACHE, zone.name(), scenario.cacheTransfers, null);
             }
         }
     }
@@ -171,20 +171,20 @@
     }
 
     private List<List<DispatcherRunner>> createDispatchers(Path dir, RunnerFactory runnerFactory) {
-        List<List<DispatcherRunner>> byLocation = new ArrayList<>();
-        for (Scenario.Location location : scenario.locations) {
+        List<List<DispatcherRunner>> byZone = new ArrayList<>();
+        for (Scenario.Zone zone : scenario.zones) {
             List<DispatcherRunner> local = new ArrayList<>();
-            for (int i = 1; i <= location.dispatchers(); i++) {
+            for (int i = 1; i <= zone.dispatchers(); i++) {
                 String name = "d" + (dispatchers.size() + 1);
                 DispatcherRunner dispatcher =
                         runnerFactory.make(
-                                name, dir.resolve(name + ".conf"), settings(location.name(), name));
+                                name, dir.resolve(name + ".conf"), settings(zone.name(), name));
                 dispatchers.add(dispatcher);
                 local.add(dispatcher);
             }
-            byLocation.add(local);
+            byZone.add(local);
         }
-        return byLocation;
+        return byZone;
     }
 
     private String settings(String zone, String dispatcher) {
--- a/src/test/java/brooklock/faulttest/FaultTestRunnerTest.java
+++ b/src/test/java/brooklock/faulttest/FaultTestRunnerTest.java
@@ -20,7 +20,7 @@
     @Test
     @DisplayName("all invariants hold under mixed faults, with a dispatcher process killed")
     void mixedFaultsWithADispatcherKilled() throws Exception {
-        FaultTestRunner.Result result =
+        FaultTestResult result =
                 play(
                         """
                         at 300ms purge 50% of groups
@@ -45,7 +45,7 @@
      */
     @Test
     void tenantsOverTlsGetNothingOfEachOther() throws Exception {
-        FaultTestRunner.Result result =
+        FaultTestResult result =
                 play(
                         """
                         tenants 3
@@ -73,8 +73,7 @@
                                 .replace("flows 14 30 60", "flows 4 12 30")
                                 .replace("length 6s", "length 8s")
                         + "tenants 3\nfrom 1s to 8s flood 20x by tenant 2\n";
-        FaultTestRunner.Result result =
-                playScenario(scenario, inProcess(RoutingStrategy::newRouter));
+        FaultTestResult result = playScenario(scenario, inProcess(RoutingStrategy::newRouter));
         assertTrue(
                 result.checks.stream().allMatch(check -> check.violations().isEmpty()),
                 result.report());
@@ -103,15 +102,14 @@
                         at 2s drain north-1 for 1s
                         at 300ms purge 20% of groups
                         """;
-        FaultTestRunner.Result result =
-                playScenario(scenario, inProcess(RoutingStrategy::newRouter));
+        FaultTestResult result = playScenario(scenario, inProcess(RoutingStrategy::newRouter));
         assertNotBroken(result);
         assertTrue(checkResult(result, 4).cases() > 100, result.report());
     }
 
     /**
      * Twenty caches are back cold at once while the origin rejects more than half of the requests.
-     * They fill from the caches of another location, and no server is overloaded by it.
+     * They fill from the caches of another zone, and no server is overloaded by it.
      */
     @Test
     void coldCachesFillFromPeersWhileTheOriginRejects() throws Exception {
@@ -127,7 +125,7 @@
                         at 9s drain south-1 for 2s
                         """;
         long[] givenByPeers = new long[1];
-        FaultTestRunner.Result result =
+        FaultTestResult result =
                 FaultTestRunner.play(
                         Scenario.parse("day", scenario),
                         dir,
@@ -155,7 +153,7 @@
      */
     @Test
     void anInvariantOfWhichNoCaseWasSeenDoesNotHold() throws Exception {
-        FaultTestRunner.Result result =
+        FaultTestResult result =
                 playScenario(
                         SCENARIO.replace("length 6s", "length 1s"),
                         inProcess(RoutingStrategy::newRouter));
@@ -178,7 +176,7 @@
     @Test
     void delaysOfTheHarnessAreNotTakenForViolations() throws Exception {
         List<Thread> delayed = new ArrayList<>();
-        FaultTestRunner.Result result =
+        FaultTestResult result =
                 FaultTestRunner.play(
                         Scenario.parse(
                                 "day",
@@ -225,10 +223,10 @@
                         from 1s to 5s slow 6x at 40% of caches
                         at 1500ms kill 40% of caches for 700ms
                         """;
-        FaultTestRunner.Result random =
+        FaultTestResult random =
                 FaultTestRunner.compare(
                         "day", scenario, dir, FaultTestRunner.RouterKind.RANDOM, line -> {});
-        FaultTestRunner.Result oracle =
+        FaultTestResult oracle =
                 FaultTestRunner.compare(
                         "day", scenario, dir, FaultTestRunner.RouterKind.INFORMED, line -> {});
         assertNotBroken(oracle);
--- a/src/test/java/brooklock/faulttest/FaultTestSupport.java
+++ b/src/test/java/brooklock/faulttest/FaultTestSupport.java
@@ -38,12 +38,11 @@
     @TempDir Path dir;
 
     /** Plays the small fleet's scenario with some faults added. */
-    FaultTestRunner.Result play(String faults, TestFleet.RunnerFactory runnerFactory)
-            throws Exception {
+    FaultTestResult play(String faults, TestFleet.RunnerFactory runnerFactory) throws Exception {
         return playScenario(SCENARIO + faults, runnerFactory);
     }
 
-    FaultTestRunner.Result playScenario(String text, TestFleet.RunnerFactory runnerFactory)
+    FaultTestResult playScenario(String text, TestFleet.RunnerFactory runnerFactory)
             throws Exception {
         return FaultTestRunner.play(Scenario.parse("day", text), dir, runnerFactory, line -> {});
     }
@@ -54,7 +53,7 @@
                 DispatcherRunner.inProcess(name, file, settings, strategyFactory);
     }
 
-    static CheckResult checkResult(FaultTestRunner.Result result, int invariant) {
+    static CheckResult checkResult(FaultTestResult result, int invariant) {
         return result.checks.get(invariant - 1);
     }
 
@@ -62,7 +61,7 @@
      * Where the machine gave the harness itself no time a scenario cannot be judged, which is no
      * fault of a dispatcher.
      */
-    static void assertNotBroken(FaultTestRunner.Result result) {
-        assertTrue(result.verdict() != FaultTestRunner.Verdict.BROKEN, result.report());
+    static void assertNotBroken(FaultTestResult result) {
+        assertTrue(result.verdict() != FaultTestResult.Verdict.BROKEN, result.report());
     }
 }
--- a/src/test/java/brooklock/faulttest/InvariantCheckerTest.java
+++ b/src/test/java/brooklock/faulttest/InvariantCheckerTest.java
@@ -40,7 +40,7 @@
 
 /** Dispatchers that are broken on purpose, one invariant at a time: each must be found. */
 class InvariantCheckerTest extends FaultTestSupport {
-    private static void assertViolated(FaultTestRunner.Result result, int invariant) {
+    private static void assertViolated(FaultTestResult result, int invariant) {
         assertFalse(checkResult(result, invariant).violations().isEmpty(), result.report());
     }
 
@@ -186,7 +186,7 @@
     class Drains {
         private static final String FAULTS = "at 1s drain north-1 for 4s\nat 1s drain p1 for 4s\n";
 
-        private FaultTestRunner.Result playTampered(ListTamperer tamperer) throws Exception {
+        private FaultTestResult playTampered(ListTamperer tamperer) throws Exception {
             try (IoThreads ioThreads = IoThreads.start("tamper", 1)) {
                 return play(
                         FAULTS,
@@ -198,7 +198,7 @@
         /** The registry's lists are acknowledged and dropped. */
         @Test
         void ignoredDrainsAreFound() throws Exception {
-            FaultTestRunner.Result result =
+            FaultTestResult result =
                     playTampered((exchange, body, forward) -> acknowledge(exchange));
             assertViolated(result, 3);
             assertTrue(
@@ -210,7 +210,7 @@
         /** Each list is acknowledged and takes effect only a second and a half later. */
         @Test
         void drainsAppliedLateAreFound() throws Exception {
-            FaultTestRunner.Result result =
+            FaultTestResult result =
                     playTampered(
                             (exchange, body, forward) -> {
                                 acknowledge(exchange);
@@ -226,7 +226,7 @@
          */
         @Test
         void drainsIgnoredForFillSourcesAreFound() throws Exception {
-            FaultTestRunner.Result result =
+            FaultTestResult result =
                     playTampered(
                             (exchange, body, forward) -> {
                                 acknowledge(exchange);
@@ -254,7 +254,7 @@
         @Test
         void anOldListAppliedOverANewerOneIsFound() throws Exception {
             Map<InetSocketAddress, String> firstLists = new ConcurrentHashMap<>();
-            FaultTestRunner.Result result =
+            FaultTestResult result =
                     playTampered(
                             (exchange, body, forward) -> {
                                 acknowledge(exchange);
