--- a/src/main/java/brooklock/platform/ClientConnection.java
+++ b/src/main/java/brooklock/platform/ClientConnection.java
@@ -161,7 +161,7 @@
         if (message instanceof RpcMessage.HealthCheck) {
             write(RpcEncoder.health(messageId, listener.healthy()));
         } else if (openRequests.size() + receivedCalls.size() >= MAX_OPEN_CALLS) {
-            rejectInvalid(
+            respondClientFault(
                     messageId, RpcError.REJECTED, "more than " + MAX_OPEN_CALLS + " calls open");
         } else {
             receivedCalls.put(messageId, (RpcMessage.Call) message);
@@ -193,12 +193,12 @@
         try {
             clientRequest = ClientRequestParser.parse(call, listener.classes());
         } catch (InvalidRequestException e) {
-            rejectInvalid(messageId, RpcError.INVALID, e.getMessage());
+            respondClientFault(messageId, RpcError.INVALID, e.getMessage());
             return;
         }
         RequestExecutor executor = listener.executor();
         if (executor.isOpen(clientRequest.id())) {
-            rejectInvalid(messageId, RpcError.INVALID, "a request id that is open");
+            respondClientFault(messageId, RpcError.INVALID, "a request id that is open");
         } else if (listener.isRejectingRequests() || !executor.hasRoomFor(clientRequest)) {
             write(RpcEncoder.error(messageId, RpcError.REJECTED));
         } else {
@@ -208,7 +208,11 @@
         }
     }
 
-    private void rejectInvalid(long messageId, RpcError error, String reason)
+    /**
+     * Answers a call that breaks the protocol, or one above the bound of open calls, and counts it
+     * as invalid; a client that makes too many of them loses its connection.
+     */
+    private void respondClientFault(long messageId, RpcError error, String reason)
             throws MalformedMessageException {
         listener.executor().stats().invalid();
         listener.logClientFault(reason);
--- a/src/main/java/brooklock/platform/DispatcherStats.java
+++ b/src/main/java/brooklock/platform/DispatcherStats.java
@@ -38,7 +38,10 @@
         maxLatencyNs = Math.max(maxLatencyNs, latencyNs);
     }
 
-    /** Counts a request that the router rejected. */
+    /**
+     * Counts a request that the router rejected. Calls that are rejected before the router, at the
+     * dispatcher's own bounds or while it shuts down, are not counted.
+     */
     void rejected() {
         rejected++;
     }
@@ -53,7 +56,7 @@
         cancelled++;
     }
 
-    /** Counts a call that was no valid request. */
+    /** Counts a call that was no valid request, or one above the bound of its connection. */
     void invalid() {
         invalid++;
     }
