--- a/src/main/java/brooklock/proxy/ActionExecutor.java
+++ b/src/main/java/brooklock/proxy/ActionExecutor.java
@@ -52,22 +52,27 @@
 
     @Override
     public void onAction(RouterAction action) {
-        if (action instanceof StartAttempt a) {
-            ProxyExchange exchange = exchanges.get(a.id());
+        if (action instanceof StartAttempt start) {
+            ProxyExchange exchange = exchanges.get(start.id());
             if (exchange != null) {
                 long peerId =
                         warming.isPresent()
-                                ? warming.get().selectFillPeer(a, exchange.request.match())
+                                ? warming.get().selectFillPeer(start, exchange.request.match())
                                 : UpstreamAttempt.NO_PEER;
-                runOnIoThread(exchange, x -> x.startAttempt(a, peerId));
+                runOnIoThread(exchange, request -> request.startAttempt(start, peerId));
             }
-        } else if (action instanceof RejectRequest a) {
-            runOnIoThread(exchanges.get(a.id()), x -> x.reject(a.retryAfterNs()));
-        } else if (action instanceof FailRequest a) {
-            runOnIoThread(exchanges.get(a.id()), ProxyExchange::fail);
-        } else if (action instanceof CancelAttempt a) {
-            runOnIoThread(exchanges.get(a.id()), x -> x.cancelAttempt(a.attempt()));
+        } else if (action instanceof RejectRequest reject) {
+            runOnIoThread(
+                    exchanges.get(reject.id()), exchange -> exchange.reject(reject.retryAfterNs()));
+        } else if (action instanceof FailRequest fail) {
+            runOnIoThread(exchanges.get(fail.id()), ProxyExchange::fail);
+        } else if (action instanceof CancelAttempt cancel) {
+            runOnIoThread(
+                    exchanges.get(cancel.id()),
+                    exchange -> exchange.cancelAttempt(cancel.attempt()));
         } else if (action instanceof WatchEndpoints) {
+            // On the routing thread: a full queue would block it for ever. It never comes here: the
+            // settings have watchesEndpointList false, and no list of kind FAILED is submitted.
             endpointListUpdater.submitFullList();
         }
     }
--- a/src/main/java/brooklock/proxy/CacheStatusParser.java
+++ b/src/main/java/brooklock/proxy/CacheStatusParser.java
@@ -39,46 +39,57 @@
     /** Reads the head of an endpoint's final response. */
     static UpstreamResult parse(ResponseHead head) {
         Fields fields = head.fields();
-        long waitNs = parseSourceWaitNs(fields.get("Brooklock-Waited"));
+        long fillDurationNs = parseFillDurationNs(fields.get("Brooklock-Waited"));
         if (head.status() < 500) {
-            return new UpstreamResult(AttemptOutcome.OK, statusOfCopy(fields), waitNs);
+            return new UpstreamResult(AttemptOutcome.OK, statusOfCopy(fields), fillDurationNs);
         }
         List<StatusFieldParser.Member> proxies =
                 StatusFieldParser.parse(fields.combinedValue("Proxy-Status"));
         StatusFieldParser.Member nearest =
                 proxies.isEmpty() ? null : proxies.get(proxies.size() - 1);
         String error = nearest == null ? null : nearest.parameters().get("error");
-        if (error == null) {
-            return head.status() == 504 && fields.get("Cache-Status") != null
-                    ? new UpstreamResult(AttemptOutcome.CACHE_MISS, statusOfMiss(fields), waitNs)
-                    : new UpstreamResult(AttemptOutcome.ERROR, CacheStatus.NONE, waitNs);
+        if (error != null) {
+            return parseNamedError(nearest, error, hasOriginFailed(proxies), fillDurationNs);
         }
-        // The endpoint names the error of its fill source; a second one is the origin's, behind it.
-        boolean originFailed =
-                proxies.stream().filter(proxy -> proxy.parameters().containsKey("error")).count()
-                        > 1;
+        return head.status() == 504 && fields.get("Cache-Status") != null
+                ? new UpstreamResult(
+                        AttemptOutcome.CACHE_MISS, statusOfMiss(fields), fillDurationNs)
+                : new UpstreamResult(AttemptOutcome.ERROR, CacheStatus.NONE, fillDurationNs);
+    }
+
+    // The endpoint names the error of its fill source; a second one is the origin's, behind it.
+    private static boolean hasOriginFailed(List<StatusFieldParser.Member> proxies) {
+        return proxies.stream().filter(proxy -> proxy.parameters().containsKey("error")).count()
+                > 1;
+    }
+
+    private static UpstreamResult parseNamedError(
+            StatusFieldParser.Member nearest,
+            String error,
+            boolean originFailed,
+            long fillDurationNs) {
         if (error.equals("connection_limit_reached")) {
             boolean noFillCapacity = "fills".equals(nearest.parameters().get("details"));
             return new UpstreamResult(
                     AttemptOutcome.OVERLOADED,
                     noFillCapacity ? CacheStatus.NO_CAPACITY : CacheStatus.NONE,
-                    waitNs);
+                    fillDurationNs);
         }
         if (error.equals("destination_unavailable")) {
             return new UpstreamResult(
                     AttemptOutcome.OVERLOADED,
                     originFailed ? CacheStatus.ORIGIN_FAILED : CacheStatus.FILL_SOURCE_REJECTED,
-                    waitNs);
+                    fillDurationNs);
         }
         CacheStatus lost =
                 originFailed ? CacheStatus.ORIGIN_FAILED : CacheStatus.FILL_SOURCE_CONNECTION_LOST;
         if (SOURCE_NOT_REACHED_ERRORS.contains(error)) {
-            return new UpstreamResult(AttemptOutcome.OVERLOADED, lost, waitNs);
+            return new UpstreamResult(AttemptOutcome.OVERLOADED, lost, fillDurationNs);
         }
         if (SOURCE_ABORTED_ERRORS.contains(error)) {
-            return new UpstreamResult(AttemptOutcome.ERROR, lost, waitNs);
+            return new UpstreamResult(AttemptOutcome.ERROR, lost, fillDurationNs);
         }
-        return new UpstreamResult(AttemptOutcome.ERROR, CacheStatus.NONE, waitNs);
+        return new UpstreamResult(AttemptOutcome.ERROR, CacheStatus.NONE, fillDurationNs);
     }
 
     private static CacheStatus statusOfCopy(Fields fields) {
@@ -95,7 +106,9 @@
             return CacheStatus.COLLAPSED;
         }
         if ("neighbour".equals(nearest.parameters().get("detail"))) {
-            // A peer filled it; the fill source that the router named had no part in it.
+            // A peer filled it; the fill source that the router named had no part in it. The router
+            // has no status of its own for that, and the access log says JOINED as for a fill in
+            // flight.
             return CacheStatus.COLLAPSED;
         }
         if (!nearest.parameters().containsKey("fwd")) {
@@ -120,7 +133,7 @@
                 : CacheStatus.NONE;
     }
 
-    private static long parseSourceWaitNs(String microseconds) {
+    private static long parseFillDurationNs(String microseconds) {
         return microseconds != null && microseconds.matches("\\d{1,12}")
                 ? Long.parseLong(microseconds) * 1000
                 : 0;
--- a/src/main/java/brooklock/proxy/RequestAdmission.java
+++ b/src/main/java/brooklock/proxy/RequestAdmission.java
@@ -30,7 +30,7 @@
     private final Optional<WarmingCoordinator> warming;
 
     private final AtomicLong lastRequestId = new AtomicLong();
-    private volatile boolean draining;
+    private volatile boolean rejectsNewRequests;
 
     RequestAdmission(
             ProxyContext context,
@@ -51,14 +51,14 @@
 
     /** Rejects every request from now on; those that are open go on. */
     void rejectNewRequests() {
-        draining = true;
+        rejectsNewRequests = true;
     }
 
     /** Admits or rejects a request whose head has arrived; on the client's I/O thread. */
     void onRequest(HttpExchange client) {
         long nowNs = context.clock().nowNs();
         RequestHead head = client.head();
-        if (draining) {
+        if (rejectsNewRequests) {
             reject(client, ErrorResponse.SHUTTING_DOWN);
         } else if (Forwarding.hasPassedThrough(head.fields(), context.settings().name())) {
             reject(client, ErrorResponse.FORWARDING_LOOP);
@@ -177,7 +177,7 @@
             return false;
         }
         actionExecutor.add(exchange);
-        warming.ifPresent(w -> w.onRequest(exchange.request));
+        warming.ifPresent(coordinator -> coordinator.onRequest(exchange.request));
         return true;
     }
 
--- a/src/main/java/brooklock/proxy/RoutedRequest.java
+++ b/src/main/java/brooklock/proxy/RoutedRequest.java
@@ -22,6 +22,6 @@
 
     /** Returns the tenant's name, or an empty string where the route needs no authorization. */
     String tenantName() {
-        return caller.map(c -> c.tenant().name()).orElse("");
+        return caller.map(authorized -> authorized.tenant().name()).orElse("");
     }
 }
--- a/src/main/java/brooklock/proxy/RouterSettingsMapper.java
+++ b/src/main/java/brooklock/proxy/RouterSettingsMapper.java
@@ -9,9 +9,24 @@
 
 /** Maps the settings file's model to the router's settings. */
 public final class RouterSettingsMapper {
+    /** An attempt whose connection is closed is cancelled: HTTP always allows it. */
+    private static final boolean CANCEL_ALLOWED = true;
+
+    /** A rejection may carry Retry-After. */
+    private static final boolean RETRY_AFTER_SENT = true;
+
+    /** {@link EndpointListUpdater} submits the list and its changes unrequested. */
+    private static final boolean WATCHES_ENDPOINT_LIST = false;
+
+    private static final long BYTES_PER_KB = 1000;
+
     private RouterSettingsMapper() {}
 
-    /** Returns the router's settings; nothing is added to what the file says. */
+    /**
+     * Returns the router's settings. They are those of the file, but for what this dispatcher
+     * always does alike, and for weights: with the warming of caches on they always count, since
+     * warming sets them.
+     */
     public static RouterSettings toRouterSettings(Settings settings) {
         List<RouterSettings.RequestClass> classes =
                 settings.classes().stream()
@@ -27,35 +42,35 @@
                                                 requestClass.passThrough(),
                                                 requestClass.freshnessLifetimeNs()))
                         .toList();
-        Settings.SafetyLimitSettings invariants = settings.safetyLimits();
+        Settings.SafetyLimitSettings safetyLimits = settings.safetyLimits();
         return new RouterSettings(
                 classes,
                 new RouterSettings.Limits(
-                        true,
+                        CANCEL_ALLOWED,
                         settings.fleet().hedging(),
-                        true,
+                        RETRY_AFTER_SENT,
                         settings.limits().maxAttempts(),
                         settings.limits().maxRetryAfterNs(),
                         settings.limits().connectTimeoutNs()),
                 new RouterSettings.SafetyLimits(
-                        invariants.initialCapacity(),
-                        invariants.warmUpNs(),
-                        invariants.overloadMultiple(),
-                        invariants.overloadWindowNs(),
-                        invariants.parentInitialCapacity(),
-                        invariants.parentWarmUpNs(),
-                        invariants.parentOverloadMultiple(),
-                        invariants.purgeWindowNs()),
+                        safetyLimits.initialCapacity(),
+                        safetyLimits.warmUpNs(),
+                        safetyLimits.overloadMultiple(),
+                        safetyLimits.overloadWindowNs(),
+                        safetyLimits.parentInitialCapacity(),
+                        safetyLimits.parentWarmUpNs(),
+                        safetyLimits.parentOverloadMultiple(),
+                        safetyLimits.purgeWindowNs()),
                 settings.dispatcherCount(),
                 settings.localZone(),
                 settings.zones().stream().map(Settings.Zone::parentZoneIndex).toList(),
                 EndpointKind.PARENT.number(),
                 EndpointKind.ORIGIN.number(),
                 settings.fleet().weighted() || settings.warming().enabled(),
-                false,
+                WATCHES_ENDPOINT_LIST,
                 settings.fleet().requestCollapsing(),
                 settings.fleet().directOriginAllowed(),
-                settings.fleet().transferBytesPerS() / 1000,
+                settings.fleet().transferBytesPerS() / BYTES_PER_KB,
                 settings.limits().tickNs());
     }
 
--- a/src/main/java/brooklock/proxy/StatePage.java
+++ b/src/main/java/brooklock/proxy/StatePage.java
@@ -51,7 +51,7 @@
         line(page, "decision-overflows", routing.rejectedRequests());
         counters.appendState(page);
         authorizer.appendState(page);
-        warming.ifPresent(w -> w.appendState(page));
+        warming.ifPresent(coordinator -> coordinator.appendState(page));
         appendEndpoints(page, context.endpointRegistry().state());
         return page.toString();
     }
@@ -62,6 +62,7 @@
             page.append(source).append(" heard-ms-ago ");
             page.append(Math.max(0, nowMs - source.lastHeardMs())).append('\n');
         }
+        // "by-hand" is the page's word for an override.
         state.overrides()
                 .forEach(
                         (id, override) ->
--- a/src/main/java/brooklock/proxy/WarmingCoordinator.java
+++ b/src/main/java/brooklock/proxy/WarmingCoordinator.java
@@ -268,7 +268,7 @@
     private Optional<RouterEvent> changedWeights() {
         Map<Long, Double> changedShares = warming.changedShares(context.clock().nowNs());
         if (++ticks % TICKS_PER_SNAPSHOT == 0) {
-            snapshotStore.ifPresent(s -> s.save(warming.snapshot(context.clock().nowNs())));
+            snapshotStore.ifPresent(store -> store.save(warming.snapshot(context.clock().nowNs())));
         }
         if (changedShares.isEmpty()) {
             return Optional.empty();
@@ -282,7 +282,7 @@
                                 .fullEndpointList(EndpointListKind.DELTA)
                                 .endpoints()
                                 .stream()
-                                .filter(e -> changedShares.containsKey(e.id()))
+                                .filter(endpoint -> changedShares.containsKey(endpoint.id()))
                                 .map(this::withWarmingWeight)
                                 .toList()));
     }
@@ -313,13 +313,17 @@
             prefetchSender
                     .peerResult(response)
                     .ifPresent(
-                            r ->
+                            peerResult ->
                                     onPeerResult(
-                                            prefetch.endpointId(), prefetch.sourceId(), r, nowNs));
+                                            prefetch.endpointId(),
+                                            prefetch.sourceId(),
+                                            peerResult,
+                                            nowNs));
             onLoadFields(prefetch, response.fields(), response.sentAtNs(), nowNs);
         } else if (result instanceof PrefetchRequest.NoResponse failure) {
             warming.onPrefetchDone(prefetch, true, nowNs);
-            failure.fields().ifPresent(f -> onLoadFields(prefetch, f, failure.sentAtNs(), nowNs));
+            failure.fields()
+                    .ifPresent(fields -> onLoadFields(prefetch, fields, failure.sentAtNs(), nowNs));
         }
     }
 
