--- a/src/main/java/brooklock/proxy/AccessFiles.java
+++ b/src/main/java/brooklock/proxy/AccessFiles.java
@@ -26,6 +26,13 @@
  *
  * <p>One thread polls them. What it loads is immutable and read by any thread; a file that cannot
  * be used leaves what was loaded before in force, and is shown on the state page.
+ *
+ * <p>Logger {@code audit} has each change as a message {@code keys}, whichever file it is. Its
+ * value {@code change} begins with {@code rights} (the policy), {@code tokens} (the keys of
+ * tokens), {@code clients} (authorities and revocations of clients' certificates), {@code tls}
+ * (this dispatcher's certificates) or {@code hosts-tls} (authorities of endpoints' certificates),
+ * and goes on with {@code taken anew} or {@code refused, the one before stays in force} and the
+ * reason.
  */
 final class AccessFiles implements Closeable {
     private static final Logger LOG = LoggerFactory.getLogger("audit");
@@ -167,7 +174,7 @@
         return endpointTrust.map(
                 file ->
                         TlsContexts.clientContext(
-                                identities.map(i -> i.get().get(0)).orElse(null),
+                                identities.map(loaded -> loaded.get().get(0)).orElse(null),
                                 file::get,
                                 System::currentTimeMillis));
     }
--- a/src/main/java/brooklock/proxy/Completion.java
+++ b/src/main/java/brooklock/proxy/Completion.java
@@ -18,7 +18,7 @@
     FAILED("failed"),
     /** The tenant is over one of its limits. */
     RATE_LIMITED("held back"),
-    /** The router rejected it; nothing was done. */
+    /** The router rejected it; a retry by the client is harmless. */
     REJECTED("refused"),
     /** An endpoint's whole response was sent. */
     SERVED("served");
--- a/src/main/java/brooklock/proxy/ControlHandler.java
+++ b/src/main/java/brooklock/proxy/ControlHandler.java
@@ -24,8 +24,8 @@
 import java.util.function.Supplier;
 
 /**
- * Handles control requests: purges, endpoint lists, states set by hand, the state page. Any I/O
- * thread may call.
+ * Handles control requests: purges, endpoint lists, overrides of endpoints' states, the state page.
+ * Any I/O thread may call.
  *
  * <p>A change is acknowledged once the router has it and, where a list is saved, once it is on
  * disk. All changes are idempotent, so a sender that got no response sends again. {@code
@@ -87,9 +87,15 @@
             case "/gone" -> setOverride(exchange, query, EndpointState.GONE);
             case "/ready" -> setOverride(exchange, query, EndpointState.READY);
             case "/reset" ->
-                    updateSource(exchange, "reset", m -> m.resetSource(query.get("source")));
+                    updateSource(
+                            exchange,
+                            "reset",
+                            membership -> membership.resetSource(query.get("source")));
             case "/forget" ->
-                    updateSource(exchange, "forget", m -> m.forgetSource(query.get("source")));
+                    updateSource(
+                            exchange,
+                            "forget",
+                            membership -> membership.forgetSource(query.get("source")));
             case "/purge" -> exchange.readBody(body -> purge(exchange, query));
             default -> respondUnknown(exchange, path);
         }
@@ -126,6 +132,7 @@
         }
     }
 
+    // "by hand" is the log's word for an override, as "by-hand" is the state page's.
     private void setOverride(
             HttpExchange exchange, Map<String, String> query, EndpointState state) {
         String name = query.get("host");
@@ -164,7 +171,7 @@
             String issuedAt = query.get("at");
             if (issuedAt == null || !issuedAt.matches("\\d{1,15}(\\.\\d{1,6})?")) {
                 throw new InvalidControlRequestException(
-                        "a purge names its moment: at=MS, in ms since 1970");
+                        "a purge needs its time: at=MS, in ms since 1970");
             }
             long ageNs = ageNs(new BigDecimal(issuedAt));
             if (!query.containsKey("group") && !query.containsKey("url")) {
@@ -205,7 +212,7 @@
         PurgeReceived event =
                 new PurgeReceived(
                         object, group, context.clock().nowNs() - receivedAtNs + ageAtReceiptNs);
-        warming.ifPresent(w -> w.onPurge(event));
+        warming.ifPresent(coordinator -> coordinator.onPurge(event));
         return event;
     }
 
@@ -227,10 +234,7 @@
     // ---- Responses
 
     private static void respondUnknown(HttpExchange exchange, String path) {
-        respond(
-                exchange,
-                404,
-                "no such question or order: " + exchange.head().method() + " " + path);
+        respond(exchange, 404, "no such control request: " + exchange.head().method() + " " + path);
     }
 
     private static void respond(HttpExchange exchange, int status, String text) {
--- a/src/main/java/brooklock/proxy/Dispatcher.java
+++ b/src/main/java/brooklock/proxy/Dispatcher.java
@@ -221,10 +221,15 @@
     }
 
     /**
-     * Stops listening and waits until every open request has its final response, each within its
-     * deadline. New requests on open connections are rejected meanwhile.
+     * Stops listening, rejects new requests on open connections at once and waits until every open
+     * request has its final response and no open attempt. It waits at most the longest deadline of
+     * a class and a second.
      *
-     * @return whether no request is open any more
+     * <p>A response counts as given once it is handed to its connection. What the client's socket
+     * has not taken by then is not waited for, and {@link #close} drops it.
+     *
+     * @return whether no request is open any more; the process that ends after it has status 0
+     *     either way
      */
     public boolean drain() throws InterruptedException {
         admission.rejectNewRequests();
@@ -241,7 +246,10 @@
         return openRequests() == 0;
     }
 
-    /** Ends at once and aborts what is open. */
+    /**
+     * Ends at once: closes every connection, with the requests that are open and the bytes of
+     * responses that are not yet written.
+     */
     @Override
     public void close() {
         // Where the start failed the later parts are null.
--- a/src/main/java/brooklock/proxy/EndpointListUpdater.java
+++ b/src/main/java/brooklock/proxy/EndpointListUpdater.java
@@ -93,7 +93,8 @@
     }
 
     /**
-     * Applies a watch event.
+     * Applies a watch event. The log has it under its version, or as {@code unnumbered list} where
+     * it has none.
      *
      * @param onResult gets what came of it once that is saved, on the writing thread, or on the
      *     routing thread where nothing is to be saved
@@ -134,7 +135,10 @@
                                                 onResult.accept(withFailure(result[0], failure))));
     }
 
-    /** Submits the whole list in force to the router. */
+    /**
+     * Submits the whole list in force to the router. To be called on the routing thread only while
+     * its queue has room: it would wait for itself.
+     */
     void submitFullList() {
         context.routingThread()
                 .submitComputed(
@@ -165,7 +169,7 @@
                         result.coversWholeList()
                                 ? result.affected().size() + " hosts"
                                 : result.affected().stream()
-                                        .map(e -> e.name() + " " + e.state())
+                                        .map(endpoint -> endpoint.name() + " " + endpoint.state())
                                         .toList())
                 .log("list");
         return result;
@@ -182,12 +186,13 @@
     // The warming of caches follows every change, also one that is no event for the router.
     private Optional<RouterEvent> forRouter(Optional<EndpointListReceived> event) {
         warming.ifPresent(WarmingCoordinator::onEndpointListChanged);
-        return event.map(e -> warming.isPresent() ? warming.get().withWarmingWeights(e) : e);
+        return event.map(
+                list -> warming.isPresent() ? warming.get().withWarmingWeights(list) : list);
     }
 
     // ---- On the writing thread
 
-    // A list that is in force but not on disk is said to be so.
+    // Tells the sender that the list applies but would be lost by a restart.
     private static UpdateResult withFailure(UpdateResult result, Optional<IOException> failure) {
         return failure.isPresent() && result.applied()
                 ? result.withSaveError(String.valueOf(failure.get().getMessage()))
--- a/src/main/java/brooklock/proxy/ErrorResponse.java
+++ b/src/main/java/brooklock/proxy/ErrorResponse.java
@@ -6,12 +6,15 @@
 import java.util.Optional;
 
 /**
- * Every response that the dispatcher makes itself, with its status, its body and its words.
+ * Every response that this package makes itself, with its status, its body and its words. What is
+ * no complete HTTP request or too large, or comes on one connection too many, is answered by {@code
+ * brooklock.net}.
  *
  * <p>This is the one table from a reason to what a client gets. The words belong to {@code
  * docs/operating.md}: clients and dashboards compare them, so they stay when names in the code
  * change. A request that has not been admitted has no attempt, no entry in the access log and no
- * event for the router; one that has been admitted has all three.
+ * event for the router. One over its tenant's limits has an entry only. One that the router gave up
+ * has an entry and an event, and attempts unless it was rejected before the first.
  */
 enum ErrorResponse {
     // ---- Not admitted: the request is malformed or fits no route.
@@ -65,7 +68,11 @@
 
     // ---- Admitted, and the router gave up.
 
-    /** The router rejected it: nothing was done, so a retry is harmless. */
+    /**
+     * The router rejected it: a retry by the client is harmless. The text says more than that: an
+     * attempt of an idempotent request, or of one whose key all endpoints share, may have been
+     * executed.
+     */
     REJECTED(
             503,
             "destination_unavailable",
@@ -133,7 +140,11 @@
         return Optional.ofNullable(completion);
     }
 
-    /** Returns whether it is counted as {@code full} on the state page. */
+    /**
+     * Returns whether it is counted as {@code full} on the state page. {@link #ROUTING_QUEUE_LIMIT}
+     * is not: the routing thread counts it as {@code decision-overflows}. {@link #SHUTTING_DOWN} is
+     * no sign of load.
+     */
     boolean countsAsOverload() {
         return this == OPEN_REQUEST_LIMIT || this == BODY_LIMIT || this == TOKEN_VERIFICATION_LIMIT;
     }
--- a/src/main/java/brooklock/proxy/ProxyExchange.java
+++ b/src/main/java/brooklock/proxy/ProxyExchange.java
@@ -20,9 +20,10 @@
 /**
  * One client's request until its final response and until the last of its attempts has ended.
  *
- * <p>All of it but {@link #heldByTenant} belongs to the client's I/O thread. That is what makes
- * "exactly one final response" a plain field: whichever of the router's action, an endpoint's
- * response and the client's leaving comes first closes the request, and the others find it closed.
+ * <p>All of it but {@link #heldByTenant} belongs to the client's I/O thread; once it has ended the
+ * routing thread reads what it came to. That is what makes "exactly one final response" a plain
+ * field: whichever of the router's action, an endpoint's response and the client's leaving comes
+ * first closes the request, and the others find it closed.
  */
 final class ProxyExchange {
     final long id;
@@ -117,7 +118,8 @@
     }
 
     /**
-     * Rejects it for the router: nothing was done.
+     * Rejects it for the router: a retry by the client is harmless, though an attempt may have been
+     * executed.
      *
      * @param retryAfterNs when the client may retry, ns; 0 says nothing
      */
@@ -125,7 +127,7 @@
         respondLocally(ErrorResponse.REJECTED, Completion.REJECTED, retryAfterNs);
     }
 
-    /** Fails it for the router: it may have been executed. */
+    /** Fails it for the router or because routing failed: it may have been executed. */
     void fail() {
         respondLocally(
                 openAttempts > 0 ? ErrorResponse.FAILED_WITH_OPEN_ATTEMPT : ErrorResponse.FAILED,
--- a/src/main/java/brooklock/proxy/RoutingThread.java
+++ b/src/main/java/brooklock/proxy/RoutingThread.java
@@ -161,6 +161,8 @@
 
     private static void doNothing() {}
 
+    // Spins until there is room. On the routing thread itself, which alone makes room, it would
+    // spin for ever once the queue is full; see ActionExecutor.onAction for the one such call.
     private void enqueue(QueueEntry entry) {
         while (!queue.offer(entry) && !stopping) {
             Thread.onSpinWait();
@@ -257,9 +259,8 @@
         try {
             strategy.onEvent(nowNs, event, actions);
         } catch (RuntimeException failure) {
-            // One event that can't be routed must not stop all others. The platform's executor adds
-            // a
-            // FailRequest here; in a trace that would be an action that the router never took.
+            // One event that can't be routed must not stop all others. No FailRequest is added to
+            // the actions: the trace would show an action that the router never took.
             LOG.error("routing failed: {}", event, failure);
             actions.clear();
             if (event instanceof RequestReceived request) {
--- a/src/main/java/brooklock/proxy/UpstreamAttempt.java
+++ b/src/main/java/brooklock/proxy/UpstreamAttempt.java
@@ -105,6 +105,10 @@
     /**
      * Asked right before the first byte is written: while the attempt waited for a connection an
      * endpoint may have left the list, or the wait may have been too long.
+     *
+     * <p>A purge does not recall an attempt that waits: it goes out with the oldest age that was
+     * allowed when it was routed. Only attempts that are routed after a purge demand a newer copy.
+     * The platform's dispatcher differs: it gives waiting attempts back to the router.
      */
     @Override
     public boolean shouldSend() {
--- a/src/main/java/brooklock/proxy/package-info.java
+++ b/src/main/java/brooklock/proxy/package-info.java
@@ -10,7 +10,7 @@
  *   <li>{@link brooklock.proxy.RequestAdmission} checks the head, finds its route ({@link
  *       brooklock.proxy.RouteTable}), has it authorized ({@link brooklock.proxy.RequestAuthorizer})
  *       and holds it to the limits ({@link brooklock.proxy.RequestCapacity}). What is not admitted
- *       is answered by {@link brooklock.proxy.ErrorResponse} and known to nobody else.
+ *       is answered by {@link brooklock.proxy.ErrorResponse} and only counted.
  *   <li>An admitted request is a {@link brooklock.proxy.ProxyExchange} and an event in the queue of
  *       the {@link brooklock.proxy.RoutingThread}. There its tenant's limits come first ({@link
  *       brooklock.proxy.TenantAdmission}), then the router.
@@ -26,15 +26,17 @@
  * <h2>Threads</h2>
  *
  * <ul>
- *   <li>The routing thread, one for each dispatcher, owns the router, its timers, the endpoint list
- *       ({@link brooklock.proxy.EndpointListUpdater}), tenants' limits and the warming of caches
- *       ({@link brooklock.proxy.WarmingCoordinator}).
+ *   <li>The routing thread ({@code NAME-routing}), one for each dispatcher, owns the router, its
+ *       timers, the endpoint list ({@link brooklock.proxy.EndpointListUpdater}), tenants' limits
+ *       and the warming of caches ({@link brooklock.proxy.WarmingCoordinator}).
  *   <li>The I/O threads own connections. An exchange and all its attempts belong to the I/O thread
  *       of the client's connection.
- *   <li>The writing thread ({@link brooklock.proxy.BackgroundFileWriter}) saves the endpoint list
- *       and the warming snapshot.
- *   <li>The watching thread ({@link brooklock.proxy.AccessFiles}) polls policy, keys and
- *       certificates; what it loads is immutable.
+ *   <li>The writing thread ({@code file-writer}, {@link brooklock.proxy.BackgroundFileWriter})
+ *       saves the endpoint list and the warming snapshot.
+ *   <li>The polling thread ({@code NAME-file-poll}, {@link brooklock.proxy.AccessFiles}) polls
+ *       policy, keys and certificates; what it loads is immutable.
+ *   <li>The threads that verify tokens ({@code tokens-checks}) run beside the I/O threads, which
+ *       would stop for the length of a verification.
  * </ul>
  *
  * <p>There is no lock on the way of a request. Events and tasks reach the routing thread through
--- a/src/main/java/brooklock/routing/CacheStatus.java
+++ b/src/main/java/brooklock/routing/CacheStatus.java
@@ -14,7 +14,7 @@
     FILLED_BY_PARENT,
     /** The copy came from the origin, directly or through a parent. */
     FILLED_BY_ORIGIN,
-    /** The request was collapsed into a fill already in flight. */
+    /** The copy came from elsewhere than the named fill source: a fill in flight, or a peer. */
     COLLAPSED,
     /** The endpoint served a stale copy. */
     STALE,
