--- a/src/test/java/brooklock/proxy/AdmissionLimitTest.java
+++ b/src/test/java/brooklock/proxy/AdmissionLimitTest.java
@@ -31,8 +31,8 @@
         try (LoopbackFleet fleet =
                 new LoopbackFleet(dir, 1, 1, "limits open 8")
                         .start(
-                                s ->
-                                        new InterceptingRouter(s) {
+                                settings ->
+                                        new InterceptingRouter(settings) {
                                             @Override
                                             protected RouterEvent interceptEvent(
                                                     RouterEvent event) {
@@ -58,8 +58,8 @@
             assertEquals(503, response.status());
             assertTrue(response.head().contains("Retry-After: "), response.head());
             stuck.countDown();
-            for (CompletableFuture<LoopbackFleet.Response> f : all) {
-                assertTrue(f.get().status() == 200 || f.get().status() == 503);
+            for (CompletableFuture<LoopbackFleet.Response> pending : all) {
+                assertTrue(pending.get().status() == 200 || pending.get().status() == 503);
             }
         }
     }
@@ -91,8 +91,8 @@
                             return false;
                         }
                     });
-            for (Socket s : held) {
-                s.close();
+            for (Socket socket : held) {
+                socket.close();
             }
         }
     }
--- a/src/test/java/brooklock/proxy/CertificateAuthorizationTest.java
+++ b/src/test/java/brooklock/proxy/CertificateAuthorizationTest.java
@@ -48,10 +48,11 @@
                         + more);
     }
 
-    private static int sendTls(LoopbackFleet fleet, SSLContext c, String path) throws IOException {
-        try (SSLSocket s = fleet.connectTls(c)) {
-            LoopbackFleet.write(s, get(path, ""));
-            return LoopbackFleet.readResponse(s.getInputStream()).status();
+    private static int sendTls(LoopbackFleet fleet, SSLContext context, String path)
+            throws IOException {
+        try (SSLSocket socket = fleet.connectTls(context)) {
+            LoopbackFleet.write(socket, get(path, ""));
+            return LoopbackFleet.readResponse(socket.getInputStream()).status();
         }
     }
 
@@ -152,11 +153,13 @@
     }
 
     // Reads on to the end: true if that came in the orderly way with everything before it.
-    private static boolean endsWhole(SSLSocket s) {
+    private static boolean endsWhole(SSLSocket socket) {
         try {
             long n = 0;
             byte[] b = new byte[8192];
-            for (int r = s.getInputStream().read(b); r >= 0; r = s.getInputStream().read(b)) {
+            for (int r = socket.getInputStream().read(b);
+                    r >= 0;
+                    r = socket.getInputStream().read(b)) {
                 n += r;
                 if (n > 3_900_000) {
                     return true;
@@ -213,12 +216,12 @@
                                     net,
                                     new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
                                     ServerLimits.STANDARD,
-                                    x -> {
+                                    exchange -> {
                                         shown.add(
                                                 String.valueOf(
-                                                        x.certificates()[0]
+                                                        exchange.certificates()[0]
                                                                 .getSubjectX500Principal()));
-                                        x.send(
+                                        exchange.send(
                                                 200,
                                                 new Fields().add("Cache-Status", "h; hit"),
                                                 new byte[3]);
--- a/src/test/java/brooklock/proxy/ClientFaultTest.java
+++ b/src/test/java/brooklock/proxy/ClientFaultTest.java
@@ -29,11 +29,11 @@
             }
             List<Socket> readers = new ArrayList<>();
             for (int i = 0; i < 40; i++) {
-                Socket s = new Socket();
-                s.setReceiveBufferSize(4096);
-                s.connect(fleet.dispatcher.address());
-                LoopbackFleet.write(s, get("/huge/x", ""));
-                readers.add(s);
+                Socket socket = new Socket();
+                socket.setReceiveBufferSize(4096);
+                socket.connect(fleet.dispatcher.address());
+                LoopbackFleet.write(socket, get("/huge/x", ""));
+                readers.add(socket);
             }
             LoopbackFleet.await("all to be answered", () -> fleet.dispatcher.openRequests() == 40);
             for (int i = 0; i < 50; i++) {
@@ -47,8 +47,8 @@
             assertTrue(
                     direct < 64_000_000,
                     "buffers hold " + direct + " bytes for 40 answers of 8 MB");
-            for (Socket s : readers) {
-                s.close();
+            for (Socket socket : readers) {
+                socket.close();
             }
             LoopbackFleet.await(
                     "those who left to be forgotten", () -> fleet.dispatcher.openRequests() == 0);
@@ -99,12 +99,12 @@
     @Test
     void clientThatClosesAfterItsLastPipelinedRequestGetsAllResponses() throws Exception {
         try (LoopbackFleet fleet = new LoopbackFleet(dir, 2, 1, "").start();
-                Socket s = fleet.connect()) {
+                Socket socket = fleet.connect()) {
             LoopbackFleet.write(
-                    s, get("/scans/g/o/0", "") + get("/scans/g/p/0", "Connection: close\r\n"));
-            assertEquals(200, LoopbackFleet.readResponse(s.getInputStream()).status());
-            assertEquals(200, LoopbackFleet.readResponse(s.getInputStream()).status());
-            assertEquals(-1, s.getInputStream().read(), "closed as requested");
+                    socket, get("/scans/g/o/0", "") + get("/scans/g/p/0", "Connection: close\r\n"));
+            assertEquals(200, LoopbackFleet.readResponse(socket.getInputStream()).status());
+            assertEquals(200, LoopbackFleet.readResponse(socket.getInputStream()).status());
+            assertEquals(-1, socket.getInputStream().read(), "closed as requested");
         }
     }
 
@@ -116,15 +116,15 @@
     @Test
     void requestThatComesByteByByteTimesOutAndOthersAreServed() throws Exception {
         try (LoopbackFleet fleet = new LoopbackFleet(dir, 1, 1, "limits head 400ms").start();
-                Socket s = fleet.connect()) {
+                Socket socket = fleet.connect()) {
             long begun = System.nanoTime();
             String request = get("/scans/g/o/0", "");
             int sent = 0;
-            while (s.getInputStream().available() == 0 && sent < request.length()) {
-                LoopbackFleet.write(s, request.substring(sent, ++sent));
+            while (socket.getInputStream().available() == 0 && sent < request.length()) {
+                LoopbackFleet.write(socket, request.substring(sent, ++sent));
                 Thread.sleep(50);
             }
-            assertEquals(408, LoopbackFleet.readResponse(s.getInputStream()).status());
+            assertEquals(408, LoopbackFleet.readResponse(socket.getInputStream()).status());
             assertTrue(System.nanoTime() - begun < 10_000 * LoopbackFleet.NS_PER_MS);
             assertEquals(200, fleet.send(get("/scans/g/o/0", "")).status());
         }
@@ -137,20 +137,20 @@
     @Test
     void expectedAndChunkedBodiesAreReadWholeAndLongOnesRejected() throws Exception {
         try (LoopbackFleet fleet = new LoopbackFleet(dir, 1, 1, "").start();
-                Socket s = fleet.connect()) {
+                Socket socket = fleet.connect()) {
             LoopbackFleet.write(
-                    s,
+                    socket,
                     "POST /notes/x HTTP/1.1\r\nHost: a\r\nExpect: 100-continue\r\nContent-Length: 5\r\n\r\n");
-            assertEquals(100, LoopbackFleet.readResponse(s.getInputStream()).status());
-            LoopbackFleet.write(s, "hello");
-            assertEquals(200, LoopbackFleet.readResponse(s.getInputStream()).status());
+            assertEquals(100, LoopbackFleet.readResponse(socket.getInputStream()).status());
+            LoopbackFleet.write(socket, "hello");
+            assertEquals(200, LoopbackFleet.readResponse(socket.getInputStream()).status());
             LoopbackFleet.write(
-                    s,
+                    socket,
                     "POST /notes/x HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n");
-            assertEquals(200, LoopbackFleet.readResponse(s.getInputStream()).status());
+            assertEquals(200, LoopbackFleet.readResponse(socket.getInputStream()).status());
             LoopbackFleet.write(
-                    s, "POST /notes/x HTTP/1.1\r\nHost: a\r\nContent-Length: 2000000\r\n\r\n");
-            assertEquals(413, LoopbackFleet.readResponse(s.getInputStream()).status());
+                    socket, "POST /notes/x HTTP/1.1\r\nHost: a\r\nContent-Length: 2000000\r\n\r\n");
+            assertEquals(413, LoopbackFleet.readResponse(socket.getInputStream()).status());
         }
     }
 }
--- a/src/test/java/brooklock/proxy/DrainTest.java
+++ b/src/test/java/brooklock/proxy/DrainTest.java
@@ -38,13 +38,16 @@
             LoopbackFleet.await("all taken", () -> fleet.dispatcher.openRequests() == 11);
             assertEquals(200, fleet.sendControl("POST", "/drain?host=c1", "").status());
             long acknowledgedAtNs = System.nanoTime();
-            for (CompletableFuture<LoopbackFleet.Response> f : waiting) {
-                assertEquals(200, f.get().status(), "a parent gives it straight");
+            for (CompletableFuture<LoopbackFleet.Response> response : waiting) {
+                assertEquals(200, response.get().status(), "a parent gives it straight");
             }
             first.get();
             assertTrue(
                     fleet.recorder.requests().stream()
-                            .noneMatch(s -> s.server.equals("c1") && s.atNs > acknowledgedAtNs));
+                            .noneMatch(
+                                    recorded ->
+                                            recorded.server.equals("c1")
+                                                    && recorded.atNs > acknowledgedAtNs));
         }
     }
 
@@ -60,14 +63,16 @@
             for (int i = 0; i < 40; i++) {
                 assertEquals(200, fleet.send(get("/scans/g/d" + i + "/0", "")).status());
             }
-            assertTrue(fleet.recorder.requests().stream().anyMatch(s -> "p2".equals(s.source)));
+            assertTrue(
+                    fleet.recorder.requests().stream()
+                            .anyMatch(recorded -> "p2".equals(recorded.source)));
             assertTrue(
                     fleet.recorder.requests().stream()
                             .noneMatch(
-                                    s ->
-                                            s.atNs > acknowledgedAtNs
-                                                    && ("p1".equals(s.source)
-                                                            || s.server.equals("p1"))));
+                                    recorded ->
+                                            recorded.atNs > acknowledgedAtNs
+                                                    && ("p1".equals(recorded.source)
+                                                            || recorded.server.equals("p1"))));
         }
     }
 
@@ -90,7 +95,10 @@
             }
             assertTrue(
                     fleet.recorder.requests().stream()
-                            .noneMatch(s -> s.server.equals("c1") && s.atNs > acknowledgedAtNs));
+                            .noneMatch(
+                                    recorded ->
+                                            recorded.server.equals("c1")
+                                                    && recorded.atNs > acknowledgedAtNs));
         }
     }
 }
--- a/src/test/java/brooklock/proxy/EndpointFaultTest.java
+++ b/src/test/java/brooklock/proxy/EndpointFaultTest.java
@@ -43,12 +43,14 @@
     void cacheThatDiesBeforeTheFirstByteIsReplacedByAnother() throws Exception {
         try (LoopbackFleet fleet = new LoopbackFleet(dir, 3, 1, "").start()) {
             RecordedRequest[] first = new RecordedRequest[1];
-            fleet.servers.values().forEach(h -> h.faults.silent = h.name().startsWith("c"));
+            fleet.servers
+                    .values()
+                    .forEach(server -> server.faults.silent = server.name().startsWith("c"));
             CompletableFuture<LoopbackFleet.Response> answer =
                     fleet.sendAsync(get("/scans/g/o/0", LoopbackFleet.requestIdField("d")));
             LoopbackFleet.await("the first attempt", () -> fleet.recordedRequests("d").size() == 1);
             first[0] = fleet.recordedRequests("d").get(0);
-            fleet.servers.values().forEach(h -> h.faults.silent = false);
+            fleet.servers.values().forEach(server -> server.faults.silent = false);
             fleet.servers.get(first[0].server).kill();
             assertEquals(200, answer.get().status());
             assertNotEquals(first[0].server, fleet.recordedRequests("d").get(1).server);
--- a/src/test/java/brooklock/proxy/LoopbackFleet.java
+++ b/src/test/java/brooklock/proxy/LoopbackFleet.java
@@ -290,7 +290,9 @@
 
     /** Returns what reached the servers for a client's request, in its order. */
     public List<RecordedRequest> recordedRequests(String request) {
-        return recorder.requests().stream().filter(r -> request.equals(r.request)).toList();
+        return recorder.requests().stream()
+                .filter(recorded -> request.equals(recorded.request))
+                .toList();
     }
 
     /** Waits for a condition and fails after twenty seconds. */
--- a/src/test/java/brooklock/proxy/PurgeTest.java
+++ b/src/test/java/brooklock/proxy/PurgeTest.java
@@ -46,7 +46,7 @@
                     "the fill at the origin",
                     () ->
                             fleet.recordedRequests("before").stream()
-                                    .anyMatch(s -> s.copySerial > 0));
+                                    .anyMatch(recorded -> recorded.copySerial > 0));
             purgeAndWait(fleet, "url=http://a.example/big/x");
             long moment = System.nanoTime() - 500 * LoopbackFleet.NS_PER_MS;
             assertEquals(
--- a/src/test/java/brooklock/proxy/RequestForwardingTest.java
+++ b/src/test/java/brooklock/proxy/RequestForwardingTest.java
@@ -42,17 +42,17 @@
     @Test
     void pipelinedRequestsAreAnsweredInOrder() throws Exception {
         try (LoopbackFleet fleet = new LoopbackFleet(dir, 2, 1, "").start();
-                Socket s = fleet.connect()) {
+                Socket socket = fleet.connect()) {
             LoopbackFleet.write(
-                    s,
+                    socket,
                     get("/scans/g1/a/0", "")
                             + post("/notes/x", "", "hello")
                             + get("/nowhere", "")
                             + get("/scans/g1/b/1", ""));
-            assertEquals(200, LoopbackFleet.readResponse(s.getInputStream()).status());
-            assertEquals(200, LoopbackFleet.readResponse(s.getInputStream()).status());
-            assertEquals(404, LoopbackFleet.readResponse(s.getInputStream()).status());
-            assertEquals(200, LoopbackFleet.readResponse(s.getInputStream()).status());
+            assertEquals(200, LoopbackFleet.readResponse(socket.getInputStream()).status());
+            assertEquals(200, LoopbackFleet.readResponse(socket.getInputStream()).status());
+            assertEquals(404, LoopbackFleet.readResponse(socket.getInputStream()).status());
+            assertEquals(200, LoopbackFleet.readResponse(socket.getInputStream()).status());
         }
     }
 
--- a/src/test/java/brooklock/proxy/RetrySafetyTest.java
+++ b/src/test/java/brooklock/proxy/RetrySafetyTest.java
@@ -36,7 +36,7 @@
                             "body"));
             List<RecordedRequest> seen = fleet.recordedRequests("k");
             assertTrue(seen.size() > 1, "retried: " + seen);
-            assertEquals(1, seen.stream().filter(s -> s.executed).count());
+            assertEquals(1, seen.stream().filter(recorded -> recorded.executed).count());
         }
     }
 
@@ -81,7 +81,8 @@
                     "rejected: a retry is harmless");
             assertTrue(
                     fleet.recordedRequests("u").size() >= 2
-                            && fleet.recordedRequests("u").stream().noneMatch(s -> s.executed));
+                            && fleet.recordedRequests("u").stream()
+                                    .noneMatch(recorded -> recorded.executed));
         }
     }
 
@@ -123,13 +124,13 @@
         String ok = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
         try {
             for (int i = 0; i < 3; i++) {
-                try (Socket s = server.accept()) {
-                    readRequest(s, whole);
+                try (Socket socket = server.accept()) {
+                    readRequest(socket, whole);
                     if (i < 2) {
-                        LoopbackFleet.write(s, ok);
+                        LoopbackFleet.write(socket, ok);
                     }
                     if (i == 1) {
-                        readRequest(s, whole);
+                        readRequest(socket, whole);
                     }
                 }
             }
@@ -138,16 +139,16 @@
         }
     }
 
-    private static void readRequest(Socket s, AtomicInteger whole) throws IOException {
+    private static void readRequest(Socket socket, AtomicInteger whole) throws IOException {
         StringBuilder head = new StringBuilder();
         while (!head.toString().endsWith("\r\n\r\n")) {
-            int b = s.getInputStream().read();
+            int b = socket.getInputStream().read();
             if (b < 0) {
                 return;
             }
             head.append((char) b);
         }
-        s.getInputStream().read();
+        socket.getInputStream().read();
         whole.incrementAndGet();
     }
 }
--- a/src/test/java/brooklock/proxy/RoutingFailureTest.java
+++ b/src/test/java/brooklock/proxy/RoutingFailureTest.java
@@ -22,13 +22,13 @@
         try (LoopbackFleet fleet =
                 new LoopbackFleet(dir, 1, 1, "")
                         .start(
-                                s ->
-                                        new InterceptingRouter(s) {
+                                settings ->
+                                        new InterceptingRouter(settings) {
                                             @Override
                                             protected RouterEvent interceptEvent(
                                                     RouterEvent event) {
-                                                if (event instanceof RequestReceived r
-                                                        && r.part() == 13) {
+                                                if (event instanceof RequestReceived request
+                                                        && request.part() == 13) {
                                                     throw new IllegalStateException("provoked");
                                                 }
                                                 return event;
--- a/src/test/java/brooklock/proxy/TenantBoundaryTest.java
+++ b/src/test/java/brooklock/proxy/TenantBoundaryTest.java
@@ -35,14 +35,14 @@
             Thread peer =
                     new Thread(
                             () -> {
-                                try (Socket s = cache.accept()) {
+                                try (Socket socket = cache.accept()) {
                                     StringBuilder head = new StringBuilder();
                                     while (!head.toString().endsWith("\r\n\r\n")) {
-                                        head.append((char) s.getInputStream().read());
+                                        head.append((char) socket.getInputStream().read());
                                     }
                                     heads.add(head.toString());
                                     LoopbackFleet.write(
-                                            s,
+                                            socket,
                                             "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nSet-Cookie: a=b\r\nCache-Control: public\r\n"
                                                     + "Cache-Status: c1; hit\r\n\r\nok");
                                 } catch (IOException e) {
--- a/src/test/java/brooklock/proxy/TokenAuthorizationTest.java
+++ b/src/test/java/brooklock/proxy/TokenAuthorizationTest.java
@@ -29,7 +29,7 @@
         Policy core = PolicyReader.parse("p", POLICY);
         int rows = 0;
         try (LoopbackFleet fleet = newFleet().start();
-                Socket s = fleet.connect()) {
+                Socket socket = fleet.connect()) {
             for (String tenant : List.of("acme", "beta", "carl", "nobody")) {
                 String credential = bearer(tenant);
                 for (String method : List.of("GET", "HEAD")) {
@@ -51,7 +51,7 @@
                                                 "scans",
                                                 System.currentTimeMillis());
                                 LoopbackFleet.write(
-                                        s,
+                                        socket,
                                         method
                                                 + " "
                                                 + path
@@ -60,8 +60,9 @@
                                                 + "\r\n");
                                 LoopbackFleet.Response response =
                                         method.equals("HEAD")
-                                                ? head(s)
-                                                : LoopbackFleet.readResponse(s.getInputStream());
+                                                ? head(socket)
+                                                : LoopbackFleet.readResponse(
+                                                        socket.getInputStream());
                                 boolean limited = tenant.equals("carl") && response.status() == 429;
                                 assertTrue(
                                         limited || response.status() == (d.allowed() ? 200 : 403),
@@ -83,14 +84,16 @@
                 }
             }
             assertTrue(rows > 280, "rows " + rows);
-            assertTrue(fleet.recorder.requests().stream().noneMatch(x -> x.request != null));
+            assertTrue(
+                    fleet.recorder.requests().stream()
+                            .noneMatch(recorded -> recorded.request != null));
         }
     }
 
-    private static LoopbackFleet.Response head(Socket s) throws IOException {
+    private static LoopbackFleet.Response head(Socket socket) throws IOException {
         StringBuilder head = new StringBuilder();
         while (!head.toString().endsWith("\r\n\r\n")) {
-            head.append((char) s.getInputStream().read());
+            head.append((char) socket.getInputStream().read());
         }
         return new LoopbackFleet.Response(head.toString(), new byte[0], false);
     }
@@ -201,7 +204,7 @@
             }
             assertTrue(
                     fleet.recordedRequests("joined").stream()
-                                    .filter(s -> s.server.equals("o1"))
+                                    .filter(recorded -> recorded.server.equals("o1"))
                                     .count()
                             < 5,
                     "joined to one fill");
--- a/src/test/java/brooklock/proxy/WarmingCoordinatorTest.java
+++ b/src/test/java/brooklock/proxy/WarmingCoordinatorTest.java
@@ -33,12 +33,13 @@
 
     @TempDir Path dir;
 
-    private static void requestAllObjects(Socket s, int times) throws IOException {
+    private static void requestAllObjects(Socket socket, int times) throws IOException {
         for (int t = 0; t < times; t++) {
             for (int i = 0; i < OBJECTS; i++) {
                 String path = "/scans/g" + i % 5 + "/o" + i + "/0";
-                LoopbackFleet.write(s, get(path, ""));
-                LoopbackFleet.Response response = LoopbackFleet.readResponse(s.getInputStream());
+                LoopbackFleet.write(socket, get(path, ""));
+                LoopbackFleet.Response response =
+                        LoopbackFleet.readResponse(socket.getInputStream());
                 assertEquals(200, response.status(), response.head());
                 assertTrue(response.text().startsWith(path), "the bytes are those of its path");
             }
@@ -47,7 +48,7 @@
 
     private static void sendDelta(LoopbackFleet fleet, String host, EndpointState state)
             throws IOException {
-        TestServer h = fleet.servers.get(host);
+        TestServer server = fleet.servers.get(host);
         assertEquals(
                 200,
                 fleet.sendControl(
@@ -62,10 +63,10 @@
                                                                 EndpointId.of(host),
                                                                 EndpointKind.CACHE,
                                                                 "here",
-                                                                h.address(),
+                                                                server.address(),
                                                                 state,
                                                                 1,
-                                                                h.startedMs())))))
+                                                                server.startedMs())))))
                         .status());
     }
 
@@ -74,11 +75,11 @@
         LoopbackFleet fleet =
                 new LoopbackFleet(dir, 3, 1, warming + "guards cold-from 0.2 cold-for 2s\n")
                         .start();
-        try (Socket s = fleet.connect()) {
-            requestAllObjects(s, 6);
+        try (Socket socket = fleet.connect()) {
+            requestAllObjects(socket, 6);
             fleet.servers.get("c1").kill();
             sendDelta(fleet, "c1", EndpointState.GONE);
-            requestAllObjects(s, 4);
+            requestAllObjects(socket, 4);
             fleet.servers.get("c1").restart();
             sendDelta(fleet, "c1", EndpointState.READY);
         }
@@ -87,20 +88,24 @@
 
     private static long peerFillsAfter(LoopbackFleet fleet, long after) {
         return fleet.recorder.requests().stream()
-                .filter(s -> isFromC1ToAPeer(s) && s.atNs - after > 0 && s.copySerial != 0)
+                .filter(
+                        recorded ->
+                                isFromC1ToAPeer(recorded)
+                                        && recorded.atNs - after > 0
+                                        && recorded.copySerial != 0)
                 .count();
     }
 
-    private static boolean isFromC1ToAPeer(RecordedRequest s) {
-        return s.sender.equals("c1") && s.server.startsWith("c");
+    private static boolean isFromC1ToAPeer(RecordedRequest recorded) {
+        return recorded.sender.equals("c1") && recorded.server.startsWith("c");
     }
 
     private static void requestUntilPeerFills(LoopbackFleet fleet, long after, int min)
             throws IOException {
         long end = System.nanoTime() + 20_000 * LoopbackFleet.NS_PER_MS;
-        try (Socket s = fleet.connect()) {
+        try (Socket socket = fleet.connect()) {
             while (peerFillsAfter(fleet, after) < min && System.nanoTime() - end < 0) {
-                requestAllObjects(s, 1);
+                requestAllObjects(socket, 1);
             }
         }
     }
@@ -119,8 +124,8 @@
             assertTrue(state.matches("(?s).*warming-given [1-9].*"), state);
         }
         try (LoopbackFleet fleet = fleetWithOneColdCache("")) {
-            try (Socket s = fleet.connect()) {
-                requestAllObjects(s, 5);
+            try (Socket socket = fleet.connect()) {
+                requestAllObjects(socket, 5);
             }
             assertTrue(
                     fleet.recorder.requests().stream()
@@ -138,26 +143,26 @@
         try (LoopbackFleet fleet = fleetWithOneColdCache("warming zone share 0.5\n")) {
             requestUntilPeerFills(fleet, 0, 2);
             fleet.servers.get("c3").faults.truncatedShare = 1;
-            try (Socket s = fleet.connect()) {
+            try (Socket socket = fleet.connect()) {
                 // c3 also serves requests, whose transfers it cuts: only its peer fills count here.
                 sendDelta(fleet, "c3", EndpointState.DRAINING);
                 long acknowledgedAtNs = System.nanoTime();
-                requestAllObjects(s, 4);
+                requestAllObjects(socket, 4);
                 assertTrue(
                         fleet.recorder.requests().stream()
                                 .noneMatch(
-                                        x ->
-                                                x.server.equals("c3")
-                                                        && x.atNs - acknowledgedAtNs > 0
-                                                        && x.isDirect()),
+                                        recorded ->
+                                                recorded.server.equals("c3")
+                                                        && recorded.atNs - acknowledgedAtNs > 0
+                                                        && recorded.isDirect()),
                         "nor is it sent requests");
                 assertTrue(
                         fleet.recorder.requests().stream()
                                 .noneMatch(
-                                        x ->
-                                                isFromC1ToAPeer(x)
-                                                        && x.server.equals("c3")
-                                                        && x.atNs - acknowledgedAtNs > 0));
+                                        recorded ->
+                                                isFromC1ToAPeer(recorded)
+                                                        && recorded.server.equals("c3")
+                                                        && recorded.atNs - acknowledgedAtNs > 0));
             }
         }
     }
@@ -182,15 +187,17 @@
                                 .status());
             }
             long acknowledgedAtNs = System.nanoTime();
-            try (Socket s = fleet.connect()) {
-                requestAllObjects(s, 3);
+            try (Socket socket = fleet.connect()) {
+                requestAllObjects(socket, 3);
             }
-            for (RecordedRequest s : fleet.recorder.requests()) {
-                if (s.isDirect() && s.atNs - acknowledgedAtNs > 0 && s.copySerial != 0) {
+            for (RecordedRequest recorded : fleet.recorder.requests()) {
+                if (recorded.isDirect()
+                        && recorded.atNs - acknowledgedAtNs > 0
+                        && recorded.copySerial != 0) {
                     assertTrue(
-                            fleet.recorder.copyBirthNs(s.copySerial) - moment
+                            fleet.recorder.copyBirthNs(recorded.copySerial) - moment
                                     > -2 * LoopbackFleet.NS_PER_MS,
-                            s + ": an old copy");
+                            recorded + ": an old copy");
                 }
             }
         }
@@ -204,11 +211,11 @@
     void partsArePrefetchedFromPeers() throws Exception {
         try (LoopbackFleet fleet = fleetWithOneColdCache("warming zone share 1\n")) {
             long end = System.nanoTime() + 15_000 * LoopbackFleet.NS_PER_MS;
-            try (Socket s = fleet.connect()) {
+            try (Socket socket = fleet.connect()) {
                 // Responses to clients carry the load reports that prefetches wait for; a prefetch
                 // names no client's request.
                 while (System.nanoTime() - end < 0 && !prefetchSeen(fleet)) {
-                    requestAllObjects(s, 1);
+                    requestAllObjects(socket, 1);
                 }
             }
             assertTrue(prefetchSeen(fleet), fleet.dispatcher.statePage());
@@ -248,12 +255,12 @@
     private static boolean prefetchSeen(LoopbackFleet fleet) {
         return fleet.recorder.requests().stream()
                 .anyMatch(
-                        s ->
-                                s.server.equals("c1")
-                                        && s.isDirect()
-                                        && s.request == null
-                                        && s.source != null
-                                        && s.source.startsWith("c"));
+                        recorded ->
+                                recorded.server.equals("c1")
+                                        && recorded.isDirect()
+                                        && recorded.request == null
+                                        && recorded.source != null
+                                        && recorded.source.startsWith("c"));
     }
 
     /**
@@ -274,8 +281,8 @@
                             "")) {
                 Files.writeString(dir.resolve("warm"), bad);
                 fleet.start();
-                try (Socket s = fleet.connect()) {
-                    requestAllObjects(s, 1);
+                try (Socket socket = fleet.connect()) {
+                    requestAllObjects(socket, 1);
                 }
                 fleet.dispatcher.close();
             }
--- a/src/test/java/brooklock/proxy/WatchEventOrderTest.java
+++ b/src/test/java/brooklock/proxy/WatchEventOrderTest.java
@@ -33,12 +33,12 @@
             LoopbackFleet fleet, long epoch, long number, long follows, String gone) {
         List<ListedEndpoint> all = new ArrayList<>();
         fleet.servers.forEach(
-                (name, h) -> {
+                (name, server) -> {
                     if (follows == 0 || name.equals("c1")) {
                         all.add(
                                 member(
                                         name,
-                                        h,
+                                        server,
                                         name.equals(gone)
                                                 ? EndpointState.GONE
                                                 : EndpointState.READY));
@@ -49,46 +49,46 @@
                         new EventVersion("registry", epoch, number, follows), follows == 0, all));
     }
 
-    private static ListedEndpoint member(String name, TestServer h, EndpointState state) {
-        EndpointKind kind = EndpointKind.valueOf(h.model().role().name());
+    private static ListedEndpoint member(String name, TestServer server, EndpointState state) {
+        EndpointKind kind = EndpointKind.valueOf(server.model().role().name());
         return new ListedEndpoint(
                 name,
                 EndpointId.of(name),
                 kind,
                 kind == EndpointKind.CACHE ? "here" : "hub",
-                h.address(),
+                server.address(),
                 state,
                 1,
                 0);
     }
 
-    private static LoopbackFleet.Response post(Socket s, String target, String body)
+    private static LoopbackFleet.Response post(Socket socket, String target, String body)
             throws IOException {
         LoopbackFleet.write(
-                s,
+                socket,
                 "POST "
                         + target
                         + " HTTP/1.1\r\nHost: a\r\nContent-Length: "
                         + body.length()
                         + "\r\n\r\n"
                         + body);
-        return LoopbackFleet.readResponse(s.getInputStream());
+        return LoopbackFleet.readResponse(socket.getInputStream());
     }
 
     private static Socket control(LoopbackFleet fleet) throws IOException {
-        Socket s =
+        Socket socket =
                 new Socket(
                         InetAddress.getLoopbackAddress(),
                         fleet.dispatcher.controlAddress().getPort());
-        s.setTcpNoDelay(true);
-        s.setSoTimeout(20_000);
-        return s;
+        socket.setTcpNoDelay(true);
+        socket.setSoTimeout(20_000);
+        return socket;
     }
 
     private static String state(LoopbackFleet fleet, String host) throws IOException {
         String all = fleet.sendControl("GET", "/state", "").text();
         return all.lines()
-                .filter(l -> l.startsWith("host " + host + " "))
+                .filter(line -> line.startsWith("host " + host + " "))
                 .findFirst()
                 .orElseThrow()
                 .split(" ", -1)[2];
@@ -105,14 +105,14 @@
         try (LoopbackFleet fleet = new LoopbackFleet(dir, 2, 1, "").start();
                 Socket one = control(fleet);
                 Socket other = control(fleet)) {
-            Random r = new Random(5);
+            Random random = new Random(5);
             int overtaken = 0;
             for (int i = 1; i <= 1000; i++) {
                 // The older has c1 gone or back, the newer the other way round.
-                boolean goneLast = r.nextBoolean();
+                boolean goneLast = random.nextBoolean();
                 String older = list(fleet, 1, 2L * i, 0, goneLast ? null : "c1");
                 String newer = list(fleet, 1, 2L * i + 1, 0, goneLast ? "c1" : null);
-                boolean first = r.nextBoolean();
+                boolean first = random.nextBoolean();
                 Callable<LoopbackFleet.Response> a =
                         () -> post(one, "/hosts", first ? older : newer);
                 Callable<LoopbackFleet.Response> b =
