--- a/src/main/java/brooklock/proxy/TraceReplay.java
+++ b/src/main/java/brooklock/proxy/TraceReplay.java
@@ -12,6 +12,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Optional;
+import java.util.Set;
 
 /** Feeds the events of a trace to a new router and compares its actions with the recorded ones. */
 public final class TraceReplay {
@@ -24,6 +25,9 @@
      */
     public record Result(long events, long actions, Optional<String> difference) {}
 
+    /** First words of the lines that make the router act. */
+    private static final Set<String> INPUT_WORDS = Set.of("settings", "start", "event");
+
     private final Path path;
     private final BufferedReader reader;
     private final List<RouterAction> replayedActions = new ArrayList<>();
@@ -86,6 +90,10 @@
         if (words[0].equals("action")) {
             return compare(TraceCodec.read(words[1]));
         }
+        // Before actions are missed: a line cut within its first word is no line of a trace.
+        if (!INPUT_WORDS.contains(words[0])) {
+            throw new IllegalArgumentException("unknown word '" + words[0] + "'");
+        }
         if (compared < replayedActions.size()) {
             return difference("nothing", replayedActions.get(compared));
         }
@@ -101,7 +109,7 @@
                         replayedActions);
                 events++;
             }
-            default -> throw new IllegalArgumentException("unknown word '" + words[0] + "'");
+            default -> throw new IllegalStateException(words[0]);
         }
         return Optional.empty();
     }
--- a/src/test/java/brooklock/proxy/StoredTraceTest.java
+++ b/src/test/java/brooklock/proxy/StoredTraceTest.java
@@ -9,12 +9,16 @@
 import java.util.List;
 import java.util.Optional;
 import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.io.TempDir;
 
 /**
  * A trace that an earlier build stored. Operators keep traces of incidents; a renamed type or
  * constant must not make them unreadable.
  */
 class StoredTraceTest {
+    /** Some lines from the end, among them actions that follow their event. */
+    private static final int CUT_CHARACTERS = 600;
+
     private static Path stored() throws URISyntaxException {
         return Path.of(StoredTraceTest.class.getResource("stored.trace").toURI());
     }
@@ -41,4 +45,20 @@
         }
         assertTrue(records > 400, "records: " + records);
     }
+
+    /**
+     * A writer is killed within a line, also within its first word. The half line is left out; it
+     * is no decision that differs.
+     */
+    @Test
+    void aTraceCutAtAnyCharacterReplaysWithoutADifference(@TempDir Path directory)
+            throws Exception {
+        String whole = Files.readString(stored());
+        Path cut = directory.resolve("cut.trace");
+        for (int length = whole.length() - CUT_CHARACTERS; length < whole.length(); length++) {
+            Files.writeString(cut, whole.substring(0, length));
+            assertEquals(
+                    Optional.empty(), TraceReplay.replay(cut).difference(), "cut at " + length);
+        }
+    }
 }
