--- a/src/main/java/brooklock/proxy/AccessFiles.java
+++ b/src/main/java/brooklock/proxy/AccessFiles.java
@@ -22,24 +22,28 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The files that say who may come in: policy, keys, certificates, revocations.
+ * Loads and polls the files that authorization and TLS depend on: policy, keys, certificates and
+ * revocation lists.
  *
- * <p>One thread polls them. What it loads is immutable and read by any thread; a file that cannot
- * be used leaves what was loaded before in force, and is shown on the state page.
+ * <p>One thread polls the files. The loaded objects are immutable and may be read by any thread.
+ * When a file cannot be loaded, the previously loaded object stays in force and the state page
+ * shows the error.
  *
- * <p>Logger {@code audit} has each change as a message {@code keys}, whichever file it is. Its
- * value {@code change} begins with {@code rights} (the policy), {@code tokens} (the keys of
- * tokens), {@code clients} (authorities and revocations of clients' certificates), {@code tls}
- * (this dispatcher's certificates) or {@code hosts-tls} (authorities of endpoints' certificates),
- * and goes on with {@code taken anew} or {@code refused, the one before stays in force} and the
- * reason.
+ * <p>Polling runs from {@link #startPolling} until {@link #close}.
+ *
+ * <p>Logger {@code audit} records each change as a message {@code keys}, regardless of the file.
+ * Its value {@code change} begins with {@code rights} (the policy), {@code tokens} (the keys that
+ * verify tokens), {@code clients} (certificate authorities and revocation lists for client
+ * certificates), {@code tls} (this dispatcher's certificates) or {@code hosts-tls} (certificate
+ * authorities of endpoints), and continues with {@code taken anew} or {@code refused, the one
+ * before stays in force} and the reason.
  */
 final class AccessFiles implements Closeable {
     private static final Logger LOG = LoggerFactory.getLogger("audit");
-    // A file is loaded when it has not changed between two polls, and connections with a revoked
-    // certificate are closed right then: a revocation holds within half a second.
+    // A file is loaded once it is unchanged between two polls, and connections with a revoked
+    // certificate are closed by the same poll: a revocation takes effect within half a second.
     private static final long POLL_INTERVAL_MS = 200;
-    // Certificates also expire by time alone.
+    // Open connections are also rechecked without a file change, because certificates expire.
     private static final int POLLS_PER_EXPIRY_SWEEP = 5;
 
     private final List<WatchedFile<?>> watchedFiles = new ArrayList<>();
@@ -52,9 +56,8 @@
     private volatile boolean closed;
 
     /**
-     * Loads the files that the settings name.
-     *
-     * @throws IOException if one cannot be used, with the reason
+     * Loads the files that the settings name. * * @throws IOException if a file cannot be loaded;
+     * the message states the reason
      */
     AccessFiles(AccessSettings access) throws IOException {
         policy =
@@ -140,27 +143,28 @@
         return Optional.of(file);
     }
 
-    // ---- What is in force
+    // ---- Loaded state
 
-    /** Returns the policy in force; without a policy file it denies everything. */
+    /** Returns the policy in force. Without a policy file, the policy denies every request. */
     Policy policy() {
         return policy.map(WatchedFile::get).orElse(Policy.DENY_ALL);
     }
 
-    /** Returns the keys in force; empty where tokens are not accepted. */
+    /** Returns the keys in force, or an empty value if the settings accept no tokens. */
     Optional<KeySet> keySet() {
         return keySet.map(WatchedFile::get);
     }
 
-    /** Returns the trust in clients' certificates; empty where none are requested. */
+    /** Returns the trust for client certificates, or an empty value if none are requested. */
     Optional<CertificateTrust> clientTrust() {
         return clientTrust.map(WatchedFile::get);
     }
 
-    /** Returns the context to listen with; empty for plain connections. */
+    /** Returns the TLS context of the client listener, or an empty value for plain connections. */
     Optional<SSLContext> serverTlsContext() {
-        // Handshakes run on several threads and read the system's clock: it may go back only as
-        // far as a restart would let it.
+        // Handshakes run on several threads, so they read the system clock and not a
+        // MonotonicWallClock, which one thread owns. A clock that is set back affects them no more
+        // than a restart would.
         return identities.map(
                 file ->
                         TlsContexts.serverContext(
@@ -169,7 +173,10 @@
                                 System::currentTimeMillis));
     }
 
-    /** Returns the context for connections to endpoints; empty for plain connections. */
+    /**
+     * Returns the TLS context for connections to endpoints, or an empty value for plain
+     * connections.
+     */
     Optional<SSLContext> upstreamTlsContext() {
         return endpointTrust.map(
                 file ->
@@ -182,11 +189,10 @@
     // ---- Polling
 
     /**
-     * Starts to poll the files. Connections whose certificates are revoked or expired are closed.
-     *
-     * @param listener whose connections are checked
-     * @param name begins the thread's name
-     * @param onPoll runs after each poll
+     * Starts the thread that polls the files and closes connections whose certificates are revoked
+     * or have expired. Does nothing if the settings name no files. * * @param listener the listener
+     * whose connections are checked * @param name the prefix of the thread's name * @param onPoll
+     * runs on the polling thread after each poll
      */
     void startPolling(HttpListener listener, String name, Runnable onPoll) {
         if (watchedFiles.isEmpty()) {
@@ -224,13 +230,16 @@
         return trustChanged;
     }
 
-    /** Stops polling. */
+    /** Stops polling after the current poll. */
     @Override
     public void close() {
         closed = true;
     }
 
-    /** Appends the lines of the state page: files that cannot be used, stale lists, keys. */
+    /**
+     * Appends the state page's lines: files that could not be loaded, stale revocation lists and
+     * keys.
+     */
     void appendState(StringBuilder page) {
         for (WatchedFile<?> file : watchedFiles) {
             if (file.lastError() != null) {
--- a/src/main/java/brooklock/proxy/AccessLog.java
+++ b/src/main/java/brooklock/proxy/AccessLog.java
@@ -3,17 +3,17 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** One line for each admitted request that has ended, to the logger "answers". */
+/**
+ * Writes one entry for each admitted request that has ended, to the logger "answers". Thread-safe.
+ */
 final class AccessLog {
     private static final Logger LOG = LoggerFactory.getLogger("answers");
 
     private AccessLog() {}
 
     /**
-     * Writes a request's line.
-     *
-     * @param exchange a request that has ended
-     * @param nowNs now, on the dispatcher's clock
+     * Writes the entry of a request. * * @param exchange the request, which must have ended
+     * * @param nowNs the current time on the dispatcher's clock, in ns
      */
     static void writeEntry(ProxyExchange exchange, long nowNs) {
         if (!LOG.isInfoEnabled()) {
--- a/src/main/java/brooklock/proxy/ActionExecutor.java
+++ b/src/main/java/brooklock/proxy/ActionExecutor.java
@@ -15,16 +15,17 @@
 import java.util.function.Consumer;
 
 /**
- * Carries out the router's actions on the I/O threads that own the requests. All of it belongs to
- * the routing thread.
+ * Executes the router's actions on the I/O threads that own the requests. Must be used on the
+ * routing thread only. * *
  *
- * <p>The actions of a batch are handed to each I/O thread in one piece and in their order.
+ * <p>Each I/O thread receives the actions of a batch as one task, in their order.
  */
 final class ActionExecutor implements RoutingThread.ActionHandler {
     private final IoThreads ioThreads;
     private final EndpointListUpdater endpointListUpdater;
     private final Optional<WarmingCoordinator> warming;
-    // From before a request is routed until after its end is: the router may act on it meanwhile.
+    // Contains a request from before it is routed until the router has processed its end, because
+    // the router may act on it at any time in between.
     private final Map<Long, ProxyExchange> exchanges = new HashMap<>();
     private final List<List<Runnable>> batchByLoop = new ArrayList<>();
 
@@ -40,12 +41,12 @@
         }
     }
 
-    /** Adds a request that is about to be routed. */
+    /** Adds a request. Must be called before the request is routed. */
     void add(ProxyExchange exchange) {
         exchanges.put(exchange.id, exchange);
     }
 
-    /** Forgets a request; actions on it do nothing from now on. */
+    /** Removes a request. Later actions on it have no effect. */
     void remove(ProxyExchange exchange) {
         exchanges.remove(exchange.id);
     }
@@ -71,8 +72,9 @@
                     exchanges.get(cancel.id()),
                     exchange -> exchange.cancelAttempt(cancel.attempt()));
         } else if (action instanceof WatchEndpoints) {
-            // On the routing thread: a full queue would block it for ever. It never comes here: the
-            // settings have watchesEndpointList false, and no list of kind FAILED is submitted.
+            // Submitting from the routing thread would block forever if the queue were full. The
+            // router never returns this action, because the settings have watchesEndpointList false
+            // and no list of kind FAILED is submitted.
             endpointListUpdater.submitFullList();
         }
     }
--- a/src/main/java/brooklock/proxy/AttemptObservation.java
+++ b/src/main/java/brooklock/proxy/AttemptObservation.java
@@ -6,17 +6,14 @@
 import java.util.Optional;
 
 /**
- * What the warming of caches learns from an attempt.
- *
- * @param event the event that the router gets
- * @param match what was requested
- * @param storesCopy whether the endpoint was to cache the copy
- * @param missedLatencyObjective whether it took longer than the class's latency objective
- * @param endpointLoad what the endpoint says of its load
- * @param peerId the peer that a cache miss was to be filled from first, or {@link
- *     UpstreamAttempt#NO_PEER}
- * @param peerResult what came of that; empty if the peer got no request
- * @param peerLoad what the peer says of its load
+ * The data of a completed attempt that cache warming uses. Immutable. * * @param event the event
+ * that is submitted to the router * @param match the request's class, object, part and purge group
+ * * @param storesCopy whether the endpoint was instructed to cache the response * @param
+ * missedLatencyObjective whether the attempt took longer than the latency objective of its class
+ * * @param endpointLoad the load that the endpoint reported, if any * @param peerId the peer that
+ * the endpoint was to try first on a cache miss, or {@link UpstreamAttempt#NO_PEER} * @param
+ * peerResult the result of the request to the peer; empty if none was sent * @param peerLoad the
+ * load that the peer reported, if any
  */
 record AttemptObservation(
         AttemptCompleted event,
--- a/src/main/java/brooklock/proxy/AuthorizationResult.java
+++ b/src/main/java/brooklock/proxy/AuthorizationResult.java
@@ -3,26 +3,22 @@
 import brooklock.authorization.Tenant;
 import java.util.Optional;
 
-/** Whether a request may come in. */
+/** The result of authorizing a request. Immutable. */
 sealed interface AuthorizationResult {
 
     /**
-     * It may.
-     *
-     * @param tenant whose request it is
-     * @param policyLine the line of the policy that allows it, for the access log
+     * The policy allows the request. * * @param tenant the tenant that sent the request * @param
+     * policyLine the number of the policy line that allows the request, for the access log
      */
     record Authorized(Tenant tenant, int policyLine) implements AuthorizationResult {}
 
     /**
-     * It may not.
-     *
-     * @param response what the client gets
-     * @param publicDetail what the client learns beyond it, or an empty string
-     * @param auditReason why, for the audit log; the client does not get it, so that a guesser
-     *     learns nothing of the policy
-     * @param credentialLabel which credential it was, without the credential; "-" for none
-     * @param tenant whose request it is, where that is known
+     * The request is denied. * * @param response the response to the client * @param publicDetail
+     * text that the response body appends to the response's text, or an empty string * @param
+     * auditReason the reason for the audit log. It is not sent to the client, because a caller that
+     * guesses credentials or paths would learn about the policy from it * @param credentialLabel
+     * identifies the credential without revealing it; "-" for no credential * @param tenant the
+     * tenant that sent the request, if it is known
      */
     record Denied(
             ErrorResponse response,
@@ -33,26 +29,34 @@
             implements AuthorizationResult {
         private static final String NO_LABEL = "-";
 
-        /** Denies a path that caches and origins might read in another way than the policy. */
+        /**
+         * Returns the denial of a path that caches or origins might interpret differently from the
+         * policy.
+         */
         static Denied malformedPath(String problem) {
             ErrorResponse response = ErrorResponse.MALFORMED_PATH;
             return new Denied(
                     response, problem, response.text() + problem, NO_LABEL, Optional.empty());
         }
 
-        /** Denies a caller without a credential, or with an invalid one. */
+        /** Returns the denial of a caller whose credential is missing or invalid. */
         static Denied unauthenticated(String auditReason) {
             return new Denied(
                     ErrorResponse.UNAUTHENTICATED, "", auditReason, NO_LABEL, Optional.empty());
         }
 
-        /** Denies a caller whose token can't be verified now; a retry is harmless. */
+        /**
+         * Returns the denial of a caller whose token cannot be verified now. A retry is harmless.
+         */
         static Denied verificationOverload() {
             ErrorResponse response = ErrorResponse.TOKEN_VERIFICATION_LIMIT;
             return new Denied(response, "", response.text(), NO_LABEL, Optional.empty());
         }
 
-        /** Denies a known caller what the policy does not allow. */
+        /**
+         * Returns the denial of a request that the policy does not allow to its authenticated
+         * caller.
+         */
         static Denied forbidden(
                 String auditReason, String credentialLabel, Optional<Tenant> tenant) {
             return new Denied(ErrorResponse.FORBIDDEN, "", auditReason, credentialLabel, tenant);
--- a/src/main/java/brooklock/proxy/BackgroundFileWriter.java
+++ b/src/main/java/brooklock/proxy/BackgroundFileWriter.java
@@ -7,8 +7,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The one thread that writes files: a slow disk must stop neither routing nor I/O. Tasks run one
- * after the other in their order.
+ * Runs file writes on one dedicated thread, because a slow disk must block neither the routing
+ * thread nor an I/O thread. Tasks run one at a time in the order of submission. Thread-safe.
  */
 final class BackgroundFileWriter implements Closeable {
     private static final long CLOSE_TIMEOUT_S = 1;
@@ -21,16 +21,16 @@
                         return thread;
                     });
 
-    /** Runs a task on the writing thread; drops it once this is closed. */
+    /** Submits a task to the writing thread. The task is dropped after {@link #close}. */
     void execute(Runnable task) {
         try {
             executor.execute(task);
         } catch (RejectedExecutionException ignored) {
-            // The dispatcher is closed: nothing more is written.
+            // The dispatcher is closed, so nothing more is written.
         }
     }
 
-    /** Takes no more tasks and waits for those it has, for a bounded time. */
+    /** Rejects new tasks and waits up to one second for the submitted ones. */
     @Override
     public void close() {
         executor.shutdown();
--- a/src/main/java/brooklock/proxy/BearerTokenReader.java
+++ b/src/main/java/brooklock/proxy/BearerTokenReader.java
@@ -5,8 +5,8 @@
 import java.util.Optional;
 
 /**
- * Finds the token in a request's head: in Authorization, or else in the cookie that the settings
- * name. Immutable.
+ * Reads the token from the head of a request: from the Authorization field, or without one from the
+ * cookie that the settings name. Immutable and thread-safe.
  */
 final class BearerTokenReader {
     private static final String SCHEME = "Bearer ";
@@ -18,14 +18,15 @@
     }
 
     /**
-     * Returns the token; empty if the head has none.
-     *
-     * @throws InvalidCredentialException if the head has several, or a scheme other than Bearer: if
-     *     one were picked, another program on the way could pick the other
+     * Returns the token of a request, or an empty value if the head contains none. * * @throws
+     * InvalidCredentialException if the head contains several tokens, of which another program on
+     * the path might pick a different one, or if the authorization scheme is not Bearer
      */
     Optional<String> read(Fields fields) throws InvalidCredentialException {
         if (fields.count("Authorization") > 1) {
-            throw new InvalidCredentialException("more than one Authorization");
+            throw new InvalidCredentialException(
+                    "expected one Authorization field but received "
+                            + fields.count("Authorization"));
         }
         String authorization = fields.get("Authorization");
         if (authorization == null) {
@@ -35,7 +36,7 @@
         }
         if (!authorization.regionMatches(true, 0, SCHEME, 0, SCHEME.length())) {
             throw new InvalidCredentialException(
-                    "a scheme of authorization that is not known here");
+                    "expected the authorization scheme Bearer but received another one");
         }
         return Optional.of(authorization.substring(SCHEME.length()).trim());
     }
@@ -47,7 +48,8 @@
             String trimmed = pair.trim();
             if (trimmed.startsWith(name + "=")) {
                 if (value.isPresent()) {
-                    throw new InvalidCredentialException("the cookie stands there twice");
+                    throw new InvalidCredentialException(
+                            "expected one cookie with the token but received more than one");
                 }
                 value = Optional.of(trimmed.substring(name.length() + 1));
             }
--- a/src/main/java/brooklock/proxy/CacheStatusParser.java
+++ b/src/main/java/brooklock/proxy/CacheStatusParser.java
@@ -9,13 +9,15 @@
 import java.util.Set;
 
 /**
- * Reads what the head of an endpoint's response says of the attempt.
+ * Derives the result of an attempt from the head of an endpoint's response. Stateless and
+ * thread-safe. * *
  *
- * <p>Only the words of {@code docs/protocol.md} prove that the request was not executed. A head
- * that says nothing, or something else, proves nothing: otherwise an order could be placed twice.
+ * <p>Only the error names and parameters listed in {@code docs/protocol.md} prove that the request
+ * was not executed. A head without them, or with unknown ones, proves nothing: treating it as proof
+ * could repeat a request that was executed, such as placing an order twice.
  */
 final class CacheStatusParser {
-    // Errors of RFC 9209 after which nothing can have been executed at the fill source.
+    // Errors of RFC 9209 which prove that the fill source executed nothing.
     private static final Set<String> SOURCE_NOT_REACHED_ERRORS =
             Set.of(
                     "connection_refused",
@@ -24,7 +26,7 @@
                     "dns_error",
                     "dns_timeout",
                     "destination_not_found");
-    // ... and those after which something may have.
+    // Errors of RFC 9209 after which the fill source may have executed the request.
     private static final Set<String> SOURCE_ABORTED_ERRORS =
             Set.of(
                     "connection_terminated",
@@ -36,7 +38,7 @@
 
     private CacheStatusParser() {}
 
-    /** Reads the head of an endpoint's final response. */
+    /** Parses the head of an endpoint's final response. */
     static UpstreamResult parse(ResponseHead head) {
         Fields fields = head.fields();
         long fillDurationNs = parseFillDurationNs(fields.get("Brooklock-Waited"));
@@ -57,7 +59,8 @@
                 : new UpstreamResult(AttemptOutcome.ERROR, CacheStatus.NONE, fillDurationNs);
     }
 
-    // The endpoint names the error of its fill source; a second one is the origin's, behind it.
+    // The endpoint names the error of its fill source. A second member with an error means that the
+    // origin behind the fill source failed.
     private static boolean hasOriginFailed(List<StatusFieldParser.Member> proxies) {
         return proxies.stream().filter(proxy -> proxy.parameters().containsKey("error")).count()
                 > 1;
@@ -106,9 +109,9 @@
             return CacheStatus.COLLAPSED;
         }
         if ("neighbour".equals(nearest.parameters().get("detail"))) {
-            // A peer filled it; the fill source that the router named had no part in it. The router
-            // has no status of its own for that, and the access log says JOINED as for a fill in
-            // flight.
+            // A peer filled the copy, so the result must not be attributed to the fill source that
+            // the router named. The router has no separate status for this case; the access log
+            // shows JOINED, as for a request that joined a fill in flight.
             return CacheStatus.COLLAPSED;
         }
         if (!nearest.parameters().containsKey("fwd")) {
--- a/src/main/java/brooklock/proxy/Completion.java
+++ b/src/main/java/brooklock/proxy/Completion.java
@@ -1,26 +1,26 @@
 package brooklock.proxy;
 
 /**
- * How an admitted request ended.
+ * How an admitted request ended. * *
  *
- * <p>The words stand in the access log ({@code final}) and, with hyphens, on the state page ({@code
- * ended}); they stay when names in the code change. The constants are in the order of their words,
- * which is the order on the state page.
+ * <p>The access log (key {@code final}) contains the words, and so does the state page (key {@code
+ * ended}), with hyphens. The words must not change when a constant is renamed. The constants are
+ * declared in the order of their words, which is the order of the lines on the state page.
  */
 enum Completion {
-    /** The endpoint broke off within the response's body. */
+    /** The endpoint aborted the response within its body. */
     ABORTED_BY_ENDPOINT("broken by host"),
-    /** The client disconnected before it had the whole response. */
+    /** The client disconnected before it received the whole response. */
     CLIENT_DISCONNECTED("client left"),
     /** The attempt's timeout expired within the response's body. */
     TIMEOUT_IN_BODY("deadline within the answer"),
     /** The router gave up; the request may have been executed. */
     FAILED("failed"),
-    /** The tenant is over one of its limits. */
+    /** The request exceeded one of its tenant's limits. */
     RATE_LIMITED("held back"),
-    /** The router rejected it; a retry by the client is harmless. */
+    /** The router rejected the request; a retry by the client is harmless. */
     REJECTED("refused"),
-    /** An endpoint's whole response was sent. */
+    /** The whole response of an endpoint was sent to the client. */
     SERVED("served");
 
     private final String word;
@@ -29,12 +29,12 @@
         this.word = word;
     }
 
-    /** Returns the word of the access log. */
+    /** Returns the word that the access log contains. */
     String word() {
         return word;
     }
 
-    /** Returns the word of the state page. */
+    /** Returns the word that the state page contains. */
     String stateWord() {
         return word.replace(' ', '-');
     }
--- a/src/main/java/brooklock/proxy/ControlHandler.java
+++ b/src/main/java/brooklock/proxy/ControlHandler.java
@@ -24,12 +24,12 @@
 import java.util.function.Supplier;
 
 /**
- * Handles control requests: purges, endpoint lists, overrides of endpoints' states, the state page.
- * Any I/O thread may call.
+ * Handles control requests: purges, endpoint lists, overrides of endpoint states and the state
+ * page. Any I/O thread may call it. * *
  *
- * <p>A change is acknowledged once the router has it and, where a list is saved, once it is on
- * disk. All changes are idempotent, so a sender that got no response sends again. {@code
- * docs/operating.md} has every request.
+ * <p>A change is acknowledged after the router has processed it and, if the endpoint list is saved
+ * to a file, after the list is on disk. All changes are idempotent, so a sender that received no
+ * response can safely send the request again. {@code docs/operating.md} describes every request.
  */
 final class ControlHandler {
     private static final int MS_TO_NS_DIGITS = 6;
@@ -39,7 +39,7 @@
     private final Optional<WarmingCoordinator> warming;
     private final Supplier<String> statePage;
     private final RouteTable routeTable;
-    // The routing thread's.
+    // Used by the routing thread only.
     private final PurgeTimes purgeTimes = new PurgeTimes();
 
     ControlHandler(
@@ -54,7 +54,7 @@
         routeTable = new RouteTable(context.settings());
     }
 
-    /** Handles a request whose head has arrived; on its I/O thread. */
+    /** Handles a request whose head has arrived. Must be called on the request's I/O thread. */
     void handle(HttpExchange exchange) {
         String target = exchange.head().target();
         int queryStart = target.indexOf('?');
@@ -132,7 +132,7 @@
         }
     }
 
-    // "by hand" is the log's word for an override, as "by-hand" is the state page's.
+    // An override appears as "by hand" in the log and as "by-hand" on the state page.
     private void setOverride(
             HttpExchange exchange, Map<String, String> query, EndpointState state) {
         String name = query.get("host");
@@ -203,8 +203,9 @@
         return Math.max(0, ageMs.scaleByPowerOfTen(MS_TO_NS_DIGITS).longValue());
     }
 
-    // On the routing thread. The first time that a purge is seen fixes its moment: when it is
-    // repeated after the wall clock was set, the moment must neither move back nor forward.
+    // Runs on the routing thread. The first arrival of a purge fixes its time. Otherwise a
+    // repetition after the wall clock was set would move the time, and the purge would cover more
+    // or fewer copies.
     private RouterEvent purgeEvent(
             long object, int group, String issuedAt, long receivedAtNs, long ageNs) {
         String key = group + " " + object + " " + issuedAt;
--- a/src/main/java/brooklock/proxy/DenialLog.java
+++ b/src/main/java/brooklock/proxy/DenialLog.java
@@ -8,14 +8,15 @@
 import org.slf4j.Logger;
 
 /**
- * The audit log of denied requests. Any thread may log; one flushes.
+ * Writes denied requests to the audit log. Any thread may log; one thread flushes. * *
  *
- * <p>It writes a bounded number of lines and then a count, so that a flood of denied requests fills
- * no disk. A credential is never written.
+ * <p>At most 20 lines are written between two flushes; the other denials are counted and each flush
+ * writes their number. Otherwise a flood of denied requests could fill the disk. Credentials are
+ * never written.
  */
 final class DenialLog {
     private static final int MAX_LINES_PER_FLUSH = 20;
-    // A longer path is cut: a client that sends long ones must not fill the disk.
+    // Longer paths are truncated, so that a client cannot fill the disk with long paths.
     private static final int MAX_PATH_CHARS = 200;
 
     private final Logger log;
@@ -27,7 +28,8 @@
     }
 
     /**
-     * Logs a denied request, or only counts it if too many have been logged since the last flush.
+     * Logs a denied request. Only counts it if the maximum number of lines has been written since
+     * the last flush.
      */
     void logDenial(AuthorizationResult.Denied denied, RequestHead head, InetSocketAddress peer) {
         total.increment();
@@ -47,7 +49,7 @@
                 .log("denied");
     }
 
-    /** Writes how many were not logged since the last flush, and logs lines again. */
+    /** Writes how many denials were not logged since the last flush, and starts a new period. */
     void flush() {
         int denied = linesSinceFlush.getAndSet(0);
         if (denied > MAX_LINES_PER_FLUSH) {
@@ -55,7 +57,7 @@
         }
     }
 
-    /** Returns how many requests were denied since the start. */
+    /** Returns the number of requests denied since the start. */
     long total() {
         return total.sum();
     }
--- a/src/main/java/brooklock/proxy/Dispatcher.java
+++ b/src/main/java/brooklock/proxy/Dispatcher.java
@@ -17,13 +17,15 @@
 import javax.net.ssl.SSLContext;
 
 /**
- * A running dispatcher: makes its parts, connects them and ends them in order.
+ * An HTTP dispatcher. It creates its components, connects them, and closes them in order. * *
  *
- * <p>Its public methods may be called by any thread.
+ * <p>{@link #start} returns a running dispatcher. {@link #drain} waits for the open requests to
+ * end, and {@link #close} stops the dispatcher at once. All public methods may be called by any
+ * thread.
  */
 public final class Dispatcher implements Closeable {
-    // A request's arrival, its end and what its attempts submit between. The queue is never full
-    // of open requests alone.
+    // Covers the entries for a request's arrival and end and for the events of its attempts, so
+    // that the open requests alone cannot fill the queue.
     private static final int QUEUE_ENTRIES_PER_REQUEST = 4;
     private static final int MAX_CONTROL_CONNECTIONS = 64;
     private static final int LISTEN_BACKLOG = 1024;
@@ -87,20 +89,19 @@
     }
 
     /**
-     * Starts a dispatcher; it accepts requests when this returns.
-     *
-     * @throws IOException if an address cannot be listened on or a file cannot be used
+     * Starts a dispatcher, which accepts requests once this method returns. * * @throws IOException
+     * if a listener cannot be bound, a file cannot be loaded, or the initial endpoint list is not
+     * in force in time
      */
     public static Dispatcher start(Settings settings) throws IOException {
         return start(settings, RoutingStrategy::newRouter);
     }
 
     /**
-     * Starts a dispatcher with another routing strategy, to compare it, or to see that its faults
-     * are found.
-     *
-     * @param strategyFactory makes the strategy; it is used on the routing thread only
-     * @throws IOException if an address cannot be listened on or a file cannot be used
+     * Starts a dispatcher with another routing strategy, either to compare strategies or to test
+     * that a faulty one is detected. * * @param strategyFactory creates the strategy, which is used
+     * on the routing thread only * @throws IOException if a listener cannot be bound, a file cannot
+     * be loaded, or the initial endpoint list is not in force in time
      */
     public static Dispatcher start(
             Settings settings, Function<RouterSettings, RoutingStrategy> strategyFactory)
@@ -108,7 +109,7 @@
         return new Dispatcher(settings, strategyFactory);
     }
 
-    // ---- Its parts
+    // ---- Components
 
     private RoutingThread newRoutingThread(
             Function<RouterSettings, RoutingStrategy> strategyFactory) throws IOException {
@@ -188,9 +189,9 @@
                         ioThreads, settings.listen(), serverLimits, admission::onRequest);
     }
 
-    // ---- From outside
+    // ---- Public accessors and shutdown
 
-    /** Returns the address that clients connect to. */
+    /** Returns the address of the client listener. */
     public InetSocketAddress address() {
         return clientListener.address();
     }
@@ -200,36 +201,35 @@
         return controlListener.address();
     }
 
-    /** Returns what it has counted and how full it is, as lines of words and numbers. */
+    /** Returns the state page: counters and current load, one line an item. */
     public String statePage() {
         return statePage.write();
     }
 
-    /** Returns the requests that have no final response yet, or open attempts. */
+    /** Returns the number of requests without a final response or with open attempts. */
     public int openRequests() {
         return capacity.openRequests();
     }
 
-    /** Returns what the open requests share, for tests. */
+    /** Returns the context that all requests share. For tests. */
     ProxyContext context() {
         return context;
     }
 
-    /** Returns an I/O thread, for tests. */
+    /** Returns the I/O threads. For tests. */
     IoThreads ioThreads() {
         return ioThreads;
     }
 
     /**
-     * Stops listening, rejects new requests on open connections at once and waits until every open
-     * request has its final response and no open attempt. It waits at most the longest deadline of
-     * a class and a second.
-     *
-     * <p>A response counts as given once it is handed to its connection. What the client's socket
-     * has not taken by then is not waited for, and {@link #close} drops it.
+     * Stops listening, rejects new requests on open connections and waits until every open request
+     * has its final response and no open attempts. Waits at most the longest deadline of any
+     * request class plus one second. * *
      *
-     * @return whether no request is open any more; the process that ends after it has status 0
-     *     either way
+     * <p>A response counts as sent once it is handed to its connection. Bytes that the client's
+     * socket has not accepted by then are not waited for, and {@link #close} drops them. *
+     * * @return whether all requests have ended; the exit status of the process is 0 in either case
+     * * @throws InterruptedException if the calling thread is interrupted while it waits
      */
     public boolean drain() throws InterruptedException {
         admission.rejectNewRequests();
@@ -247,12 +247,12 @@
     }
 
     /**
-     * Ends at once: closes every connection, with the requests that are open and the bytes of
-     * responses that are not yet written.
+     * Stops the dispatcher at once. All connections are closed; open requests and response bytes
+     * that are not yet written are lost.
      */
     @Override
     public void close() {
-        // Where the start failed the later parts are null.
+        // After a failed start, the components that were not yet created are null.
         if (warming != null) {
             warming.ifPresent(WarmingCoordinator::close);
         }
--- a/src/main/java/brooklock/proxy/DispatcherCounters.java
+++ b/src/main/java/brooklock/proxy/DispatcherCounters.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 import java.util.concurrent.atomic.LongAdder;
 
-/** What became of requests since the start. Any thread may count and read. */
+/** Counts requests by their outcome since the start. Thread-safe. */
 final class DispatcherCounters {
     private final LongAdder accepted = new LongAdder();
     private final LongAdder rejected = new LongAdder();
@@ -17,7 +17,7 @@
         }
     }
 
-    /** Counts a request that was handed to the routing thread. */
+    /** Counts a request that was submitted to the routing thread. */
     void countAccepted() {
         accepted.increment();
     }
@@ -35,7 +35,7 @@
         completions.get(completion).increment();
     }
 
-    /** Appends the lines of the state page. */
+    /** Appends the counters' lines to the state page. */
     void appendState(StringBuilder page) {
         page.append("taken ").append(accepted.sum()).append('\n');
         page.append("turned-away ").append(rejected.sum()).append('\n');
--- a/src/main/java/brooklock/proxy/EndpointListStore.java
+++ b/src/main/java/brooklock/proxy/EndpointListStore.java
@@ -12,27 +12,26 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Saves the endpoint list on the writing thread.
+ * Saves the endpoint list to a file. * *
  *
- * <p>Of several lists that wait only the newest is written: with a slow disk and many changes the
- * list on disk would otherwise fall further and further behind. Whoever waits for a list is
- * notified once it, or a newer one, is on disk.
+ * <p>If several lists are pending, only the newest is written. With a slow disk and many changes,
+ * the list on disk would otherwise fall further and further behind. A listener is notified once its
+ * list, or a newer one, is on disk. * *
  *
- * <p>One thread, the routing thread, saves, and one, the writing thread, writes; they meet in two
- * variables. {@code pendingSave} is changed atomically by both. {@code lastSaved} is written by the
- * writing thread only; the routing thread reads it, and an old value makes it save once more than
- * needed, never once less.
+ * <p>The routing thread calls {@link #save} and the writing thread writes. They share two
+ * variables: {@code pendingSave} is updated atomically by both; {@code lastSaved} is written by the
+ * writing thread only. If the routing thread reads an old value of {@code lastSaved}, it saves a
+ * list once more than necessary, but never omits a save.
  */
 final class EndpointListStore {
     private static final Logger LOG = LoggerFactory.getLogger(EndpointListStore.class);
 
-    /** Notified when a save has ended. */
+    /** Receives the result of a save. */
     interface SaveListener {
         /**
-         * The save has ended; called on the writing thread, or at once where there is nothing to
-         * write.
-         *
-         * @param failure why it is not on disk; empty if it is, or need not be
+         * Called when a save has ended: on the writing thread, or on the calling thread before
+         * {@link EndpointListStore#save} returns if there is nothing to write. * * @param failure
+         * the reason why the list is not on disk; empty if it is on disk or is not to be saved
          */
         void onSaved(Optional<IOException> failure);
     }
@@ -51,9 +50,8 @@
     private volatile Membership.State lastSaved;
 
     /**
-     * Makes a store.
-     *
-     * @param path where the list is saved; null saves nothing
+     * Creates a new store. * * @param path the file in which the list is saved, or null if it is
+     * not to be saved
      */
     EndpointListStore(Path path, BackgroundFileWriter writer) {
         this(Optional.ofNullable(path).map(EndpointListFile::new), writer);
@@ -65,15 +63,17 @@
     }
 
     /**
-     * Loads the list that was saved last.
-     *
-     * @throws IOException if the file cannot be read or is damaged
+     * Loads the list that was saved last. Returns an empty value if there is none. * * @throws
+     * IOException if the file cannot be read or is damaged
      */
     Optional<Membership.State> load() throws IOException {
         return file.isPresent() ? file.get().load() : Optional.empty();
     }
 
-    /** Saves a list; called by the routing thread only, so that the newest is the last saved. */
+    /**
+     * Saves a list. Must be called on the routing thread only, so that the newest list is the last
+     * one saved.
+     */
     void save(Membership.State state, SaveListener listener) {
         if (file.isEmpty() || isOnDisk(state)) {
             listener.onSaved(Optional.empty());
@@ -90,8 +90,8 @@
         }
     }
 
-    // States are immutable and each change makes another, so the same object is the same list, and
-    // one that is equal but another object is only written again. Comparing by value would compare
+    // States are immutable and each change creates a new one, so the same object is the same list;
+    // an equal list in another object is merely written again. Comparison by value would compare
     // thousands of endpoints on the routing thread.
     @SuppressWarnings("ReferenceEquality")
     private boolean isOnDisk(Membership.State state) {
@@ -106,7 +106,9 @@
             lastSaved = pending.state();
         } catch (IOException e) {
             failure = Optional.of(e);
-            LOG.error("the list cannot be saved; the previous one is used after a restart", e);
+            LOG.error(
+                    "endpoint list could not be saved; a restart will use the previously saved list",
+                    e);
         }
         for (SaveListener listener : pending.listeners()) {
             listener.onSaved(failure);
--- a/src/main/java/brooklock/proxy/EndpointListUpdater.java
+++ b/src/main/java/brooklock/proxy/EndpointListUpdater.java
@@ -21,10 +21,11 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Changes the endpoint list in force. Any thread may call.
+ * Changes the endpoint list in force. Any thread may call it unless a method states otherwise. * *
  *
- * <p>Each change is made on the routing thread, which owns the list, against what is in force there
- * and then. It is acknowledged after it is saved: what has been acknowledged holds through a kill.
+ * <p>Each change is applied on the routing thread, which owns the list, to the list that is in
+ * force at that moment. It is acknowledged after it is saved, so that an acknowledged change is not
+ * lost when the process is killed.
  */
 final class EndpointListUpdater {
     private static final Logger LOG = LoggerFactory.getLogger(EndpointListUpdater.class);
@@ -42,10 +43,9 @@
     }
 
     /**
-     * Puts the list that was saved last in force, or else that of the settings, and waits for it: a
-     * request that came earlier would find no endpoint.
-     *
-     * @throws InitialListTimeoutException if it is not in force in time
+     * Applies the list that was saved last, or else the endpoints of the settings, and waits until
+     * it is in force. Requests that were accepted earlier would find no endpoint. * * @throws
+     * InitialListTimeoutException if the list is not in force within 10 seconds
      */
     void applyInitialList() throws InitialListTimeoutException {
         Optional<Membership.State> saved = loadSaved();
@@ -74,7 +74,7 @@
             return store.load();
         } catch (IOException e) {
             LOG.error(
-                    "the saved list cannot be used; the endpoints of the settings are used instead",
+                    "saved endpoint list could not be loaded; using the endpoints of the settings instead",
                     e);
             return Optional.empty();
         }
@@ -93,11 +93,9 @@
     }
 
     /**
-     * Applies a watch event. The log has it under its version, or as {@code unnumbered list} where
-     * it has none.
-     *
-     * @param onResult gets what came of it once that is saved, on the writing thread, or on the
-     *     routing thread where nothing is to be saved
+     * Applies a watch event. The log names it by its version, or as {@code unnumbered list} if it
+     * has none. * * @param onResult receives the result after the list is saved: on the writing
+     * thread, or on the routing thread if there is nothing to save
      */
     void apply(WatchEvent event, Consumer<UpdateResult> onResult) {
         update(
@@ -108,11 +106,10 @@
     }
 
     /**
-     * Makes a change.
-     *
-     * @param description names the change in the log
-     * @param kind how the router is to read the endpoints that change
-     * @param onResult as for {@link #apply}
+     * Applies a change. * * @param description the name of the change in the log * @param change
+     * the change, which runs on the routing thread * @param kind the kind of the list that the
+     * router receives * @param onResult receives the result, on the threads stated at {@link
+     * #apply(WatchEvent, Consumer)}
      */
     void update(
             String description,
@@ -136,8 +133,9 @@
     }
 
     /**
-     * Submits the whole list in force to the router. To be called on the routing thread only while
-     * its queue has room: it would wait for itself.
+     * Submits the whole list in force to the router. On the routing thread, it must not be called
+     * while the queue is full: the thread would wait forever for a free entry that only it can
+     * create.
      */
     void submitFullList() {
         context.routingThread()
@@ -157,7 +155,7 @@
         try {
             result = context.endpointRegistry().apply(change);
         } catch (RuntimeException failure) {
-            // One event that can't be applied must not stop the others, nor routing.
+            // A change that cannot be applied must stop neither later changes nor routing.
             LOG.error("endpoint list update failed: {}", description, failure);
             result = UpdateResult.internalError(failure);
         }
@@ -183,7 +181,8 @@
         }
     }
 
-    // The warming of caches follows every change, also one that is no event for the router.
+    // Cache warming is notified of every change, including those that cause no event for the
+    // router.
     private Optional<RouterEvent> forRouter(Optional<EndpointListReceived> event) {
         warming.ifPresent(WarmingCoordinator::onEndpointListChanged);
         return event.map(
@@ -192,7 +191,7 @@
 
     // ---- On the writing thread
 
-    // Tells the sender that the list applies but would be lost by a restart.
+    // Informs the sender that the change is in force but would be lost by a restart.
     private static UpdateResult withFailure(UpdateResult result, Optional<IOException> failure) {
         return failure.isPresent() && result.applied()
                 ? result.withSaveError(String.valueOf(failure.get().getMessage()))
--- a/src/main/java/brooklock/proxy/ErrorResponse.java
+++ b/src/main/java/brooklock/proxy/ErrorResponse.java
@@ -6,33 +6,37 @@
 import java.util.Optional;
 
 /**
- * Every response that this package makes itself, with its status, its body and its words. What is
- * no complete HTTP request or too large, or comes on one connection too many, is answered by {@code
- * brooklock.net}.
+ * The responses that this package generates itself, each with its status, body and Proxy-Status
+ * error. Package {@code brooklock.net} responds to malformed or oversized HTTP requests and to
+ * connections over the limit. * *
  *
- * <p>This is the one table from a reason to what a client gets. The words belong to {@code
- * docs/operating.md}: clients and dashboards compare them, so they stay when names in the code
- * change. A request that has not been admitted has no attempt, no entry in the access log and no
- * event for the router. One over its tenant's limits has an entry only. One that the router gave up
- * has an entry and an event, and attempts unless it was rejected before the first.
+ * <p>This enum is the only mapping from a reason to the response that a client receives. {@code
+ * docs/operating.md} documents the texts, and clients and dashboards compare them, so they must not
+ * change when a constant is renamed. A request that was not admitted has no attempt, no access log
+ * entry and no router event. A request over its tenant's limits has an access log entry only. A
+ * request that the router failed or rejected has an entry and an event, and attempts unless it was
+ * rejected before the first one.
  */
 enum ErrorResponse {
-    // ---- Not admitted: the request is malformed or fits no route.
+    // ---- Not admitted: the request is malformed or matches no route.
 
-    /** An Expect field other than {@code 100-continue}. */
+    /** The Expect field has a value other than {@code 100-continue}. */
     UNKNOWN_EXPECTATION(417, "only 100-continue can be expected"),
-    /** The Via field names this dispatcher: forwarding it again would never end. */
+    /** The Via field names this dispatcher, so forwarding the request would create a loop. */
     FORWARDING_LOOP(508, "the request has been here before"),
-    /** The class needs an idempotency key and the route names no class for requests without. */
+    /**
+     * The request has no idempotency key; its class requires one and the route names no class for
+     * requests without a key.
+     */
     MISSING_IDEMPOTENCY_KEY(400, "this needs an Idempotency-Key"),
     /** No route matches the path. */
     NO_ROUTE(404, "no route fits this path"),
-    /** Routes match the path, none of them the method. */
+    /** Routes match the path, but none of them accepts the method. */
     METHOD_NOT_ALLOWED(405, "this path is not asked so"),
-    /** The part in the path is not a number. */
+    /** The part of the object in the path is not a number of at most 9 digits. */
     INVALID_PART(404, "a part is a number"),
 
-    // ---- Not admitted: a limit is reached. Nothing was done, so a retry is harmless.
+    // ---- Not admitted: a limit is reached. Nothing was executed, so a retry is harmless.
 
     /** The dispatcher is shutting down. */
     SHUTTING_DOWN(503, Words.LIMIT_REACHED, "this dispatcher is ending"),
@@ -45,42 +49,44 @@
     /** Too many tokens wait for their signature to be verified. */
     TOKEN_VERIFICATION_LIMIT(503, Words.LIMIT_REACHED, "too many new tokens wait to be checked"),
 
-    // ---- Not admitted: not authorized. Which rule denied it stands in the audit log only.
+    // ---- Not admitted: not authorized. Only the audit log states which rule denied the request.
 
-    /** A path with two readings; the body says which form is wrong. */
+    /** The path has a form that servers interpret differently; the body states which one. */
     MALFORMED_PATH(400, "the path is not in form: "),
-    /** No credential, or an invalid one. */
+    /** The request has no credential or an invalid one. */
     UNAUTHENTICATED(401, Words.NOT_FOR_YOU),
-    /** A valid credential that the policy does not allow this. */
+    /** The credential is valid, but the policy does not allow the request. */
     FORBIDDEN(403, Words.NOT_FOR_YOU),
 
-    // ---- Admitted to the tenant's limits and over one of them. Nothing was done.
+    // ---- Over one of the tenant's limits. Nothing was executed.
 
-    /** Over the tenant's requests a second. */
+    /** The tenant's limit of requests per second is reached. */
     TENANT_RATE(429, Words.TENANT + "rate\"", Words.TENANT_LIMIT, Completion.RATE_LIMITED),
-    /** Over the tenant's requests in flight. */
+    /** The tenant's limit of requests in flight is reached. */
     TENANT_CONCURRENCY(
             429, Words.TENANT + "concurrent\"", Words.TENANT_LIMIT, Completion.RATE_LIMITED),
-    /** Over the tenant's bytes a second. */
+    /** The tenant's limit of bytes per second is reached. */
     TENANT_BYTES(429, Words.TENANT + "bytes\"", Words.TENANT_LIMIT, Completion.RATE_LIMITED),
-    /** Over the tenant's fair share while the dispatcher is overloaded. */
+    /** The tenant exceeds its fair share while the dispatcher is overloaded. */
     TENANT_SHARE(503, Words.TENANT + "share\"", Words.TENANT_LIMIT, Completion.RATE_LIMITED),
 
-    // ---- Admitted, and the router gave up.
+    // ---- Admitted, then rejected or failed by the router.
 
     /**
-     * The router rejected it: a retry by the client is harmless. The text says more than that: an
-     * attempt of an idempotent request, or of one whose key all endpoints share, may have been
-     * executed.
+     * The router rejected the request; a retry by the client is harmless. Contrary to its text, the
+     * response does not prove that nothing was executed: an attempt of an idempotent request, or of
+     * a request whose idempotency key all endpoints share, may have been executed.
      */
     REJECTED(
             503,
             "destination_unavailable",
             "not done; trying again is harmless",
             Completion.REJECTED),
-    /** The router gave up and no attempt is open; it may have been executed. */
+    /** The router failed the request and no attempt is open; the request may have been executed. */
     FAILED(502, "connection_terminated", Words.MAY_BE_DONE, Completion.FAILED),
-    /** The router gave up while an attempt was still open; it may have been executed. */
+    /**
+     * The router failed the request while an attempt was open; the request may have been executed.
+     */
     FAILED_WITH_OPEN_ATTEMPT(504, "http_response_timeout", Words.MAY_BE_DONE, Completion.FAILED);
 
     private static final String PLAIN_TEXT = "text/plain; charset=utf-8";
@@ -111,7 +117,7 @@
         return status;
     }
 
-    /** Returns what stands in the body, without the end of line. */
+    /** Returns the text of the body, without the line terminator. */
     String text() {
         return text;
     }
@@ -122,48 +128,57 @@
     }
 
     /**
-     * Returns the body with a detail behind its text.
-     *
-     * @param detail what is wrong, or an empty string
+     * Returns the body with a detail appended to its text. * * @param detail a description of the
+     * error, or an empty string
      */
     byte[] body(String detail) {
         return (text + detail + "\n").getBytes(StandardCharsets.UTF_8);
     }
 
-    /** Returns the value of {@code error} in Proxy-Status with its parameters, if there is one. */
+    /**
+     * Returns the value of {@code error} in Proxy-Status, followed by its parameters, if there is
+     * one.
+     */
     Optional<String> proxyError() {
         return Optional.ofNullable(proxyError);
     }
 
-    /** Returns how the access log and the counters name it; empty for what was not admitted. */
+    /**
+     * Returns the completion for the access log and the counters; empty for a response to a request
+     * that was not admitted.
+     */
     Optional<Completion> completion() {
         return Optional.ofNullable(completion);
     }
 
     /**
-     * Returns whether it is counted as {@code full} on the state page. {@link #ROUTING_QUEUE_LIMIT}
-     * is not: the routing thread counts it as {@code decision-overflows}. {@link #SHUTTING_DOWN} is
-     * no sign of load.
+     * Returns whether the response counts as {@code full} on the state page. {@link
+     * #ROUTING_QUEUE_LIMIT} does not, because the routing thread counts it as {@code
+     * decision-overflows}. {@link #SHUTTING_DOWN} does not, because it does not indicate load.
      */
     boolean countsAsOverload() {
         return this == OPEN_REQUEST_LIMIT || this == BODY_LIMIT || this == TOKEN_VERIFICATION_LIMIT;
     }
 
-    /** Returns the response to a request over one of its tenant's limits. */
+    /**
+     * Returns the response to a request over one of its tenant's limits. * * @throws
+     * IllegalArgumentException if the reason is {@code ADMITTED}
+     */
     static ErrorResponse of(TenantLimiter.Reason reason) {
         return switch (reason) {
             case RATE -> TENANT_RATE;
             case CONCURRENT -> TENANT_CONCURRENCY;
             case BYTES -> TENANT_BYTES;
             case SHARE -> TENANT_SHARE;
-            case ADMITTED -> throw new IllegalArgumentException("not a rejection: " + reason);
+            case ADMITTED ->
+                    throw new IllegalArgumentException(
+                            "expected the reason of a rejection but received " + reason);
         };
     }
 
     /**
-     * Returns the fields of a response to a request that was not admitted.
-     *
-     * @param dispatcherName who speaks in Proxy-Status
+     * Returns the fields of a response to a request that was not admitted. * * @param
+     * dispatcherName the name of this dispatcher, for Proxy-Status
      */
     Fields fieldsBeforeAdmission(String dispatcherName) {
         Fields fields =
@@ -179,11 +194,10 @@
     }
 
     /**
-     * Returns the fields of a response to a request that was admitted.
-     *
-     * @param dispatcherName who speaks in Proxy-Status
-     * @param retryAfterNs when the client may retry, ns; 0 says nothing, except to a tenant over
-     *     its limits, who gets a second at least
+     * Returns the fields of a response to a request that was admitted. * * @param dispatcherName
+     * the name of this dispatcher, for Proxy-Status * @param retryAfterNs the time after which the
+     * client may retry, in ns; 0 adds no Retry-After field, except for a request over its tenant's
+     * limits, whose Retry-After is at least one second
      */
     Fields fieldsAfterAdmission(String dispatcherName, long retryAfterNs) {
         Fields fields = new Fields();
@@ -197,7 +211,7 @@
                 .add("Content-Type", PLAIN_TEXT);
     }
 
-    /** Words that several responses share. */
+    /** The texts that several responses share. */
     private static final class Words {
         static final String LIMIT_REACHED = "connection_limit_reached";
         static final String NOT_FOR_YOU = "not for you";
--- a/src/main/java/brooklock/proxy/InitialListTimeoutException.java
+++ b/src/main/java/brooklock/proxy/InitialListTimeoutException.java
@@ -2,11 +2,11 @@
 
 import java.io.IOException;
 
-/** The first endpoint list was not in force in time, so the dispatcher does not start. */
+/** Thrown when the initial endpoint list is not in force in time. The dispatcher does not start. */
 final class InitialListTimeoutException extends IOException {
     private static final long serialVersionUID = 1L;
 
     InitialListTimeoutException(long timeoutSeconds) {
-        super("the first list is not in force after " + timeoutSeconds + " seconds");
+        super("expected the initial endpoint list to be in force within " + timeoutSeconds + " s");
     }
 }
--- a/src/main/java/brooklock/proxy/InvalidControlRequestException.java
+++ b/src/main/java/brooklock/proxy/InvalidControlRequestException.java
@@ -1,6 +1,6 @@
 package brooklock.proxy;
 
-/** A control request cannot be carried out as it stands; its message is for the sender. */
+/** Thrown when a control request is invalid. Its message is sent to the client. */
 final class InvalidControlRequestException extends IllegalArgumentException {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/brooklock/proxy/LoadReportParser.java
+++ b/src/main/java/brooklock/proxy/LoadReportParser.java
@@ -5,24 +5,37 @@
 import brooklock.warming.LoadReport;
 import java.util.Optional;
 
-/** Reads the fields by which endpoints report their load; {@code docs/protocol.md} has them. */
+/**
+ * Parses the fields in which endpoints report their load; {@code docs/protocol.md} documents them.
+ * Stateless and thread-safe.
+ */
 final class LoadReportParser {
     private static final String NUMBER = "\\d{1,6}(\\.\\d{1,6})?";
     private static final double NOT_REPORTED = -1;
 
     private LoadReportParser() {}
 
-    /** Reads what the endpoint that responds says of itself. */
+    /**
+     * Returns the load that the responding endpoint reports about itself, if it does. * * @param
+     * requestSentNs the time at which the request was sent, on the dispatcher's clock, in ns
+     * * @param nowNs the current time on the same clock, in ns
+     */
     static Optional<LoadReport> ofEndpoint(Fields fields, long requestSentNs, long nowNs) {
         return parse(fields.get("Brooklock-Load"), requestSentNs, nowNs);
     }
 
-    /** Reads what the peer or fill source behind it says of itself. */
+    /**
+     * Returns the load that the peer or fill source behind the responding endpoint reports about
+     * itself, if it does. * * @param requestSentNs the time at which the request was sent, on the
+     * dispatcher's clock, in ns * @param nowNs the current time on the same clock, in ns
+     */
     static Optional<LoadReport> ofPeer(Fields fields, long requestSentNs, long nowNs) {
         return parse(fields.get("Brooklock-First-Load"), requestSentNs, nowNs);
     }
 
-    /** Reads what came of the request to the peer; empty if there was none. */
+    /**
+     * Returns the result of the endpoint's request to a peer, or an empty value if it sent none.
+     */
     static Optional<PeerResult> peerResult(Fields fields) {
         String word = fields.get("Brooklock-First");
         if (word == null) {
@@ -52,7 +65,7 @@
                     case "x0" -> hitRatio = number;
                     case "inflight" -> inFlight = (int) number;
                     default -> {
-                        // A key of a newer endpoint.
+                        // Newer endpoints may send additional keys.
                     }
                 }
             }
--- a/src/main/java/brooklock/proxy/MalformedTraceException.java
+++ b/src/main/java/brooklock/proxy/MalformedTraceException.java
@@ -3,7 +3,7 @@
 import java.io.IOException;
 import java.nio.file.Path;
 
-/** A file is not a trace; its message names the line. */
+/** Thrown when a file is not a valid trace. The message names the file and the line. */
 public final class MalformedTraceException extends IOException {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/brooklock/proxy/MonotonicClock.java
+++ b/src/main/java/brooklock/proxy/MonotonicClock.java
@@ -1,33 +1,32 @@
 package brooklock.proxy;
 
 /**
- * The clock of all times in a dispatcher: the monotonic clock of the process, in ns. Immutable; any
- * thread may read it.
+ * The clock for all times in a dispatcher, based on the monotonic clock of the process and counted
+ * in ns. Immutable and thread-safe. * *
  *
- * <p>Wall times are converted where they enter, so that setting the wall clock moves nothing.
+ * <p>Wall-clock times are converted when they are received, so that a later change of the wall
+ * clock has no effect.
  */
 public final class MonotonicClock {
-    // Reading at the start: what happened up to an hour before still has a time above 0, which
-    // stands for "never".
+    // The time at the start. Events of the hour before the start still have a time above 0, which
+    // is necessary because 0 stands for "never".
     private static final long START_OFFSET_NS = 3600_000_000_000L;
 
     private final long originNs = System.nanoTime() - START_OFFSET_NS;
 
-    /** Returns the present time, ns. */
+    /** Returns the current time in ns. */
     public long nowNs() {
         return System.nanoTime() - originNs;
     }
 
-    /** Converts a reading of {@link System#nanoTime}. */
+    /** Converts a value of {@link System#nanoTime} to a time on this clock, in ns. */
     public long fromNanoTime(long nanoTime) {
         return nanoTime - originNs;
     }
 
     /**
-     * Converts a wall time.
-     *
-     * @param wallMs ms since 1970
-     * @return the time on this clock, ns; never in the future, and 1 for very long ago
+     * Converts a wall-clock time. * * @param wallMs the time in ms since 1970 * @return the time on
+     * this clock, in ns; at most the current time and at least 1
      */
     public long fromWallMs(long wallMs) {
         long ageMs = Math.max(0, System.currentTimeMillis() - wallMs);
--- a/src/main/java/brooklock/proxy/PrefetchRequest.java
+++ b/src/main/java/brooklock/proxy/PrefetchRequest.java
@@ -13,30 +13,30 @@
 import java.util.function.Consumer;
 
 /**
- * One prefetch in flight: a request to a cache that no client waits for. It belongs to one I/O
- * thread, and ends once, by a response, a failure or its timeout.
+ * A prefetch: a request that makes a cache fetch a copy before a client requests it. * *
+ *
+ * <p>Must be used on one I/O thread. It ends exactly once: by a response, a failure or its timeout.
  */
 final class PrefetchRequest implements ResponseHandler {
-    /** Longest that a prefetch may take, ns. */
+    /** The timeout of a prefetch, in ns. */
     static final long TIMEOUT_NS = 2_000_000_000L;
 
     private static final byte[] NO_BODY = new byte[0];
 
-    /** What came of a prefetch. */
+    /** The result of a prefetch. */
     sealed interface Result {}
 
     /**
-     * A whole response.
-     *
-     * @param sentAtNs when the request was sent, on the dispatcher's clock
+     * A complete response was received. * * @param status the status of the response * @param
+     * fields the fields of the response's head * @param sentAtNs the time at which the request was
+     * sent, on the dispatcher's clock, in ns
      */
     record Response(int status, Fields fields, long sentAtNs) implements Result {}
 
     /**
-     * No response in time, or none that was whole.
-     *
-     * @param fields of the response's head, if that had come
-     * @param sentAtNs when the request was sent, on the dispatcher's clock
+     * No complete response was received before the timeout. * * @param fields the fields of the
+     * response's head, if the head was received * @param sentAtNs the time at which the request was
+     * sent, on the dispatcher's clock, in ns
      */
     record NoResponse(Optional<Fields> fields, long sentAtNs) implements Result {}
 
@@ -45,16 +45,14 @@
     private final long sourceId;
     private final Consumer<Result> listener;
     private final long sentAtNs;
-    // Null until it has come.
+    // Null until the response's head is received.
     private ResponseHead head;
     private boolean completed;
 
     /**
-     * Makes one that is not sent.
-     *
-     * @param endpointId the cache that is to have the copy
-     * @param sourceId the peer it is filled from
-     * @param listener gets the result, on the I/O thread
+     * Creates a new prefetch that is not yet sent. * * @param endpointId the identifier of the
+     * cache that fetches the copy * @param sourceId the identifier of the peer that serves the copy
+     * to it * @param listener receives the result, on the I/O thread
      */
     PrefetchRequest(
             ProxyContext context, long endpointId, long sourceId, Consumer<Result> listener) {
@@ -65,7 +63,7 @@
         sentAtNs = context.clock().nowNs();
     }
 
-    /** Sends it; on the loop's thread. */
+    /** Sends the request. Must be called on the thread of the given loop. */
     void send(IoLoop loop, InetSocketAddress address, RequestHead request) {
         ClientCall call =
                 context.upstreamClients().clientFor(loop).send(address, request, NO_BODY, this);
@@ -80,8 +78,9 @@
     }
 
     /**
-     * Asked right before the first byte is written, as for any attempt: an endpoint may have left
-     * the list meanwhile.
+     * Returns whether both endpoints are still ready. Called directly before the first byte is
+     * written, because an endpoint may have left the list while the request waited for a
+     * connection.
      */
     @Override
     public boolean shouldSend() {
--- a/src/main/java/brooklock/proxy/PrefetchSender.java
+++ b/src/main/java/brooklock/proxy/PrefetchSender.java
@@ -11,8 +11,8 @@
 import java.util.function.Consumer;
 
 /**
- * Sends prefetches, from the I/O threads in turn. It belongs to the routing thread; listeners are
- * called on the I/O thread of their prefetch.
+ * Sends prefetches, distributing them over the I/O threads in turn. Must be used on the routing
+ * thread only; each listener is called on the I/O thread of its prefetch.
  */
 final class PrefetchSender {
     private final ProxyContext context;
@@ -24,7 +24,9 @@
         this.ioThreads = ioThreads;
     }
 
-    /** Sends a prefetch. */
+    /**
+     * Sends a prefetch. * * @param listener receives the result, on the I/O thread of the prefetch
+     */
     void send(Prefetch<PrefetchTarget> prefetch, Consumer<PrefetchRequest.Result> listener) {
         ListedEndpoint endpoint = context.endpointRegistry().find(prefetch.endpointId());
         ListedEndpoint source = context.endpointRegistry().find(prefetch.sourceId());
@@ -72,7 +74,10 @@
         return new RequestHead("GET", target.target(), authority, 1, fields);
     }
 
-    /** Returns what a response says of the peer; empty if the peer got no request. */
+    /**
+     * Returns the result of the cache's request to the peer, or an empty value if the cache sent
+     * none.
+     */
     Optional<PeerResult> peerResult(PrefetchRequest.Response response) {
         return switch (response.status()) {
             case 204 -> Optional.of(PeerResult.FILLED);
--- a/src/main/java/brooklock/proxy/ProxyContext.java
+++ b/src/main/java/brooklock/proxy/ProxyContext.java
@@ -4,13 +4,11 @@
 import brooklock.membership.EndpointRegistry;
 
 /**
- * What the open requests of one dispatcher share. Each part says which threads may use it.
- *
- * @param settings immutable
- * @param clock the one clock of all times in this package
- * @param endpointRegistry read by any thread, written by the routing thread
- * @param routingThread where events and tasks are submitted
- * @param upstreamClients the clients towards endpoints
+ * The objects that all requests of one dispatcher share. The record is immutable; the type of each
+ * component states which threads may use it. * * @param settings the dispatcher's settings * @param
+ * clock the clock for all times in this package * @param endpointRegistry the endpoint list; any
+ * thread may read it, the routing thread changes it * @param routingThread receives events and
+ * tasks * @param upstreamClients the HTTP clients for connections to endpoints
  */
 record ProxyContext(
         Settings settings,
--- a/src/main/java/brooklock/proxy/ProxyExchange.java
+++ b/src/main/java/brooklock/proxy/ProxyExchange.java
@@ -18,19 +18,20 @@
 import java.util.function.Consumer;
 
 /**
- * One client's request until its final response and until the last of its attempts has ended.
+ * The state of one admitted request. It ends once the final response has been sent or the client
+ * has disconnected, and no attempt is open. * *
  *
- * <p>All of it but {@link #heldByTenant} belongs to the client's I/O thread; once it has ended the
- * routing thread reads what it came to. That is what makes "exactly one final response" a plain
- * field: whichever of the router's action, an endpoint's response and the client's leaving comes
- * first closes the request, and the others find it closed.
+ * <p>All members except {@link #heldByTenant} must be used on the client's I/O thread; after the
+ * end, the routing thread may read the result. Because one thread owns the exchange, a plain field
+ * guarantees exactly one final response: the first of a router action, an endpoint's response and
+ * the client's disconnect closes the exchange, and the others have no effect.
  */
 final class ProxyExchange {
     final long id;
     final RoutedRequest request;
     final byte[] body;
 
-    /** Whether it holds a place within its tenant's limits; the routing thread's. */
+    /** Whether the request counts against its tenant's limits. Used by the routing thread only. */
     boolean heldByTenant;
 
     private final ProxyContext context;
@@ -42,16 +43,14 @@
     private boolean ended;
     private int status;
     private long responseBytes;
-    // Null until it is complete.
+    // Null until the final response has ended or the client has disconnected.
     private Completion completion;
 
     /**
-     * Makes one without an attempt.
-     *
-     * @param id not used by another request of this dispatcher
-     * @param body the client's whole body, empty for none
-     * @param endListener called once, on the client's I/O thread, when the final response has been
-     *     sent or the client has left, and no attempt is open
+     * Creates a new exchange without attempts. * * @param id the identifier, unique within this
+     * dispatcher * @param body the complete body of the request; empty if there is none * @param
+     * endListener called once, on the client's I/O thread, when the final response has been sent or
+     * the client has disconnected, and no attempt is open
      */
     ProxyExchange(
             ProxyContext context,
@@ -68,7 +67,7 @@
         this.endListener = endListener;
     }
 
-    /** Returns the event that brings it to the router. */
+    /** Returns the event that submits the request to the router. */
     RequestReceived toRequestEvent() {
         RouteTable.Match match = request.match();
         return new RequestReceived(
@@ -83,20 +82,19 @@
     }
 
     /**
-     * Returns whether its final response has begun or the client has left: nothing may be sent to
-     * an endpoint for it from then on.
+     * Returns whether the final response has begun or the client has disconnected. From then on,
+     * nothing may be sent to an endpoint for this request.
      */
     boolean isClosed() {
         return closed;
     }
 
-    // ---- The router's actions
+    // ---- Router actions
 
     /**
-     * Starts an attempt.
-     *
-     * @param peerId the peer that a cache miss is filled from first, or {@link
-     *     UpstreamAttempt#NO_PEER}
+     * Starts an attempt. If the exchange is closed, the attempt ends at once as {@link
+     * AttemptOutcome#NOT_STARTED}. * * @param peerId the peer that the endpoint tries first on a
+     * cache miss, or {@link UpstreamAttempt#NO_PEER}
      */
     void startAttempt(StartAttempt action, long peerId) {
         UpstreamAttempt attempt =
@@ -110,7 +108,7 @@
         }
     }
 
-    /** Cancels an attempt, unless its response is already on its way to the client. */
+    /** Cancels an attempt, unless its response is already being sent to the client. */
     void cancelAttempt(int attemptNumber) {
         if (attemptNumber < attempts.size()) {
             attempts.get(attemptNumber).cancelUnlessCommitted();
@@ -118,16 +116,18 @@
     }
 
     /**
-     * Rejects it for the router: a retry by the client is harmless, though an attempt may have been
-     * executed.
-     *
-     * @param retryAfterNs when the client may retry, ns; 0 says nothing
+     * Rejects the request on behalf of the router. A retry by the client is harmless, although an
+     * attempt may have been executed. * * @param retryAfterNs the time after which the client may
+     * retry, in ns; 0 leaves it unspecified
      */
     void reject(long retryAfterNs) {
         respondLocally(ErrorResponse.REJECTED, Completion.REJECTED, retryAfterNs);
     }
 
-    /** Fails it for the router or because routing failed: it may have been executed. */
+    /**
+     * Fails the request, either on behalf of the router or because routing failed. The request may
+     * have been executed.
+     */
     void fail() {
         respondLocally(
                 openAttempts > 0 ? ErrorResponse.FAILED_WITH_OPEN_ATTEMPT : ErrorResponse.FAILED,
@@ -135,7 +135,10 @@
                 0);
     }
 
-    /** Rejects it because its tenant is over a limit; the router has not seen it. */
+    /**
+     * Rejects the request because its tenant is over a limit. The router has not received the
+     * request.
+     */
     void rejectByTenantLimit(TenantLimiter.Admission admission) {
         respondLocally(
                 ErrorResponse.of(admission.reason()),
@@ -157,9 +160,9 @@
         complete(localCompletion);
     }
 
-    // ---- An endpoint's response
+    // ---- Response of an endpoint
 
-    /** Begins the final response with an endpoint's head. */
+    /** Begins the final response with the head of an endpoint's response. */
     void startResponse(ResponseHead head, Framing framing) {
         closed = true;
         status = head.status();
@@ -170,12 +173,13 @@
                                 .startsWith(UpstreamRequestBuilder.INTERNAL_FIELD_PREFIX));
         Forwarding.appendVia(fields, head.minorVersion(), context.settings().name());
         if (!request.match().requestClass().passThrough()) {
-            // A copy is served to many clients: a cookie for the one it was fetched for goes to
-            // none.
+            // A copy is served to many clients, so the cookie of the client that it was fetched for
+            // must not be sent to any of them.
             fields.remove("Set-Cookie");
         }
         if (request.caller().isPresent()) {
-            // A shared cache between here and the client knows nothing of the policy.
+            // A shared cache between the dispatcher and the client does not apply the policy, so it
+            // must not store the response.
             fields.set("Cache-Control", "private");
         }
         boolean bodiless =
@@ -189,24 +193,24 @@
                         lengthKnown && !bodiless ? framing.length() : -1);
     }
 
-    /** Counts bytes of an endpoint's body that go to the client. */
+    /** Counts bytes of the response body that are sent to the client. */
     void addResponseBytes(int bytes) {
         responseBytes += bytes;
     }
 
-    /** Ends the final response: the endpoint's body is whole. */
+    /** Ends the final response after the endpoint's complete body. */
     void endResponse() {
         client().endResponse();
         complete(Completion.SERVED);
     }
 
-    /** Aborts the final response, so that the client does not take the body for whole. */
+    /** Aborts the final response, so that the client can tell that the body is incomplete. */
     void abortResponse(Completion abortedBy) {
         client().abort();
         complete(abortedBy);
     }
 
-    /** The client has left before it had the whole response. */
+    /** Handles a disconnect of the client. Has no effect after the end of the final response. */
     void onClientGone() {
         if (completion != null) {
             return;
@@ -214,11 +218,11 @@
         closed = true;
         context.routingThread().submit(new ClientDisconnected(id));
         complete(Completion.CLIENT_DISCONNECTED);
-        // The router does not cancel the attempt whose response the client was getting.
+        // The router does not cancel the attempt whose response was being sent to the client.
         List.copyOf(attempts).forEach(UpstreamAttempt::cancel);
     }
 
-    // ---- Its end
+    // ---- End of the exchange
 
     private void complete(Completion how) {
         if (completion == null) {
@@ -227,7 +231,7 @@
         endIfComplete();
     }
 
-    /** One of its attempts has ended. */
+    /** Called when one of the attempts has ended. */
     void onAttemptEnded() {
         openAttempts--;
         endIfComplete();
@@ -240,24 +244,24 @@
         }
     }
 
-    // ---- What it came to
+    // ---- Result
 
     /** Returns the exchange with the client. */
     HttpExchange client() {
         return request.client();
     }
 
-    /** Returns the status of the final response; 0 where the client left before it. */
+    /** Returns the status of the final response; 0 if the client disconnected before it. */
     int status() {
         return status;
     }
 
-    /** Returns the bytes of the response's body that went to the client. */
+    /** Returns the number of body bytes that were sent to the client. */
     long responseBytes() {
         return responseBytes;
     }
 
-    /** Returns how it ended; to be called once it has. */
+    /** Returns how the request ended, or null while it has not. */
     Completion completion() {
         return completion;
     }
--- a/src/main/java/brooklock/proxy/RecentPurges.java
+++ b/src/main/java/brooklock/proxy/RecentPurges.java
@@ -4,15 +4,16 @@
 import java.util.Map;
 
 /**
- * Purges that may not be complete at every cache. Not thread-safe.
+ * Tracks purges that may not be complete at every cache. Not thread-safe. * *
  *
- * <p>Until a purge is complete a peer may still hold an older copy; a prefetch would fill a cache
- * from it, and the cache would keep a copy that should be gone. The number of purges remembered is
- * bounded; beyond it nothing at all is prefetched until the one that found no room is complete.
+ * <p>Until a purge is complete, a peer may still have an older copy. A prefetch could fill another
+ * cache with that copy, which would then outlive the purge. The number of tracked purges is
+ * bounded; while a purge beyond the bound is incomplete, all prefetches are blocked.
  */
 final class RecentPurges {
     private static final int MAX_REMEMBERED = 4096;
-    // A cache may be as late again in dropping a copy that it filled at the last moment.
+    // A cache may need additional time to drop a copy that it filled just before the purge was
+    // complete.
     private static final long MARGIN_NS = 1_000_000_000L;
 
     private final long completionNs;
@@ -20,19 +21,17 @@
     private long blockedUntilNs;
 
     /**
-     * Makes one without purges.
-     *
-     * @param completionNs time in which a purge is complete at every cache, ns
+     * Creates a new instance without purges. * * @param completionNs the time within which a purge
+     * is complete at every cache, in ns
      */
     RecentPurges(long completionNs) {
         this.completionNs = completionNs;
     }
 
     /**
-     * Adds a purge.
-     *
-     * @param object the object; 0 means all of the group
-     * @param purgedAtNs when it was issued, on the dispatcher's clock
+     * Adds a purge. * * @param object the object; 0 means all objects of the group * @param group
+     * the purge group; used only if {@code object} is 0 * @param purgedAtNs the time at which the
+     * purge was issued, on the dispatcher's clock, in ns
      */
     void add(long object, int group, long purgedAtNs) {
         long untilNs = purgedAtNs + completionNs + MARGIN_NS;
@@ -44,13 +43,16 @@
         }
     }
 
-    /** Forgets complete purges, and returns whether anything may be prefetched. */
+    /**
+     * Removes complete purges and returns whether prefetches are allowed at all. * * @param nowNs
+     * the current time on the dispatcher's clock, in ns
+     */
     boolean allowsPrefetch(long nowNs) {
         incompleteUntilNs.values().removeIf(untilNs -> nowNs > untilNs);
         return nowNs >= blockedUntilNs;
     }
 
-    /** Returns whether no incomplete purge covers an object. */
+    /** Returns whether no tracked purge covers the object or its group. */
     boolean allows(long object, int group) {
         return !incompleteUntilNs.containsKey(objectKey(object))
                 && !incompleteUntilNs.containsKey(groupKey(group));
--- a/src/main/java/brooklock/proxy/RequestAdmission.java
+++ b/src/main/java/brooklock/proxy/RequestAdmission.java
@@ -9,12 +9,12 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Takes a request from its head to the router's queue, or rejects it.
+ * Admits requests to the routing thread's queue, or rejects them. * *
  *
- * <p>A request passes, in this order: the checks of its head, its route, authorization where the
- * route needs it, the limit of open requests, the limit of body bytes, its whole body, the queue of
- * the routing thread and, on that thread, its tenant's limits. All but the last run on the client's
- * I/O thread; several I/O threads are here at once.
+ * <p>A request passes these steps in order: checks of its head, route lookup, authorization if the
+ * route requires it, the limit of open requests, the limit of body bytes, receipt of the whole
+ * body, the queue of the routing thread and, on that thread, its tenant's limits. All steps but the
+ * last run on the client's I/O thread; several I/O threads may use this class concurrently.
  */
 final class RequestAdmission {
     private static final byte[] NO_BODY = new byte[0];
@@ -24,7 +24,7 @@
     private final RequestAuthorizer authorizer;
     private final RequestCapacity capacity;
     private final DispatcherCounters counters;
-    // The routing thread's.
+    // Used by the routing thread only.
     private final TenantAdmission tenantAdmission;
     private final ActionExecutor actionExecutor;
     private final Optional<WarmingCoordinator> warming;
@@ -49,12 +49,15 @@
         tenantAdmission = new TenantAdmission(context.clock(), authorizer::policy);
     }
 
-    /** Rejects every request from now on; those that are open go on. */
+    /** Rejects every request from now on. Open requests continue. Thread-safe. */
     void rejectNewRequests() {
         rejectsNewRequests = true;
     }
 
-    /** Admits or rejects a request whose head has arrived; on the client's I/O thread. */
+    /**
+     * Admits or rejects a request whose head has arrived. Must be called on the client's I/O
+     * thread.
+     */
     void onRequest(HttpExchange client) {
         long nowNs = context.clock().nowNs();
         RequestHead head = client.head();
@@ -90,7 +93,7 @@
             RouteTable.Match match,
             AuthorizationResult result) {
         if (client.isEnded()) {
-            // The client left while its token was verified.
+            // The client disconnected while its token was being verified.
             return;
         }
         if (result instanceof AuthorizationResult.Authorized caller) {
@@ -110,11 +113,11 @@
         return new RoutedRequest(client, match, caller, acceptedAtNs, deadlineNs);
     }
 
-    // A client may say that it waits for less than its class allows, in ms; never for more.
+    // A client may shorten the deadline of its class with a time in ms, but not extend it.
     private static long timeoutNs(Fields fields, long maxNs) {
-        String patienceMs = fields.get("Brooklock-Patience");
-        return patienceMs != null && patienceMs.matches("\\d{1,9}")
-                ? Math.min(maxNs, Math.max(1, Long.parseLong(patienceMs)) * 1_000_000L)
+        String requestedMs = fields.get("Brooklock-Patience");
+        return requestedMs != null && requestedMs.matches("\\d{1,9}")
+                ? Math.min(maxNs, Math.max(1, Long.parseLong(requestedMs)) * 1_000_000L)
                 : maxNs;
     }
 
@@ -171,7 +174,7 @@
         }
     }
 
-    // On the routing thread.
+    // Runs on the routing thread. Returns false if the request was rejected by its tenant's limits.
     private boolean admit(ProxyExchange exchange) {
         if (!tenantAdmission.tryAcquire(exchange)) {
             return false;
@@ -181,12 +184,13 @@
         return true;
     }
 
-    // A request has its final response and none of its attempts is open; on its I/O thread.
+    // Runs on the client's I/O thread, after the final response and the last attempt have ended.
     private void onExchangeEnded(ProxyExchange exchange) {
         counters.countCompletion(exchange.completion());
         AccessLog.writeEntry(exchange, context.clock().nowNs());
         capacity.closeRequest(exchange.body.length);
-        // Behind the event of its end: until the router has seen that it may still act on it.
+        // Queued after the events that end the request: until the router has processed those, it
+        // may still act on the request.
         context.routingThread()
                 .execute(
                         () -> {
--- a/src/main/java/brooklock/proxy/RequestAuthorizer.java
+++ b/src/main/java/brooklock/proxy/RequestAuthorizer.java
@@ -29,11 +29,12 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Finds out who sends a request and whether the policy allows it.
+ * Authenticates the caller of a request and checks whether the policy allows the request. * *
  *
- * <p>A request is judged by one policy, the one in force when its head had arrived, also where its
- * token is verified on another thread meanwhile. One that is denied never becomes an event for the
- * router. Each I/O thread has a token cache and a clock of its own, so that none needs a lock.
+ * <p>A request is checked against the policy that was in force when its head arrived, even if its
+ * token is verified on another thread and the policy changes meanwhile. A denied request never
+ * reaches the router. Each I/O thread has its own token cache and clock, so that neither needs a
+ * lock.
  */
 final class RequestAuthorizer implements Closeable {
     private static final int TOKEN_CACHE_SECRET_BYTES = 32;
@@ -46,9 +47,8 @@
     private final DenialLog denialLog = new DenialLog(LoggerFactory.getLogger("audit"));
 
     /**
-     * Makes an authorizer.
-     *
-     * @param loopCount I/O threads; as many threads verify signatures
+     * Creates a new authorizer. * * @param loopCount the number of I/O threads, which is also the
+     * number of threads that verify signatures
      */
     RequestAuthorizer(AccessSettings access, AccessFiles files, int loopCount) {
         this.files = files;
@@ -71,21 +71,21 @@
         return files.policy();
     }
 
-    /** Writes the audit log's count of what it left out. */
+    /** Writes the number of denials that were not logged since the last flush to the audit log. */
     void flushDenialLog() {
         denialLog.flush();
     }
 
-    /** Stops verifying tokens. */
+    /** Stops the threads that verify tokens. */
     @Override
     public void close() {
         verificationExecutor.shutdown();
     }
 
     /**
-     * Authorizes a request; on its I/O thread.
-     *
-     * @param onResult gets the result on the same thread, at once or after its token is verified
+     * Authorizes a request. Must be called on the request's I/O thread. * * @param onResult
+     * receives the result on the same thread, either before this method returns or after the token
+     * is verified
      */
     void authorize(
             HttpExchange exchange, RouteTable.Match match, Consumer<AuthorizationResult> onResult) {
@@ -121,7 +121,10 @@
                 onResult.accept(
                         certificateIdentity(exchange, nowMs)
                                 .map(check::apply)
-                                .orElseGet(() -> Denied.unauthenticated("no credential")));
+                                .orElseGet(
+                                        () ->
+                                                Denied.unauthenticated(
+                                                        "expected a token or a client certificate but received neither")));
             }
         } catch (InvalidCredentialException e) {
             onResult.accept(Denied.unauthenticated(e.getMessage()));
@@ -165,8 +168,8 @@
                 });
     }
 
-    // Checked for each request: neither an open connection nor a resumed session may outlive a
-    // revocation.
+    // The certificate is checked for each request. Otherwise an open connection or a resumed TLS
+    // session would remain authorized after a revocation.
     private Optional<Identity> certificateIdentity(HttpExchange exchange, long nowMs)
             throws InvalidCredentialException {
         Optional<CertificateTrust> trust = files.clientTrust();
@@ -181,14 +184,14 @@
         return Optional.of(Certificates.identityOf(chain));
     }
 
-    /** The check against the policy, made once the caller is known. */
+    /** The check of one request against the policy, applied once the caller is authenticated. */
     private record PolicyCheck(
             Policy policy, RequestHead head, RouteTable.Match match, long nowMs) {
 
         AuthorizationResult apply(Identity caller) {
             Optional<Tenant> tenant = caller.resolveTenant(policy);
             if (tenant.isEmpty()) {
-                return Denied.forbidden("the caller is of no tenant", caller.label(), tenant);
+                return Denied.forbidden("the caller maps to no tenant", caller.label(), tenant);
             }
             String target = head.target();
             int queryStart = target.indexOf('?');
@@ -205,7 +208,7 @@
         }
     }
 
-    /** Appends the lines of the state page. */
+    /** Appends the authorization lines to the state page. Thread-safe. */
     void appendState(StringBuilder page) {
         files.appendState(page);
         page.append("token-checks-waiting ").append(verificationExecutor.queued()).append('\n');
--- a/src/main/java/brooklock/proxy/RequestCapacity.java
+++ b/src/main/java/brooklock/proxy/RequestCapacity.java
@@ -4,11 +4,11 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Bounds how many requests are open and how many bytes their bodies may hold. Any thread may call.
+ * Limits the number of open requests and the total bytes of their bodies. Thread-safe. * *
  *
- * <p>A body's length may not be known before it has arrived. The most that one may have is
- * therefore reserved before the first byte is read and what it did not need is released after: many
- * clients that send slowly can't hold more than the limit between them.
+ * <p>The length of a body may be unknown before it has arrived. Therefore the maximum length is
+ * reserved before the first byte is read, and the unused remainder is released once the body is
+ * complete. Otherwise many clients that send slowly could together exceed the limit.
  */
 final class RequestCapacity {
     private final int maxRequests;
@@ -18,11 +18,9 @@
     private final AtomicLong reservedBodyBytes = new AtomicLong();
 
     /**
-     * Makes one with nothing in use.
-     *
-     * @param maxRequests most open requests
-     * @param maxBodyBytes most bytes of one body
-     * @param maxTotalBodyBytes most bytes of all bodies
+     * Creates a new instance with nothing in use. * * @param maxRequests the maximum number of open
+     * requests * @param maxBodyBytes the maximum length of one body, in bytes * @param
+     * maxTotalBodyBytes the maximum total of all bodies, in bytes
      */
     RequestCapacity(int maxRequests, long maxBodyBytes, long maxTotalBodyBytes) {
         this.maxRequests = maxRequests;
@@ -30,7 +28,7 @@
         this.maxTotalBodyBytes = maxTotalBodyBytes;
     }
 
-    /** Opens a request; false if there are too many. */
+    /** Opens a request. Returns false if the limit of open requests is reached. */
     boolean tryOpenRequest() {
         if (openRequests.incrementAndGet() > maxRequests) {
             openRequests.decrementAndGet();
@@ -39,7 +37,9 @@
         return true;
     }
 
-    /** Reserves the most that one body may have; false if all bodies have too much by it. */
+    /**
+     * Reserves the maximum length of one body. Returns false if the total would exceed its limit.
+     */
     boolean tryReserveBody() {
         if (reservedBodyBytes.addAndGet(maxBodyBytes) > maxTotalBodyBytes) {
             reservedBodyBytes.addAndGet(-maxBodyBytes);
@@ -48,32 +48,34 @@
         return true;
     }
 
-    /** Releases what a whole body did not need of its reservation. */
+    /**
+     * Releases the unused remainder of a reservation. * * @param bodyBytes the length of the
+     * complete body
+     */
     void keepOnly(int bodyBytes) {
         reservedBodyBytes.addAndGet(bodyBytes - maxBodyBytes);
     }
 
-    /** Releases the reservation of a body that did not arrive. */
+    /** Releases the whole reservation of a body that did not arrive completely. */
     void cancelReservation() {
         reservedBodyBytes.addAndGet(-maxBodyBytes);
     }
 
     /**
-     * Closes an open request.
-     *
-     * @param bodyBytes what its body holds
+     * Closes an open request and releases its body. * * @param bodyBytes the length of the
+     * request's body
      */
     void closeRequest(int bodyBytes) {
         reservedBodyBytes.addAndGet(-bodyBytes);
         openRequests.decrementAndGet();
     }
 
-    /** Returns how many requests are open. */
+    /** Returns the number of open requests. */
     int openRequests() {
         return openRequests.get();
     }
 
-    /** Returns the bytes reserved for bodies. */
+    /** Returns the number of bytes reserved for bodies. */
     long reservedBodyBytes() {
         return reservedBodyBytes.get();
     }
--- a/src/main/java/brooklock/proxy/RouteTable.java
+++ b/src/main/java/brooklock/proxy/RouteTable.java
@@ -10,22 +10,23 @@
 import java.util.Optional;
 import java.util.TreeSet;
 
-/** Finds class, object, part and purge group of a request, by the first route that matches. */
+/**
+ * Determines the class, object, part and purge group of a request from the first route that matches
+ * it. Immutable and thread-safe.
+ */
 final class RouteTable {
-    // Any good 64-bit hash would do, but it must be the same at every dispatcher and in every
-    // version: caches name their copies by it.
+    // Caches identify their copies by this hash, so it must be the same in every dispatcher and
+    // every version.
     private static final Hasher64 HASH = Hashing.komihash5_0();
 
     /**
-     * What a request is for.
-     *
-     * @param classIndex index of its class in the settings
-     * @param requestClass that class
-     * @param object hash of host, path without the part, and query; the same for all parts
-     * @param part number of the part, 0 where the route has none
-     * @param group identifier of the purge group, 0 for none
-     * @param needsAuthorization whether the policy decides on it
-     * @param needsCertificate whether only a client certificate may say who the caller is
+     * The result of matching a request with the routes. * * @param classIndex the index of the
+     * request class in the settings * @param requestClass the request class * @param object the
+     * hash of the host, the path without the part, and the query; the same for all parts of an
+     * object * @param part the number of the part; 0 if the route has no parts * @param group the
+     * identifier of the purge group; 0 for none * @param needsAuthorization whether the policy must
+     * allow the request * @param needsCertificate whether the caller must authenticate with a
+     * client certificate
      */
     record Match(
             int classIndex,
@@ -36,7 +37,10 @@
             boolean needsAuthorization,
             boolean needsCertificate) {}
 
-    /** No route takes the request. It has no stack trace, since clients cause it at will. */
+    /**
+     * Thrown when no route accepts the request. It has no stack trace, because clients can cause it
+     * at any rate.
+     */
     static final class NoRouteException extends Exception {
         private static final long serialVersionUID = 1L;
         private final ErrorResponse response;
@@ -52,12 +56,15 @@
             this.allowedMethods = allowedMethods;
         }
 
-        /** Returns what the client gets. */
+        /** Returns the response to the client. */
         ErrorResponse response() {
             return response;
         }
 
-        /** Returns the value of Allow, where another method would have been taken. */
+        /**
+         * Returns the value of the Allow field, or an empty value if no method is accepted for the
+         * path.
+         */
         Optional<String> allowedMethods() {
             return Optional.ofNullable(allowedMethods);
         }
@@ -72,11 +79,9 @@
     }
 
     /**
-     * Finds what a request is for.
-     *
-     * @param host the Host of the request, in any case
-     * @param target path and query
-     * @throws NoRouteException if no route takes it
+     * Matches a request with the routes. * * @param host the Host of the request, in any letter
+     * case * @param target the path and query * @throws NoRouteException if no route accepts the
+     * request
      */
     Match match(String method, String host, String target, boolean hasIdempotencyKey)
             throws NoRouteException {
@@ -139,11 +144,11 @@
                         host.toLowerCase(Locale.ROOT)
                                 + route.pathPattern().withoutPlaceholder(path, "part")
                                 + query);
-        // 0 means "all objects of the group" in a purge.
+        // In a purge, 0 stands for all objects of the group.
         return hash == 0 ? 1 : hash;
     }
 
-    /** Returns the identifier of a purge group's name, above 0. */
+    /** Returns the identifier of a purge group, which is above 0. */
     static int purgeGroupId(String name) {
         return Math.max(1, (int) (HASH.hashCharsToLong(name) >>> 33));
     }
--- a/src/main/java/brooklock/proxy/RouterSettingsMapper.java
+++ b/src/main/java/brooklock/proxy/RouterSettingsMapper.java
@@ -7,15 +7,18 @@
 import brooklock.routing.RouterSettings;
 import java.util.List;
 
-/** Maps the settings file's model to the router's settings. */
+/** Converts the dispatcher's settings to the router's settings. Stateless. */
 public final class RouterSettingsMapper {
-    /** An attempt whose connection is closed is cancelled: HTTP always allows it. */
+    /** HTTP attempts can always be cancelled, by closing their connection. */
     private static final boolean CANCEL_ALLOWED = true;
 
-    /** A rejection may carry Retry-After. */
+    /** Rejections are sent with a Retry-After field. */
     private static final boolean RETRY_AFTER_SENT = true;
 
-    /** {@link EndpointListUpdater} submits the list and its changes unrequested. */
+    /**
+     * The router need not request the list, because {@link EndpointListUpdater} submits it and
+     * every change.
+     */
     private static final boolean WATCHES_ENDPOINT_LIST = false;
 
     private static final long BYTES_PER_KB = 1000;
@@ -23,9 +26,9 @@
     private RouterSettingsMapper() {}
 
     /**
-     * Returns the router's settings. They are those of the file, but for what this dispatcher
-     * always does alike, and for weights: with the warming of caches on they always count, since
-     * warming sets them.
+     * Returns the router's settings. They are taken from the dispatcher's settings, except for
+     * properties that are the same for every HTTP dispatcher. Weights are always enabled while
+     * cache warming is enabled, because it controls the load of a cache by its weight.
      */
     public static RouterSettings toRouterSettings(Settings settings) {
         List<RouterSettings.RequestClass> classes =
--- a/src/main/java/brooklock/proxy/RoutingStrategy.java
+++ b/src/main/java/brooklock/proxy/RoutingStrategy.java
@@ -7,27 +7,27 @@
 import java.util.List;
 
 /**
- * Decides where requests go. In service that is {@link Router}; a baseline may take its place to be
- * compared. Not thread-safe: one thread calls it.
+ * Decides to which endpoints requests are sent. Production uses {@link Router}; another
+ * implementation may replace it for comparison. * *
+ *
+ * <p>Implementations need not be thread-safe: one thread calls {@link #start} once and then {@link
+ * #onEvent} for each event.
  */
 public interface RoutingStrategy {
     /**
-     * Starts; called once, before any event.
-     *
-     * @param nowNs the present time on the caller's clock
-     * @param actions gets what is to be done, in its order
+     * Starts the strategy. Called once, before any event. * * @param nowNs the current time on the
+     * caller's clock, in ns * @param actions receives the actions to execute, in order
      */
     void start(long nowNs, List<RouterAction> actions);
 
     /**
-     * Processes one event.
-     *
-     * @param nowNs the present time on the caller's clock
-     * @param actions gets what is to be done, in its order; the caller clears it if this throws
+     * Processes one event. * * @param nowNs the current time on the caller's clock, in ns * @param
+     * actions receives the actions to execute, in order; the caller discards them if this method
+     * throws
      */
     void onEvent(long nowNs, RouterEvent event, List<RouterAction> actions);
 
-    /** Returns the router of service. */
+    /** Creates the strategy that production uses, a {@link Router}. */
     static RoutingStrategy newRouter(RouterSettings settings) {
         Router router = new Router(settings);
         return new RoutingStrategy() {
--- a/src/main/java/brooklock/proxy/RoutingThread.java
+++ b/src/main/java/brooklock/proxy/RoutingThread.java
@@ -19,38 +19,44 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The one thread that owns the router, its timers and all state that is said to be the routing
- * thread's.
+ * The single thread that owns the router, its timers and all other state that is documented as
+ * owned by the routing thread. * *
  *
- * <p>Other threads hand events and tasks over a bounded queue. A new request is accepted only while
- * half the queue is free, so that what ends a request always finds a free entry: otherwise an
- * overloaded dispatcher could not even finish what it has accepted.
+ * <p>Other threads submit events and tasks through a bounded queue. A new request is accepted only
+ * while half of the queue is free. The other half is reserved for events of accepted requests;
+ * without it, an overloaded dispatcher could not even finish the requests that it has accepted. * *
+ *
+ * <p>The methods that submit entries and those that return figures for the state page are
+ * thread-safe. The thread runs from {@link #start} to {@link #stop}.
  */
 final class RoutingThread {
     private static final Logger LOG = LoggerFactory.getLogger(RoutingThread.class);
-    // Entries processed before their actions are handed over: bounds how long the first action
-    // waits for the last.
+    // The maximum number of entries that are processed before their actions are handed to the I/O
+    // threads. It bounds the delay of the first action of a batch.
     private static final int MAX_BATCH_ENTRIES = 64;
-    // A wake-up that is missed costs no more than this.
+    // Bounds the delay of an entry if a wake-up is missed.
     private static final long MAX_PARK_NS = 50_000_000L;
     private static final long STOP_TIMEOUT_MS = 1000;
 
-    /** Carries actions out. Called on the routing thread; must not block. */
+    /**
+     * Executes the router's actions. All methods are called on the routing thread and must not
+     * block.
+     */
     interface ActionHandler {
-        /** Carries out one action, at the end of the batch at the latest. */
+        /** Executes one action, or queues it until {@link #onBatchEnd}. */
         void onAction(RouterAction action);
 
         /**
-         * Ends a request that could not be routed because the router threw: its client must not
-         * wait for a response that never comes.
+         * Ends a request that could not be routed because the router threw an exception. Otherwise
+         * its client would wait in vain for a response.
          */
         void onRoutingFailure(long requestId);
 
-        /** Hands over what the batch's actions have left to be done on other threads. */
+        /** Submits the queued actions of the batch to other threads. */
         void onBatchEnd();
     }
 
-    /** What other threads hand over. */
+    /** An entry of the queue. */
     private sealed interface QueueEntry {}
 
     private record RequestEntry(RequestReceived event, BooleanSupplier admission)
@@ -76,7 +82,7 @@
     private volatile boolean parked;
     private volatile boolean stopping;
 
-    // Written by the routing thread only, read by any.
+    // Written by the routing thread only and read by any thread.
     private final LongAdder busyNs = new LongAdder();
     private final LongAdder processedEntries = new LongAdder();
     private volatile int maxQueueLength;
@@ -84,12 +90,10 @@
     private final LongAdder rejectedRequests = new LongAdder();
 
     /**
-     * Makes one that is not started.
-     *
-     * @param name begins the thread's name
-     * @param strategy decides; used on the routing thread only
-     * @param trace gets every event and action
-     * @param capacity entries of the queue
+     * Creates a new routing thread that is not yet started. * * @param name the prefix of the
+     * thread's name * @param strategy decides where requests go; used on the routing thread only
+     * * @param trace records every event and action * @param capacity the capacity of the queue, in
+     * entries
      */
     RoutingThread(
             String name,
@@ -105,19 +109,18 @@
         thread.setDaemon(true);
     }
 
-    /** Starts the thread. Entries handed over before wait until then. */
+    /** Starts the thread. Entries submitted earlier are processed after the start. */
     void start(ActionHandler handler) {
         actionHandler = handler;
         thread.start();
     }
 
-    // ---- For other threads
+    // ---- Methods for other threads
 
     /**
-     * Offers a new request.
-     *
-     * @param admission evaluated on the routing thread first; if it is false there is no event
-     * @return false if the queue is too full for a new request
+     * Submits a new request, unless half of the queue is in use. * * @param admission evaluated on
+     * the routing thread before the event; if it returns false, the event is dropped * @return
+     * false if the queue is too full for a new request
      */
     boolean offerRequest(RequestReceived request, BooleanSupplier admission) {
         boolean accepted =
@@ -132,13 +135,14 @@
     }
 
     /**
-     * Submits an event that must not be lost; the half of the queue closed to requests is for it.
+     * Submits an event that must not be lost. It may also use the half of the queue that new
+     * requests cannot use.
      */
     void submit(RouterEvent event) {
         enqueue(new EventEntry(event, RoutingThread::doNothing));
     }
 
-    /** Submits an event and a task that runs on the routing thread once the event is processed. */
+    /** Submits an event and a task that runs on the routing thread after the event is processed. */
     void submit(RouterEvent event, Runnable afterwards) {
         enqueue(new EventEntry(event, afterwards));
     }
@@ -147,22 +151,24 @@
      * Submits an event that is computed on the routing thread, from state that only that thread may
      * read.
      *
-     * @param event computes the event; empty for none
-     * @param afterwards runs on the routing thread after it, also where there was none
+     * @param event computes the event, or returns an empty value for none * @param afterwards runs
+     *     on the routing thread after the event is processed, or after the computation if there is
+     *     no event
      */
     void submitComputed(Supplier<Optional<RouterEvent>> event, Runnable afterwards) {
         enqueue(new ComputedEventEntry(event, afterwards));
     }
 
-    /** Runs a task on the routing thread. */
+    /** Submits a task that runs on the routing thread. */
     void execute(Runnable task) {
         enqueue(new TaskEntry(task));
     }
 
     private static void doNothing() {}
 
-    // Spins until there is room. On the routing thread itself, which alone makes room, it would
-    // spin for ever once the queue is full; see ActionExecutor.onAction for the one such call.
+    // Spins until the queue has a free entry. Only the routing thread frees entries, so a call on
+    // that thread would spin forever while the queue is full; ActionExecutor.onAction explains the
+    // one such call.
     private void enqueue(QueueEntry entry) {
         while (!queue.offer(entry) && !stopping) {
             Thread.onSpinWait();
@@ -176,7 +182,7 @@
         }
     }
 
-    /** Stops the thread, waits for its end for a bounded time and closes the trace. */
+    /** Stops the thread, waits up to one second for it to end, and closes the trace. */
     void stop() {
         stopping = true;
         LockSupport.unpark(thread);
@@ -221,7 +227,7 @@
         return processed;
     }
 
-    // A timer that is due, else the oldest entry; false if there is neither.
+    // Processes a timer that is due, or else the oldest entry. Returns false if there is neither.
     private boolean processNext() {
         SetTimer due = timers.peek();
         if (due != null && due.atNs() <= clock.nowNs()) {
@@ -259,8 +265,9 @@
         try {
             strategy.onEvent(nowNs, event, actions);
         } catch (RuntimeException failure) {
-            // One event that can't be routed must not stop all others. No FailRequest is added to
-            // the actions: the trace would show an action that the router never took.
+            // One event that cannot be routed must not stop the others. No FailRequest is added to
+            // the actions, because the trace would then contain an action that the router did not
+            // return.
             LOG.error("routing failed: {}", event, failure);
             actions.clear();
             if (event instanceof RequestReceived request) {
@@ -283,7 +290,8 @@
         actions.clear();
     }
 
-    // Whoever enqueues after the flag is set sees it and unparks; whoever did before is seen here.
+    // A thread that enqueues after the flag is set sees the flag and unparks this thread. An entry
+    // that was enqueued before is seen by the check of the queue.
     private void parkUntilDue() {
         SetTimer next = timers.peek();
         long parkNs =
@@ -297,27 +305,27 @@
 
     // ---- Figures for the state page
 
-    /** Returns the time spent on entries and timers since the start, ns. */
+    /** Returns the time spent on processing entries and timers since the start, in ns. */
     long busyNs() {
         return busyNs.sum();
     }
 
-    /** Returns the entries and timers processed since the start. */
+    /** Returns the number of entries and timers processed since the start. */
     long processedEntries() {
         return processedEntries.sum();
     }
 
-    /** Returns the most entries that have waited at the start of a batch. */
+    /** Returns the maximum length that the queue had at the start of a batch. */
     int maxQueueLength() {
         return maxQueueLength;
     }
 
-    /** Returns the entries that wait now. */
+    /** Returns the current length of the queue. */
     int queueLength() {
         return queue.size();
     }
 
-    /** Returns the requests rejected since the start because the queue was too full. */
+    /** Returns the number of requests rejected since the start because the queue was too full. */
     long rejectedRequests() {
         return rejectedRequests.sum();
     }
--- a/src/main/java/brooklock/proxy/StatePage.java
+++ b/src/main/java/brooklock/proxy/StatePage.java
@@ -7,10 +7,11 @@
 import java.util.Optional;
 
 /**
- * Writes the state page: what the dispatcher has counted and how full it is. Any thread may call.
+ * Renders the state page, which contains the dispatcher's counters and its current load.
+ * Thread-safe. * *
  *
- * <p>One line an item, words parted by blanks. Dashboards read it, so the words stay when names in
- * the code change; {@code docs/operating.md} has them.
+ * <p>Each item is one line of words separated by spaces. Dashboards read the page, so its words
+ * must not change when names in the code change; {@code docs/operating.md} documents them.
  */
 final class StatePage {
     private final ProxyContext context;
@@ -35,7 +36,7 @@
         this.warming = warming;
     }
 
-    /** Returns the page as it is now. */
+    /** Returns the current page. */
     String write() {
         StringBuilder page = new StringBuilder();
         line(page, "name", context.settings().name());
@@ -62,7 +63,7 @@
             page.append(source).append(" heard-ms-ago ");
             page.append(Math.max(0, nowMs - source.lastHeardMs())).append('\n');
         }
-        // "by-hand" is the page's word for an override.
+        // The page shows an override as "by-hand".
         state.overrides()
                 .forEach(
                         (id, override) ->
--- a/src/main/java/brooklock/proxy/TenantAdmission.java
+++ b/src/main/java/brooklock/proxy/TenantAdmission.java
@@ -5,8 +5,8 @@
 import java.util.function.Supplier;
 
 /**
- * Holds tenants to their limits and, while the dispatcher is overloaded, to their fair share. All
- * of it belongs to the routing thread.
+ * Enforces the limits of tenants and, while the dispatcher is overloaded, their fair shares. Must
+ * be used on the routing thread only.
  */
 final class TenantAdmission {
     private final MonotonicClock clock;
@@ -20,10 +20,9 @@
     }
 
     /**
-     * Admits a request within its tenant's limits; every admitted one is to be released. One that
-     * is over them is answered, and never becomes an event.
-     *
-     * @return false if the request was answered
+     * Admits a request that is within its tenant's limits, or rejects it. A rejected request gets
+     * its response here and never reaches the router. Every request must be passed to {@link
+     * #release} when it has ended. * * @return false if the request was rejected
      */
     boolean tryAcquire(ProxyExchange exchange) {
         if (exchange.request.caller().isEmpty()) {
@@ -31,7 +30,7 @@
         }
         refreshTenants();
         String tenant = exchange.request.tenantName();
-        // A tenant that a new policy has dropped between authorization and here.
+        // A new policy may have removed the tenant since the request was authorized.
         TenantLimiter.Admission admission =
                 limiter.isKnown(tenant)
                         ? limiter.tryAcquire(tenant, clock.nowNs())
@@ -44,8 +43,8 @@
         return true;
     }
 
-    // Compared by identity: each file that is read makes another policy, and one that equals the
-    // last costs no more than setting the same tenants again.
+    // Policies are compared by identity. Each load of the file creates a new object, and for an
+    // equal one the only cost is setting the same tenants again.
     @SuppressWarnings("ReferenceEquality")
     private void refreshTenants() {
         Policy policy = policyInForce.get();
@@ -55,7 +54,10 @@
         }
     }
 
-    /** Releases a request that has ended; does nothing for one that was not admitted here. */
+    /**
+     * Releases a request that has ended. Has no effect if it does not count against a tenant's
+     * limits.
+     */
     void release(ProxyExchange exchange) {
         if (exchange.heldByTenant) {
             limiter.release(
--- a/src/main/java/brooklock/proxy/TraceCodec.java
+++ b/src/main/java/brooklock/proxy/TraceCodec.java
@@ -8,10 +8,11 @@
 import java.util.List;
 
 /**
- * Writes records as text and reads them back: {@code Word(a,b,[c,d],Inner(e))}.
+ * Encodes records as text, such as {@code Word(a,b,[c,d],Inner(e))}, and decodes them. * *
  *
- * <p>The values are those of the record's components in their order, so a component that is added
- * to a record is carried without a change here. The words are those of {@link TraceVocabulary}.
+ * <p>The values are the record's components in their order, so a component that is added to a
+ * record is encoded without a change here. {@link TraceVocabulary} defines the words. The static
+ * methods are thread-safe.
  */
 final class TraceCodec {
     private final String text;
@@ -21,9 +22,9 @@
         this.text = text;
     }
 
-    // ---- Writing
+    // ---- Encoding
 
-    /** Returns a record as text. */
+    /** Encodes a record. */
     static String write(Object value) {
         StringBuilder text = new StringBuilder(96);
         append(value, text);
@@ -55,28 +56,36 @@
             try {
                 append(components[i].getAccessor().invoke(record), text);
             } catch (ReflectiveOperationException e) {
-                throw new IllegalStateException("cannot read " + components[i], e);
+                throw new IllegalStateException(
+                        "cannot read the record component " + components[i], e);
             }
         }
         text.append(')');
     }
 
-    // ---- Reading
+    // ---- Decoding
 
     /**
-     * Reads a record.
-     *
-     * @throws IllegalArgumentException if the text is not one record that traces have
+     * Decodes a record. * * @throws IllegalArgumentException if the text is not exactly one record
+     * of a type that traces contain
      */
     static Object read(String text) {
         TraceCodec codec = new TraceCodec(text);
         int open = text.indexOf('(');
         if (open < 0) {
-            throw new TraceFormatException("not a record: " + text);
+            throw new TraceFormatException(
+                    "expected a record in the form WORD(VALUE,...) but received "
+                            + text.length()
+                            + " characters without '('");
         }
         Object value = codec.readValue(TraceVocabulary.typeOf(text.substring(0, open)));
         if (codec.position != text.length()) {
-            throw new TraceFormatException("more than a record: " + text);
+            throw new TraceFormatException(
+                    "expected the end of the record at offset "
+                            + codec.position
+                            + " but received "
+                            + (text.length() - codec.position)
+                            + " more characters");
         }
         return value;
     }
@@ -121,7 +130,11 @@
     private Object readRecord(Class<?> type) {
         String word = TraceVocabulary.wordOf(type);
         if (!readWord().equals(word)) {
-            throw new TraceFormatException("no " + word + " at " + position + " of " + text);
+            throw new TraceFormatException(
+                    "expected a record '"
+                            + word
+                            + "' but received another word, which ends at offset "
+                            + position);
         }
         RecordComponent[] components = type.getRecordComponents();
         Class<?>[] types = new Class<?>[components.length];
@@ -141,7 +154,7 @@
                 | InstantiationException
                 | IllegalAccessException
                 | NoSuchMethodException e) {
-            throw new IllegalStateException("cannot make a " + type, e);
+            throw new IllegalStateException("cannot instantiate " + type, e);
         }
     }
 
@@ -155,7 +168,15 @@
 
     private void expect(char expected) {
         if (position >= text.length() || text.charAt(position) != expected) {
-            throw new TraceFormatException("no '" + expected + "' at " + position + " of " + text);
+            throw new TraceFormatException(
+                    "expected '"
+                            + expected
+                            + "' at offset "
+                            + position
+                            + " but received "
+                            + (position < text.length()
+                                    ? "'" + text.charAt(position) + "'"
+                                    : "the end of the text"));
         }
         position++;
     }
--- a/src/main/java/brooklock/proxy/TraceFormatException.java
+++ b/src/main/java/brooklock/proxy/TraceFormatException.java
@@ -1,6 +1,6 @@
 package brooklock.proxy;
 
-/** A text is not a record as traces have them. */
+/** Thrown when a text is not a valid encoding of a trace record. */
 final class TraceFormatException extends IllegalArgumentException {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/brooklock/proxy/TraceReplay.java
+++ b/src/main/java/brooklock/proxy/TraceReplay.java
@@ -14,18 +14,19 @@
 import java.util.Optional;
 import java.util.Set;
 
-/** Feeds the events of a trace to a new router and compares its actions with the recorded ones. */
+/**
+ * Submits the events of a trace to a new router and compares its actions with the recorded ones.
+ * Each call of {@link #replay(Path)} is independent of all others.
+ */
 public final class TraceReplay {
     /**
-     * What came of a replay.
-     *
-     * @param events events that were replayed
-     * @param actions actions that were the same
-     * @param difference the first difference, with its line; empty if there is none
+     * The result of a replay. * * @param events the number of events that were replayed * @param
+     * actions the number of actions that were equal to the recorded ones * @param difference a
+     * description of the first difference, with its line; empty if there is none
      */
     public record Result(long events, long actions, Optional<String> difference) {}
 
-    /** First words of the lines that make the router act. */
+    /** The first words of the lines that are input of the router. */
     private static final Set<String> INPUT_WORDS = Set.of("settings", "start", "event");
 
     private final Path path;
@@ -43,9 +44,10 @@
     }
 
     /**
-     * Replays a trace up to its end or its first difference.
+     * Replays a trace up to its end or its first difference. A trace may end within a line, because
+     * its writer may have been killed. * * @throws MalformedTraceException if the file is not a
+     * valid trace
      *
-     * @throws MalformedTraceException if the file is not a trace
      * @throws IOException if the file cannot be read
      */
     public static Result replay(Path path) throws IOException {
@@ -80,7 +82,8 @@
         return new Result(events, actions, difference);
     }
 
-    // The last line of a trace whose writer was killed may be cut.
+    // Returns whether an unreadable line is the last one, which is incomplete if the writer was
+    // killed. A first line is never treated as incomplete: the file is then no trace.
     private boolean isCutOff() throws IOException {
         reader.mark(1);
         return reader.read() < 0 && lineNumber > 1;
@@ -90,9 +93,13 @@
         if (words[0].equals("action")) {
             return compare(TraceCodec.read(words[1]));
         }
-        // Before actions are missed: a line cut within its first word is no line of a trace.
+        // Checked before the comparison below: a line that is cut off within its first word must be
+        // reported as malformed, not as a missing action.
         if (!INPUT_WORDS.contains(words[0])) {
-            throw new IllegalArgumentException("unknown word '" + words[0] + "'");
+            throw new IllegalArgumentException(
+                    "expected a line that begins with 'settings', 'start', 'event', 'action' or 'full' but received '"
+                            + words[0].substring(0, Math.min(40, words[0].length()))
+                            + "'");
         }
         if (compared < replayedActions.size()) {
             return difference("nothing", replayedActions.get(compared));
--- a/src/main/java/brooklock/proxy/TraceVocabulary.java
+++ b/src/main/java/brooklock/proxy/TraceVocabulary.java
@@ -11,10 +11,11 @@
 import java.util.Map;
 
 /**
- * The words by which traces name record types and constants.
+ * Maps record types and enum constants to the words that represent them in traces. Immutable and
+ * thread-safe. * *
  *
- * <p>They belong to the stored format and do not change with the names in the code. A constant
- * without a word of its own is written by its name.
+ * <p>The words are part of the stored format, so they must not change when a type or constant is
+ * renamed. A constant without an entry here is represented by its name.
  */
 final class TraceVocabulary {
     private static final Map<Class<?>, String> WORD_BY_TYPE =
@@ -63,14 +64,14 @@
     private TraceVocabulary() {}
 
     /**
-     * Returns the word of a record type.
-     *
-     * @throws IllegalArgumentException if traces do not carry the type
+     * Returns the word of a record type. * * @throws IllegalArgumentException if traces do not
+     * contain the type
      */
     static String wordOf(Class<?> type) {
         String word = WORD_BY_TYPE.get(type);
         if (word == null) {
-            throw new IllegalArgumentException("not traced: " + type);
+            throw new IllegalArgumentException(
+                    "expected a record type that traces contain but received " + type);
         }
         return word;
     }
@@ -81,23 +82,23 @@
     }
 
     /**
-     * Returns the record type that a word names.
-     *
-     * @throws IllegalArgumentException if there is none
+     * Returns the record type that a word represents. * * @throws IllegalArgumentException if the
+     * word is unknown
      */
     static Class<?> typeOf(String word) {
         Class<?> type = TYPE_BY_WORD.get(word);
         if (type == null) {
-            throw new TraceFormatException("no such record: " + word);
+            throw new TraceFormatException(
+                    "expected the word of a record type that traces contain but received '"
+                            + word.substring(0, Math.min(40, word.length()))
+                            + "'");
         }
         return type;
     }
 
     /**
-     * Returns the constant that a word names.
-     *
-     * @param type an enum type
-     * @throws IllegalArgumentException if there is none
+     * Returns the enum constant that a word represents. * * @param type the enum type * @throws
+     * IllegalArgumentException if the type has no constant with this word
      */
     static Object constantOf(Class<?> type, String word) {
         for (Object constant : type.getEnumConstants()) {
@@ -105,6 +106,11 @@
                 return constant;
             }
         }
-        throw new TraceFormatException("no such word: " + word);
+        throw new TraceFormatException(
+                "expected the word of a constant of "
+                        + type.getSimpleName()
+                        + " but received '"
+                        + word.substring(0, Math.min(40, word.length()))
+                        + "'");
     }
 }
--- a/src/main/java/brooklock/proxy/TraceWriter.java
+++ b/src/main/java/brooklock/proxy/TraceWriter.java
@@ -13,19 +13,20 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Writes every event and action in their order, as lines of {@link TraceCodec}. It belongs to the
- * routing thread.
+ * Writes every router event and action to a trace file, one line each, encoded by {@link
+ * TraceCodec}. Must be used on the routing thread only, except {@link #open} and {@link #close}. *
+ * *
  *
- * <p>A trace ends when it reaches its size, and does not drop its oldest lines: it can only be
- * replayed from its beginning.
+ * <p>A trace ends when it reaches its maximum size. It does not drop its oldest lines, because it
+ * can only be replayed from the beginning.
  */
 final class TraceWriter {
     private static final Logger LOG = LoggerFactory.getLogger(TraceWriter.class);
 
-    /** Writes nothing. */
+    /** A trace writer that writes nothing. */
     static final TraceWriter OFF = new TraceWriter(null, 0);
 
-    // Null where nothing is written, or no more.
+    // Null if nothing is written, or after the trace has ended.
     private BufferedWriter writer;
     private long remainingBytes;
 
@@ -35,11 +36,9 @@
     }
 
     /**
-     * Opens a trace and writes the settings.
-     *
-     * @param path where; null writes nothing
-     * @param maxBytes size at which the trace ends
-     * @throws IOException if the file cannot be written
+     * Opens a trace file and writes the router's settings. * * @param path the file, or null to
+     * write nothing * @param maxBytes the maximum size of the file, in bytes * @throws IOException
+     * if the file cannot be opened
      */
     static TraceWriter open(Path path, long maxBytes, RouterSettings settings) throws IOException {
         if (path == null) {
@@ -51,7 +50,7 @@
         return trace;
     }
 
-    /** Writes that the router starts. */
+    /** Writes the start of the router. */
     void writeStart(long nowNs) {
         if (writer != null) {
             writeLine("start " + nowNs);
@@ -65,7 +64,7 @@
         }
     }
 
-    /** Writes an action of the last event. */
+    /** Writes an action that the router returned for the last event. */
     void writeAction(RouterAction action) {
         if (writer != null) {
             writeLine("action " + TraceCodec.write(action));
@@ -78,18 +77,18 @@
             if (remainingBytes < 0) {
                 writer.write("full\n");
                 close();
-                LOG.warn("trace is full and ends here");
+                LOG.warn("trace reached its maximum size; no further events are recorded");
                 return;
             }
             writer.write(text);
             writer.write('\n');
         } catch (IOException e) {
-            LOG.error("trace cannot be written and ends here", e);
+            LOG.error("trace could not be written; no further events are recorded", e);
             writer = null;
         }
     }
 
-    /** Closes the file; nothing is written from then on. */
+    /** Closes the file. Later writes have no effect. */
     void close() {
         if (writer != null) {
             try {
--- a/src/main/java/brooklock/proxy/UpstreamAttempt.java
+++ b/src/main/java/brooklock/proxy/UpstreamAttempt.java
@@ -22,14 +22,15 @@
 import org.xnio.XnioExecutor;
 
 /**
- * One attempt of a request at an endpoint, from the router's StartAttempt to its AttemptCompleted.
- * All of it belongs to the client's I/O thread.
+ * One attempt to have an endpoint serve a request, from the router's StartAttempt to the
+ * AttemptCompleted event. Must be used on the client's I/O thread only. * *
  *
- * <p>An attempt is <em>committed</em> once its response is the client's final response. From then
- * on the router can't cancel it; only its timeout, the endpoint or the client ends it.
+ * <p>An attempt is <em>committed</em> once its response is being sent to the client as the final
+ * response. From then on the router cannot cancel it; it ends only by its timeout, the endpoint or
+ * the client.
  */
 final class UpstreamAttempt implements ResponseHandler {
-    /** Stands for the identifier of a peer where no peer is to fill a miss. */
+    /** The peer identifier of an attempt whose cache misses are not filled by a peer. */
     static final long NO_PEER = 0;
 
     private final ProxyContext context;
@@ -40,10 +41,10 @@
     private final long peerId;
     private final long startedAtNs;
 
-    // Null until it is sent.
+    // Null until the attempt is sent.
     private ClientCall call;
     private XnioExecutor.Key timeoutTimer;
-    // Null until the head of the response has come.
+    // Null until the response's head is received.
     private UpstreamResult result;
     private Optional<LoadReport> endpointLoad = Optional.empty();
     private Optional<LoadReport> peerLoad = Optional.empty();
@@ -56,11 +57,9 @@
     private long durationNs;
 
     /**
-     * Makes one that is not sent.
-     *
-     * @param number index among the request's attempts
-     * @param action what the router wants
-     * @param peerId the peer that a cache miss is filled from first, or {@link #NO_PEER}
+     * Creates a new attempt that is not yet sent. * * @param number the index among the request's
+     * attempts * @param action the router's action that starts the attempt * @param peerId the peer
+     * that the endpoint tries first on a cache miss, or {@link #NO_PEER}
      */
     UpstreamAttempt(
             ProxyContext context,
@@ -78,7 +77,10 @@
         startedAtNs = context.clock().nowNs();
     }
 
-    /** Sends it; where the list of endpoints has changed since it was routed it ends at once. */
+    /**
+     * Sends the attempt. If the endpoint list has changed since it was routed so that it may not be
+     * sent, it ends at once as {@link AttemptOutcome#NOT_STARTED}.
+     */
     void send() {
         EndpointRegistry registry = context.endpointRegistry();
         ListedEndpoint endpoint = registry.find(action.endpoint());
@@ -103,12 +105,14 @@
     }
 
     /**
-     * Asked right before the first byte is written: while the attempt waited for a connection an
-     * endpoint may have left the list, or the wait may have been too long.
+     * Returns whether the attempt may still be sent. Called directly before the first byte is
+     * written: while the attempt waited for a connection, an endpoint may have left the list, or
+     * the wait may have been too long. * *
      *
-     * <p>A purge does not recall an attempt that waits: it goes out with the oldest age that was
-     * allowed when it was routed. Only attempts that are routed after a purge demand a newer copy.
-     * The platform's dispatcher differs: it gives waiting attempts back to the router.
+     * <p>A purge does not affect an attempt that waits for a connection: it is sent with the
+     * maximum age that was allowed when it was routed. Only attempts that are routed after the
+     * purge require a newer copy. The platform's dispatcher differs: it returns waiting attempts to
+     * the router.
      */
     @Override
     public boolean shouldSend() {
@@ -120,7 +124,7 @@
                 && context.clock().nowNs() - startedAtNs <= action.startWithinNs();
     }
 
-    // ---- The endpoint's response
+    // ---- Response of the endpoint
 
     @Override
     public void onHead(ResponseHead head, Framing framing, boolean whole) {
@@ -138,7 +142,8 @@
             }
             exchange.startResponse(head, framing);
         } else if (!whole) {
-            // Nobody reads the body of an error: the attempt ends now and its connection is closed.
+            // The body of an error response is not used, so the attempt ends now and its connection
+            // is closed.
             ClientCall currentCall = call;
             completeByResult();
             currentCall.cancel();
@@ -199,7 +204,7 @@
         }
     }
 
-    // ---- What ends it from this side
+    // ---- Timeout and cancellation
 
     private void onTimeout() {
         boolean streamed = exchange.request.match().requestClass().streamed();
@@ -212,14 +217,17 @@
         }
     }
 
-    /** Cancels it for the router, unless its response is already on its way to the client. */
+    /**
+     * Cancels the attempt on behalf of the router, unless its response is already being sent to the
+     * client.
+     */
     void cancelUnlessCommitted() {
         if (!committed) {
             cancel();
         }
     }
 
-    /** Cancels it; its connection is closed. */
+    /** Cancels the attempt and closes its connection. Has no effect if the attempt has ended. */
     void cancel() {
         if (!ended) {
             endCall(AttemptOutcome.CANCELLED);
@@ -239,10 +247,10 @@
     }
 
     /**
-     * Ends it and tells the router, once. The time in which the client read nothing does not count:
-     * a slow client must not make an endpoint look slow.
-     *
-     * @param fillDurationNs how long the endpoint waited for its fill source, ns
+     * Ends the attempt and submits the event to the router. Has no effect if the attempt has ended.
+     * The reported duration excludes the time in which the client did not read, because a slow
+     * client must not make the endpoint appear slow. * * @param fillDurationNs the time for which
+     * the endpoint waited for its fill source, in ns
      */
     void complete(AttemptOutcome how, CacheStatus cacheStatus, long fillDurationNs) {
         if (ended) {
@@ -297,7 +305,9 @@
                 peerLoad);
     }
 
-    /** Returns endpoint, fill source, outcome, cache status and duration, for the access log. */
+    /**
+     * Returns the endpoint, fill source, outcome, cache status and duration, for the access log.
+     */
     String describe() {
         String source = action.fills() ? "<" + nameOf(action.fillSource()) : "";
         String cacheStatus =
--- a/src/main/java/brooklock/proxy/UpstreamClients.java
+++ b/src/main/java/brooklock/proxy/UpstreamClients.java
@@ -8,17 +8,16 @@
 import javax.net.ssl.SSLContext;
 
 /**
- * The clients towards endpoints, one for each I/O thread: a request and its attempts stay on one
- * thread, and no connection pool needs a lock.
+ * The HTTP clients for connections to endpoints. Each I/O thread has its own client, so that a
+ * request and its attempts stay on one thread and no connection pool needs a lock.
  */
 final class UpstreamClients {
     private final IoThreads ioThreads;
     private final HttpClient[] clients;
 
     /**
-     * Makes the clients.
-     *
-     * @param tlsContext for the connections; null for plain ones
+     * Creates one client for each I/O thread. * * @param tlsContext the TLS context of the
+     * connections, or null for plain connections
      */
     UpstreamClients(IoThreads ioThreads, ClientLimits limits, SSLContext tlsContext) {
         this.ioThreads = ioThreads;
@@ -28,12 +27,12 @@
         }
     }
 
-    /** Returns the client of an I/O thread, to be used on that thread only. */
+    /** Returns the client of an I/O thread, which must be used on that thread only. */
     HttpClient clientFor(IoLoop loop) {
         return clients[loop.number()];
     }
 
-    /** Closes the idle connections to an address, soon; any thread may call. */
+    /** Closes the idle connections to an address asynchronously. Any thread may call it. */
     void closeIdle(InetSocketAddress address) {
         for (int i = 0; i < clients.length; i++) {
             HttpClient client = clients[i];
--- a/src/main/java/brooklock/proxy/UpstreamRequestBuilder.java
+++ b/src/main/java/brooklock/proxy/UpstreamRequestBuilder.java
@@ -10,16 +10,20 @@
 import java.util.Locale;
 import java.util.Set;
 
-/** Builds the head that an endpoint gets; {@code docs/protocol.md} has every field. */
+/**
+ * Builds the heads of requests to endpoints; {@code docs/protocol.md} documents their fields.
+ * Stateless and thread-safe.
+ */
 final class UpstreamRequestBuilder {
     /**
-     * Begins the names of the fields between dispatchers and endpoints, in lower case. A client's
-     * own fields of such names are dropped: it could name a source or a peer by them.
+     * The prefix, in lower case, of the names of fields that dispatchers and endpoints exchange.
+     * Such fields are removed from clients' requests, because a client could otherwise select a
+     * fill source or a peer.
      */
     static final String INTERNAL_FIELD_PREFIX = "brooklock-";
 
-    // The router says what is requested of a cache, and copies are of whole parts: what the client
-    // says about freshness and ranges is not forwarded.
+    // The router determines which age of a copy is acceptable, and caches store whole parts.
+    // Therefore the client's fields about freshness and ranges are not forwarded.
     private static final Set<String> NOT_FORWARDED_FIELDS =
             Set.of(
                     "cache-control",
@@ -32,21 +36,17 @@
     private static final long NS_PER_SECOND = 1_000_000_000L;
 
     /**
-     * Who takes part in an attempt.
-     *
-     * @param endpoint gets the request
-     * @param source fills a cache miss; the endpoint itself for no fill
-     * @param peer is tried before the source; null for none
+     * The endpoints that are involved in an attempt. * * @param endpoint the endpoint that receives
+     * the request * @param source the fill source for a cache miss; the endpoint itself for no fill
+     * * @param peer the peer that is tried before the fill source, or null for none
      */
     record Target(ListedEndpoint endpoint, ListedEndpoint source, ListedEndpoint peer) {}
 
     private UpstreamRequestBuilder() {}
 
     /**
-     * Builds the head of an attempt.
-     *
-     * @param attemptNumber index among the request's attempts
-     * @param dispatcherName goes into Via
+     * Builds the head of an attempt's request. * * @param attemptNumber the index among the
+     * request's attempts * @param dispatcherName the name of this dispatcher, for the Via field
      */
     static RequestHead buildHead(
             ProxyExchange exchange,
@@ -99,14 +99,16 @@
                     return lowerCase.startsWith(INTERNAL_FIELD_PREFIX)
                             || NOT_FORWARDED_FIELDS.contains(lowerCase);
                 });
-        // Credentials end here. A cached class gets no cookies at all: the copy is for many.
+        // The dispatcher does not forward credentials that it has checked. Requests of cached
+        // classes never carry cookies, because many clients share the copy.
         if (request.caller().isPresent() || !request.match().requestClass().passThrough()) {
             fields.remove("Authorization").remove("Cookie");
         }
         return fields;
     }
 
-    // For an endpoint that knows no Brooklock-Get. Whole seconds, rounded down: never laxer.
+    // Cache-Control is for endpoints that do not support Brooklock-Get. The age is rounded down to
+    // whole seconds, so that it never allows an older copy.
     private static String cacheControl(boolean fills, long maxAgeNs) {
         String onlyIfCached = fills ? "" : "only-if-cached";
         if (maxAgeNs <= 0) {
@@ -146,7 +148,7 @@
                 .toString();
     }
 
-    /** Returns an endpoint's address as Brooklock-Get has it. */
+    /** Returns an endpoint's address in the form that the field Brooklock-Get contains. */
     static String quotedAddress(ListedEndpoint endpoint) {
         return "\""
                 + endpoint.address().getAddress().getHostAddress()
--- a/src/main/java/brooklock/proxy/WarmingCoordinator.java
+++ b/src/main/java/brooklock/proxy/WarmingCoordinator.java
@@ -28,11 +28,12 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Carries out what {@link CacheWarming} decides: names peers in attempts, hands the share of each
- * cache to the router as its weight, and prefetches.
+ * Executes the decisions of {@link CacheWarming}: selects peers for attempts, submits the load
+ * share of each cache to the router as its weight, and sends prefetches. * *
  *
- * <p>All of it belongs to the routing thread, except {@link #start}, {@link #close} and {@link
- * #appendState}, which any thread may call.
+ * <p>Must be used on the routing thread only, except {@link #start}, {@link #close} and {@link
+ * #appendState}, which any thread may call. Periodic work runs from {@link #start} to {@link
+ * #close}.
  */
 final class WarmingCoordinator {
     private static final Logger LOG = LoggerFactory.getLogger(WarmingCoordinator.class);
@@ -49,17 +50,15 @@
     private int ticks;
     private volatile boolean closed;
 
-    // Written by the routing thread, read by the thread that writes the state page.
+    // Written by the routing thread and read by threads that render the state page.
     private final LongAdder peerHits = new LongAdder();
     private final LongAdder peerMisses = new LongAdder();
     private final LongAdder prefetches = new LongAdder();
 
     /**
-     * Makes one that knows no cache.
-     *
-     * @param tickLoop the I/O thread whose timer drives the periodic work
-     * @param prefetchSender sends prefetches
-     * @param snapshotStore keeps what was learned; empty where it is not kept
+     * Creates a new coordinator without caches. * * @param tickLoop the I/O thread whose timer
+     * drives the periodic work * @param prefetchSender sends prefetches * @param snapshotStore
+     * saves the warming state; empty if it is not to be saved
      */
     WarmingCoordinator(
             ProxyContext context,
@@ -85,21 +84,21 @@
 
     private static WarmingLimits limits(Settings settings) {
         Settings.WarmingSettings warming = settings.warming();
-        Settings.SafetyLimitSettings invariants = settings.safetyLimits();
+        Settings.SafetyLimitSettings safetyLimits = settings.safetyLimits();
         return new WarmingLimits(
                 warming.acrossZones(),
                 warming.peerLoadShare(),
                 warming.warmCapacityPerS() / 1e9,
                 settings.dispatcherCount(),
-                invariants.initialCapacity(),
-                invariants.warmUpNs(),
-                invariants.overloadMultiple(),
-                invariants.overloadWindowNs());
+                safetyLimits.initialCapacity(),
+                safetyLimits.warmUpNs(),
+                safetyLimits.overloadMultiple(),
+                safetyLimits.overloadWindowNs());
     }
 
     // ---- The endpoint list
 
-    /** Reads the caches of the list in force. */
+    /** Updates the set of caches from the endpoint list in force. */
     void onEndpointListChanged() {
         List<CacheWarming.CacheEndpoint> caches = new ArrayList<>();
         for (Endpoint endpoint :
@@ -118,7 +117,9 @@
         warming.onEndpointList(caches, context.clock().nowNs());
     }
 
-    /** Returns a list whose weights count the share of each cache that warms up. */
+    /**
+     * Returns a copy of the list in which each weight is multiplied by the load share of its cache.
+     */
     EndpointListReceived withWarmingWeights(EndpointListReceived list) {
         return new EndpointListReceived(
                 list.kind(), list.endpoints().stream().map(this::withWarmingWeight).toList());
@@ -137,12 +138,12 @@
 
     // ---- Requests
 
-    /** Nothing that was purged is prefetched until the purge is complete at every cache. */
+    /** Blocks prefetches of purged objects until the purge is complete at every cache. */
     void onPurge(RouterEvent.PurgeReceived purge) {
         recentPurges.add(purge.object(), purge.group(), context.clock().nowNs() - purge.ageNs());
     }
 
-    /** A request is about to be routed. */
+    /** Records a request that is about to be routed. */
     void onRequest(RoutedRequest request) {
         RouteTable.Match match = request.match();
         if (!match.requestClass().passThrough() && request.client().head().method().equals("GET")) {
@@ -155,9 +156,8 @@
     }
 
     /**
-     * Selects the peer that an attempt's cache miss is to be filled from first.
-     *
-     * @return its identifier, or {@link UpstreamAttempt#NO_PEER}
+     * Selects the peer that the endpoint of an attempt tries first on a cache miss. * * @return the
+     * peer's identifier, or {@link UpstreamAttempt#NO_PEER}
      */
     long selectFillPeer(StartAttempt action, RouteTable.Match match) {
         boolean fillsCopy =
@@ -170,7 +170,7 @@
                 : UpstreamAttempt.NO_PEER;
     }
 
-    /** An attempt has ended and the router has seen it. */
+    /** Records a completed attempt. Must be called after the router has processed its event. */
     void onAttemptCompleted(AttemptObservation observation) {
         long nowNs = context.clock().nowNs();
         AttemptCompleted event = observation.event();
@@ -193,7 +193,7 @@
         }
     }
 
-    // Whether the endpoint itself failed, not what it fills from.
+    // Returns whether the endpoint itself failed and not its fill source.
     private static boolean isEndpointFailure(AttemptCompleted event) {
         return switch (event.outcome()) {
             case OVERLOADED, ERROR -> event.cacheStatus() == CacheStatus.NONE;
@@ -228,7 +228,10 @@
 
     // ---- Periodic work
 
-    /** Restores the last snapshot, and begins to hand over weights and to prefetch. */
+    /**
+     * Restores the last snapshot and starts the periodic work: weight updates, prefetches and
+     * snapshots.
+     */
     void start() {
         snapshotStore
                 .flatMap(WarmingSnapshotStore::load)
@@ -335,7 +338,7 @@
                 .ifPresent(load -> warming.onReport(prefetch.sourceId(), load));
     }
 
-    /** Appends the lines of the state page. */
+    /** Appends the cache warming lines to the state page. */
     void appendState(StringBuilder page) {
         page.append("warming-given ").append(peerHits.sum()).append('\n');
         page.append("warming-lacked ").append(peerMisses.sum()).append('\n');
--- a/src/main/java/brooklock/proxy/WarmingSnapshotStore.java
+++ b/src/main/java/brooklock/proxy/WarmingSnapshotStore.java
@@ -14,8 +14,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Keeps what was learned of caches that warm up, through a restart of the dispatcher. Without it a
- * restart would send a cache that is half warm the load of a cold one, or of a warm one.
+ * Saves the state of cache warming to a file and loads it after a restart of the dispatcher.
+ * Without it, a partly warm cache would receive the load of a cold or a warm one after a restart.
  */
 final class WarmingSnapshotStore {
     private static final Logger LOG = LoggerFactory.getLogger(WarmingSnapshotStore.class);
@@ -28,7 +28,7 @@
         this.writer = writer;
     }
 
-    /** Saves a snapshot on the writing thread. One that cannot be saved is logged. */
+    /** Saves a snapshot on the writing thread. A failure is logged and otherwise ignored. */
     void save(List<SnapshotEntry> entries) {
         String text = WarmingSnapshotCodec.encode(System.currentTimeMillis(), entries);
         writer.execute(
@@ -36,13 +36,14 @@
                     try {
                         AtomicFile.replace(path, text, false);
                     } catch (IOException e) {
-                        LOG.error("the warming snapshot cannot be saved", e);
+                        LOG.error("warming snapshot could not be saved to {}", path, e);
                     }
                 });
     }
 
     /**
-     * Loads the last snapshot; empty at the first start and where it is damaged, which is logged.
+     * Loads the last snapshot. Returns an empty value if there is none, or if it cannot be read or
+     * is damaged, which is logged.
      */
     Optional<WarmingSnapshotCodec.WarmingSnapshot> load() {
         try {
@@ -51,7 +52,7 @@
         } catch (NoSuchFileException ignored) {
             return Optional.empty();
         } catch (IOException | IllegalArgumentException e) {
-            LOG.warn("the warming snapshot is not used: {}", e.getMessage());
+            LOG.warn("warming snapshot ignored; starting without saved warming state: {}", e.getMessage());
             return Optional.empty();
         }
     }
