--- a/src/main/java/brooklock/proxy/PrefetchSender.java
+++ b/src/main/java/brooklock/proxy/PrefetchSender.java
@@ -29,7 +29,7 @@
      */
     void send(Prefetch<PrefetchTarget> prefetch, Consumer<PrefetchRequest.Result> listener) {
         ListedEndpoint endpoint = context.endpointRegistry().find(prefetch.endpointId());
-        ListedEndpoint source = context.endpointRegistry().find(prefetch.sourceId());
+        ListedEndpoint source = context.endpointRegistry().find(prefetch.peerId());
         RequestHead head = buildHead(prefetch, endpoint, source);
         IoLoop loop = ioThreads.loop(nextLoop++ % ioThreads.size());
         loop.execute(
@@ -37,7 +37,7 @@
                         new PrefetchRequest(
                                         context,
                                         prefetch.endpointId(),
-                                        prefetch.sourceId(),
+                                        prefetch.peerId(),
                                         listener)
                                 .send(loop, endpoint.address(), head));
     }
--- a/src/main/java/brooklock/proxy/StatePage.java
+++ b/src/main/java/brooklock/proxy/StatePage.java
@@ -61,7 +61,7 @@
         long nowMs = System.currentTimeMillis();
         for (EventSource source : state.sources().values()) {
             page.append(source).append(" heard-ms-ago ");
-            page.append(Math.max(0, nowMs - source.lastHeardMs())).append('\n');
+            page.append(Math.max(0, nowMs - source.lastEventMs())).append('\n');
         }
         // The page shows an override as "by-hand".
         state.overrides()
