--- a/src/main/java/brooklock/membership/EndpointRegistry.java
+++ b/src/main/java/brooklock/membership/EndpointRegistry.java
@@ -58,15 +58,14 @@
      * Returns the event that announces an update to the router; empty if the update has changed
      * nothing.
      */
-    public Optional<EndpointListReceived> toEndpointList(
-            UpdateResult result, EndpointListKind kind) {
+    public Optional<EndpointListReceived> toListEvent(UpdateResult result, EndpointListKind kind) {
         return result.affected().isEmpty() && !result.coversWholeList()
                 ? Optional.empty()
                 : Optional.of(translate(result.affected(), kind));
     }
 
     /** Returns an event with every endpoint in force. */
-    public EndpointListReceived fullEndpointList(EndpointListKind kind) {
+    public EndpointListReceived fullListEvent(EndpointListKind kind) {
         return translate(endpoints().values(), kind);
     }
 
--- a/src/test/java/brooklock/membership/EndpointRegistryTest.java
+++ b/src/test/java/brooklock/membership/EndpointRegistryTest.java
@@ -29,8 +29,7 @@
                         membership ->
                                 membership.apply(
                                         1, WatchEvent.unversioned(full, List.of(endpoints))));
-        return registry.toEndpointList(
-                result, full ? EndpointListKind.FULL : EndpointListKind.DELTA);
+        return registry.toListEvent(result, full ? EndpointListKind.FULL : EndpointListKind.DELTA);
     }
 
     private static Endpoint only(Optional<EndpointListReceived> event) {
