--- a/src/main/java/brooklock/platform/DiscoveredEndpointTable.java
+++ b/src/main/java/brooklock/platform/DiscoveredEndpointTable.java
@@ -88,7 +88,8 @@
      * @param toRouterTimeNs turns Unix milliseconds into the router's clock; called once for each
      *     start of an endpoint, so that later lists name the same time
      */
-    DiscoveredEndpointTable(List<String> zones, List<String> kinds, LongUnaryOperator toRouterTimeNs) {
+    DiscoveredEndpointTable(
+            List<String> zones, List<String> kinds, LongUnaryOperator toRouterTimeNs) {
         this.zones = zones;
         this.kinds = kinds;
         this.toRouterTimeNs = toRouterTimeNs;
--- a/src/main/java/brooklock/routing/Attempt.java
+++ b/src/main/java/brooklock/routing/Attempt.java
@@ -27,7 +27,11 @@
     /** Whether its response has begun to go to the client. */
     boolean responseStarted;
 
-    Attempt(RoutedEndpoint endpoint, RoutedEndpoint fillSource, AdmittedTier reach, long decidedAtNs) {
+    Attempt(
+            RoutedEndpoint endpoint,
+            RoutedEndpoint fillSource,
+            AdmittedTier reach,
+            long decidedAtNs) {
         this.endpoint = endpoint;
         this.fillSource = fillSource;
         this.reach = reach;
--- a/src/test/java/brooklock/platform/RpcEncoderTest.java
+++ b/src/test/java/brooklock/platform/RpcEncoderTest.java
@@ -58,7 +58,9 @@
         byte[] body = new byte[length];
         assertArrayEquals(
                 RpcTestClient.concat(
-                        DecoderTestUtil.hex("94 01 07 c0 92" + head), body, DecoderTestUtil.hex("80")),
+                        DecoderTestUtil.hex("94 01 07 c0 92" + head),
+                        body,
+                        DecoderTestUtil.hex("80")),
                 bytesOf(RpcEncoder.served(7, body)));
     }
 
