--- a/src/main/java/brooklock/proxy/AccessFiles.java
+++ b/src/main/java/brooklock/proxy/AccessFiles.java
@@ -56,14 +56,15 @@
     private volatile boolean closed;
 
     /**
-     * Loads the files that the settings name. * * @throws IOException if a file cannot be loaded;
-     * the message states the reason
+     * Loads the files that the settings name.
+     *
+     * @throws IOException if a file cannot be loaded; the message states the reason
      */
     AccessFiles(AccessSettings access) throws IOException {
         policy =
                 watch(
                         "rights",
-                        listOf(access.policyFile()),
+                        toList(access.policyFile()),
                         previous ->
                                 PolicyReader.parse(
                                         access.policyFile().toString(),
@@ -71,7 +72,7 @@
         keySet =
                 watch(
                         "tokens",
-                        listOf(access.keySetFile()),
+                        toList(access.keySetFile()),
                         previous -> loadKeySet(access.keySetFile(), previous));
         clientTrust =
                 watch(
@@ -92,7 +93,7 @@
         endpointTrust =
                 watch(
                         "hosts-tls",
-                        listOf(access.endpointAuthorities()),
+                        toList(access.endpointAuthorities()),
                         previous ->
                                 CertificateTrust.load(
                                         access.endpointAuthorities(), List.of(), null, true, null));
@@ -111,7 +112,7 @@
         }
         List<Path> files = new ArrayList<>(access.revocationLists());
         files.add(access.clientAuthorities());
-        files.addAll(listOf(access.deniedCertificates()));
+        files.addAll(toList(access.deniedCertificates()));
         return files;
     }
 
@@ -124,7 +125,7 @@
         return files;
     }
 
-    private static List<Path> listOf(Path path) {
+    private static List<Path> toList(Path path) {
         return path == null ? List.of() : List.of(path);
     }
 
@@ -190,9 +191,11 @@
 
     /**
      * Starts the thread that polls the files and closes connections whose certificates are revoked
-     * or have expired. Does nothing if the settings name no files. * * @param listener the listener
-     * whose connections are checked * @param name the prefix of the thread's name * @param onPoll
-     * runs on the polling thread after each poll
+     * or have expired. Does nothing if the settings name no files.
+     *
+     * @param listener the listener whose connections are checked
+     * @param name the prefix of the thread's name
+     * @param onPoll runs on the polling thread after each poll
      */
     void startPolling(HttpListener listener, String name, Runnable onPoll) {
         if (watchedFiles.isEmpty()) {
--- a/src/main/java/brooklock/proxy/AccessLog.java
+++ b/src/main/java/brooklock/proxy/AccessLog.java
@@ -12,8 +12,10 @@
     private AccessLog() {}
 
     /**
-     * Writes the entry of a request. * * @param exchange the request, which must have ended
-     * * @param nowNs the current time on the dispatcher's clock, in ns
+     * Writes the entry of a request.
+     *
+     * @param exchange the request, which must have ended
+     * @param nowNs the current time on the dispatcher's clock, in ns
      */
     static void writeEntry(ProxyExchange exchange, long nowNs) {
         if (!LOG.isInfoEnabled()) {
@@ -32,7 +34,7 @@
                 .addKeyValue("object", Long.toHexString(request.match().object()))
                 .addKeyValue("part", request.match().part())
                 .addKeyValue("attempts", exchange.attemptDescriptions())
-                .addKeyValue("final", exchange.completion().word())
+                .addKeyValue("final", exchange.completion().logWord())
                 .addKeyValue("status", exchange.status())
                 .addKeyValue("bytes", exchange.responseBytes())
                 .addKeyValue("us", (nowNs - request.acceptedAtNs()) / 1000)
--- a/src/main/java/brooklock/proxy/ActionExecutor.java
+++ b/src/main/java/brooklock/proxy/ActionExecutor.java
@@ -16,7 +16,7 @@
 
 /**
  * Executes the router's actions on the I/O threads that own the requests. Must be used on the
- * routing thread only. * *
+ * routing thread only.
  *
  * <p>Each I/O thread receives the actions of a batch as one task, in their order.
  */
@@ -86,8 +86,8 @@
 
     private void runOnIoThread(ProxyExchange exchange, Consumer<ProxyExchange> task) {
         if (exchange != null) {
-            int loop = exchange.request.client().loop().number();
-            batchByLoop.get(loop).add(() -> task.accept(exchange));
+            int loopNumber = exchange.request.client().loop().number();
+            batchByLoop.get(loopNumber).add(() -> task.accept(exchange));
         }
     }
 
--- a/src/main/java/brooklock/proxy/AuthorizationResult.java
+++ b/src/main/java/brooklock/proxy/AuthorizationResult.java
@@ -7,18 +7,23 @@
 sealed interface AuthorizationResult {
 
     /**
-     * The policy allows the request. * * @param tenant the tenant that sent the request * @param
-     * policyLine the number of the policy line that allows the request, for the access log
+     * The policy allows the request.
+     *
+     * @param tenant the tenant that sent the request
+     * @param policyLine the number of the policy line that allows the request, for the access log
      */
     record Authorized(Tenant tenant, int policyLine) implements AuthorizationResult {}
 
     /**
-     * The request is denied. * * @param response the response to the client * @param publicDetail
-     * text that the response body appends to the response's text, or an empty string * @param
-     * auditReason the reason for the audit log. It is not sent to the client, because a caller that
-     * guesses credentials or paths would learn about the policy from it * @param credentialLabel
-     * identifies the credential without revealing it; "-" for no credential * @param tenant the
-     * tenant that sent the request, if it is known
+     * The request is denied.
+     *
+     * @param response the response to the client
+     * @param publicDetail text that the response body appends to the response's text, or an empty
+     *     string
+     * @param auditReason the reason for the audit log. It is not sent to the client, because a
+     *     caller that guesses credentials or paths would learn about the policy from it
+     * @param credentialLabel identifies the credential without revealing it; "-" for no credential
+     * @param tenant the tenant that sent the request, if it is known
      */
     record Denied(
             ErrorResponse response,
--- a/src/main/java/brooklock/proxy/BearerTokenReader.java
+++ b/src/main/java/brooklock/proxy/BearerTokenReader.java
@@ -18,9 +18,11 @@
     }
 
     /**
-     * Returns the token of a request, or an empty value if the head contains none. * * @throws
-     * InvalidCredentialException if the head contains several tokens, of which another program on
-     * the path might pick a different one, or if the authorization scheme is not Bearer
+     * Returns the token of a request, or an empty value if the head contains none.
+     *
+     * @throws InvalidCredentialException if the head contains several tokens, of which another
+     *     program on the path might pick a different one, or if the authorization scheme is not
+     *     Bearer
      */
     Optional<String> read(Fields fields) throws InvalidCredentialException {
         if (fields.count("Authorization") > 1) {
--- a/src/main/java/brooklock/proxy/CacheStatusParser.java
+++ b/src/main/java/brooklock/proxy/CacheStatusParser.java
@@ -10,7 +10,7 @@
 
 /**
  * Derives the result of an attempt from the head of an endpoint's response. Stateless and
- * thread-safe. * *
+ * thread-safe.
  *
  * <p>Only the error names and parameters listed in {@code docs/protocol.md} prove that the request
  * was not executed. A head without them, or with unknown ones, proves nothing: treating it as proof
@@ -43,7 +43,8 @@
         Fields fields = head.fields();
         long fillDurationNs = parseFillDurationNs(fields.get("Brooklock-Waited"));
         if (head.status() < 500) {
-            return new UpstreamResult(AttemptOutcome.OK, statusOfCopy(fields), fillDurationNs);
+            return new UpstreamResult(
+                    AttemptOutcome.OK, cacheStatusOfResponse(fields), fillDurationNs);
         }
         List<StatusFieldParser.Member> proxies =
                 StatusFieldParser.parse(fields.combinedValue("Proxy-Status"));
@@ -55,7 +56,7 @@
         }
         return head.status() == 504 && fields.get("Cache-Status") != null
                 ? new UpstreamResult(
-                        AttemptOutcome.CACHE_MISS, statusOfMiss(fields), fillDurationNs)
+                        AttemptOutcome.CACHE_MISS, cacheStatusOfMiss(fields), fillDurationNs)
                 : new UpstreamResult(AttemptOutcome.ERROR, CacheStatus.NONE, fillDurationNs);
     }
 
@@ -84,18 +85,18 @@
                     originFailed ? CacheStatus.ORIGIN_FAILED : CacheStatus.FILL_SOURCE_REJECTED,
                     fillDurationNs);
         }
-        CacheStatus lost =
+        CacheStatus sourceFailure =
                 originFailed ? CacheStatus.ORIGIN_FAILED : CacheStatus.FILL_SOURCE_CONNECTION_LOST;
         if (SOURCE_NOT_REACHED_ERRORS.contains(error)) {
-            return new UpstreamResult(AttemptOutcome.OVERLOADED, lost, fillDurationNs);
+            return new UpstreamResult(AttemptOutcome.OVERLOADED, sourceFailure, fillDurationNs);
         }
         if (SOURCE_ABORTED_ERRORS.contains(error)) {
-            return new UpstreamResult(AttemptOutcome.ERROR, lost, fillDurationNs);
+            return new UpstreamResult(AttemptOutcome.ERROR, sourceFailure, fillDurationNs);
         }
         return new UpstreamResult(AttemptOutcome.ERROR, CacheStatus.NONE, fillDurationNs);
     }
 
-    private static CacheStatus statusOfCopy(Fields fields) {
+    private static CacheStatus cacheStatusOfResponse(Fields fields) {
         StatusFieldParser.Member nearest =
                 StatusFieldParser.nearestMember(fields.combinedValue("Cache-Status"));
         if (nearest == null) {
@@ -122,7 +123,7 @@
                 : CacheStatus.FILLED_BY_PARENT;
     }
 
-    private static CacheStatus statusOfMiss(Fields fields) {
+    private static CacheStatus cacheStatusOfMiss(Fields fields) {
         StatusFieldParser.Member nearest =
                 StatusFieldParser.nearestMember(fields.combinedValue("Cache-Status"));
         if (nearest == null) {
--- a/src/main/java/brooklock/proxy/Completion.java
+++ b/src/main/java/brooklock/proxy/Completion.java
@@ -1,7 +1,7 @@
 package brooklock.proxy;
 
 /**
- * How an admitted request ended. * *
+ * How an admitted request ended.
  *
  * <p>The access log (key {@code final}) contains the words, and so does the state page (key {@code
  * ended}), with hyphens. The words must not change when a constant is renamed. The constants are
@@ -30,12 +30,12 @@
     }
 
     /** Returns the word that the access log contains. */
-    String word() {
+    String logWord() {
         return word;
     }
 
     /** Returns the word that the state page contains. */
-    String stateWord() {
+    String statePageWord() {
         return word.replace(' ', '-');
     }
 }
--- a/src/main/java/brooklock/proxy/ControlHandler.java
+++ b/src/main/java/brooklock/proxy/ControlHandler.java
@@ -25,7 +25,7 @@
 
 /**
  * Handles control requests: purges, endpoint lists, overrides of endpoint states and the state
- * page. Any I/O thread may call it. * *
+ * page. Any I/O thread may call it.
  *
  * <p>A change is acknowledged after the router has processed it and, if the endpoint list is saved
  * to a file, after the list is on disk. All changes are idempotent, so a sender that received no
@@ -63,24 +63,24 @@
             Map<String, String> query =
                     parseQuery(queryStart < 0 ? "" : target.substring(queryStart + 1));
             switch (exchange.head().method()) {
-                case "GET" -> get(exchange, path);
-                case "POST" -> post(exchange, path, query);
-                default -> respondUnknown(exchange, path);
+                case "GET" -> handleGet(exchange, path);
+                case "POST" -> handlePost(exchange, path, query);
+                default -> respondNotFound(exchange, path);
             }
         } catch (IllegalArgumentException e) {
             respond(exchange, 400, e.getMessage());
         }
     }
 
-    private void get(HttpExchange exchange, String path) {
+    private void handleGet(HttpExchange exchange, String path) {
         switch (path) {
             case "/state" -> respond(exchange, 200, statePage.get());
-            case "/hosts" -> respond(exchange, 200, encodedList());
-            default -> respondUnknown(exchange, path);
+            case "/hosts" -> respond(exchange, 200, encodeEndpointList());
+            default -> respondNotFound(exchange, path);
         }
     }
 
-    private void post(HttpExchange exchange, String path, Map<String, String> query) {
+    private void handlePost(HttpExchange exchange, String path, Map<String, String> query) {
         switch (path) {
             case "/hosts" -> exchange.readBody(body -> applyWatchEvent(exchange, body));
             case "/drain" -> setOverride(exchange, query, EndpointState.DRAINING);
@@ -96,19 +96,19 @@
                             exchange,
                             "forget",
                             membership -> membership.forgetSource(query.get("source")));
-            case "/purge" -> exchange.readBody(body -> purge(exchange, query));
-            default -> respondUnknown(exchange, path);
+            case "/purge" -> exchange.readBody(body -> handlePurge(exchange, query));
+            default -> respondNotFound(exchange, path);
         }
     }
 
     private static Map<String, String> parseQuery(String text) {
         Map<String, String> parameters = new HashMap<>();
         for (String pair : text.split("&", -1)) {
-            int equals = pair.indexOf('=');
-            if (equals > 0) {
+            int equalsIndex = pair.indexOf('=');
+            if (equalsIndex > 0) {
                 parameters.put(
-                        pair.substring(0, equals),
-                        URLDecoder.decode(pair.substring(equals + 1), StandardCharsets.UTF_8));
+                        pair.substring(0, equalsIndex),
+                        URLDecoder.decode(pair.substring(equalsIndex + 1), StandardCharsets.UTF_8));
             }
         }
         return parameters;
@@ -116,7 +116,7 @@
 
     // ---- Endpoint lists
 
-    private String encodedList() {
+    private String encodeEndpointList() {
         return EndpointListCodec.encode(
                 WatchEvent.unversioned(
                         true, List.copyOf(context.endpointRegistry().endpoints().values())));
@@ -166,7 +166,7 @@
 
     // ---- Purges
 
-    private void purge(HttpExchange exchange, Map<String, String> query) {
+    private void handlePurge(HttpExchange exchange, Map<String, String> query) {
         try {
             String issuedAt = query.get("at");
             if (issuedAt == null || !issuedAt.matches("\\d{1,15}(\\.\\d{1,6})?")) {
@@ -177,9 +177,9 @@
             if (!query.containsKey("group") && !query.containsKey("url")) {
                 throw new InvalidControlRequestException("a purge names url=URL or group=NAME");
             }
-            boolean ofGroup = query.containsKey("group");
-            int group = ofGroup ? RouteTable.purgeGroupId(query.get("group")) : 0;
-            long object = ofGroup ? 0 : objectOfUrl(query.get("url"));
+            boolean isGroupPurge = query.containsKey("group");
+            int group = isGroupPurge ? RouteTable.purgeGroupId(query.get("group")) : 0;
+            long object = isGroupPurge ? 0 : objectOfUrl(query.get("url"));
             long receivedAtNs = context.clock().nowNs();
             context.routingThread()
                     .submitComputed(
@@ -234,7 +234,7 @@
 
     // ---- Responses
 
-    private static void respondUnknown(HttpExchange exchange, String path) {
+    private static void respondNotFound(HttpExchange exchange, String path) {
         respond(exchange, 404, "no such control request: " + exchange.head().method() + " " + path);
     }
 
--- a/src/main/java/brooklock/proxy/DenialLog.java
+++ b/src/main/java/brooklock/proxy/DenialLog.java
@@ -8,7 +8,7 @@
 import org.slf4j.Logger;
 
 /**
- * Writes denied requests to the audit log. Any thread may log; one thread flushes. * *
+ * Writes denied requests to the audit log. Any thread may log; one thread flushes.
  *
  * <p>At most 20 lines are written between two flushes; the other denials are counted and each flush
  * writes their number. Otherwise a flood of denied requests could fill the disk. Credentials are
@@ -31,7 +31,8 @@
      * Logs a denied request. Only counts it if the maximum number of lines has been written since
      * the last flush.
      */
-    void logDenial(AuthorizationResult.Denied denied, RequestHead head, InetSocketAddress peer) {
+    void logDenial(
+            AuthorizationResult.Denied denied, RequestHead head, InetSocketAddress peerAddress) {
         total.increment();
         if (linesSinceFlush.incrementAndGet() > MAX_LINES_PER_FLUSH) {
             return;
@@ -45,15 +46,15 @@
                 .addKeyValue("tenant", denied.tenant().map(Tenant::name).orElse(""))
                 .addKeyValue("method", head.method())
                 .addKeyValue("path", target.substring(0, Math.min(MAX_PATH_CHARS, pathEnd)))
-                .addKeyValue("address", peer.getAddress().getHostAddress())
+                .addKeyValue("address", peerAddress.getAddress().getHostAddress())
                 .log("denied");
     }
 
     /** Writes how many denials were not logged since the last flush, and starts a new period. */
     void flush() {
-        int denied = linesSinceFlush.getAndSet(0);
-        if (denied > MAX_LINES_PER_FLUSH) {
-            log.atWarn().addKeyValue("more", denied - MAX_LINES_PER_FLUSH).log("denied");
+        int deniedSinceFlush = linesSinceFlush.getAndSet(0);
+        if (deniedSinceFlush > MAX_LINES_PER_FLUSH) {
+            log.atWarn().addKeyValue("more", deniedSinceFlush - MAX_LINES_PER_FLUSH).log("denied");
         }
     }
 
--- a/src/main/java/brooklock/proxy/Dispatcher.java
+++ b/src/main/java/brooklock/proxy/Dispatcher.java
@@ -17,7 +17,7 @@
 import javax.net.ssl.SSLContext;
 
 /**
- * An HTTP dispatcher. It creates its components, connects them, and closes them in order. * *
+ * An HTTP dispatcher. It creates its components, connects them, and closes them in order.
  *
  * <p>{@link #start} returns a running dispatcher. {@link #drain} waits for the open requests to
  * end, and {@link #close} stops the dispatcher at once. All public methods may be called by any
@@ -89,9 +89,10 @@
     }
 
     /**
-     * Starts a dispatcher, which accepts requests once this method returns. * * @throws IOException
-     * if a listener cannot be bound, a file cannot be loaded, or the initial endpoint list is not
-     * in force in time
+     * Starts a dispatcher, which accepts requests once this method returns.
+     *
+     * @throws IOException if a listener cannot be bound, a file cannot be loaded, or the initial
+     *     endpoint list is not in force in time
      */
     public static Dispatcher start(Settings settings) throws IOException {
         return start(settings, RoutingStrategy::newRouter);
@@ -99,9 +100,11 @@
 
     /**
      * Starts a dispatcher with another routing strategy, either to compare strategies or to test
-     * that a faulty one is detected. * * @param strategyFactory creates the strategy, which is used
-     * on the routing thread only * @throws IOException if a listener cannot be bound, a file cannot
-     * be loaded, or the initial endpoint list is not in force in time
+     * that a faulty one is detected.
+     *
+     * @param strategyFactory creates the strategy, which is used on the routing thread only
+     * @throws IOException if a listener cannot be bound, a file cannot be loaded, or the initial
+     *     endpoint list is not in force in time
      */
     public static Dispatcher start(
             Settings settings, Function<RouterSettings, RoutingStrategy> strategyFactory)
@@ -203,7 +206,7 @@
 
     /** Returns the state page: counters and current load, one line an item. */
     public String statePage() {
-        return statePage.write();
+        return statePage.render();
     }
 
     /** Returns the number of requests without a final response or with open attempts. */
@@ -224,23 +227,24 @@
     /**
      * Stops listening, rejects new requests on open connections and waits until every open request
      * has its final response and no open attempts. Waits at most the longest deadline of any
-     * request class plus one second. * *
+     * request class plus one second.
      *
      * <p>A response counts as sent once it is handed to its connection. Bytes that the client's
-     * socket has not accepted by then are not waited for, and {@link #close} drops them. *
-     * * @return whether all requests have ended; the exit status of the process is 0 in either case
-     * * @throws InterruptedException if the calling thread is interrupted while it waits
+     * socket has not accepted by then are not waited for, and {@link #close} drops them.
+     *
+     * @return whether all requests have ended; the exit status of the process is 0 in either case
+     * @throws InterruptedException if the calling thread is interrupted while it waits
      */
     public boolean drain() throws InterruptedException {
         admission.rejectNewRequests();
         clientListener.drain();
-        long longestNs =
+        long maxDeadlineNs =
                 settings.classes().stream()
                         .mapToLong(Settings.RequestClassSettings::deadlineNs)
                         .max()
                         .orElse(0);
-        long endNs = System.nanoTime() + longestNs + TimeUnit.SECONDS.toNanos(1);
-        while (openRequests() > 0 && System.nanoTime() - endNs < 0) {
+        long drainDeadlineNs = System.nanoTime() + maxDeadlineNs + TimeUnit.SECONDS.toNanos(1);
+        while (openRequests() > 0 && System.nanoTime() - drainDeadlineNs < 0) {
             Thread.sleep(DRAIN_POLL_MS);
         }
         return openRequests() == 0;
--- a/src/main/java/brooklock/proxy/DispatcherCounters.java
+++ b/src/main/java/brooklock/proxy/DispatcherCounters.java
@@ -44,7 +44,7 @@
                 (completion, counter) -> {
                     long count = counter.sum();
                     if (count > 0) {
-                        page.append("ended ").append(completion.stateWord());
+                        page.append("ended ").append(completion.statePageWord());
                         page.append(' ').append(count).append('\n');
                     }
                 });
--- a/src/main/java/brooklock/proxy/EndpointListStore.java
+++ b/src/main/java/brooklock/proxy/EndpointListStore.java
@@ -12,11 +12,11 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Saves the endpoint list to a file. * *
+ * Saves the endpoint list to a file.
  *
  * <p>If several lists are pending, only the newest is written. With a slow disk and many changes,
  * the list on disk would otherwise fall further and further behind. A listener is notified once its
- * list, or a newer one, is on disk. * *
+ * list, or a newer one, is on disk.
  *
  * <p>The routing thread calls {@link #save} and the writing thread writes. They share two
  * variables: {@code pendingSave} is updated atomically by both; {@code lastSaved} is written by the
@@ -30,8 +30,10 @@
     interface SaveListener {
         /**
          * Called when a save has ended: on the writing thread, or on the calling thread before
-         * {@link EndpointListStore#save} returns if there is nothing to write. * * @param failure
-         * the reason why the list is not on disk; empty if it is on disk or is not to be saved
+         * {@link EndpointListStore#save} returns if there is nothing to write.
+         *
+         * @param failure the reason why the list is not on disk; empty if it is on disk or is not
+         *     to be saved
          */
         void onSaved(Optional<IOException> failure);
     }
@@ -50,8 +52,9 @@
     private volatile Membership.State lastSaved;
 
     /**
-     * Creates a new store. * * @param path the file in which the list is saved, or null if it is
-     * not to be saved
+     * Creates a new store.
+     *
+     * @param path the file in which the list is saved, or null if it is not to be saved
      */
     EndpointListStore(Path path, BackgroundFileWriter writer) {
         this(Optional.ofNullable(path).map(EndpointListFile::new), writer);
@@ -63,8 +66,9 @@
     }
 
     /**
-     * Loads the list that was saved last. Returns an empty value if there is none. * * @throws
-     * IOException if the file cannot be read or is damaged
+     * Loads the list that was saved last. Returns an empty value if there is none.
+     *
+     * @throws IOException if the file cannot be read or is damaged
      */
     Optional<Membership.State> load() throws IOException {
         return file.isPresent() ? file.get().load() : Optional.empty();
--- a/src/main/java/brooklock/proxy/EndpointListUpdater.java
+++ b/src/main/java/brooklock/proxy/EndpointListUpdater.java
@@ -21,7 +21,7 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Changes the endpoint list in force. Any thread may call it unless a method states otherwise. * *
+ * Changes the endpoint list in force. Any thread may call it unless a method states otherwise.
  *
  * <p>Each change is applied on the routing thread, which owns the list, to the list that is in
  * force at that moment. It is acknowledged after it is saved, so that an acknowledged change is not
@@ -44,8 +44,9 @@
 
     /**
      * Applies the list that was saved last, or else the endpoints of the settings, and waits until
-     * it is in force. Requests that were accepted earlier would find no endpoint. * * @throws
-     * InitialListTimeoutException if the list is not in force within 10 seconds
+     * it is in force. Requests that were accepted earlier would find no endpoint.
+     *
+     * @throws InitialListTimeoutException if the list is not in force within 10 seconds
      */
     void applyInitialList() throws InitialListTimeoutException {
         Optional<Membership.State> saved = loadSaved();
@@ -94,8 +95,10 @@
 
     /**
      * Applies a watch event. The log names it by its version, or as {@code unnumbered list} if it
-     * has none. * * @param onResult receives the result after the list is saved: on the writing
-     * thread, or on the routing thread if there is nothing to save
+     * has none.
+     *
+     * @param onResult receives the result after the list is saved: on the writing thread, or on the
+     *     routing thread if there is nothing to save
      */
     void apply(WatchEvent event, Consumer<UpdateResult> onResult) {
         update(
@@ -106,10 +109,13 @@
     }
 
     /**
-     * Applies a change. * * @param description the name of the change in the log * @param change
-     * the change, which runs on the routing thread * @param kind the kind of the list that the
-     * router receives * @param onResult receives the result, on the threads stated at {@link
-     * #apply(WatchEvent, Consumer)}
+     * Applies a change.
+     *
+     * @param description the name of the change in the log
+     * @param change the change, which runs on the routing thread
+     * @param kind the kind of the list that the router receives
+     * @param onResult receives the result, on the threads stated at {@link #apply(WatchEvent,
+     *     Consumer)}
      */
     void update(
             String description,
@@ -122,14 +128,15 @@
                         () -> {
                             result[0] = apply(description, change);
                             closeIdleConnections(result[0].affected());
-                            return forRouter(
+                            return notifyWarmingAndAdaptWeights(
                                     context.endpointRegistry().toListEvent(result[0], kind));
                         },
                         () ->
                                 store.save(
                                         context.endpointRegistry().state(),
                                         failure ->
-                                                onResult.accept(withFailure(result[0], failure))));
+                                                onResult.accept(
+                                                        withSaveFailure(result[0], failure))));
     }
 
     /**
@@ -141,7 +148,7 @@
         context.routingThread()
                 .submitComputed(
                         () ->
-                                forRouter(
+                                notifyWarmingAndAdaptWeights(
                                         Optional.of(
                                                 context.endpointRegistry()
                                                         .fullListEvent(EndpointListKind.FULL))),
@@ -183,7 +190,8 @@
 
     // Cache warming is notified of every change, including those that cause no event for the
     // router.
-    private Optional<RouterEvent> forRouter(Optional<EndpointListReceived> event) {
+    private Optional<RouterEvent> notifyWarmingAndAdaptWeights(
+            Optional<EndpointListReceived> event) {
         warming.ifPresent(WarmingCoordinator::onEndpointListChanged);
         return event.map(
                 list -> warming.isPresent() ? warming.get().withWarmingWeights(list) : list);
@@ -192,7 +200,8 @@
     // ---- On the writing thread
 
     // Informs the sender that the change is in force but would be lost by a restart.
-    private static UpdateResult withFailure(UpdateResult result, Optional<IOException> failure) {
+    private static UpdateResult withSaveFailure(
+            UpdateResult result, Optional<IOException> failure) {
         return failure.isPresent() && result.applied()
                 ? result.withSaveError(String.valueOf(failure.get().getMessage()))
                 : result;
--- a/src/main/java/brooklock/proxy/ErrorResponse.java
+++ b/src/main/java/brooklock/proxy/ErrorResponse.java
@@ -8,7 +8,7 @@
 /**
  * The responses that this package generates itself, each with its status, body and Proxy-Status
  * error. Package {@code brooklock.net} responds to malformed or oversized HTTP requests and to
- * connections over the limit. * *
+ * connections over the limit.
  *
  * <p>This enum is the only mapping from a reason to the response that a client receives. {@code
  * docs/operating.md} documents the texts, and clients and dashboards compare them, so they must not
@@ -39,36 +39,52 @@
     // ---- Not admitted: a limit is reached. Nothing was executed, so a retry is harmless.
 
     /** The dispatcher is shutting down. */
-    SHUTTING_DOWN(503, Words.LIMIT_REACHED, "this dispatcher is ending"),
+    SHUTTING_DOWN(503, SharedTexts.LIMIT_REACHED_ERROR, "this dispatcher is ending"),
     /** The limit of open requests is reached. */
-    OPEN_REQUEST_LIMIT(503, Words.LIMIT_REACHED, "too many requests at work"),
+    OPEN_REQUEST_LIMIT(503, SharedTexts.LIMIT_REACHED_ERROR, "too many requests at work"),
     /** The limit of bytes reserved for request bodies is reached. */
-    BODY_LIMIT(503, Words.LIMIT_REACHED, "too many request bodies at work"),
+    BODY_LIMIT(503, SharedTexts.LIMIT_REACHED_ERROR, "too many request bodies at work"),
     /** The routing thread's queue is more than half full. */
-    ROUTING_QUEUE_LIMIT(503, Words.LIMIT_REACHED, "decisions are full"),
+    ROUTING_QUEUE_LIMIT(503, SharedTexts.LIMIT_REACHED_ERROR, "decisions are full"),
     /** Too many tokens wait for their signature to be verified. */
-    TOKEN_VERIFICATION_LIMIT(503, Words.LIMIT_REACHED, "too many new tokens wait to be checked"),
+    TOKEN_VERIFICATION_LIMIT(
+            503, SharedTexts.LIMIT_REACHED_ERROR, "too many new tokens wait to be checked"),
 
     // ---- Not admitted: not authorized. Only the audit log states which rule denied the request.
 
     /** The path has a form that servers interpret differently; the body states which one. */
     MALFORMED_PATH(400, "the path is not in form: "),
     /** The request has no credential or an invalid one. */
-    UNAUTHENTICATED(401, Words.NOT_FOR_YOU),
+    UNAUTHENTICATED(401, SharedTexts.NOT_AUTHORIZED),
     /** The credential is valid, but the policy does not allow the request. */
-    FORBIDDEN(403, Words.NOT_FOR_YOU),
+    FORBIDDEN(403, SharedTexts.NOT_AUTHORIZED),
 
     // ---- Over one of the tenant's limits. Nothing was executed.
 
     /** The tenant's limit of requests per second is reached. */
-    TENANT_RATE(429, Words.TENANT + "rate\"", Words.TENANT_LIMIT, Completion.RATE_LIMITED),
+    TENANT_RATE(
+            429,
+            SharedTexts.TENANT_LIMIT_ERROR_PREFIX + "rate\"",
+            SharedTexts.TENANT_LIMIT_REACHED,
+            Completion.RATE_LIMITED),
     /** The tenant's limit of requests in flight is reached. */
     TENANT_CONCURRENCY(
-            429, Words.TENANT + "concurrent\"", Words.TENANT_LIMIT, Completion.RATE_LIMITED),
+            429,
+            SharedTexts.TENANT_LIMIT_ERROR_PREFIX + "concurrent\"",
+            SharedTexts.TENANT_LIMIT_REACHED,
+            Completion.RATE_LIMITED),
     /** The tenant's limit of bytes per second is reached. */
-    TENANT_BYTES(429, Words.TENANT + "bytes\"", Words.TENANT_LIMIT, Completion.RATE_LIMITED),
+    TENANT_BYTES(
+            429,
+            SharedTexts.TENANT_LIMIT_ERROR_PREFIX + "bytes\"",
+            SharedTexts.TENANT_LIMIT_REACHED,
+            Completion.RATE_LIMITED),
     /** The tenant exceeds its fair share while the dispatcher is overloaded. */
-    TENANT_SHARE(503, Words.TENANT + "share\"", Words.TENANT_LIMIT, Completion.RATE_LIMITED),
+    TENANT_SHARE(
+            503,
+            SharedTexts.TENANT_LIMIT_ERROR_PREFIX + "share\"",
+            SharedTexts.TENANT_LIMIT_REACHED,
+            Completion.RATE_LIMITED),
 
     // ---- Admitted, then rejected or failed by the router.
 
@@ -83,11 +99,12 @@
             "not done; trying again is harmless",
             Completion.REJECTED),
     /** The router failed the request and no attempt is open; the request may have been executed. */
-    FAILED(502, "connection_terminated", Words.MAY_BE_DONE, Completion.FAILED),
+    FAILED(502, "connection_terminated", SharedTexts.MAY_HAVE_BEEN_EXECUTED, Completion.FAILED),
     /**
      * The router failed the request while an attempt was open; the request may have been executed.
      */
-    FAILED_WITH_OPEN_ATTEMPT(504, "http_response_timeout", Words.MAY_BE_DONE, Completion.FAILED);
+    FAILED_WITH_OPEN_ATTEMPT(
+            504, "http_response_timeout", SharedTexts.MAY_HAVE_BEEN_EXECUTED, Completion.FAILED);
 
     private static final String PLAIN_TEXT = "text/plain; charset=utf-8";
     private static final long NS_PER_SECOND = 1_000_000_000L;
@@ -128,8 +145,9 @@
     }
 
     /**
-     * Returns the body with a detail appended to its text. * * @param detail a description of the
-     * error, or an empty string
+     * Returns the body with a detail appended to its text.
+     *
+     * @param detail a description of the error, or an empty string
      */
     byte[] body(String detail) {
         return (text + detail + "\n").getBytes(StandardCharsets.UTF_8);
@@ -161,8 +179,9 @@
     }
 
     /**
-     * Returns the response to a request over one of its tenant's limits. * * @throws
-     * IllegalArgumentException if the reason is {@code ADMITTED}
+     * Returns the response to a request over one of its tenant's limits.
+     *
+     * @throws IllegalArgumentException if the reason is {@code ADMITTED}
      */
     static ErrorResponse of(TenantLimiter.Reason reason) {
         return switch (reason) {
@@ -177,8 +196,9 @@
     }
 
     /**
-     * Returns the fields of a response to a request that was not admitted. * * @param
-     * dispatcherName the name of this dispatcher, for Proxy-Status
+     * Returns the fields of a response to a request that was not admitted.
+     *
+     * @param dispatcherName the name of this dispatcher, for Proxy-Status
      */
     Fields fieldsBeforeAdmission(String dispatcherName) {
         Fields fields =
@@ -194,10 +214,12 @@
     }
 
     /**
-     * Returns the fields of a response to a request that was admitted. * * @param dispatcherName
-     * the name of this dispatcher, for Proxy-Status * @param retryAfterNs the time after which the
-     * client may retry, in ns; 0 adds no Retry-After field, except for a request over its tenant's
-     * limits, whose Retry-After is at least one second
+     * Returns the fields of a response to a request that was admitted.
+     *
+     * @param dispatcherName the name of this dispatcher, for Proxy-Status
+     * @param retryAfterNs the time after which the client may retry, in ns; 0 adds no Retry-After
+     *     field, except for a request over its tenant's limits, whose Retry-After is at least one
+     *     second
      */
     Fields fieldsAfterAdmission(String dispatcherName, long retryAfterNs) {
         Fields fields = new Fields();
@@ -212,13 +234,13 @@
     }
 
     /** The texts that several responses share. */
-    private static final class Words {
-        static final String LIMIT_REACHED = "connection_limit_reached";
-        static final String NOT_FOR_YOU = "not for you";
-        static final String TENANT = "http_request_denied; details=\"tenant ";
-        static final String TENANT_LIMIT = "not done; the tenant's part is used up";
-        static final String MAY_BE_DONE = "failed; it may have been done";
-
-        private Words() {}
+    private static final class SharedTexts {
+        static final String LIMIT_REACHED_ERROR = "connection_limit_reached";
+        static final String NOT_AUTHORIZED = "not for you";
+        static final String TENANT_LIMIT_ERROR_PREFIX = "http_request_denied; details=\"tenant ";
+        static final String TENANT_LIMIT_REACHED = "not done; the tenant's part is used up";
+        static final String MAY_HAVE_BEEN_EXECUTED = "failed; it may have been done";
+
+        private SharedTexts() {}
     }
 }
--- a/src/main/java/brooklock/proxy/LoadReportParser.java
+++ b/src/main/java/brooklock/proxy/LoadReportParser.java
@@ -10,15 +10,16 @@
  * Stateless and thread-safe.
  */
 final class LoadReportParser {
-    private static final String NUMBER = "\\d{1,6}(\\.\\d{1,6})?";
+    private static final String NUMBER_PATTERN = "\\d{1,6}(\\.\\d{1,6})?";
     private static final double NOT_REPORTED = -1;
 
     private LoadReportParser() {}
 
     /**
-     * Returns the load that the responding endpoint reports about itself, if it does. * * @param
-     * requestSentNs the time at which the request was sent, on the dispatcher's clock, in ns
-     * * @param nowNs the current time on the same clock, in ns
+     * Returns the load that the responding endpoint reports about itself, if it does.
+     *
+     * @param requestSentNs the time at which the request was sent, on the dispatcher's clock, in ns
+     * @param nowNs the current time on the same clock, in ns
      */
     static Optional<LoadReport> ofEndpoint(Fields fields, long requestSentNs, long nowNs) {
         return parse(fields.get("Brooklock-Load"), requestSentNs, nowNs);
@@ -26,8 +27,10 @@
 
     /**
      * Returns the load that the peer or fill source behind the responding endpoint reports about
-     * itself, if it does. * * @param requestSentNs the time at which the request was sent, on the
-     * dispatcher's clock, in ns * @param nowNs the current time on the same clock, in ns
+     * itself, if it does.
+     *
+     * @param requestSentNs the time at which the request was sent, on the dispatcher's clock, in ns
+     * @param nowNs the current time on the same clock, in ns
      */
     static Optional<LoadReport> ofPeer(Fields fields, long requestSentNs, long nowNs) {
         return parse(fields.get("Brooklock-First-Load"), requestSentNs, nowNs);
@@ -57,10 +60,10 @@
         double hitRatio = NOT_REPORTED;
         int inFlight = (int) NOT_REPORTED;
         for (String pair : text.split(", *", -1)) {
-            int equals = pair.indexOf('=');
-            if (equals > 0 && pair.substring(equals + 1).matches(NUMBER)) {
-                double number = Double.parseDouble(pair.substring(equals + 1));
-                switch (pair.substring(0, equals)) {
+            int equalsIndex = pair.indexOf('=');
+            if (equalsIndex > 0 && pair.substring(equalsIndex + 1).matches(NUMBER_PATTERN)) {
+                double number = Double.parseDouble(pair.substring(equalsIndex + 1));
+                switch (pair.substring(0, equalsIndex)) {
                     case "util" -> utilization = number;
                     case "x0" -> hitRatio = number;
                     case "inflight" -> inFlight = (int) number;
--- a/src/main/java/brooklock/proxy/MonotonicClock.java
+++ b/src/main/java/brooklock/proxy/MonotonicClock.java
@@ -2,7 +2,7 @@
 
 /**
  * The clock for all times in a dispatcher, based on the monotonic clock of the process and counted
- * in ns. Immutable and thread-safe. * *
+ * in ns. Immutable and thread-safe.
  *
  * <p>Wall-clock times are converted when they are received, so that a later change of the wall
  * clock has no effect.
@@ -25,8 +25,10 @@
     }
 
     /**
-     * Converts a wall-clock time. * * @param wallMs the time in ms since 1970 * @return the time on
-     * this clock, in ns; at most the current time and at least 1
+     * Converts a wall-clock time.
+     *
+     * @param wallMs the time in ms since 1970
+     * @return the time on this clock, in ns; at most the current time and at least 1
      */
     public long fromWallMs(long wallMs) {
         long ageMs = Math.max(0, System.currentTimeMillis() - wallMs);
--- a/src/main/java/brooklock/proxy/PrefetchRequest.java
+++ b/src/main/java/brooklock/proxy/PrefetchRequest.java
@@ -13,7 +13,7 @@
 import java.util.function.Consumer;
 
 /**
- * A prefetch: a request that makes a cache fetch a copy before a client requests it. * *
+ * A prefetch: a request that makes a cache fetch a copy before a client requests it.
  *
  * <p>Must be used on one I/O thread. It ends exactly once: by a response, a failure or its timeout.
  */
@@ -27,16 +27,19 @@
     sealed interface Result {}
 
     /**
-     * A complete response was received. * * @param status the status of the response * @param
-     * fields the fields of the response's head * @param sentAtNs the time at which the request was
-     * sent, on the dispatcher's clock, in ns
+     * A complete response was received.
+     *
+     * @param status the status of the response
+     * @param fields the fields of the response's head
+     * @param sentAtNs the time at which the request was sent, on the dispatcher's clock, in ns
      */
     record Response(int status, Fields fields, long sentAtNs) implements Result {}
 
     /**
-     * No complete response was received before the timeout. * * @param fields the fields of the
-     * response's head, if the head was received * @param sentAtNs the time at which the request was
-     * sent, on the dispatcher's clock, in ns
+     * No complete response was received before the timeout.
+     *
+     * @param fields the fields of the response's head, if the head was received
+     * @param sentAtNs the time at which the request was sent, on the dispatcher's clock, in ns
      */
     record NoResponse(Optional<Fields> fields, long sentAtNs) implements Result {}
 
@@ -50,9 +53,11 @@
     private boolean completed;
 
     /**
-     * Creates a new prefetch that is not yet sent. * * @param endpointId the identifier of the
-     * cache that fetches the copy * @param sourceId the identifier of the peer that serves the copy
-     * to it * @param listener receives the result, on the I/O thread
+     * Creates a new prefetch that is not yet sent.
+     *
+     * @param endpointId the identifier of the cache that fetches the copy
+     * @param sourceId the identifier of the peer that serves the copy to it
+     * @param listener receives the result, on the I/O thread
      */
     PrefetchRequest(
             ProxyContext context, long endpointId, long sourceId, Consumer<Result> listener) {
--- a/src/main/java/brooklock/proxy/PrefetchSender.java
+++ b/src/main/java/brooklock/proxy/PrefetchSender.java
@@ -25,7 +25,9 @@
     }
 
     /**
-     * Sends a prefetch. * * @param listener receives the result, on the I/O thread of the prefetch
+     * Sends a prefetch.
+     *
+     * @param listener receives the result, on the I/O thread of the prefetch
      */
     void send(Prefetch<PrefetchTarget> prefetch, Consumer<PrefetchRequest.Result> listener) {
         ListedEndpoint endpoint = context.endpointRegistry().find(prefetch.endpointId());
@@ -35,10 +37,7 @@
         loop.execute(
                 () ->
                         new PrefetchRequest(
-                                        context,
-                                        prefetch.endpointId(),
-                                        prefetch.peerId(),
-                                        listener)
+                                        context, prefetch.endpointId(), prefetch.peerId(), listener)
                                 .send(loop, endpoint.address(), head));
     }
 
--- a/src/main/java/brooklock/proxy/PrefetchTarget.java
+++ b/src/main/java/brooklock/proxy/PrefetchTarget.java
@@ -5,9 +5,11 @@
 
 /**
  * The data of a client's request that is needed to prefetch the same part of an object. Immutable.
- * * * @param target the request target, as the client sent it * @param authority the Host of the
- * client's request, or an empty string * @param group the identifier of the purge group * @param
- * requestClass the settings of the request class
+ *
+ * @param target the request target, as the client sent it
+ * @param authority the Host of the client's request, or an empty string
+ * @param group the identifier of the purge group
+ * @param requestClass the settings of the request class
  */
 record PrefetchTarget(
         String target, String authority, int group, RequestClassSettings requestClass) {
--- a/src/main/java/brooklock/proxy/ProxyExchange.java
+++ b/src/main/java/brooklock/proxy/ProxyExchange.java
@@ -19,12 +19,12 @@
 
 /**
  * The state of one admitted request. It ends once the final response has been sent or the client
- * has disconnected, and no attempt is open. * *
+ * has disconnected, and no attempt is open.
  *
- * <p>All members except {@link #heldByTenant} must be used on the client's I/O thread; after the
- * end, the routing thread may read the result. Because one thread owns the exchange, a plain field
- * guarantees exactly one final response: the first of a router action, an endpoint's response and
- * the client's disconnect closes the exchange, and the others have no effect.
+ * <p>All members except {@link #countsAgainstTenantLimits} must be used on the client's I/O thread;
+ * after the end, the routing thread may read the result. Because one thread owns the exchange, a
+ * plain field guarantees exactly one final response: the first of a router action, an endpoint's
+ * response and the client's disconnect closes the exchange, and the others have no effect.
  */
 final class ProxyExchange {
     final long id;
@@ -32,7 +32,7 @@
     final byte[] body;
 
     /** Whether the request counts against its tenant's limits. Used by the routing thread only. */
-    boolean heldByTenant;
+    boolean countsAgainstTenantLimits;
 
     private final ProxyContext context;
     private final Optional<WarmingCoordinator> warming;
@@ -47,10 +47,12 @@
     private Completion completion;
 
     /**
-     * Creates a new exchange without attempts. * * @param id the identifier, unique within this
-     * dispatcher * @param body the complete body of the request; empty if there is none * @param
-     * endListener called once, on the client's I/O thread, when the final response has been sent or
-     * the client has disconnected, and no attempt is open
+     * Creates a new exchange without attempts.
+     *
+     * @param id the identifier, unique within this dispatcher
+     * @param body the complete body of the request; empty if there is none
+     * @param endListener called once, on the client's I/O thread, when the final response has been
+     *     sent or the client has disconnected, and no attempt is open
      */
     ProxyExchange(
             ProxyContext context,
@@ -93,8 +95,10 @@
 
     /**
      * Starts an attempt. If the exchange is closed, the attempt ends at once as {@link
-     * AttemptOutcome#NOT_STARTED}. * * @param peerId the peer that the endpoint tries first on a
-     * cache miss, or {@link UpstreamAttempt#NO_PEER}
+     * AttemptOutcome#NOT_STARTED}.
+     *
+     * @param peerId the peer that the endpoint tries first on a cache miss, or {@link
+     *     UpstreamAttempt#NO_PEER}
      */
     void startAttempt(StartAttempt action, long peerId) {
         UpstreamAttempt attempt =
@@ -117,8 +121,9 @@
 
     /**
      * Rejects the request on behalf of the router. A retry by the client is harmless, although an
-     * attempt may have been executed. * * @param retryAfterNs the time after which the client may
-     * retry, in ns; 0 leaves it unspecified
+     * attempt may have been executed.
+     *
+     * @param retryAfterNs the time after which the client may retry, in ns; 0 leaves it unspecified
      */
     void reject(long retryAfterNs) {
         respondLocally(ErrorResponse.REJECTED, Completion.REJECTED, retryAfterNs);
@@ -205,9 +210,9 @@
     }
 
     /** Aborts the final response, so that the client can tell that the body is incomplete. */
-    void abortResponse(Completion abortedBy) {
+    void abortResponse(Completion reason) {
         client().abort();
-        complete(abortedBy);
+        complete(reason);
     }
 
     /** Handles a disconnect of the client. Has no effect after the end of the final response. */
@@ -224,9 +229,9 @@
 
     // ---- End of the exchange
 
-    private void complete(Completion how) {
+    private void complete(Completion newCompletion) {
         if (completion == null) {
-            completion = how;
+            completion = newCompletion;
         }
         endIfComplete();
     }
--- a/src/main/java/brooklock/proxy/PurgeGroups.java
+++ b/src/main/java/brooklock/proxy/PurgeGroups.java
@@ -5,8 +5,10 @@
     private PurgeGroups() {}
 
     /**
-     * Returns the identifier of a group in the field Brooklock-Copy. * * @param name the group's
-     * name * @return a number above 0 that is the same for every dispatcher
+     * Returns the identifier of a group in the field Brooklock-Copy.
+     *
+     * @param name the group's name
+     * @return a number above 0 that is the same for every dispatcher
      */
     public static int idOf(String name) {
         return RouteTable.purgeGroupId(name);
--- a/src/main/java/brooklock/proxy/RecentPurges.java
+++ b/src/main/java/brooklock/proxy/RecentPurges.java
@@ -4,38 +4,41 @@
 import java.util.Map;
 
 /**
- * Tracks purges that may not be complete at every cache. Not thread-safe. * *
+ * Tracks purges that may not be complete at every cache. Not thread-safe.
  *
  * <p>Until a purge is complete, a peer may still have an older copy. A prefetch could fill another
  * cache with that copy, which would then outlive the purge. The number of tracked purges is
  * bounded; while a purge beyond the bound is incomplete, all prefetches are blocked.
  */
 final class RecentPurges {
-    private static final int MAX_REMEMBERED = 4096;
+    private static final int MAX_TRACKED_PURGES = 4096;
     // A cache may need additional time to drop a copy that it filled just before the purge was
     // complete.
-    private static final long MARGIN_NS = 1_000_000_000L;
+    private static final long COMPLETION_MARGIN_NS = 1_000_000_000L;
 
     private final long completionNs;
     private final Map<String, Long> incompleteUntilNs = new LinkedHashMap<>();
     private long blockedUntilNs;
 
     /**
-     * Creates a new instance without purges. * * @param completionNs the time within which a purge
-     * is complete at every cache, in ns
+     * Creates a new instance without purges.
+     *
+     * @param completionNs the time within which a purge is complete at every cache, in ns
      */
     RecentPurges(long completionNs) {
         this.completionNs = completionNs;
     }
 
     /**
-     * Adds a purge. * * @param object the object; 0 means all objects of the group * @param group
-     * the purge group; used only if {@code object} is 0 * @param purgedAtNs the time at which the
-     * purge was issued, on the dispatcher's clock, in ns
+     * Adds a purge.
+     *
+     * @param object the object; 0 means all objects of the group
+     * @param group the purge group; used only if {@code object} is 0
+     * @param purgedAtNs the time at which the purge was issued, on the dispatcher's clock, in ns
      */
     void add(long object, int group, long purgedAtNs) {
-        long untilNs = purgedAtNs + completionNs + MARGIN_NS;
-        if (incompleteUntilNs.size() >= MAX_REMEMBERED) {
+        long untilNs = purgedAtNs + completionNs + COMPLETION_MARGIN_NS;
+        if (incompleteUntilNs.size() >= MAX_TRACKED_PURGES) {
             blockedUntilNs = Math.max(blockedUntilNs, untilNs);
         } else {
             incompleteUntilNs.merge(
@@ -44,8 +47,9 @@
     }
 
     /**
-     * Removes complete purges and returns whether prefetches are allowed at all. * * @param nowNs
-     * the current time on the dispatcher's clock, in ns
+     * Removes complete purges and returns whether prefetches are allowed at all.
+     *
+     * @param nowNs the current time on the dispatcher's clock, in ns
      */
     boolean allowsPrefetch(long nowNs) {
         incompleteUntilNs.values().removeIf(untilNs -> nowNs > untilNs);
@@ -53,7 +57,7 @@
     }
 
     /** Returns whether no tracked purge covers the object or its group. */
-    boolean allows(long object, int group) {
+    boolean allowsPrefetchOf(long object, int group) {
         return !incompleteUntilNs.containsKey(objectKey(object))
                 && !incompleteUntilNs.containsKey(groupKey(group));
     }
--- a/src/main/java/brooklock/proxy/RequestAdmission.java
+++ b/src/main/java/brooklock/proxy/RequestAdmission.java
@@ -9,7 +9,7 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Admits requests to the routing thread's queue, or rejects them. * *
+ * Admits requests to the routing thread's queue, or rejects them.
  *
  * <p>A request passes these steps in order: checks of its head, route lookup, authorization if the
  * route requires it, the limit of open requests, the limit of body bytes, receipt of the whole
@@ -79,7 +79,7 @@
                     authorizer.authorize(
                             client, match, result -> onAuthorized(client, nowNs, match, result));
                 } else {
-                    accept(routed(client, nowNs, match, Optional.empty()));
+                    accept(toRoutedRequest(client, nowNs, match, Optional.empty()));
                 }
             } catch (RouteTable.NoRouteException e) {
                 reject(client, e.response(), "", e.allowedMethods());
@@ -97,13 +97,13 @@
             return;
         }
         if (result instanceof AuthorizationResult.Authorized caller) {
-            accept(routed(client, acceptedAtNs, match, Optional.of(caller)));
+            accept(toRoutedRequest(client, acceptedAtNs, match, Optional.of(caller)));
         } else if (result instanceof AuthorizationResult.Denied denied) {
             reject(client, denied.response(), denied.publicDetail(), Optional.empty());
         }
     }
 
-    private static RoutedRequest routed(
+    private static RoutedRequest toRoutedRequest(
             HttpExchange client,
             long acceptedAtNs,
             RouteTable.Match match,
@@ -149,7 +149,7 @@
                 .readBody(
                         body -> {
                             bodyComplete[0] = true;
-                            capacity.keepOnly(body.length);
+                            capacity.shrinkReservation(body.length);
                             enqueue(request, body);
                         });
     }
--- a/src/main/java/brooklock/proxy/RequestAuthorizer.java
+++ b/src/main/java/brooklock/proxy/RequestAuthorizer.java
@@ -29,7 +29,7 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Authenticates the caller of a request and checks whether the policy allows the request. * *
+ * Authenticates the caller of a request and checks whether the policy allows the request.
  *
  * <p>A request is checked against the policy that was in force when its head arrived, even if its
  * token is verified on another thread and the policy changes meanwhile. A denied request never
@@ -47,8 +47,10 @@
     private final DenialLog denialLog = new DenialLog(LoggerFactory.getLogger("audit"));
 
     /**
-     * Creates a new authorizer. * * @param loopCount the number of I/O threads, which is also the
-     * number of threads that verify signatures
+     * Creates a new authorizer.
+     *
+     * @param loopCount the number of I/O threads, which is also the number of threads that verify
+     *     signatures
      */
     RequestAuthorizer(AccessSettings access, AccessFiles files, int loopCount) {
         this.files = files;
@@ -83,9 +85,10 @@
     }
 
     /**
-     * Authorizes a request. Must be called on the request's I/O thread. * * @param onResult
-     * receives the result on the same thread, either before this method returns or after the token
-     * is verified
+     * Authorizes a request. Must be called on the request's I/O thread.
+     *
+     * @param onResult receives the result on the same thread, either before this method returns or
+     *     after the token is verified
      */
     void authorize(
             HttpExchange exchange, RouteTable.Match match, Consumer<AuthorizationResult> onResult) {
@@ -119,7 +122,7 @@
                 verifyToken(exchange, token.get(), keys.get(), check, onResult);
             } else {
                 onResult.accept(
-                        certificateIdentity(exchange, nowMs)
+                        authenticateByCertificate(exchange, nowMs)
                                 .map(check::apply)
                                 .orElseGet(
                                         () ->
@@ -170,7 +173,7 @@
 
     // The certificate is checked for each request. Otherwise an open connection or a resumed TLS
     // session would remain authorized after a revocation.
-    private Optional<Identity> certificateIdentity(HttpExchange exchange, long nowMs)
+    private Optional<Identity> authenticateByCertificate(HttpExchange exchange, long nowMs)
             throws InvalidCredentialException {
         Optional<CertificateTrust> trust = files.clientTrust();
         X509Certificate[] chain = trust.isPresent() ? exchange.certificates() : null;
--- a/src/main/java/brooklock/proxy/RequestCapacity.java
+++ b/src/main/java/brooklock/proxy/RequestCapacity.java
@@ -4,7 +4,7 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Limits the number of open requests and the total bytes of their bodies. Thread-safe. * *
+ * Limits the number of open requests and the total bytes of their bodies. Thread-safe.
  *
  * <p>The length of a body may be unknown before it has arrived. Therefore the maximum length is
  * reserved before the first byte is read, and the unused remainder is released once the body is
@@ -18,9 +18,11 @@
     private final AtomicLong reservedBodyBytes = new AtomicLong();
 
     /**
-     * Creates a new instance with nothing in use. * * @param maxRequests the maximum number of open
-     * requests * @param maxBodyBytes the maximum length of one body, in bytes * @param
-     * maxTotalBodyBytes the maximum total of all bodies, in bytes
+     * Creates a new instance with nothing in use.
+     *
+     * @param maxRequests the maximum number of open requests
+     * @param maxBodyBytes the maximum length of one body, in bytes
+     * @param maxTotalBodyBytes the maximum total of all bodies, in bytes
      */
     RequestCapacity(int maxRequests, long maxBodyBytes, long maxTotalBodyBytes) {
         this.maxRequests = maxRequests;
@@ -49,10 +51,11 @@
     }
 
     /**
-     * Releases the unused remainder of a reservation. * * @param bodyBytes the length of the
-     * complete body
+     * Releases the unused remainder of a reservation.
+     *
+     * @param bodyBytes the length of the complete body
      */
-    void keepOnly(int bodyBytes) {
+    void shrinkReservation(int bodyBytes) {
         reservedBodyBytes.addAndGet(bodyBytes - maxBodyBytes);
     }
 
@@ -62,8 +65,9 @@
     }
 
     /**
-     * Closes an open request and releases its body. * * @param bodyBytes the length of the
-     * request's body
+     * Closes an open request and releases its body.
+     *
+     * @param bodyBytes the length of the request's body
      */
     void closeRequest(int bodyBytes) {
         reservedBodyBytes.addAndGet(-bodyBytes);
--- a/src/main/java/brooklock/proxy/RouteTable.java
+++ b/src/main/java/brooklock/proxy/RouteTable.java
@@ -20,13 +20,16 @@
     private static final Hasher64 HASH = Hashing.komihash5_0();
 
     /**
-     * The result of matching a request with the routes. * * @param classIndex the index of the
-     * request class in the settings * @param requestClass the request class * @param object the
-     * hash of the host, the path without the part, and the query; the same for all parts of an
-     * object * @param part the number of the part; 0 if the route has no parts * @param group the
-     * identifier of the purge group; 0 for none * @param needsAuthorization whether the policy must
-     * allow the request * @param needsCertificate whether the caller must authenticate with a
-     * client certificate
+     * The result of matching a request with the routes.
+     *
+     * @param classIndex the index of the request class in the settings
+     * @param requestClass the request class
+     * @param object the hash of the host, the path without the part, and the query; the same for
+     *     all parts of an object
+     * @param part the number of the part; 0 if the route has no parts
+     * @param group the identifier of the purge group; 0 for none
+     * @param needsAuthorization whether the policy must allow the request
+     * @param needsCertificate whether the caller must authenticate with a client certificate
      */
     record Match(
             int classIndex,
@@ -79,9 +82,11 @@
     }
 
     /**
-     * Matches a request with the routes. * * @param host the Host of the request, in any letter
-     * case * @param target the path and query * @throws NoRouteException if no route accepts the
-     * request
+     * Matches a request with the routes.
+     *
+     * @param host the Host of the request, in any letter case
+     * @param target the path and query
+     * @throws NoRouteException if no route accepts the request
      */
     Match match(String method, String host, String target, boolean hasIdempotencyKey)
             throws NoRouteException {
@@ -97,13 +102,13 @@
                 allowedMethods.addAll(route.methods());
                 continue;
             }
-            int classIndex = classIndex(route, hasIdempotencyKey);
+            int classIndex = selectClassIndex(route, hasIdempotencyKey);
             String group = route.pathPattern().extract(path, "group");
             return new Match(
                     classIndex,
                     classes.get(classIndex),
-                    objectKey(route, host, path, query),
-                    part(route, path),
+                    objectHash(route, host, path, query),
+                    parsePart(route, path),
                     group == null ? 0 : purgeGroupId(group),
                     route.requiresAuthorization(),
                     route.requiresCertificate());
@@ -114,11 +119,11 @@
                         ErrorResponse.METHOD_NOT_ALLOWED, String.join(", ", allowedMethods));
     }
 
-    private int classIndex(Route route, boolean hasIdempotencyKey) throws NoRouteException {
-        boolean lacksKey =
+    private int selectClassIndex(Route route, boolean hasIdempotencyKey) throws NoRouteException {
+        boolean missingKey =
                 classes.get(route.classIndex()).effect() == Settings.Effect.KEYED
                         && !hasIdempotencyKey;
-        if (!lacksKey) {
+        if (!missingKey) {
             return route.classIndex();
         }
         if (route.unkeyedClassIndex() < 0) {
@@ -127,7 +132,7 @@
         return route.unkeyedClassIndex();
     }
 
-    private static int part(Route route, String path) throws NoRouteException {
+    private static int parsePart(Route route, String path) throws NoRouteException {
         String part = route.pathPattern().extract(path, "part");
         if (part == null) {
             return 0;
@@ -138,7 +143,7 @@
         return Integer.parseInt(part);
     }
 
-    private static long objectKey(Route route, String host, String path, String query) {
+    private static long objectHash(Route route, String host, String path, String query) {
         long hash =
                 HASH.hashCharsToLong(
                         host.toLowerCase(Locale.ROOT)
--- a/src/main/java/brooklock/proxy/RoutingThread.java
+++ b/src/main/java/brooklock/proxy/RoutingThread.java
@@ -20,11 +20,11 @@
 
 /**
  * The single thread that owns the router, its timers and all other state that is documented as
- * owned by the routing thread. * *
+ * owned by the routing thread.
  *
  * <p>Other threads submit events and tasks through a bounded queue. A new request is accepted only
  * while half of the queue is free. The other half is reserved for events of accepted requests;
- * without it, an overloaded dispatcher could not even finish the requests that it has accepted. * *
+ * without it, an overloaded dispatcher could not even finish the requests that it has accepted.
  *
  * <p>The methods that submit entries and those that return figures for the state page are
  * thread-safe. The thread runs from {@link #start} to {@link #stop}.
@@ -62,9 +62,10 @@
     private record RequestEntry(RequestReceived event, BooleanSupplier admission)
             implements QueueEntry {}
 
-    private record EventEntry(RouterEvent event, Runnable afterwards) implements QueueEntry {}
+    private record EventEntry(RouterEvent event, Runnable onProcessed) implements QueueEntry {}
 
-    private record ComputedEventEntry(Supplier<Optional<RouterEvent>> event, Runnable afterwards)
+    private record ComputedEventEntry(
+            Supplier<Optional<RouterEvent>> eventSupplier, Runnable onProcessed)
             implements QueueEntry {}
 
     private record TaskEntry(Runnable task) implements QueueEntry {}
@@ -90,10 +91,12 @@
     private final LongAdder rejectedRequests = new LongAdder();
 
     /**
-     * Creates a new routing thread that is not yet started. * * @param name the prefix of the
-     * thread's name * @param strategy decides where requests go; used on the routing thread only
-     * * @param trace records every event and action * @param capacity the capacity of the queue, in
-     * entries
+     * Creates a new routing thread that is not yet started.
+     *
+     * @param name the prefix of the thread's name
+     * @param strategy decides where requests go; used on the routing thread only
+     * @param trace records every event and action
+     * @param capacity the capacity of the queue, in entries
      */
     RoutingThread(
             String name,
@@ -118,9 +121,11 @@
     // ---- Methods for other threads
 
     /**
-     * Submits a new request, unless half of the queue is in use. * * @param admission evaluated on
-     * the routing thread before the event; if it returns false, the event is dropped * @return
-     * false if the queue is too full for a new request
+     * Submits a new request, unless half of the queue is in use.
+     *
+     * @param admission evaluated on the routing thread before the event; if it returns false, the
+     *     event is dropped
+     * @return false if the queue is too full for a new request
      */
     boolean offerRequest(RequestReceived request, BooleanSupplier admission) {
         boolean accepted =
@@ -143,20 +148,20 @@
     }
 
     /** Submits an event and a task that runs on the routing thread after the event is processed. */
-    void submit(RouterEvent event, Runnable afterwards) {
-        enqueue(new EventEntry(event, afterwards));
+    void submit(RouterEvent event, Runnable onProcessed) {
+        enqueue(new EventEntry(event, onProcessed));
     }
 
     /**
      * Submits an event that is computed on the routing thread, from state that only that thread may
      * read.
      *
-     * @param event computes the event, or returns an empty value for none * @param afterwards runs
-     *     on the routing thread after the event is processed, or after the computation if there is
-     *     no event
+     * @param eventSupplier computes the event, or returns an empty value for none
+     * @param onProcessed runs on the routing thread after the event is processed, or after the
+     *     computation if there is no event
      */
-    void submitComputed(Supplier<Optional<RouterEvent>> event, Runnable afterwards) {
-        enqueue(new ComputedEventEntry(event, afterwards));
+    void submitComputed(Supplier<Optional<RouterEvent>> eventSupplier, Runnable onProcessed) {
+        enqueue(new ComputedEventEntry(eventSupplier, onProcessed));
     }
 
     /** Submits a task that runs on the routing thread. */
@@ -200,7 +205,7 @@
         long startNs = clock.nowNs();
         trace.writeStart(startNs);
         strategy.start(startNs, actions);
-        handOverActions();
+        dispatchActions();
         actionHandler.onBatchEnd();
         while (!stopping) {
             if (processBatch() == 0) {
@@ -211,9 +216,9 @@
 
     private int processBatch() {
         long batchStartNs = System.nanoTime();
-        int queued = queue.size();
-        if (queued > maxQueueLength) {
-            maxQueueLength = queued;
+        int queueLength = queue.size();
+        if (queueLength > maxQueueLength) {
+            maxQueueLength = queueLength;
         }
         int processed = 0;
         while (processed < MAX_BATCH_ENTRIES && processNext()) {
@@ -250,10 +255,10 @@
             }
         } else if (entry instanceof EventEntry e) {
             route(e.event());
-            e.afterwards().run();
+            e.onProcessed().run();
         } else if (entry instanceof ComputedEventEntry e) {
-            e.event().get().ifPresent(this::route);
-            e.afterwards().run();
+            e.eventSupplier().get().ifPresent(this::route);
+            e.onProcessed().run();
         } else if (entry instanceof TaskEntry e) {
             e.task().run();
         }
@@ -274,10 +279,10 @@
                 actionHandler.onRoutingFailure(request.id());
             }
         }
-        handOverActions();
+        dispatchActions();
     }
 
-    private void handOverActions() {
+    private void dispatchActions() {
         for (int i = 0; i < actions.size(); i++) {
             RouterAction action = actions.get(i);
             trace.writeAction(action);
--- a/src/main/java/brooklock/proxy/StatePage.java
+++ b/src/main/java/brooklock/proxy/StatePage.java
@@ -8,7 +8,7 @@
 
 /**
  * Renders the state page, which contains the dispatcher's counters and its current load.
- * Thread-safe. * *
+ * Thread-safe.
  *
  * <p>Each item is one line of words separated by spaces. Dashboards read the page, so its words
  * must not change when names in the code change; {@code docs/operating.md} documents them.
@@ -37,19 +37,19 @@
     }
 
     /** Returns the current page. */
-    String write() {
+    String render() {
         StringBuilder page = new StringBuilder();
-        line(page, "name", context.settings().name());
-        line(page, "open", capacity.openRequests());
-        line(page, "clients", clientListener.openConnections());
-        line(page, "clients-turned-away", clientListener.rejectedConnections());
-        line(page, "body-bytes", capacity.reservedBodyBytes());
+        appendLine(page, "name", context.settings().name());
+        appendLine(page, "open", capacity.openRequests());
+        appendLine(page, "clients", clientListener.openConnections());
+        appendLine(page, "clients-turned-away", clientListener.rejectedConnections());
+        appendLine(page, "body-bytes", capacity.reservedBodyBytes());
         RoutingThread routing = context.routingThread();
-        line(page, "decided", routing.processedEntries());
-        line(page, "decision-busy-us", routing.busyNs() / 1000);
-        line(page, "decision-waiting", routing.queueLength());
-        line(page, "decision-longest", routing.maxQueueLength());
-        line(page, "decision-overflows", routing.rejectedRequests());
+        appendLine(page, "decided", routing.processedEntries());
+        appendLine(page, "decision-busy-us", routing.busyNs() / 1000);
+        appendLine(page, "decision-waiting", routing.queueLength());
+        appendLine(page, "decision-longest", routing.maxQueueLength());
+        appendLine(page, "decision-overflows", routing.rejectedRequests());
         counters.appendState(page);
         authorizer.appendState(page);
         warming.ifPresent(coordinator -> coordinator.appendState(page));
@@ -67,7 +67,7 @@
         state.overrides()
                 .forEach(
                         (id, override) ->
-                                line(
+                                appendLine(
                                         page,
                                         "by-hand",
                                         state.endpoints().get(id).name() + " " + override));
@@ -77,7 +77,7 @@
         }
     }
 
-    private static void line(StringBuilder page, String word, Object value) {
-        page.append(word).append(' ').append(value).append('\n');
+    private static void appendLine(StringBuilder page, String key, Object value) {
+        page.append(key).append(' ').append(value).append('\n');
     }
 }
--- a/src/main/java/brooklock/proxy/TenantAdmission.java
+++ b/src/main/java/brooklock/proxy/TenantAdmission.java
@@ -22,7 +22,9 @@
     /**
      * Admits a request that is within its tenant's limits, or rejects it. A rejected request gets
      * its response here and never reaches the router. Every request must be passed to {@link
-     * #release} when it has ended. * * @return false if the request was rejected
+     * #release} when it has ended.
+     *
+     * @return false if the request was rejected
      */
     boolean tryAcquire(ProxyExchange exchange) {
         if (exchange.request.caller().isEmpty()) {
@@ -39,7 +41,7 @@
             exchange.request.client().loop().execute(() -> exchange.rejectByTenantLimit(admission));
             return false;
         }
-        exchange.heldByTenant = true;
+        exchange.countsAgainstTenantLimits = true;
         return true;
     }
 
@@ -59,7 +61,7 @@
      * limits.
      */
     void release(ProxyExchange exchange) {
-        if (exchange.heldByTenant) {
+        if (exchange.countsAgainstTenantLimits) {
             limiter.release(
                     exchange.request.tenantName(),
                     exchange.responseBytes(),
--- a/src/main/java/brooklock/proxy/TraceCodec.java
+++ b/src/main/java/brooklock/proxy/TraceCodec.java
@@ -8,7 +8,7 @@
 import java.util.List;
 
 /**
- * Encodes records as text, such as {@code Word(a,b,[c,d],Inner(e))}, and decodes them. * *
+ * Encodes records as text, such as {@code Word(a,b,[c,d],Inner(e))}, and decodes them.
  *
  * <p>The values are the record's components in their order, so a component that is added to a
  * record is encoded without a change here. {@link TraceVocabulary} defines the words. The static
@@ -25,7 +25,7 @@
     // ---- Encoding
 
     /** Encodes a record. */
-    static String write(Object value) {
+    static String encode(Object value) {
         StringBuilder text = new StringBuilder(96);
         append(value, text);
         return text.toString();
@@ -66,10 +66,12 @@
     // ---- Decoding
 
     /**
-     * Decodes a record. * * @throws IllegalArgumentException if the text is not exactly one record
-     * of a type that traces contain
+     * Decodes a record.
+     *
+     * @throws IllegalArgumentException if the text is not exactly one record of a type that traces
+     *     contain
      */
-    static Object read(String text) {
+    static Object decode(String text) {
         TraceCodec codec = new TraceCodec(text);
         int open = text.indexOf('(');
         if (open < 0) {
--- a/src/main/java/brooklock/proxy/TraceReplay.java
+++ b/src/main/java/brooklock/proxy/TraceReplay.java
@@ -20,9 +20,12 @@
  */
 public final class TraceReplay {
     /**
-     * The result of a replay. * * @param events the number of events that were replayed * @param
-     * actions the number of actions that were equal to the recorded ones * @param difference a
-     * description of the first difference, with its line; empty if there is none
+     * The result of a replay.
+     *
+     * @param events the number of events that were replayed
+     * @param actions the number of actions that were equal to the recorded ones
+     * @param difference a description of the first difference, with its line; empty if there is
+     *     none
      */
     public record Result(long events, long actions, Optional<String> difference) {}
 
@@ -33,7 +36,7 @@
     private final BufferedReader reader;
     private final List<RouterAction> replayedActions = new ArrayList<>();
     private Router router;
-    private int compared;
+    private int comparedActions;
     private long events;
     private long actions;
     private int lineNumber;
@@ -45,9 +48,9 @@
 
     /**
      * Replays a trace up to its end or its first difference. A trace may end within a line, because
-     * its writer may have been killed. * * @throws MalformedTraceException if the file is not a
-     * valid trace
+     * its writer may have been killed.
      *
+     * @throws MalformedTraceException if the file is not a valid trace
      * @throws IOException if the file cannot be read
      */
     public static Result replay(Path path) throws IOException {
@@ -66,32 +69,32 @@
                 }
                 Optional<String> difference = replay(words);
                 if (difference.isPresent()) {
-                    return result(difference);
+                    return newResult(difference);
                 }
             } catch (RuntimeException e) {
-                if (isCutOff()) {
+                if (isIncompleteLastLine()) {
                     break;
                 }
                 throw new MalformedTraceException(path, lineNumber, e);
             }
         }
-        return result(Optional.empty());
+        return newResult(Optional.empty());
     }
 
-    private Result result(Optional<String> difference) {
+    private Result newResult(Optional<String> difference) {
         return new Result(events, actions, difference);
     }
 
     // Returns whether an unreadable line is the last one, which is incomplete if the writer was
     // killed. A first line is never treated as incomplete: the file is then no trace.
-    private boolean isCutOff() throws IOException {
+    private boolean isIncompleteLastLine() throws IOException {
         reader.mark(1);
         return reader.read() < 0 && lineNumber > 1;
     }
 
     private Optional<String> replay(String[] words) {
         if (words[0].equals("action")) {
-            return compare(TraceCodec.read(words[1]));
+            return compare(TraceCodec.decode(words[1]));
         }
         // Checked before the comparison below: a line that is cut off within its first word must be
         // reported as malformed, not as a missing action.
@@ -101,18 +104,18 @@
                             + words[0].substring(0, Math.min(40, words[0].length()))
                             + "'");
         }
-        if (compared < replayedActions.size()) {
-            return difference("nothing", replayedActions.get(compared));
+        if (comparedActions < replayedActions.size()) {
+            return describeDifference("nothing", replayedActions.get(comparedActions));
         }
         replayedActions.clear();
-        compared = 0;
+        comparedActions = 0;
         switch (words[0]) {
-            case "settings" -> router = new Router((RouterSettings) TraceCodec.read(words[1]));
+            case "settings" -> router = new Router((RouterSettings) TraceCodec.decode(words[1]));
             case "start" -> router.start(Long.parseLong(words[1]), replayedActions);
             case "event" -> {
                 router.onEvent(
                         Long.parseLong(words[1]),
-                        (RouterEvent) TraceCodec.read(words[2]),
+                        (RouterEvent) TraceCodec.decode(words[2]),
                         replayedActions);
                 events++;
             }
@@ -122,16 +125,17 @@
     }
 
     private Optional<String> compare(Object recorded) {
-        boolean more = compared < replayedActions.size();
-        if (!more || !replayedActions.get(compared).equals(recorded)) {
-            return difference(recorded, more ? replayedActions.get(compared) : "nothing");
+        boolean hasMore = comparedActions < replayedActions.size();
+        if (!hasMore || !replayedActions.get(comparedActions).equals(recorded)) {
+            return describeDifference(
+                    recorded, hasMore ? replayedActions.get(comparedActions) : "nothing");
         }
-        compared++;
+        comparedActions++;
         actions++;
         return Optional.empty();
     }
 
-    private Optional<String> difference(Object recorded, Object replayed) {
+    private Optional<String> describeDifference(Object recorded, Object replayed) {
         return Optional.of(path + ":" + lineNumber + ": then " + recorded + ", now " + replayed);
     }
 }
--- a/src/main/java/brooklock/proxy/TraceVocabulary.java
+++ b/src/main/java/brooklock/proxy/TraceVocabulary.java
@@ -12,7 +12,7 @@
 
 /**
  * Maps record types and enum constants to the words that represent them in traces. Immutable and
- * thread-safe. * *
+ * thread-safe.
  *
  * <p>The words are part of the stored format, so they must not change when a type or constant is
  * renamed. A constant without an entry here is represented by its name.
@@ -64,8 +64,9 @@
     private TraceVocabulary() {}
 
     /**
-     * Returns the word of a record type. * * @throws IllegalArgumentException if traces do not
-     * contain the type
+     * Returns the word of a record type.
+     *
+     * @throws IllegalArgumentException if traces do not contain the type
      */
     static String wordOf(Class<?> type) {
         String word = WORD_BY_TYPE.get(type);
@@ -82,8 +83,9 @@
     }
 
     /**
-     * Returns the record type that a word represents. * * @throws IllegalArgumentException if the
-     * word is unknown
+     * Returns the record type that a word represents.
+     *
+     * @throws IllegalArgumentException if the word is unknown
      */
     static Class<?> typeOf(String word) {
         Class<?> type = TYPE_BY_WORD.get(word);
@@ -97,8 +99,10 @@
     }
 
     /**
-     * Returns the enum constant that a word represents. * * @param type the enum type * @throws
-     * IllegalArgumentException if the type has no constant with this word
+     * Returns the enum constant that a word represents.
+     *
+     * @param type the enum type
+     * @throws IllegalArgumentException if the type has no constant with this word
      */
     static Object constantOf(Class<?> type, String word) {
         for (Object constant : type.getEnumConstants()) {
--- a/src/main/java/brooklock/proxy/TraceWriter.java
+++ b/src/main/java/brooklock/proxy/TraceWriter.java
@@ -14,8 +14,7 @@
 
 /**
  * Writes every router event and action to a trace file, one line each, encoded by {@link
- * TraceCodec}. Must be used on the routing thread only, except {@link #open} and {@link #close}. *
- * *
+ * TraceCodec}. Must be used on the routing thread only, except {@link #open} and {@link #close}.
  *
  * <p>A trace ends when it reaches its maximum size. It does not drop its oldest lines, because it
  * can only be replayed from the beginning.
@@ -36,9 +35,11 @@
     }
 
     /**
-     * Opens a trace file and writes the router's settings. * * @param path the file, or null to
-     * write nothing * @param maxBytes the maximum size of the file, in bytes * @throws IOException
-     * if the file cannot be opened
+     * Opens a trace file and writes the router's settings.
+     *
+     * @param path the file, or null to write nothing
+     * @param maxBytes the maximum size of the file, in bytes
+     * @throws IOException if the file cannot be opened
      */
     static TraceWriter open(Path path, long maxBytes, RouterSettings settings) throws IOException {
         if (path == null) {
@@ -46,7 +47,7 @@
         }
         TraceWriter trace =
                 new TraceWriter(Files.newBufferedWriter(path, StandardCharsets.UTF_8), maxBytes);
-        trace.writeLine("settings " + TraceCodec.write(settings));
+        trace.writeLine("settings " + TraceCodec.encode(settings));
         return trace;
     }
 
@@ -60,14 +61,14 @@
     /** Writes an event. */
     void writeEvent(long nowNs, RouterEvent event) {
         if (writer != null) {
-            writeLine("event " + nowNs + " " + TraceCodec.write(event));
+            writeLine("event " + nowNs + " " + TraceCodec.encode(event));
         }
     }
 
     /** Writes an action that the router returned for the last event. */
     void writeAction(RouterAction action) {
         if (writer != null) {
-            writeLine("action " + TraceCodec.write(action));
+            writeLine("action " + TraceCodec.encode(action));
         }
     }
 
--- a/src/main/java/brooklock/proxy/UpstreamAttempt.java
+++ b/src/main/java/brooklock/proxy/UpstreamAttempt.java
@@ -23,7 +23,7 @@
 
 /**
  * One attempt to have an endpoint serve a request, from the router's StartAttempt to the
- * AttemptCompleted event. Must be used on the client's I/O thread only. * *
+ * AttemptCompleted event. Must be used on the client's I/O thread only.
  *
  * <p>An attempt is <em>committed</em> once its response is being sent to the client as the final
  * response. From then on the router cannot cancel it; it ends only by its timeout, the endpoint or
@@ -57,9 +57,11 @@
     private long durationNs;
 
     /**
-     * Creates a new attempt that is not yet sent. * * @param number the index among the request's
-     * attempts * @param action the router's action that starts the attempt * @param peerId the peer
-     * that the endpoint tries first on a cache miss, or {@link #NO_PEER}
+     * Creates a new attempt that is not yet sent.
+     *
+     * @param number the index among the request's attempts
+     * @param action the router's action that starts the attempt
+     * @param peerId the peer that the endpoint tries first on a cache miss, or {@link #NO_PEER}
      */
     UpstreamAttempt(
             ProxyContext context,
@@ -107,7 +109,7 @@
     /**
      * Returns whether the attempt may still be sent. Called directly before the first byte is
      * written: while the attempt waited for a connection, an endpoint may have left the list, or
-     * the wait may have been too long. * *
+     * the wait may have been too long.
      *
      * <p>A purge does not affect an attempt that waits for a connection: it is sent with the
      * maximum age that was allowed when it was routed. Only attempts that are routed after the
@@ -145,7 +147,7 @@
             // The body of an error response is not used, so the attempt ends now and its connection
             // is closed.
             ClientCall currentCall = call;
-            completeByResult();
+            completeWithResult();
             currentCall.cancel();
         }
     }
@@ -182,7 +184,7 @@
 
     @Override
     public void onComplete(Fields trailers) {
-        completeByResult();
+        completeWithResult();
         if (committed) {
             exchange.endResponse();
         }
@@ -211,7 +213,7 @@
         if (ended || (committed && streamed)) {
             return;
         }
-        endCall(AttemptOutcome.TIMEOUT);
+        completeAndCancelCall(AttemptOutcome.TIMEOUT);
         if (committed) {
             exchange.abortResponse(Completion.TIMEOUT_IN_BODY);
         }
@@ -230,34 +232,35 @@
     /** Cancels the attempt and closes its connection. Has no effect if the attempt has ended. */
     void cancel() {
         if (!ended) {
-            endCall(AttemptOutcome.CANCELLED);
+            completeAndCancelCall(AttemptOutcome.CANCELLED);
         }
     }
 
-    private void endCall(AttemptOutcome how) {
+    private void completeAndCancelCall(AttemptOutcome attemptOutcome) {
         ClientCall currentCall = call;
-        complete(how, CacheStatus.NONE, 0);
+        complete(attemptOutcome, CacheStatus.NONE, 0);
         if (currentCall != null) {
             currentCall.cancel();
         }
     }
 
-    private void completeByResult() {
+    private void completeWithResult() {
         complete(result.outcome(), result.cacheStatus(), result.fillDurationNs());
     }
 
     /**
      * Ends the attempt and submits the event to the router. Has no effect if the attempt has ended.
      * The reported duration excludes the time in which the client did not read, because a slow
-     * client must not make the endpoint appear slow. * * @param fillDurationNs the time for which
-     * the endpoint waited for its fill source, in ns
+     * client must not make the endpoint appear slow.
+     *
+     * @param fillDurationNs the time for which the endpoint waited for its fill source, in ns
      */
-    void complete(AttemptOutcome how, CacheStatus cacheStatus, long fillDurationNs) {
+    void complete(AttemptOutcome attemptOutcome, CacheStatus cacheStatus, long fillDurationNs) {
         if (ended) {
             return;
         }
         ended = true;
-        outcome = how;
+        outcome = attemptOutcome;
         if (timeoutTimer != null) {
             timeoutTimer.remove();
         }
@@ -270,11 +273,11 @@
                         exchange.id,
                         number,
                         action.endpoint(),
-                        how,
+                        attemptOutcome,
                         cacheStatus,
                         durationNs,
                         fillDurationNs,
-                        how == AttemptOutcome.OK || committed);
+                        attemptOutcome == AttemptOutcome.OK || committed);
         if (warming.isPresent()) {
             AttemptObservation observation = observe(event);
             context.routingThread()
--- a/src/main/java/brooklock/proxy/UpstreamClients.java
+++ b/src/main/java/brooklock/proxy/UpstreamClients.java
@@ -16,8 +16,9 @@
     private final HttpClient[] clients;
 
     /**
-     * Creates one client for each I/O thread. * * @param tlsContext the TLS context of the
-     * connections, or null for plain connections
+     * Creates one client for each I/O thread.
+     *
+     * @param tlsContext the TLS context of the connections, or null for plain connections
      */
     UpstreamClients(IoThreads ioThreads, ClientLimits limits, SSLContext tlsContext) {
         this.ioThreads = ioThreads;
--- a/src/main/java/brooklock/proxy/UpstreamRequestBuilder.java
+++ b/src/main/java/brooklock/proxy/UpstreamRequestBuilder.java
@@ -36,17 +36,21 @@
     private static final long NS_PER_SECOND = 1_000_000_000L;
 
     /**
-     * The endpoints that are involved in an attempt. * * @param endpoint the endpoint that receives
-     * the request * @param source the fill source for a cache miss; the endpoint itself for no fill
-     * * @param peer the peer that is tried before the fill source, or null for none
+     * The endpoints that are involved in an attempt.
+     *
+     * @param endpoint the endpoint that receives the request
+     * @param source the fill source for a cache miss; the endpoint itself for no fill
+     * @param peer the peer that is tried before the fill source, or null for none
      */
     record Target(ListedEndpoint endpoint, ListedEndpoint source, ListedEndpoint peer) {}
 
     private UpstreamRequestBuilder() {}
 
     /**
-     * Builds the head of an attempt's request. * * @param attemptNumber the index among the
-     * request's attempts * @param dispatcherName the name of this dispatcher, for the Via field
+     * Builds the head of an attempt's request.
+     *
+     * @param attemptNumber the index among the request's attempts
+     * @param dispatcherName the name of this dispatcher, for the Via field
      */
     static RequestHead buildHead(
             ProxyExchange exchange,
@@ -67,12 +71,12 @@
         long maxAgeNs =
                 action.maxAgeNs() > 0 ? action.maxAgeNs() : requestClass.freshnessLifetimeNs();
         boolean fills = action.fillsOnMiss();
-        String cacheControl = cacheControl(fills, maxAgeNs);
+        String cacheControl = buildCacheControl(fills, maxAgeNs);
         if (!cacheControl.isEmpty() && !requestClass.passThrough()) {
             fields.add("Cache-Control", cacheControl);
         }
-        fields.add("Brooklock-Copy", copyField(exchange.request.match()));
-        fields.add("Brooklock-Get", getField(action, target, fills, maxAgeNs));
+        fields.add("Brooklock-Copy", buildCopyField(exchange.request.match()));
+        fields.add("Brooklock-Get", buildGetField(action, target, fills, maxAgeNs));
         fields.add(
                 "Brooklock-Attempt",
                 "id="
@@ -109,7 +113,7 @@
 
     // Cache-Control is for endpoints that do not support Brooklock-Get. The age is rounded down to
     // whole seconds, so that it never allows an older copy.
-    private static String cacheControl(boolean fills, long maxAgeNs) {
+    private static String buildCacheControl(boolean fills, long maxAgeNs) {
         String onlyIfCached = fills ? "" : "only-if-cached";
         if (maxAgeNs <= 0) {
             return onlyIfCached;
@@ -117,7 +121,7 @@
         return onlyIfCached + (fills ? "" : ", ") + "max-age=" + maxAgeNs / NS_PER_SECOND;
     }
 
-    private static String copyField(RouteTable.Match match) {
+    private static String buildCopyField(RouteTable.Match match) {
         return "object="
                 + Long.toHexString(match.object())
                 + ", part="
@@ -129,7 +133,7 @@
                 + (match.requestClass().passThrough() ? ", through" : "");
     }
 
-    private static String getField(
+    private static String buildGetField(
             StartAttempt action, Target target, boolean fills, long maxAgeNs) {
         StringBuilder value = new StringBuilder("keep=").append(action.cachePriority());
         if (fills) {
--- a/src/main/java/brooklock/proxy/WarmingCoordinator.java
+++ b/src/main/java/brooklock/proxy/WarmingCoordinator.java
@@ -29,7 +29,7 @@
 
 /**
  * Executes the decisions of {@link CacheWarming}: selects peers for attempts, submits the load
- * share of each cache to the router as its weight, and sends prefetches. * *
+ * share of each cache to the router as its weight, and sends prefetches.
  *
  * <p>Must be used on the routing thread only, except {@link #start}, {@link #close} and {@link
  * #appendState}, which any thread may call. Periodic work runs from {@link #start} to {@link
@@ -56,9 +56,11 @@
     private final LongAdder prefetches = new LongAdder();
 
     /**
-     * Creates a new coordinator without caches. * * @param tickLoop the I/O thread whose timer
-     * drives the periodic work * @param prefetchSender sends prefetches * @param snapshotStore
-     * saves the warming state; empty if it is not to be saved
+     * Creates a new coordinator without caches.
+     *
+     * @param tickLoop the I/O thread whose timer drives the periodic work
+     * @param prefetchSender sends prefetches
+     * @param snapshotStore saves the warming state; empty if it is not to be saved
      */
     WarmingCoordinator(
             ProxyContext context,
@@ -73,7 +75,7 @@
         recentPurges = new RecentPurges(settings.safetyLimits().purgeWindowNs());
         warming =
                 new CacheWarming<>(
-                        limits(settings),
+                        toWarmingLimits(settings),
                         (object, part, endpoint) ->
                                 RendezvousHash.score(
                                         RendezvousHash.copyHash(object, part), endpoint, 1),
@@ -82,7 +84,7 @@
                         context.clock().nowNs());
     }
 
-    private static WarmingLimits limits(Settings settings) {
+    private static WarmingLimits toWarmingLimits(Settings settings) {
         Settings.WarmingSettings warming = settings.warming();
         Settings.SafetyLimitSettings safetyLimits = settings.safetyLimits();
         return new WarmingLimits(
@@ -156,8 +158,9 @@
     }
 
     /**
-     * Selects the peer that the endpoint of an attempt tries first on a cache miss. * * @return the
-     * peer's identifier, or {@link UpstreamAttempt#NO_PEER}
+     * Selects the peer that the endpoint of an attempt tries first on a cache miss.
+     *
+     * @return the peer's identifier, or {@link UpstreamAttempt#NO_PEER}
      */
     long selectFillPeer(StartAttempt action, RouteTable.Match match) {
         boolean fillsCopy =
@@ -189,7 +192,7 @@
             warming.onFailure(event.endpoint(), isConnectionFailure(event.outcome()), nowNs);
         }
         if (observation.peerId() != UpstreamAttempt.NO_PEER) {
-            onPeerObserved(observation, nowNs);
+            recordPeerObservation(observation, nowNs);
         }
     }
 
@@ -206,18 +209,18 @@
         return outcome == AttemptOutcome.CONNECT_FAILED || outcome == AttemptOutcome.RESET;
     }
 
-    private void onPeerObserved(AttemptObservation observation, long nowNs) {
+    private void recordPeerObservation(AttemptObservation observation, long nowNs) {
         AttemptCompleted event = observation.event();
         long peerId = observation.peerId();
         observation.peerLoad().ifPresent(load -> warming.onReport(peerId, load));
         if (observation.peerResult().isPresent()) {
-            onPeerResult(event.endpoint(), peerId, observation.peerResult().get(), nowNs);
+            recordPeerResult(event.endpoint(), peerId, observation.peerResult().get(), nowNs);
         } else if (event.outcome() == AttemptOutcome.OK && event.cacheStatus() == CacheStatus.HIT) {
             warming.onPeerUnused(peerId);
         }
     }
 
-    private void onPeerResult(long endpointId, long peerId, PeerResult result, long nowNs) {
+    private void recordPeerResult(long endpointId, long peerId, PeerResult result, long nowNs) {
         if (result == PeerResult.FILLED) {
             peerHits.increment();
         } else if (result == PeerResult.MISSED) {
@@ -262,13 +265,13 @@
                 () -> {
                     if (!closed) {
                         context.routingThread()
-                                .submitComputed(this::changedWeights, this::startPrefetches);
+                                .submitComputed(this::pollChangedWeights, this::startPrefetches);
                         scheduleTick();
                     }
                 });
     }
 
-    private Optional<RouterEvent> changedWeights() {
+    private Optional<RouterEvent> pollChangedWeights() {
         Map<Long, Double> changedShares = warming.pollChangedShares(context.clock().nowNs());
         if (++ticks % TICKS_PER_SNAPSHOT == 0) {
             snapshotStore.ifPresent(store -> store.save(warming.snapshot(context.clock().nowNs())));
@@ -295,10 +298,11 @@
         if (!recentPurges.allowsPrefetch(nowNs)) {
             return;
         }
-        List<Prefetch<PrefetchTarget>> next =
+        List<Prefetch<PrefetchTarget>> duePrefetches =
                 warming.nextPrefetches(
-                        nowNs, (object, target) -> recentPurges.allows(object, target.group()));
-        for (Prefetch<PrefetchTarget> prefetch : next) {
+                        nowNs,
+                        (object, target) -> recentPurges.allowsPrefetchOf(object, target.group()));
+        for (Prefetch<PrefetchTarget> prefetch : duePrefetches) {
             prefetches.increment();
             prefetchSender.send(
                     prefetch,
@@ -317,20 +321,22 @@
                     .peerResult(response)
                     .ifPresent(
                             peerResult ->
-                                    onPeerResult(
+                                    recordPeerResult(
                                             prefetch.endpointId(),
                                             prefetch.peerId(),
                                             peerResult,
                                             nowNs));
-            onLoadFields(prefetch, response.fields(), response.sentAtNs(), nowNs);
+            recordLoadReports(prefetch, response.fields(), response.sentAtNs(), nowNs);
         } else if (result instanceof PrefetchRequest.NoResponse failure) {
             warming.onPrefetchDone(prefetch, true, nowNs);
             failure.fields()
-                    .ifPresent(fields -> onLoadFields(prefetch, fields, failure.sentAtNs(), nowNs));
+                    .ifPresent(
+                            fields ->
+                                    recordLoadReports(prefetch, fields, failure.sentAtNs(), nowNs));
         }
     }
 
-    private void onLoadFields(
+    private void recordLoadReports(
             Prefetch<PrefetchTarget> prefetch, Fields fields, long sentAtNs, long nowNs) {
         LoadReportParser.ofEndpoint(fields, sentAtNs, nowNs)
                 .ifPresent(load -> warming.onReport(prefetch.endpointId(), load));
--- a/src/main/java/brooklock/proxy/WarmingSnapshotStore.java
+++ b/src/main/java/brooklock/proxy/WarmingSnapshotStore.java
@@ -52,7 +52,9 @@
         } catch (NoSuchFileException ignored) {
             return Optional.empty();
         } catch (IOException | IllegalArgumentException e) {
-            LOG.warn("warming snapshot ignored; starting without saved warming state: {}", e.getMessage());
+            LOG.warn(
+                    "warming snapshot ignored; starting without saved warming state: {}",
+                    e.getMessage());
             return Optional.empty();
         }
     }
--- a/src/main/java/brooklock/proxy/package-info.java
+++ b/src/main/java/brooklock/proxy/package-info.java
@@ -1,9 +1,8 @@
 /**
- * The HTTP dispatcher, which processes a request from its head to its final response. * *
+ * The HTTP dispatcher, which processes a request from its head to its final response.
  *
  * <p>Package {@code brooklock.routing} decides to which endpoint a request is sent. This package
- * translates what happens on sockets into the router's events and executes the router's actions. *
- * *
+ * translates what happens on sockets into the router's events and executes the router's actions.
  *
  * <h2>Lifecycle of a request</h2>
  *
@@ -30,7 +29,7 @@
  *
  * <ul>
  *   <li>The routing thread ({@code NAME-routing}), one for each dispatcher, owns the router, its
- *       timers, the endpoint list ({@link brooklock.proxy.EndpointListUpdater}), tenants' limits *
+ *       timers, the endpoint list ({@link brooklock.proxy.EndpointListUpdater}), tenants' limits
  *       and cache warming ({@link brooklock.proxy.WarmingCoordinator}).
  *   <li>The I/O threads own connections. An exchange and all its attempts are used on the I/O
  *       thread of the client's connection.
--- a/src/test/java/brooklock/proxy/AccessLogTest.java
+++ b/src/test/java/brooklock/proxy/AccessLogTest.java
@@ -39,20 +39,20 @@
     @TempDir Path dir;
     private final Logger logger = (Logger) LoggerFactory.getLogger("answers");
     private final ListAppender<ILoggingEvent> appender = new ListAppender<>();
-    private Level levelBefore;
+    private Level originalLevel;
 
     @BeforeEach
-    void listen() {
-        levelBefore = logger.getLevel();
+    void attachAppender() {
+        originalLevel = logger.getLevel();
         logger.setLevel(Level.INFO);
         appender.start();
         logger.addAppender(appender);
     }
 
     @AfterEach
-    void stopListening() {
+    void detachAppender() {
         logger.detachAppender(appender);
-        logger.setLevel(levelBefore);
+        logger.setLevel(originalLevel);
     }
 
     private Map<String, Object> entryOf(String request) throws InterruptedException {
@@ -112,7 +112,7 @@
     }
 
     @Test
-    void rejectedAndFailedRequestsAreLoggedByTheWordsOfTheProtocol() throws Exception {
+    void rejectedAndFailedRequestsAreLoggedWithTheirDocumentedWords() throws Exception {
         try (LoopbackFleet fleet = new LoopbackFleet(dir, 2, 1, "").start()) {
             fleet.servers.get("o1").faults.rejectShare = 1;
             fleet.send(post("/notes/x", requestIdField("full"), "body"));
--- a/src/test/java/brooklock/proxy/AdmissionLimitTest.java
+++ b/src/test/java/brooklock/proxy/AdmissionLimitTest.java
@@ -27,7 +27,7 @@
      */
     @Test
     void fullRoutingQueueRejectsAtOnceWithRetryAfter() throws Exception {
-        CountDownLatch stuck = new CountDownLatch(1);
+        CountDownLatch routingUnblocked = new CountDownLatch(1);
         try (LoopbackFleet fleet =
                 new LoopbackFleet(dir, 1, 1, "limits open 8")
                         .start(
@@ -38,7 +38,7 @@
                                                     RouterEvent event) {
                                                 if (event instanceof RequestReceived) {
                                                     try {
-                                                        stuck.await();
+                                                        routingUnblocked.await();
                                                     } catch (InterruptedException e) {
                                                         Thread.currentThread().interrupt();
                                                     }
@@ -46,19 +46,23 @@
                                                 return event;
                                             }
                                         })) {
-            List<CompletableFuture<LoopbackFleet.Response>> all = new ArrayList<>();
+            List<CompletableFuture<LoopbackFleet.Response>> responses = new ArrayList<>();
             for (int i = 0; i < 40; i++) {
-                all.add(fleet.sendAsync(get("/scans/g/q" + i + "/0", "")));
+                responses.add(fleet.sendAsync(get("/scans/g/q" + i + "/0", "")));
             }
             LoopbackFleet.await(
                     "most to be rejected",
-                    () -> all.stream().filter(CompletableFuture::isDone).count() >= 32);
+                    () -> responses.stream().filter(CompletableFuture::isDone).count() >= 32);
             LoopbackFleet.Response response =
-                    all.stream().filter(CompletableFuture::isDone).findFirst().orElseThrow().get();
+                    responses.stream()
+                            .filter(CompletableFuture::isDone)
+                            .findFirst()
+                            .orElseThrow()
+                            .get();
             assertEquals(503, response.status());
             assertTrue(response.head().contains("Retry-After: "), response.head());
-            stuck.countDown();
-            for (CompletableFuture<LoopbackFleet.Response> pending : all) {
+            routingUnblocked.countDown();
+            for (CompletableFuture<LoopbackFleet.Response> pending : responses) {
                 assertTrue(pending.get().status() == 200 || pending.get().status() == 503);
             }
         }
@@ -71,17 +75,18 @@
     @Test
     void clientsOverTheConnectionLimitAreRejected() throws Exception {
         try (LoopbackFleet fleet = new LoopbackFleet(dir, 1, 1, "limits clients 4").start()) {
-            List<Socket> held = new ArrayList<>();
+            List<Socket> connections = new ArrayList<>();
             for (int i = 0; i < 4; i++) {
-                held.add(fleet.connect());
-                LoopbackFleet.write(held.get(i), get("/scans/g/o/0", ""));
+                connections.add(fleet.connect());
+                LoopbackFleet.write(connections.get(i), get("/scans/g/o/0", ""));
                 assertEquals(
-                        200, LoopbackFleet.readResponse(held.get(i).getInputStream()).status());
+                        200,
+                        LoopbackFleet.readResponse(connections.get(i).getInputStream()).status());
             }
             try (Socket fifth = fleet.connect()) {
                 assertEquals(503, LoopbackFleet.readResponse(fifth.getInputStream()).status());
             }
-            held.get(0).close();
+            connections.get(0).close();
             LoopbackFleet.await(
                     "room",
                     () -> {
@@ -91,7 +96,7 @@
                             return false;
                         }
                     });
-            for (Socket socket : held) {
+            for (Socket socket : connections) {
                 socket.close();
             }
         }
--- a/src/test/java/brooklock/proxy/CacheStatusParserTest.java
+++ b/src/test/java/brooklock/proxy/CacheStatusParserTest.java
@@ -40,7 +40,7 @@
                 "c1 | NONE",
                 "; hit | NONE"
             })
-    void statusBelow500IsServedAndSaysWhereTheBytesCameFrom(String value, CacheStatus expected) {
+    void statusBelow500IsOkWithTheCacheStatusOfTheLastMember(String value, CacheStatus expected) {
         assertEquals(
                 new UpstreamResult(AttemptOutcome.OK, expected, 0),
                 parse(200, "Cache-Status", value));
@@ -93,7 +93,7 @@
                 "c1 | ERROR | NONE",
                 "c1; error=\"connection_refused | ERROR | NONE"
             })
-    void failureOf500AndAboveGoesByTheLastMembersError(
+    void status500AndAboveIsClassifiedByTheErrorOfTheLastMember(
             String value, AttemptOutcome outcome, CacheStatus cacheStatus) {
         for (int status : new int[] {500, 502, 503, 504}) {
             assertEquals(
@@ -103,7 +103,7 @@
     }
 
     @Test
-    void failureWithoutAWordProvesNothing() {
+    void failureWithoutAnErrorNameProvesNothing() {
         assertEquals(
                 new UpstreamResult(AttemptOutcome.ERROR, CacheStatus.NONE, 0),
                 parse(503, "Proxy-Status", null));
@@ -114,7 +114,7 @@
 
     @ParameterizedTest
     @CsvSource({"1500, 1500000", "0, 0", "-1, 0", "1.5, 0", "1234567890123, 0"})
-    void waitForTheFillSourceIsReadInMicroseconds(String value, long expectedNs) {
+    void fillDurationIsParsedInMicroseconds(String value, long expectedNs) {
         assertEquals(expectedNs, parse(200, "Brooklock-Waited", value).fillDurationNs());
     }
 }
--- a/src/test/java/brooklock/proxy/CertificateAuthorizationTest.java
+++ b/src/test/java/brooklock/proxy/CertificateAuthorizationTest.java
@@ -27,13 +27,14 @@
 
 /** Who gets what by a certificate, and when a connection is closed. */
 class CertificateAuthorizationTest extends AuthorizationTestBase {
-    private SSLContext client(LocalCertificateAuthority pki, TlsContexts.TlsIdentity mine)
-            throws Exception {
+    private SSLContext clientContext(
+            LocalCertificateAuthority pki, TlsContexts.TlsIdentity identity) throws Exception {
         var trust = pki.createTrust(dir);
-        return TlsContexts.clientContext(mine, () -> trust, System::currentTimeMillis);
+        return TlsContexts.clientContext(identity, () -> trust, System::currentTimeMillis);
     }
 
-    private LoopbackFleet newTlsFleet(LocalCertificateAuthority pki, String more) throws Exception {
+    private LoopbackFleet newTlsFleet(LocalCertificateAuthority pki, String extraSettings)
+            throws Exception {
         pki.writeCaCertificate(dir.resolve("ca.pem"));
         LocalCertificateAuthority.writeCertificate(
                 dir.resolve("server.pem"),
@@ -45,7 +46,7 @@
                 2,
                 1,
                 "rights policy\ntls server.pem server.key\nclients ca.pem\nrevoked revoked.pem\n"
-                        + more);
+                        + extraSettings);
     }
 
     private static int sendTls(LoopbackFleet fleet, SSLContext context, String path)
@@ -62,44 +63,50 @@
      * nothing that needs authorization.
      */
     @Test
-    void certificatesMapToTenantsAndStrangersAreRejected() throws Exception {
+    void certificatesMapToTenantsAndUntrustedOnesAreRejected() throws Exception {
         LocalCertificateAuthority pki = new LocalCertificateAuthority("authority");
-        LocalCertificateAuthority other = new LocalCertificateAuthority("other");
+        LocalCertificateAuthority untrustedPki = new LocalCertificateAuthority("other");
         try (LoopbackFleet fleet = newTlsFleet(pki, "").start()) {
             assertEquals(
                     200,
                     sendTls(
                             fleet,
-                            client(pki, pki.issue("x", "acme.example", 60_000)),
+                            clientContext(pki, pki.issue("x", "acme.example", 60_000)),
                             "/own/acme/x/0"));
             assertEquals(
                     403,
                     sendTls(
                             fleet,
-                            client(pki, pki.issue("x", "acme.example", 60_000)),
+                            clientContext(pki, pki.issue("x", "acme.example", 60_000)),
                             "/own/beta/x/0"));
             assertEquals(
                     200,
-                    sendTls(fleet, client(pki, pki.issue("beta", null, 60_000)), "/own/beta/x/0"));
+                    sendTls(
+                            fleet,
+                            clientContext(pki, pki.issue("beta", null, 60_000)),
+                            "/own/beta/x/0"));
             assertEquals(
                     403,
-                    sendTls(fleet, client(pki, pki.issue("zeta", null, 60_000)), "/own/beta/x/0"));
-            assertEquals(401, sendTls(fleet, client(pki, null), "/own/acme/x/0"));
-            assertEquals(200, sendTls(fleet, client(pki, null), "/scans/g/x/0"));
-            TlsContexts.TlsIdentity strange = other.issue("x", "acme.example", 60_000);
+                    sendTls(
+                            fleet,
+                            clientContext(pki, pki.issue("zeta", null, 60_000)),
+                            "/own/beta/x/0"));
+            assertEquals(401, sendTls(fleet, clientContext(pki, null), "/own/acme/x/0"));
+            assertEquals(200, sendTls(fleet, clientContext(pki, null), "/scans/g/x/0"));
+            TlsContexts.TlsIdentity untrusted = untrustedPki.issue("x", "acme.example", 60_000);
             assertThrows(
                     IOException.class,
                     () -> {
-                        int status = sendTls(fleet, client(pki, strange), "/own/acme/x/0");
+                        int status = sendTls(fleet, clientContext(pki, untrusted), "/own/acme/x/0");
                         if (status == 0) {
                             throw new IOException("broken off");
                         }
                     });
-            TlsContexts.TlsIdentity ended = pki.issue("x", "acme.example", -1000);
+            TlsContexts.TlsIdentity expired = pki.issue("x", "acme.example", -1000);
             assertThrows(
                     IOException.class,
                     () -> {
-                        int status = sendTls(fleet, client(pki, ended), "/own/acme/x/0");
+                        int status = sendTls(fleet, clientContext(pki, expired), "/own/acme/x/0");
                         if (status == 0) {
                             throw new IOException("broken off");
                         }
@@ -115,53 +122,55 @@
     @Test
     void revokedCertificateEndsOpenTransfersAndIsNotAcceptedAgain() throws Exception {
         LocalCertificateAuthority pki = new LocalCertificateAuthority("authority");
-        TlsContexts.TlsIdentity bad = pki.issue("x", "acme.example", 600_000);
-        TlsContexts.TlsIdentity fine = pki.issue("y", "acme.example", 600_000);
+        TlsContexts.TlsIdentity revoked = pki.issue("x", "acme.example", 600_000);
+        TlsContexts.TlsIdentity valid = pki.issue("y", "acme.example", 600_000);
         try (LoopbackFleet fleet = newTlsFleet(pki, "").start()) {
-            SSLContext badContext = client(pki, bad);
+            SSLContext revokedContext = clientContext(pki, revoked);
             for (int i = 0; i < 3; i++) {
                 assertEquals(
-                        200, sendTls(fleet, client(pki, fine), "/ownbig/acme/x"), "cached by now");
+                        200,
+                        sendTls(fleet, clientContext(pki, valid), "/ownbig/acme/x"),
+                        "cached by now");
             }
-            SSLSocket transfer = fleet.connectTls(badContext);
+            SSLSocket transfer = fleet.connectTls(revokedContext);
             LoopbackFleet.write(transfer, get("/ownbig/acme/x", ""));
             assertTrue(transfer.getInputStream().read(new byte[1000]) > 0, "under way");
-            SSLSocket idle = fleet.connectTls(badContext);
+            SSLSocket idle = fleet.connectTls(revokedContext);
             LoopbackFleet.write(idle, get("/own/acme/x/0", ""));
             assertEquals(200, LoopbackFleet.readResponse(idle.getInputStream()).status());
-            SSLSocket other = fleet.connectTls(client(pki, fine));
+            SSLSocket validConnection = fleet.connectTls(clientContext(pki, valid));
             Files.writeString(
                     dir.resolve("revoked.pem"),
-                    pki.createCrl(3600_000, new X509Certificate[] {bad.chain()[0]}));
-            long written = System.nanoTime();
-            assertFalse(endsWhole(transfer), "the transfer is broken off");
-            assertFalse(endsWhole(idle));
-            assertTrue(System.nanoTime() - written < 10_000 * LoopbackFleet.NS_PER_MS);
+                    pki.createCrl(3600_000, new X509Certificate[] {revoked.chain()[0]}));
+            long revokedAtNs = System.nanoTime();
+            assertFalse(isReadCompletely(transfer), "the transfer is broken off");
+            assertFalse(isReadCompletely(idle));
+            assertTrue(System.nanoTime() - revokedAtNs < 10_000 * LoopbackFleet.NS_PER_MS);
             assertThrows(
                     IOException.class,
                     () -> {
-                        if (sendTls(fleet, badContext, "/own/acme/x/0") != 200) {
+                        if (sendTls(fleet, revokedContext, "/own/acme/x/0") != 200) {
                             throw new IOException("not taken, in a new or in a resumed session");
                         }
                     });
-            LoopbackFleet.write(other, get("/own/acme/x/0", ""));
+            LoopbackFleet.write(validConnection, get("/own/acme/x/0", ""));
             assertEquals(
                     200,
-                    LoopbackFleet.readResponse(other.getInputStream()).status(),
+                    LoopbackFleet.readResponse(validConnection.getInputStream()).status(),
                     "others go on");
         }
     }
 
     // Reads on to the end: true if that came in the orderly way with everything before it.
-    private static boolean endsWhole(SSLSocket socket) {
+    private static boolean isReadCompletely(SSLSocket socket) {
         try {
-            long n = 0;
-            byte[] b = new byte[8192];
-            for (int r = socket.getInputStream().read(b);
-                    r >= 0;
-                    r = socket.getInputStream().read(b)) {
-                n += r;
-                if (n > 3_900_000) {
+            long totalBytes = 0;
+            byte[] buffer = new byte[8192];
+            for (int readBytes = socket.getInputStream().read(buffer);
+                    readBytes >= 0;
+                    readBytes = socket.getInputStream().read(buffer)) {
+                totalBytes += readBytes;
+                if (totalBytes > 3_900_000) {
                     return true;
                 }
                 Thread.sleep(20);
@@ -177,17 +186,18 @@
      * the authority's certificates are rejected until a new list comes.
      */
     @Test
-    void staleRevocationListClosesItsAuthority() throws Exception {
+    void staleRevocationListRejectsCertificatesOfItsAuthority() throws Exception {
         LocalCertificateAuthority pki = new LocalCertificateAuthority("authority");
-        TlsContexts.TlsIdentity mine = pki.issue("x", "acme.example", 600_000);
+        TlsContexts.TlsIdentity identity = pki.issue("x", "acme.example", 600_000);
         try (LoopbackFleet fleet = newTlsFleet(pki, "").start()) {
-            assertEquals(200, sendTls(fleet, client(pki, mine), "/own/acme/x/0"));
+            assertEquals(200, sendTls(fleet, clientContext(pki, identity), "/own/acme/x/0"));
             Files.writeString(dir.resolve("revoked.pem"), pki.createCrl(-500));
             LoopbackFleet.await(
                     "the list to be past its time",
                     () -> {
                         try {
-                            return sendTls(fleet, client(pki, mine), "/own/acme/x/0") != 200;
+                            return sendTls(fleet, clientContext(pki, identity), "/own/acme/x/0")
+                                    != 200;
                         } catch (Exception e) {
                             return true;
                         }
@@ -204,20 +214,20 @@
     @Test
     void onlyTrustedEndpointsGetRequestsOverTls() throws Exception {
         LocalCertificateAuthority pki = new LocalCertificateAuthority("authority");
-        LocalCertificateAuthority stranger = new LocalCertificateAuthority("stranger");
+        LocalCertificateAuthority untrustedPki = new LocalCertificateAuthority("stranger");
         var trust = pki.createTrust(dir);
-        List<String> shown = Collections.synchronizedList(new ArrayList<>());
-        try (IoThreads net = IoThreads.start("tls-host", 1);
+        List<String> presentedSubjects = Collections.synchronizedList(new ArrayList<>());
+        try (IoThreads ioThreads = IoThreads.start("tls-host", 1);
                 LoopbackFleet fleet = newTlsFleet(pki, "hosts-tls ca.pem\nlimits threads 1")) {
-            Function<TlsContexts.TlsIdentity, HttpListener> host =
+            Function<TlsContexts.TlsIdentity, HttpListener> openEndpoint =
                     leaf -> {
                         try {
                             return HttpListener.openTls(
-                                    net,
+                                    ioThreads,
                                     new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
                                     ServerLimits.STANDARD,
                                     exchange -> {
-                                        shown.add(
+                                        presentedSubjects.add(
                                                 String.valueOf(
                                                         exchange.certificates()[0]
                                                                 .getSubjectX500Principal()));
@@ -234,25 +244,29 @@
                             throw new IllegalStateException(e);
                         }
                     };
-            var good = host.apply(pki.issue("c1", "c1", 60_000));
-            var bad = host.apply(stranger.issue("c2", "c2", 60_000));
+            var trustedEndpoint = openEndpoint.apply(pki.issue("c1", "c1", 60_000));
+            var untrustedEndpoint = openEndpoint.apply(untrustedPki.issue("c2", "c2", 60_000));
             String text =
                     fleet.settingsText()
                             .replaceAll(
                                     "host c1 cache here 127.0.0.1:\\d+",
-                                    "host c1 cache here 127.0.0.1:" + bad.address().getPort())
+                                    "host c1 cache here 127.0.0.1:"
+                                            + untrustedEndpoint.address().getPort())
                             .replaceAll(
                                     "host c2 cache here 127.0.0.1:\\d+",
-                                    "host c2 cache here 127.0.0.1:" + good.address().getPort());
+                                    "host c2 cache here 127.0.0.1:"
+                                            + trustedEndpoint.address().getPort());
             fleet.start(text);
             for (int i = 0; i < 8; i++) {
                 assertEquals(
                         200,
-                        sendTls(fleet, client(pki, null), "/scans/g/o" + i + "/0"),
+                        sendTls(fleet, clientContext(pki, null), "/scans/g/o" + i + "/0"),
                         "the trusted one serves all");
             }
-            assertEquals(8, shown.size());
-            assertTrue(shown.stream().allMatch("CN=edge"::equals), shown.toString());
+            assertEquals(8, presentedSubjects.size());
+            assertTrue(
+                    presentedSubjects.stream().allMatch("CN=edge"::equals),
+                    presentedSubjects.toString());
         }
     }
 }
--- a/src/test/java/brooklock/proxy/ClientFaultTest.java
+++ b/src/test/java/brooklock/proxy/ClientFaultTest.java
@@ -22,7 +22,7 @@
      * would hold 320 MB; if it waited for them in its I/O thread, nobody else would be served.
      */
     @Test
-    void slowReadersHoldLittleMemoryAndDelayNobody() throws Exception {
+    void slowReadersUseLittleMemoryAndDelayNoOtherClient() throws Exception {
         try (LoopbackFleet fleet = new LoopbackFleet(dir, 2, 1, "").start()) {
             for (int i = 0; i < 2; i++) {
                 assertEquals(8_000_000, fleet.send(get("/huge/x", "")).body().length);
@@ -39,14 +39,14 @@
             for (int i = 0; i < 50; i++) {
                 assertEquals(200, fleet.send(get("/scans/g/s" + i + "/0", "")).status());
             }
-            long direct =
+            long directBufferBytes =
                     ManagementFactory.getPlatformMXBeans(BufferPoolMXBean.class).stream()
                             .filter(p -> p.getName().equals("direct"))
                             .mapToLong(BufferPoolMXBean::getMemoryUsed)
                             .sum();
             assertTrue(
-                    direct < 64_000_000,
-                    "buffers hold " + direct + " bytes for 40 answers of 8 MB");
+                    directBufferBytes < 64_000_000,
+                    "buffers hold " + directBufferBytes + " bytes for 40 answers of 8 MB");
             for (Socket socket : readers) {
                 socket.close();
             }
@@ -60,7 +60,7 @@
      * reserved until then is released, and nothing more is sent to an endpoint for it.
      */
     @Test
-    void clientsThatDisconnectAreForgottenAtEachStage() throws Exception {
+    void disconnectReleasesResourcesAtEachStage() throws Exception {
         try (LoopbackFleet fleet = new LoopbackFleet(dir, 2, 1, "").start()) {
             fleet.servers.get("c1").faults.silent = true;
             fleet.servers.get("c2").faults.silent = true;
@@ -79,12 +79,14 @@
             LoopbackFleet.await("the attempt", () -> fleet.recordedRequests("w").size() == 1);
             waiting.close();
             LoopbackFleet.await("all to be forgotten", () -> fleet.dispatcher.openRequests() == 0);
-            int before = fleet.recordedRequests("w").size();
+            int sentBefore = fleet.recordedRequests("w").size();
             fleet.servers.get("c1").faults.silent = false;
             fleet.servers.get("c2").faults.silent = false;
             assertEquals(200, fleet.send(get("/scans/g/other/0", "")).status());
             assertEquals(
-                    before, fleet.recordedRequests("w").size(), "nothing is sent for one who left");
+                    sentBefore,
+                    fleet.recordedRequests("w").size(),
+                    "nothing is sent for one who left");
             assertEquals(0, fleet.recordedRequests("mb").size());
             assertTrue(
                     fleet.dispatcher.statePage().contains("body-bytes 0"),
@@ -114,10 +116,10 @@
      * therefore bounded.
      */
     @Test
-    void requestThatComesByteByByteTimesOutAndOthersAreServed() throws Exception {
+    void requestSentByteByByteTimesOutAndOthersAreServed() throws Exception {
         try (LoopbackFleet fleet = new LoopbackFleet(dir, 1, 1, "limits head 400ms").start();
                 Socket socket = fleet.connect()) {
-            long begun = System.nanoTime();
+            long startedAtNs = System.nanoTime();
             String request = get("/scans/g/o/0", "");
             int sent = 0;
             while (socket.getInputStream().available() == 0 && sent < request.length()) {
@@ -125,7 +127,7 @@
                 Thread.sleep(50);
             }
             assertEquals(408, LoopbackFleet.readResponse(socket.getInputStream()).status());
-            assertTrue(System.nanoTime() - begun < 10_000 * LoopbackFleet.NS_PER_MS);
+            assertTrue(System.nanoTime() - startedAtNs < 10_000 * LoopbackFleet.NS_PER_MS);
             assertEquals(200, fleet.send(get("/scans/g/o/0", "")).status());
         }
     }
@@ -135,7 +137,7 @@
      * whole, or rejected before it is read.
      */
     @Test
-    void expectedAndChunkedBodiesAreReadWholeAndLongOnesRejected() throws Exception {
+    void expectedAndChunkedBodiesAreReadAndOversizedOnesRejected() throws Exception {
         try (LoopbackFleet fleet = new LoopbackFleet(dir, 1, 1, "").start();
                 Socket socket = fleet.connect()) {
             LoopbackFleet.write(
--- a/src/test/java/brooklock/proxy/DrainTest.java
+++ b/src/test/java/brooklock/proxy/DrainTest.java
@@ -21,7 +21,7 @@
      * shutdown. They are routed again.
      */
     @Test
-    void requestsThatWaitForAConnectionDoNotReachACacheThatDrainsMeanwhile() throws Exception {
+    void requestsWaitingForAConnectionAreNotSentToACacheThatStartsToDrain() throws Exception {
         try (LoopbackFleet fleet =
                 new LoopbackFleet(dir, 1, 2, "limits host-connections 1 threads 1").start()) {
             fleet.servers.get("c1").faults.silent = true;
@@ -56,7 +56,7 @@
      * their misses from it if dispatchers went on naming it.
      */
     @Test
-    void drainingParentIsNoFillSource() throws Exception {
+    void drainingParentIsNotUsedAsFillSource() throws Exception {
         try (LoopbackFleet fleet = new LoopbackFleet(dir, 2, 2, "").start()) {
             fleet.sendControl("POST", "/drain?host=p1", "");
             long acknowledgedAtNs = System.nanoTime();
@@ -81,7 +81,7 @@
      * killed. The settings file still names the cache, but what was acknowledged holds.
      */
     @Test
-    void killedDispatcherComesBackWithTheListThatWasAcknowledged() throws Exception {
+    void killedDispatcherRestartsWithTheAcknowledgedList() throws Exception {
         try (LoopbackFleet fleet = new LoopbackFleet(dir, 2, 1, "list hosts.list").start()) {
             assertEquals(
                     200,
--- a/src/test/java/brooklock/proxy/EndpointFaultTest.java
+++ b/src/test/java/brooklock/proxy/EndpointFaultTest.java
@@ -21,7 +21,7 @@
      * a damaged file.
      */
     @Test
-    void cacheThatDiesWithinTheBodyIsShownToTheClient() throws Exception {
+    void cacheFailureWithinTheBodyAbortsTheResponse() throws Exception {
         try (LoopbackFleet fleet = new LoopbackFleet(dir, 1, 1, "").start()) {
             fleet.servers.get("c1").faults.truncatedShare = 1;
             LoopbackFleet.Response response =
@@ -40,19 +40,19 @@
      * nothing yet, so another cache serves it.
      */
     @Test
-    void cacheThatDiesBeforeTheFirstByteIsReplacedByAnother() throws Exception {
+    void cacheFailureBeforeTheFirstByteIsRetriedAtAnotherCache() throws Exception {
         try (LoopbackFleet fleet = new LoopbackFleet(dir, 3, 1, "").start()) {
             RecordedRequest[] first = new RecordedRequest[1];
             fleet.servers
                     .values()
                     .forEach(server -> server.faults.silent = server.name().startsWith("c"));
-            CompletableFuture<LoopbackFleet.Response> answer =
+            CompletableFuture<LoopbackFleet.Response> response =
                     fleet.sendAsync(get("/scans/g/o/0", LoopbackFleet.requestIdField("d")));
             LoopbackFleet.await("the first attempt", () -> fleet.recordedRequests("d").size() == 1);
             first[0] = fleet.recordedRequests("d").get(0);
             fleet.servers.values().forEach(server -> server.faults.silent = false);
             fleet.servers.get(first[0].server).kill();
-            assertEquals(200, answer.get().status());
+            assertEquals(200, response.get().status());
             assertNotEquals(first[0].server, fleet.recordedRequests("d").get(1).server);
         }
     }
--- a/src/test/java/brooklock/proxy/EndpointListStoreTest.java
+++ b/src/test/java/brooklock/proxy/EndpointListStoreTest.java
@@ -77,13 +77,13 @@
      * acknowledged after it, in their order.
      */
     @Test
-    void onlyTheNewestOfWaitingListsIsWrittenAndAllAreAcknowledgedAfterIt() throws Exception {
+    void onlyTheNewestPendingListIsWrittenAndAllAreAcknowledgedAfterIt() throws Exception {
         EndpointListStore store = new EndpointListStore(dir.resolve("list"), writer);
-        CountDownLatch diskBusy = new CountDownLatch(1);
+        CountDownLatch diskUnblocked = new CountDownLatch(1);
         writer.execute(
                 () -> {
                     try {
-                        diskBusy.await();
+                        diskUnblocked.await();
                     } catch (InterruptedException e) {
                         Thread.currentThread().interrupt();
                     }
@@ -107,7 +107,7 @@
                         }
                     });
         }
-        diskBusy.countDown();
+        diskUnblocked.countDown();
         assertEquals(Optional.empty(), await(last));
         assertEquals(100, order.size());
         assertEquals(order.stream().sorted().toList(), order);
@@ -120,10 +120,10 @@
      * acknowledged and is not there would be lost by a kill.
      */
     @Test
-    void whoeverIsNotifiedFindsItsListOrANewerOneOnDisk() throws Exception {
+    void notifiedListenerFindsItsListOrANewerOneOnDisk() throws Exception {
         EndpointListStore store = new EndpointListStore(dir.resolve("list"), writer);
-        AtomicInteger older = new AtomicInteger();
-        CountDownLatch all = new CountDownLatch(2000);
+        AtomicInteger missingLists = new AtomicInteger();
+        CountDownLatch allNotified = new CountDownLatch(2000);
         for (int i = 1; i <= 1000; i++) {
             int number = i;
             Membership.State state = state(i);
@@ -131,18 +131,18 @@
                     failure -> {
                         try {
                             if (failure.isPresent() || savedWeight(store) < number) {
-                                older.incrementAndGet();
+                                missingLists.incrementAndGet();
                             }
                         } catch (IOException e) {
-                            older.incrementAndGet();
+                            missingLists.incrementAndGet();
                         }
-                        all.countDown();
+                        allNotified.countDown();
                     };
             store.save(state, listener);
             store.save(state, listener);
         }
-        assertTrue(all.await(60, TimeUnit.SECONDS));
-        assertEquals(0, older.get());
+        assertTrue(allNotified.await(60, TimeUnit.SECONDS));
+        assertEquals(0, missingLists.get());
         assertEquals(1000, savedWeight(store));
     }
 
--- a/src/test/java/brooklock/proxy/ErrorResponseTest.java
+++ b/src/test/java/brooklock/proxy/ErrorResponseTest.java
@@ -59,7 +59,7 @@
     }
 
     @Test
-    void everyReasonHasItsStatusAndWords() {
+    void everyReasonHasItsStatusAndTexts() {
         for (String[] row : rows()) {
             ErrorResponse response = ErrorResponse.valueOf(row[0]);
             assertEquals(Integer.parseInt(row[1]), response.status(), row[0]);
@@ -69,22 +69,23 @@
                     response.text() + "\n",
                     new String(response.body(), StandardCharsets.UTF_8),
                     row[0]);
-            assertEquals(row[4], response.completion().map(Completion::word).orElse("-"), row[0]);
+            assertEquals(
+                    row[4], response.completion().map(Completion::logWord).orElse("-"), row[0]);
             assertEquals(row[5].equals("yes"), response.countsAsOverload(), row[0]);
         }
     }
 
     @Test
-    void theTableHasEveryReason() {
-        Set<ErrorResponse> named =
+    void tableContainsEveryReason() {
+        Set<ErrorResponse> listed =
                 rows().stream()
                         .map(row -> ErrorResponse.valueOf(row[0]))
                         .collect(Collectors.toSet());
-        assertEquals(EnumSet.allOf(ErrorResponse.class), named);
+        assertEquals(EnumSet.allOf(ErrorResponse.class), listed);
     }
 
     @Test
-    void everyReasonOfATenantsLimitHasAResponseWithItsStatus() {
+    void everyTenantLimitReasonHasAResponseWithItsStatus() {
         for (TenantLimiter.Reason reason : TenantLimiter.Reason.values()) {
             if (reason == TenantLimiter.Reason.ADMITTED) {
                 assertThrows(IllegalArgumentException.class, () -> ErrorResponse.of(reason));
@@ -131,14 +132,14 @@
                 "MALFORMED_PATH",
                 "FORBIDDEN"
             })
-    void requestsThatNoRetryHelpsCarryNoWordOfOne(ErrorResponse response) {
+    void permanentRejectionsHaveNoRetryAfter(ErrorResponse response) {
         assertEquals(
                 List.of("Content-Type: text/plain; charset=utf-8", "Cache-Control: no-store"),
                 lines(response.fieldsBeforeAdmission("d1")));
     }
 
     @Test
-    void aMissingCredentialIsAskedForByItsScheme() {
+    void unauthenticatedResponseNamesTheBearerScheme() {
         assertEquals(
                 List.of(
                         "Content-Type: text/plain; charset=utf-8",
@@ -148,7 +149,7 @@
     }
 
     @Test
-    void aMalformedPathIsNamedInTheBody() {
+    void malformedPathResponseStatesTheViolation() {
         assertArrayEquals(
                 "the path is not in form: a dot segment\n".getBytes(StandardCharsets.UTF_8),
                 ErrorResponse.MALFORMED_PATH.body("a dot segment"));
@@ -166,7 +167,7 @@
         "TENANT_BYTES, 3000000001, 4, 3000000",
         "TENANT_SHARE, 1, 1, 0"
     })
-    void retryAfterIsRoundedUpToSecondsAndExactBesides(
+    void retryAfterIsRoundedUpToSecondsAndStatedInMicroseconds(
             ErrorResponse response, long retryAfterNs, String seconds, String microseconds) {
         assertEquals(
                 List.of(
@@ -182,7 +183,7 @@
     @EnumSource(
             value = ErrorResponse.class,
             names = {"REJECTED", "FAILED", "FAILED_WITH_OPEN_ATTEMPT"})
-    void theRoutersResponsesSayNothingOfARetryWithoutATime(ErrorResponse response) {
+    void routerResponsesHaveNoRetryAfterWithoutATime(ErrorResponse response) {
         assertEquals(
                 List.of(
                         "Proxy-Status: d1; error=" + response.proxyError().orElseThrow(),
@@ -192,8 +193,8 @@
     }
 
     @Test
-    void theWordsOfCompletionsStayAndAreInOrder() {
-        List<String> words = Arrays.stream(Completion.values()).map(Completion::word).toList();
+    void completionWordsAreStableAndSorted() {
+        List<String> words = Arrays.stream(Completion.values()).map(Completion::logWord).toList();
         assertEquals(
                 List.of(
                         "broken by host",
--- a/src/test/java/brooklock/proxy/KeyRotationTest.java
+++ b/src/test/java/brooklock/proxy/KeyRotationTest.java
@@ -25,8 +25,8 @@
      */
     @Test
     void rotationUnderLoadRejectsNoValidCallerAndAcceptsNoRetiredKey() throws Exception {
-        KeySetFile set = new KeySetFile(dir.resolve("keys"));
-        KeyPair second = KeySetFile.generate("ES256");
+        KeySetFile keyFile = new KeySetFile(dir.resolve("keys"));
+        KeyPair newKey = KeySetFile.generate("ES256");
         try (LoopbackFleet fleet = newFleet().start()) {
             AtomicBoolean stop = new AtomicBoolean();
             AtomicBoolean announced = new AtomicBoolean();
@@ -34,18 +34,19 @@
             AtomicInteger requests = new AtomicInteger();
             List<String> rejected = Collections.synchronizedList(new ArrayList<>());
             List<Thread> callers = new ArrayList<>();
-            for (int t = 0; t < 4; t++) {
-                boolean newer = t % 2 == 1;
-                Thread th =
+            for (int threadIndex = 0; threadIndex < 4; threadIndex++) {
+                boolean usesNewKey = threadIndex % 2 == 1;
+                Thread thread =
                         new Thread(
                                 () -> {
                                     while (!stop.get()) {
-                                        boolean mayGo = newer ? announced.get() : !retired.get();
-                                        if (mayGo) {
-                                            String c =
-                                                    newer
+                                        boolean keyIsValid =
+                                                usesNewKey ? announced.get() : !retired.get();
+                                        if (keyIsValid) {
+                                            String token =
+                                                    usesNewKey
                                                             ? token(
-                                                                    second,
+                                                                    newKey,
                                                                     "k2",
                                                                     "acme",
                                                                     600 + requests.get())
@@ -58,31 +59,35 @@
                                                     status(
                                                             fleet,
                                                             "/own/acme/x/0",
-                                                            "Authorization: Bearer " + c + "\r\n");
-                                            if (status != 200 && (newer || !retired.get())) {
-                                                rejected.add((newer ? "new " : "old ") + status);
+                                                            "Authorization: Bearer "
+                                                                    + token
+                                                                    + "\r\n");
+                                            if (status != 200 && (usesNewKey || !retired.get())) {
+                                                rejected.add(
+                                                        (usesNewKey ? "new " : "old ") + status);
                                             }
                                             requests.incrementAndGet();
                                         }
                                     }
                                 });
-                callers.add(th);
-                th.start();
+                callers.add(thread);
+                thread.start();
             }
             LoopbackFleet.await("some load", () -> requests.get() > 50);
-            set.addKey(KeySetFile.toJwk("k2", "ES256", second, KeySet.State.ANNOUNCED));
+            keyFile.addKey(KeySetFile.toJwk("k2", "ES256", newKey, KeySet.State.ANNOUNCED));
             LoopbackFleet.await(
                     "k2", () -> fleet.dispatcher.statePage().contains("key k2 ANNOUNCED"));
             announced.set(true);
-            set.setState("k2", KeySet.State.SIGNING, 0);
+            keyFile.setState("k2", KeySet.State.SIGNING, 0);
             LoopbackFleet.await(
                     "the switch", () -> fleet.dispatcher.statePage().contains("key k2 SIGNING"));
             int before = requests.get();
             LoopbackFleet.await("both in flight", () -> requests.get() > before + 100);
             // By accident the old key is taken out while it is still in use: nothing changes, and
             // the state page says so.
-            String whole = Files.readString(dir.resolve("keys"));
-            Files.writeString(dir.resolve("keys"), whole.substring(0, whole.length() / 2));
+            String completeFile = Files.readString(dir.resolve("keys"));
+            Files.writeString(
+                    dir.resolve("keys"), completeFile.substring(0, completeFile.length() / 2));
             LoopbackFleet.await(
                     "half a file", () -> fleet.dispatcher.statePage().contains("refused "));
             Files.writeString(
@@ -94,7 +99,7 @@
                                             KeySetFile.toJwk(
                                                     "k2",
                                                     "ES256",
-                                                    second,
+                                                    newKey,
                                                     KeySet.State.SIGNING)))));
             LoopbackFleet.await(
                     "a key gone",
@@ -102,14 +107,14 @@
                             fleet.dispatcher
                                     .statePage()
                                     .contains("has gone without having been retired"));
-            Files.writeString(dir.resolve("keys"), whole);
+            Files.writeString(dir.resolve("keys"), completeFile);
             LoopbackFleet.await(
                     "the right file",
                     () ->
                             !fleet.dispatcher.statePage().contains("refused has gone")
                                     && fleet.dispatcher.statePage().contains("key k1"));
             retired.set(true);
-            set.setState("k1", KeySet.State.RETIRED, 0);
+            keyFile.setState("k1", KeySet.State.RETIRED, 0);
             LoopbackFleet.await(
                     "the retirement",
                     () -> fleet.dispatcher.statePage().contains("key k1 RETIRED"));
@@ -118,8 +123,8 @@
                     status(fleet, "/own/acme/x/0", bearer("acme")),
                     "a retired key opens nothing");
             stop.set(true);
-            for (Thread th : callers) {
-                th.join();
+            for (Thread thread : callers) {
+                thread.join();
             }
             assertEquals(List.of(), rejected);
         }
--- a/src/test/java/brooklock/proxy/LoadReportParserTest.java
+++ b/src/test/java/brooklock/proxy/LoadReportParserTest.java
@@ -14,7 +14,7 @@
 /** What endpoints and their peers say of their load. */
 class LoadReportParserTest {
     @Test
-    void readsTheLoadOfEndpointAndPeerEachFromItsField() {
+    void parsesEndpointAndPeerLoadFromTheirFields() {
         Fields fields =
                 new Fields()
                         .add("Brooklock-Load", "util=0.42, inflight=7, x0=0.80")
@@ -29,7 +29,7 @@
 
     /** A newer endpoint adds keys, a faulty one sends nonsense: neither may stop the dispatcher. */
     @Test
-    void unknownKeysAndValuesThatAreNoNumbersAreLeftOut() {
+    void unknownKeysAndNonNumericValuesAreIgnored() {
         Fields fields =
                 new Fields().add("Brooklock-Load", "util=-1, x0=0.5e3, inflight, new=3, =4");
         LoadReport report = LoadReportParser.ofEndpoint(fields, 1, 2).orElseThrow();
@@ -38,7 +38,7 @@
     }
 
     @Test
-    void noFieldIsNoReport() {
+    void missingFieldYieldsNoReport() {
         assertEquals(Optional.empty(), LoadReportParser.ofEndpoint(new Fields(), 1, 2));
         assertEquals(Optional.empty(), LoadReportParser.ofPeer(new Fields(), 1, 2));
         assertEquals(Optional.empty(), LoadReportParser.peerResult(new Fields()));
@@ -46,7 +46,7 @@
 
     @ParameterizedTest
     @CsvSource({"gave, FILLED", "lacked, MISSED", "failed, FAILED", "other, FAILED"})
-    void readsWhatCameOfAskingThePeer(String word, PeerResult expected) {
+    void parsesPeerResult(String word, PeerResult expected) {
         Fields fields = new Fields().add("Brooklock-First", word);
         assertEquals(Optional.of(expected), LoadReportParser.peerResult(fields));
     }
--- a/src/test/java/brooklock/proxy/LoopbackFleet.java
+++ b/src/test/java/brooklock/proxy/LoopbackFleet.java
@@ -275,12 +275,14 @@
                 head.append((char) b);
             }
             String lowerCase = head.toString().toLowerCase(Locale.ROOT);
-            int at = lowerCase.indexOf("content-length: ");
-            if (at < 0) {
+            int lengthStart = lowerCase.indexOf("content-length: ");
+            if (lengthStart < 0) {
                 return new Response(head.toString(), new byte[0], false);
             }
             int length =
-                    Integer.parseInt(lowerCase.substring(at + 16, lowerCase.indexOf('\r', at)));
+                    Integer.parseInt(
+                            lowerCase.substring(
+                                    lengthStart + 16, lowerCase.indexOf('\r', lengthStart)));
             byte[] body = in.readNBytes(length);
             return new Response(head.toString(), body, body.length < length);
         } catch (SocketException e) {
@@ -296,11 +298,12 @@
     }
 
     /** Waits for a condition and fails after twenty seconds. */
-    public static void await(String what, BooleanSupplier condition) throws InterruptedException {
-        long end = System.nanoTime() + 20_000 * NS_PER_MS;
+    public static void await(String description, BooleanSupplier condition)
+            throws InterruptedException {
+        long endNs = System.nanoTime() + 20_000 * NS_PER_MS;
         while (!condition.getAsBoolean()) {
-            if (System.nanoTime() - end > 0) {
-                throw new AssertionError("waited in vain for " + what);
+            if (System.nanoTime() - endNs > 0) {
+                throw new AssertionError("waited in vain for " + description);
             }
             Thread.sleep(2);
         }
--- a/src/test/java/brooklock/proxy/PurgeTest.java
+++ b/src/test/java/brooklock/proxy/PurgeTest.java
@@ -25,9 +25,9 @@
                 fleet.send(get("/scans/g/o/0", ""));
             }
             purgeAndWait(fleet, "group=g");
-            long moment = System.nanoTime() - 500 * LoopbackFleet.NS_PER_MS;
+            long oldestAllowedNs = System.nanoTime() - 500 * LoopbackFleet.NS_PER_MS;
             fleet.send(get("/scans/g/o/0", LoopbackFleet.requestIdField("after")));
-            assertYounger(fleet, "after", moment);
+            assertCopyFetchedAfter(fleet, "after", oldestAllowedNs);
         }
     }
 
@@ -48,35 +48,38 @@
                             fleet.recordedRequests("before").stream()
                                     .anyMatch(recorded -> recorded.copySerial > 0));
             purgeAndWait(fleet, "url=http://a.example/big/x");
-            long moment = System.nanoTime() - 500 * LoopbackFleet.NS_PER_MS;
+            long oldestAllowedNs = System.nanoTime() - 500 * LoopbackFleet.NS_PER_MS;
             assertEquals(
                     200, fleet.send(get("/big/x", LoopbackFleet.requestIdField("after"))).status());
-            assertYounger(fleet, "after", moment);
+            assertCopyFetchedAfter(fleet, "after", oldestAllowedNs);
             assertEquals(200, first.get().status());
         }
     }
 
-    private static void purgeAndWait(LoopbackFleet fleet, String what) throws Exception {
-        long at = System.currentTimeMillis();
-        assertEquals(200, fleet.sendControl("POST", "/purge?" + what + "&at=" + at, "").status());
+    private static void purgeAndWait(LoopbackFleet fleet, String selector) throws Exception {
+        long issuedAtMs = System.currentTimeMillis();
         assertEquals(
                 200,
-                fleet.sendControl("POST", "/purge?" + what + "&at=" + at, "").status(),
+                fleet.sendControl("POST", "/purge?" + selector + "&at=" + issuedAtMs, "").status());
+        assertEquals(
+                200,
+                fleet.sendControl("POST", "/purge?" + selector + "&at=" + issuedAtMs, "").status(),
                 "again, without harm");
         Thread.sleep(500);
     }
 
-    private static void assertYounger(LoopbackFleet fleet, String request, long momentNs) {
-        RecordedRequest s =
+    private static void assertCopyFetchedAfter(
+            LoopbackFleet fleet, String request, long oldestAllowedNs) {
+        RecordedRequest lastDirect =
                 fleet.recordedRequests(request).stream()
                         .filter(RecordedRequest::isDirect)
                         .reduce((a, b) -> b)
                         .orElseThrow();
-        assertTrue(s.copySerial > 0);
+        assertTrue(lastDirect.copySerial > 0);
         assertTrue(
-                fleet.recorder.copyBirthNs(s.copySerial) - momentNs > 0,
+                fleet.recorder.copyBirthNs(lastDirect.copySerial) - oldestAllowedNs > 0,
                 "born "
-                        + (fleet.recorder.copyBirthNs(s.copySerial) - momentNs)
+                        + (fleet.recorder.copyBirthNs(lastDirect.copySerial) - oldestAllowedNs)
                                 / LoopbackFleet.NS_PER_MS
                         + " ms from the purge");
     }
--- a/src/test/java/brooklock/proxy/RecentPurgesTest.java
+++ b/src/test/java/brooklock/proxy/RecentPurgesTest.java
@@ -17,14 +17,14 @@
         purges.add(7, 3, 10 * SECOND_NS);
         purges.add(0, 5, 11 * SECOND_NS);
         assertTrue(purges.allowsPrefetch(13 * SECOND_NS));
-        assertFalse(purges.allows(7, 3), "the object was purged");
-        assertTrue(purges.allows(8, 3), "another object of its group was not");
-        assertFalse(purges.allows(9, 5), "its whole group was purged");
+        assertFalse(purges.allowsPrefetchOf(7, 3), "the object was purged");
+        assertTrue(purges.allowsPrefetchOf(8, 3), "another object of its group was not");
+        assertFalse(purges.allowsPrefetchOf(9, 5), "its whole group was purged");
         assertTrue(purges.allowsPrefetch(13 * SECOND_NS + 1));
-        assertTrue(purges.allows(7, 3));
-        assertFalse(purges.allows(9, 5));
+        assertTrue(purges.allowsPrefetchOf(7, 3));
+        assertFalse(purges.allowsPrefetchOf(9, 5));
         assertTrue(purges.allowsPrefetch(14 * SECOND_NS + 1));
-        assertTrue(purges.allows(9, 5));
+        assertTrue(purges.allowsPrefetchOf(9, 5));
     }
 
     /**
@@ -32,7 +32,7 @@
      * forgotten, a prefetch could bring an old copy back; nothing is prefetched for a while.
      */
     @Test
-    void purgeThatFindsNoRoomBlocksAllPrefetches() {
+    void purgeBeyondTheBoundBlocksAllPrefetches() {
         for (int object = 1; object <= 4096; object++) {
             purges.add(object, 0, 10 * SECOND_NS);
         }
@@ -40,6 +40,6 @@
         purges.add(5000, 0, 12 * SECOND_NS);
         assertFalse(purges.allowsPrefetch(15 * SECOND_NS - 1));
         assertTrue(purges.allowsPrefetch(15 * SECOND_NS));
-        assertTrue(purges.allows(1, 0), "complete ones are forgotten");
+        assertTrue(purges.allowsPrefetchOf(1, 0), "complete ones are forgotten");
     }
 }
--- a/src/test/java/brooklock/proxy/RequestCapacityTest.java
+++ b/src/test/java/brooklock/proxy/RequestCapacityTest.java
@@ -26,12 +26,12 @@
      * need is available as soon as it is whole.
      */
     @Test
-    void bodiesReserveTheMostThatTheyMayHaveUntilTheyAreWhole() {
+    void bodiesReserveTheMaximumLengthUntilTheyAreComplete() {
         assertTrue(capacity.tryReserveBody());
         assertTrue(capacity.tryReserveBody());
         assertFalse(capacity.tryReserveBody(), "300 bytes would be reserved");
         assertEquals(200, capacity.reservedBodyBytes());
-        capacity.keepOnly(50);
+        capacity.shrinkReservation(50);
         assertEquals(150, capacity.reservedBodyBytes());
         assertTrue(capacity.tryReserveBody(), "250 bytes are reserved");
         capacity.cancelReservation();
--- a/src/test/java/brooklock/proxy/RequestForwardingTest.java
+++ b/src/test/java/brooklock/proxy/RequestForwardingTest.java
@@ -20,7 +20,7 @@
      * origin, the later ones are hits at the cache; no internal field reaches the client.
      */
     @Test
-    void objectThatIsRequestedAgainIsCached() throws Exception {
+    void repeatedlyRequestedObjectIsCached() throws Exception {
         try (LoopbackFleet fleet = new LoopbackFleet(dir, 3, 2, "").start()) {
             for (int i = 0; i < 4; i++) {
                 LoopbackFleet.Response response =
--- a/src/test/java/brooklock/proxy/RetrySafetyTest.java
+++ b/src/test/java/brooklock/proxy/RetrySafetyTest.java
@@ -34,9 +34,10 @@
                             "/orders/x",
                             LoopbackFleet.requestIdField("k") + "Idempotency-Key: k1\r\n",
                             "body"));
-            List<RecordedRequest> seen = fleet.recordedRequests("k");
-            assertTrue(seen.size() > 1, "retried: " + seen);
-            assertEquals(1, seen.stream().filter(recorded -> recorded.executed).count());
+            List<RecordedRequest> recordedRequests = fleet.recordedRequests("k");
+            assertTrue(recordedRequests.size() > 1, "retried: " + recordedRequests);
+            assertEquals(
+                    1, recordedRequests.stream().filter(recorded -> recorded.executed).count());
         }
     }
 
@@ -46,8 +47,7 @@
      * says that it may have been executed.
      */
     @Test
-    void requestThatIsNotIdempotentIsNeitherRetriedNorRejectedAfterALostResponse()
-            throws Exception {
+    void nonIdempotentRequestIsNeitherRetriedNorRejectedAfterALostResponse() throws Exception {
         try (LoopbackFleet fleet = new LoopbackFleet(dir, 2, 1, "").start()) {
             fleet.servers.get("o1").faults.lostShare = 1;
             fleet.servers.get("o1").faults.lostByReset = true;
@@ -71,7 +71,7 @@
      * that a retry is harmless.
      */
     @Test
-    void requestThatIsNotIdempotentIsRetriedWhileItWasRejectedBeforeExecution() throws Exception {
+    void nonIdempotentRequestIsRetriedAfterARejectionBeforeExecution() throws Exception {
         try (LoopbackFleet fleet = new LoopbackFleet(dir, 2, 1, "").start()) {
             fleet.servers.get("o1").faults.rejectShare = 1;
             assertEquals(
@@ -94,10 +94,10 @@
      */
     @Test
     void idleConnectionClosedByTheServerIsReplacedButOneThatReadTheRequestIsNot() throws Exception {
-        AtomicInteger whole = new AtomicInteger();
+        AtomicInteger completeRequests = new AtomicInteger();
         try (ServerSocket origin = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
                 LoopbackFleet fleet = new LoopbackFleet(dir, 1, 0, "limits threads 1")) {
-            Thread peer = new Thread(() -> scripted(origin, whole));
+            Thread peer = new Thread(() -> serveScriptedConnections(origin, completeRequests));
             peer.setDaemon(true);
             peer.start();
             String text =
@@ -110,27 +110,28 @@
             // The peer has closed the connection meanwhile: the next request goes out on a fresh
             // one.
             assertEquals(200, fleet.send(post("/notes/x", "", "b")).status());
-            assertEquals(2, whole.get());
+            assertEquals(2, completeRequests.get());
             // Now it reads the request on the idle connection and closes: that one may have run.
             int status = fleet.send(post("/notes/x", "", "c")).status();
             assertTrue(status == 502 || status == 504, "status " + status);
-            assertEquals(3, whole.get(), "an unsafe request is sent once");
+            assertEquals(3, completeRequests.get(), "an unsafe request is sent once");
         }
     }
 
     // First connection: one response, then closed. Second: one response, the next request read and
     // dropped.
-    private static void scripted(ServerSocket server, AtomicInteger whole) {
+    private static void serveScriptedConnections(
+            ServerSocket server, AtomicInteger completeRequests) {
         String ok = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
         try {
             for (int i = 0; i < 3; i++) {
                 try (Socket socket = server.accept()) {
-                    readRequest(socket, whole);
+                    readRequest(socket, completeRequests);
                     if (i < 2) {
                         LoopbackFleet.write(socket, ok);
                     }
                     if (i == 1) {
-                        readRequest(socket, whole);
+                        readRequest(socket, completeRequests);
                     }
                 }
             }
@@ -139,7 +140,8 @@
         }
     }
 
-    private static void readRequest(Socket socket, AtomicInteger whole) throws IOException {
+    private static void readRequest(Socket socket, AtomicInteger completeRequests)
+            throws IOException {
         StringBuilder head = new StringBuilder();
         while (!head.toString().endsWith("\r\n\r\n")) {
             int b = socket.getInputStream().read();
@@ -149,6 +151,6 @@
             head.append((char) b);
         }
         socket.getInputStream().read();
-        whole.incrementAndGet();
+        completeRequests.incrementAndGet();
     }
 }
--- a/src/test/java/brooklock/proxy/RoutingThreadTest.java
+++ b/src/test/java/brooklock/proxy/RoutingThreadTest.java
@@ -87,7 +87,7 @@
     }
 
     @Test
-    void entriesAreProcessedInTheirOrderWithWhatFollowsThem() throws Exception {
+    void entriesAndTheirFollowUpTasksAreProcessedInOrder() throws Exception {
         List<String> order = Collections.synchronizedList(new ArrayList<>());
         thread.submit(new ClientDisconnected(1), () -> order.add("after 1: " + events.size()));
         thread.submitComputed(
@@ -112,7 +112,7 @@
     }
 
     @Test
-    void requestThatIsNotAdmittedIsNoEvent() throws Exception {
+    void requestThatIsNotAdmittedCausesNoEvent() throws Exception {
         thread.start(new Handler());
         assertTrue(thread.offerRequest(request(1), () -> false));
         assertTrue(thread.offerRequest(request(2), () -> true));
@@ -143,7 +143,7 @@
      * closed to requests.
      */
     @Test
-    void halfTheQueueIsClosedToNewRequests() throws Exception {
+    void halfOfTheQueueIsReservedForOtherEvents() throws Exception {
         int accepted = 0;
         for (int i = 1; i <= CAPACITY; i++) {
             accepted += thread.offerRequest(request(1), () -> true) ? 1 : 0;
@@ -165,7 +165,7 @@
      * field is safe with a single writer, and loses counts with a second one.
      */
     @Test
-    void figuresAreExactWhileOthersReadThem() throws Exception {
+    void countersAreExactDespiteConcurrentReaders() throws Exception {
         thread.start(new Handler());
         Thread reader =
                 new Thread(
--- a/src/test/java/brooklock/proxy/StatePageTest.java
+++ b/src/test/java/brooklock/proxy/StatePageTest.java
@@ -19,7 +19,7 @@
     @TempDir Path dir;
 
     @Test
-    void wordsAndTheirOrderStay() throws Exception {
+    void wordsAndTheirOrderAreStable() throws Exception {
         try (LoopbackFleet fleet =
                 new LoopbackFleet(dir, 1, 1, "warming zone share 0.5\n").start()) {
             assertEquals(200, fleet.send(get("/scans/g/o/0", "")).status());
--- a/src/test/java/brooklock/proxy/StoredTraceTest.java
+++ b/src/test/java/brooklock/proxy/StoredTraceTest.java
@@ -17,15 +17,15 @@
  */
 class StoredTraceTest {
     /** Some lines from the end, among them actions that follow their event. */
-    private static final int CUT_CHARACTERS = 600;
+    private static final int MAX_REMOVED_CHARS = 600;
 
-    private static Path stored() throws URISyntaxException {
+    private static Path storedTrace() throws URISyntaxException {
         return Path.of(StoredTraceTest.class.getResource("stored.trace").toURI());
     }
 
     @Test
     void replaysWithoutADifference() throws Exception {
-        TraceReplay.Result result = TraceReplay.replay(stored());
+        TraceReplay.Result result = TraceReplay.replay(storedTrace());
         assertEquals(Optional.empty(), result.difference());
         assertEquals(196, result.events());
         assertEquals(222, result.actions());
@@ -33,13 +33,13 @@
 
     @Test
     void everyRecordIsWrittenBackToTheSameText() throws Exception {
-        List<String> lines = Files.readAllLines(stored());
+        List<String> lines = Files.readAllLines(storedTrace());
         int records = 0;
         for (String line : lines) {
             int open = line.indexOf('(');
             if (open >= 0) {
                 String record = line.substring(line.lastIndexOf(' ', open) + 1);
-                assertEquals(record, TraceCodec.write(TraceCodec.read(record)));
+                assertEquals(record, TraceCodec.encode(TraceCodec.decode(record)));
                 records++;
             }
         }
@@ -51,14 +51,15 @@
      * is no decision that differs.
      */
     @Test
-    void aTraceCutAtAnyCharacterReplaysWithoutADifference(@TempDir Path directory)
-            throws Exception {
-        String whole = Files.readString(stored());
-        Path cut = directory.resolve("cut.trace");
-        for (int length = whole.length() - CUT_CHARACTERS; length < whole.length(); length++) {
-            Files.writeString(cut, whole.substring(0, length));
+    void truncatedTraceReplaysWithoutADifference(@TempDir Path directory) throws Exception {
+        String whole = Files.readString(storedTrace());
+        Path truncated = directory.resolve("cut.trace");
+        for (int length = whole.length() - MAX_REMOVED_CHARS; length < whole.length(); length++) {
+            Files.writeString(truncated, whole.substring(0, length));
             assertEquals(
-                    Optional.empty(), TraceReplay.replay(cut).difference(), "cut at " + length);
+                    Optional.empty(),
+                    TraceReplay.replay(truncated).difference(),
+                    "cut at " + length);
         }
     }
 }
--- a/src/test/java/brooklock/proxy/TenantBoundaryTest.java
+++ b/src/test/java/brooklock/proxy/TenantBoundaryTest.java
@@ -81,24 +81,26 @@
     @Test
     void requestsOverATenantsLimitReachNoEndpoint() throws Exception {
         try (LoopbackFleet fleet = newFleet().start()) {
-            String carl = bearer("carl");
-            int ok = 0;
-            int held = 0;
+            String credential = bearer("carl");
+            int served = 0;
+            int rateLimited = 0;
             for (int i = 0; i < 30; i++) {
                 LoopbackFleet.Response response =
-                        fleet.send(get("/own/carl/x/" + i, carl + "X-Request-Id: carl\r\n"));
-                ok += response.status() == 200 ? 1 : 0;
-                held +=
+                        fleet.send(get("/own/carl/x/" + i, credential + "X-Request-Id: carl\r\n"));
+                served += response.status() == 200 ? 1 : 0;
+                rateLimited +=
                         response.status() == 429
                                         && response.head().contains("Retry-After:")
                                         && response.head().contains("http_request_denied")
                                 ? 1
                                 : 0;
             }
-            assertEquals(30, ok + held);
-            assertTrue(ok >= 5 && held > 0, ok + " served, " + held + " held back");
+            assertEquals(30, served + rateLimited);
+            assertTrue(
+                    served >= 5 && rateLimited > 0,
+                    served + " served, " + rateLimited + " held back");
             assertEquals(
-                    ok,
+                    served,
                     fleet.recordedRequests("carl").stream()
                             .filter(RecordedRequest::isDirect)
                             .count());
--- a/src/test/java/brooklock/proxy/TokenAuthorizationTest.java
+++ b/src/test/java/brooklock/proxy/TokenAuthorizationTest.java
@@ -26,7 +26,7 @@
      */
     @Test
     void everyCombinationIsDecidedThroughSocketsAsByThePolicyAlone() throws Exception {
-        Policy core = PolicyReader.parse("p", POLICY);
+        Policy policy = PolicyReader.parse("p", POLICY);
         int rows = 0;
         try (LoopbackFleet fleet = newFleet().start();
                 Socket socket = fleet.connect()) {
@@ -43,8 +43,8 @@
                                     continue;
                                 }
                                 String path = "/own/" + group + "/" + object + "/" + part;
-                                AccessDecision d =
-                                        core.decide(
+                                AccessDecision decision =
+                                        policy.decide(
                                                 tenant,
                                                 method,
                                                 path,
@@ -60,12 +60,14 @@
                                                 + "\r\n");
                                 LoopbackFleet.Response response =
                                         method.equals("HEAD")
-                                                ? head(socket)
+                                                ? readHead(socket)
                                                 : LoopbackFleet.readResponse(
                                                         socket.getInputStream());
                                 boolean limited = tenant.equals("carl") && response.status() == 429;
                                 assertTrue(
-                                        limited || response.status() == (d.allowed() ? 200 : 403),
+                                        limited
+                                                || response.status()
+                                                        == (decision.allowed() ? 200 : 403),
                                         tenant
                                                 + " "
                                                 + method
@@ -74,7 +76,7 @@
                                                 + ": "
                                                 + response.status()
                                                 + ", the core says "
-                                                + d.explain());
+                                                + decision.explain());
                                 assertTrue(
                                         response.status() == 200 || response.body().length < 100);
                                 rows++;
@@ -90,7 +92,7 @@
         }
     }
 
-    private static LoopbackFleet.Response head(Socket socket) throws IOException {
+    private static LoopbackFleet.Response readHead(Socket socket) throws IOException {
         StringBuilder head = new StringBuilder();
         while (!head.toString().endsWith("\r\n\r\n")) {
             head.append((char) socket.getInputStream().read());
@@ -105,30 +107,30 @@
     @Test
     void missingAndInvalidCredentialsAreRejectedWithoutDetail() throws Exception {
         try (LoopbackFleet fleet = newFleet().start()) {
-            String good = token(firstKey, "k1", "acme", 600);
-            for (String bad :
+            String token = token(firstKey, "k1", "acme", 600);
+            for (String invalid :
                     List.of(
                             "",
                             "Authorization: Basic YTpi\r\n",
                             "Authorization: Bearer x.y.z\r\n",
                             "Authorization: Bearer "
-                                    + good
+                                    + token
                                     + "\r\nAuthorization: Bearer "
-                                    + good
+                                    + token
                                     + "\r\n",
                             "Authorization: Bearer " + token(firstKey, "k1", "acme", -60) + "\r\n",
-                            "Cookie: pass=" + good + "; pass=" + good + "\r\n",
-                            "Cookie: other=" + good + "\r\n")) {
+                            "Cookie: pass=" + token + "; pass=" + token + "\r\n",
+                            "Cookie: other=" + token + "\r\n")) {
                 LoopbackFleet.Response response =
-                        fleet.send(get("/own/acme/x/0", bad + "X-Request-Id: bad\r\n"));
-                assertEquals(401, response.status(), bad);
+                        fleet.send(get("/own/acme/x/0", invalid + "X-Request-Id: bad\r\n"));
+                assertEquals(401, response.status(), invalid);
                 assertTrue(response.head().contains("WWW-Authenticate: Bearer"));
             }
             assertEquals(
                     0, fleet.recordedRequests("bad").size(), "what is denied reaches no endpoint");
             assertEquals(
                     200,
-                    fleet.send(get("/own/acme/x/0", "Cookie: a=b; pass=" + good + "\r\n"))
+                    fleet.send(get("/own/acme/x/0", "Cookie: a=b; pass=" + token + "\r\n"))
                             .status());
             assertEquals(
                     200,
@@ -143,7 +145,7 @@
      * meaning.
      */
     @Test
-    void pathsWithTwoReadingsAreRejected() throws Exception {
+    void ambiguousPathsAreRejected() throws Exception {
         try (LoopbackFleet fleet = newFleet().start()) {
             for (String path :
                     List.of(
@@ -174,19 +176,19 @@
     void sharedCopyIsServedOnlyToTenantsThatMayHaveIt() throws Exception {
         try (LoopbackFleet fleet = newFleet().start()) {
             fleet.servers.get("o1").faults.slowdown = 200;
-            List<CompletableFuture<LoopbackFleet.Response>> all = new ArrayList<>();
+            List<CompletableFuture<LoopbackFleet.Response>> responses = new ArrayList<>();
             String acme = bearer("acme");
             String beta = bearer("beta");
             for (int i = 0; i < 10; i++) {
-                String who = i % 2 == 0 ? acme : beta;
-                all.add(
+                String credential = i % 2 == 0 ? acme : beta;
+                responses.add(
                         CompletableFuture.supplyAsync(
                                 () -> {
                                     try {
                                         return fleet.send(
                                                 get(
                                                         "/own/shared/secret/0",
-                                                        who + "X-Request-Id: joined\r\n"));
+                                                        credential + "X-Request-Id: joined\r\n"));
                                     } catch (IOException e) {
                                         throw new IllegalStateException(e);
                                     }
@@ -194,7 +196,7 @@
                                 r -> new Thread(r).start()));
             }
             for (int i = 0; i < 10; i++) {
-                LoopbackFleet.Response response = all.get(i).get();
+                LoopbackFleet.Response response = responses.get(i).get();
                 assertEquals(i % 2 == 0 ? 200 : 403, response.status());
                 assertTrue(
                         i % 2 == 0
@@ -221,7 +223,7 @@
      * anything: the last good policy stays.
      */
     @Test
-    void permissionThatEndsBetweenTwoPartsEndsThere() throws Exception {
+    void permissionWithdrawnBetweenTwoPartsDeniesTheNextPart() throws Exception {
         try (LoopbackFleet fleet = newFleet().start()) {
             String acme = bearer("acme");
             assertEquals(200, fleet.send(get("/own/acme/scan/0", acme)).status());
--- a/src/test/java/brooklock/proxy/TraceTest.java
+++ b/src/test/java/brooklock/proxy/TraceTest.java
@@ -18,8 +18,8 @@
 class TraceTest {
     @TempDir Path dir;
 
-    private Path traced(String bound) throws Exception {
-        try (LoopbackFleet fleet = new LoopbackFleet(dir, 3, 2, "trace t.log " + bound).start()) {
+    private Path recordTrace(String maxSize) throws Exception {
+        try (LoopbackFleet fleet = new LoopbackFleet(dir, 3, 2, "trace t.log " + maxSize).start()) {
             fleet.servers.get("c1").faults.errorShare = 0.5;
             for (int i = 0; i < 60; i++) {
                 fleet.send(LoopbackFleet.get("/scans/g/o" + i % 7 + "/0", ""));
@@ -37,9 +37,9 @@
      */
     @Test
     void traceOfTrafficReplaysWithoutADifference() throws Exception {
-        TraceReplay.Result r = TraceReplay.replay(traced("64MB"));
-        assertEquals(Optional.empty(), r.difference());
-        assertTrue(r.events() > 120 && r.actions() > 120, r.toString());
+        TraceReplay.Result result = TraceReplay.replay(recordTrace("64MB"));
+        assertEquals(Optional.empty(), result.difference());
+        assertTrue(result.events() > 120 && result.actions() > 120, result.toString());
     }
 
     /**
@@ -48,7 +48,7 @@
      */
     @Test
     void replayNamesTheFirstActionThatDiffers() throws Exception {
-        Path trace = traced("64MB");
+        Path trace = recordTrace("64MB");
         String text = Files.readString(trace);
         int at = text.indexOf("action Get(");
         Files.writeString(
@@ -62,8 +62,8 @@
      * replays. A damaged trace does not: it would show decisions that were never made.
      */
     @Test
-    void fullAndCutTracesReplayAndDamagedOnesAreRejected() throws Exception {
-        Path trace = traced("9KB");
+    void fullAndTruncatedTracesReplayAndDamagedOnesAreRejected() throws Exception {
+        Path trace = recordTrace("9KB");
         assertTrue(Files.size(trace) < 9_100);
         assertEquals(Optional.empty(), TraceReplay.replay(trace).difference());
         String text = Files.readString(trace);
@@ -78,8 +78,8 @@
      * has changed.
      */
     @Test
-    void recordsAreReadBackAndOtherTextsRejected() {
-        RouterEvent e =
+    void recordsAreDecodedAndOtherTextsRejected() {
+        RouterEvent event =
                 new RouterEvent.AttemptCompleted(
                         3,
                         1,
@@ -89,8 +89,8 @@
                         7,
                         8,
                         true);
-        assertEquals(e, TraceCodec.read(TraceCodec.write(e)));
-        assertThrows(IllegalArgumentException.class, () -> TraceCodec.read("Done(1,2"));
-        assertThrows(IllegalArgumentException.class, () -> TraceCodec.read("Nothing(1)"));
+        assertEquals(event, TraceCodec.decode(TraceCodec.encode(event)));
+        assertThrows(IllegalArgumentException.class, () -> TraceCodec.decode("Done(1,2"));
+        assertThrows(IllegalArgumentException.class, () -> TraceCodec.decode("Nothing(1)"));
     }
 }
--- a/src/test/java/brooklock/proxy/WarmingCoordinatorTest.java
+++ b/src/test/java/brooklock/proxy/WarmingCoordinatorTest.java
@@ -86,12 +86,12 @@
         return fleet;
     }
 
-    private static long peerFillsAfter(LoopbackFleet fleet, long after) {
+    private static long peerFillsAfter(LoopbackFleet fleet, long afterNs) {
         return fleet.recorder.requests().stream()
                 .filter(
                         recorded ->
                                 isFromC1ToAPeer(recorded)
-                                        && recorded.atNs - after > 0
+                                        && recorded.atNs - afterNs > 0
                                         && recorded.copySerial != 0)
                 .count();
     }
@@ -100,11 +100,11 @@
         return recorded.sender.equals("c1") && recorded.server.startsWith("c");
     }
 
-    private static void requestUntilPeerFills(LoopbackFleet fleet, long after, int min)
+    private static void requestUntilPeerFills(LoopbackFleet fleet, long afterNs, int min)
             throws IOException {
-        long end = System.nanoTime() + 20_000 * LoopbackFleet.NS_PER_MS;
+        long endNs = System.nanoTime() + 20_000 * LoopbackFleet.NS_PER_MS;
         try (Socket socket = fleet.connect()) {
-            while (peerFillsAfter(fleet, after) < min && System.nanoTime() - end < 0) {
+            while (peerFillsAfter(fleet, afterNs) < min && System.nanoTime() - endNs < 0) {
                 requestAllObjects(socket, 1);
             }
         }
@@ -172,10 +172,10 @@
      * from that peer would serve the old copy on.
      */
     @Test
-    void purgeHoldsAgainstCopiesOfPeers() throws Exception {
+    void purgedCopiesOfPeersAreNotServed() throws Exception {
         try (LoopbackFleet fleet = fleetWithOneColdCache("warming zone share 0.5\n")) {
             requestUntilPeerFills(fleet, 0, 2);
-            long moment = System.nanoTime();
+            long purgedAtNs = System.nanoTime();
             for (int g = 0; g < 5; g++) {
                 // Only the dispatcher gets the purge: every copy in the caches is older.
                 assertEquals(
@@ -195,7 +195,7 @@
                         && recorded.atNs - acknowledgedAtNs > 0
                         && recorded.copySerial != 0) {
                     assertTrue(
-                            fleet.recorder.copyBirthNs(recorded.copySerial) - moment
+                            fleet.recorder.copyBirthNs(recorded.copySerial) - purgedAtNs
                                     > -2 * LoopbackFleet.NS_PER_MS,
                             recorded + ": an old copy");
                 }
@@ -210,15 +210,15 @@
     @Test
     void partsArePrefetchedFromPeers() throws Exception {
         try (LoopbackFleet fleet = fleetWithOneColdCache("warming zone share 1\n")) {
-            long end = System.nanoTime() + 15_000 * LoopbackFleet.NS_PER_MS;
+            long endNs = System.nanoTime() + 15_000 * LoopbackFleet.NS_PER_MS;
             try (Socket socket = fleet.connect()) {
                 // Responses to clients carry the load reports that prefetches wait for; a prefetch
                 // names no client's request.
-                while (System.nanoTime() - end < 0 && !prefetchSeen(fleet)) {
+                while (System.nanoTime() - endNs < 0 && !isPrefetchRecorded(fleet)) {
                     requestAllObjects(socket, 1);
                 }
             }
-            assertTrue(prefetchSeen(fleet), fleet.dispatcher.statePage());
+            assertTrue(isPrefetchRecorded(fleet), fleet.dispatcher.statePage());
         }
     }
 
@@ -252,7 +252,7 @@
         }
     }
 
-    private static boolean prefetchSeen(LoopbackFleet fleet) {
+    private static boolean isPrefetchRecorded(LoopbackFleet fleet) {
         return fleet.recorder.requests().stream()
                 .anyMatch(
                         recorded ->
@@ -272,14 +272,14 @@
         try (LoopbackFleet fleet = fleetWithOneColdCache("warming zone share 0.5 saved warm\n")) {
             LoopbackFleet.await("the snapshot", () -> Files.exists(dir.resolve("warm")));
             fleet.dispatcher.close();
-            String whole = Files.readString(dir.resolve("warm"));
-            for (String bad :
+            String snapshot = Files.readString(dir.resolve("warm"));
+            for (String damaged :
                     List.of(
-                            whole.substring(0, whole.length() / 2),
-                            whole.replaceFirst("warming 1", "warming 9"),
-                            whole.replaceFirst("\n([0-9a-f])", "\nx"),
+                            snapshot.substring(0, snapshot.length() / 2),
+                            snapshot.replaceFirst("warming 1", "warming 9"),
+                            snapshot.replaceFirst("\n([0-9a-f])", "\nx"),
                             "")) {
-                Files.writeString(dir.resolve("warm"), bad);
+                Files.writeString(dir.resolve("warm"), damaged);
                 fleet.start();
                 try (Socket socket = fleet.connect()) {
                     requestAllObjects(socket, 1);
--- a/src/test/java/brooklock/proxy/WatchEventOrderTest.java
+++ b/src/test/java/brooklock/proxy/WatchEventOrderTest.java
@@ -29,27 +29,34 @@
 class WatchEventOrderTest {
     @TempDir Path dir;
 
-    private static String list(
-            LoopbackFleet fleet, long epoch, long number, long follows, String gone) {
-        List<ListedEndpoint> all = new ArrayList<>();
+    private static String encodeList(
+            LoopbackFleet fleet,
+            long epoch,
+            long number,
+            long previousNumber,
+            String goneEndpoint) {
+        List<ListedEndpoint> listed = new ArrayList<>();
         fleet.servers.forEach(
                 (name, server) -> {
-                    if (follows == 0 || name.equals("c1")) {
-                        all.add(
-                                member(
+                    if (previousNumber == 0 || name.equals("c1")) {
+                        listed.add(
+                                toListedEndpoint(
                                         name,
                                         server,
-                                        name.equals(gone)
+                                        name.equals(goneEndpoint)
                                                 ? EndpointState.GONE
                                                 : EndpointState.READY));
                     }
                 });
         return EndpointListCodec.encode(
                 new WatchEvent(
-                        new EventVersion("registry", epoch, number, follows), follows == 0, all));
+                        new EventVersion("registry", epoch, number, previousNumber),
+                        previousNumber == 0,
+                        listed));
     }
 
-    private static ListedEndpoint member(String name, TestServer server, EndpointState state) {
+    private static ListedEndpoint toListedEndpoint(
+            String name, TestServer server, EndpointState state) {
         EndpointKind kind = EndpointKind.valueOf(server.model().role().name());
         return new ListedEndpoint(
                 name,
@@ -75,7 +82,7 @@
         return LoopbackFleet.readResponse(socket.getInputStream());
     }
 
-    private static Socket control(LoopbackFleet fleet) throws IOException {
+    private static Socket connectControl(LoopbackFleet fleet) throws IOException {
         Socket socket =
                 new Socket(
                         InetAddress.getLoopbackAddress(),
@@ -101,33 +108,42 @@
      */
     @Test
     void newerOfTwoListsOnTwoConnectionsIsInForce() throws Exception {
-        ExecutorService two = Executors.newFixedThreadPool(2);
+        ExecutorService executor = Executors.newFixedThreadPool(2);
         try (LoopbackFleet fleet = new LoopbackFleet(dir, 2, 1, "").start();
-                Socket one = control(fleet);
-                Socket other = control(fleet)) {
+                Socket firstConnection = connectControl(fleet);
+                Socket secondConnection = connectControl(fleet)) {
             Random random = new Random(5);
             int overtaken = 0;
             for (int i = 1; i <= 1000; i++) {
                 // The older has c1 gone or back, the newer the other way round.
-                boolean goneLast = random.nextBoolean();
-                String older = list(fleet, 1, 2L * i, 0, goneLast ? null : "c1");
-                String newer = list(fleet, 1, 2L * i + 1, 0, goneLast ? "c1" : null);
-                boolean first = random.nextBoolean();
+                boolean newerHasC1Gone = random.nextBoolean();
+                String older = encodeList(fleet, 1, 2L * i, 0, newerHasC1Gone ? null : "c1");
+                String newer = encodeList(fleet, 1, 2L * i + 1, 0, newerHasC1Gone ? "c1" : null);
+                boolean olderOnFirstConnection = random.nextBoolean();
                 Callable<LoopbackFleet.Response> a =
-                        () -> post(one, "/hosts", first ? older : newer);
+                        () ->
+                                post(
+                                        firstConnection,
+                                        "/hosts",
+                                        olderOnFirstConnection ? older : newer);
                 Callable<LoopbackFleet.Response> b =
-                        () -> post(other, "/hosts", first ? newer : older);
-                List<Future<LoopbackFleet.Response>> both = two.invokeAll(List.of(a, b));
-                LoopbackFleet.Response toOlder = both.get(first ? 0 : 1).get();
-                assertEquals(200, both.get(first ? 1 : 0).get().status());
-                if (toOlder.status() == 409) {
+                        () ->
+                                post(
+                                        secondConnection,
+                                        "/hosts",
+                                        olderOnFirstConnection ? newer : older);
+                List<Future<LoopbackFleet.Response>> responses = executor.invokeAll(List.of(a, b));
+                LoopbackFleet.Response responseToOlder =
+                        responses.get(olderOnFirstConnection ? 0 : 1).get();
+                assertEquals(200, responses.get(olderOnFirstConnection ? 1 : 0).get().status());
+                if (responseToOlder.status() == 409) {
                     overtaken++;
                     assertEquals(
                             "older\nsource registry epoch 1 number " + (2 * i + 1) + "\n",
-                            toOlder.text());
+                            responseToOlder.text());
                 }
                 assertEquals(
-                        goneLast ? EndpointState.GONE : EndpointState.READY,
+                        newerHasC1Gone ? EndpointState.GONE : EndpointState.READY,
                         fleet.dispatcher
                                 .context()
                                 .endpointRegistry()
@@ -138,7 +154,7 @@
             assertTrue(
                     overtaken > 50 && overtaken < 950, "both ways round were seen: " + overtaken);
         } finally {
-            two.shutdown();
+            executor.shutdown();
         }
     }
 
@@ -147,31 +163,31 @@
      * must hold, whichever comes first, and it must not undo what else the lists say of the cache.
      */
     @Test
-    void drainByHandHoldsAgainstConcurrentFullListsAndChangesNothingElse() throws Exception {
-        ExecutorService two = Executors.newFixedThreadPool(2);
+    void operatorDrainOutlastsConcurrentFullListsAndChangesNothingElse() throws Exception {
+        ExecutorService executor = Executors.newFixedThreadPool(2);
         try (LoopbackFleet fleet = new LoopbackFleet(dir, 2, 1, "").start();
-                Socket one = control(fleet);
-                Socket other = control(fleet)) {
+                Socket firstConnection = connectControl(fleet);
+                Socket secondConnection = connectControl(fleet)) {
             for (int i = 1; i <= 200; i++) {
-                String list = list(fleet, 1, i, 0, null);
+                String list = encodeList(fleet, 1, i, 0, null);
                 // Each list moves c1: by hand its state is changed, and nothing else of it is put
                 // back.
-                String moved =
+                String changedList =
                         list.replaceAll("(c1 cache here \\S+ ready) 1.0 0", "$1 " + i + ".0 " + i);
-                two.invokeAll(
+                executor.invokeAll(
                         List.of(
-                                () -> post(one, "/hosts", moved),
-                                () -> post(other, "/drain?host=c1", "")));
+                                () -> post(firstConnection, "/hosts", changedList),
+                                () -> post(secondConnection, "/drain?host=c1", "")));
                 ListedEndpoint c1 =
                         fleet.dispatcher.context().endpointRegistry().find(EndpointId.of("c1"));
                 assertEquals(EndpointState.DRAINING, c1.state());
                 assertEquals(i, c1.weight());
                 assertEquals(i, c1.startedMs());
-                assertEquals(200, post(one, "/ready?host=c1", "").status());
+                assertEquals(200, post(firstConnection, "/ready?host=c1", "").status());
                 assertTrue(fleet.dispatcher.context().endpointRegistry().isReady(c1.id()));
             }
         } finally {
-            two.shutdown();
+            executor.shutdown();
         }
     }
 
@@ -181,14 +197,16 @@
      * gap go unnoticed.
      */
     @Test
-    void acknowledgedListsHoldThroughARestartAndOlderOnesAreRejected() throws Exception {
+    void acknowledgedListsSurviveARestartAndOlderOnesAreRejected() throws Exception {
         LoopbackFleet fleet = new LoopbackFleet(dir, 2, 1, "list saved\n");
         try (fleet) {
             fleet.start();
             assertEquals(
-                    200, fleet.sendControl("POST", "/hosts", list(fleet, 3, 7, 0, null)).status());
+                    200,
+                    fleet.sendControl("POST", "/hosts", encodeList(fleet, 3, 7, 0, null)).status());
             assertEquals(
-                    200, fleet.sendControl("POST", "/hosts", list(fleet, 3, 8, 7, "c1")).status());
+                    200,
+                    fleet.sendControl("POST", "/hosts", encodeList(fleet, 3, 8, 7, "c1")).status());
             assertEquals(200, fleet.sendControl("POST", "/drain?host=c2", "").status());
             fleet.dispatcher.close();
             fleet.start();
@@ -199,12 +217,16 @@
                             .text()
                             .contains("source registry epoch 3 number 8 heard-ms-ago "));
             assertEquals(
-                    409, fleet.sendControl("POST", "/hosts", list(fleet, 3, 7, 0, null)).status());
+                    409,
+                    fleet.sendControl("POST", "/hosts", encodeList(fleet, 3, 7, 0, null)).status());
             assertEquals(
-                    409, fleet.sendControl("POST", "/hosts", list(fleet, 2, 99, 0, null)).status());
+                    409,
+                    fleet.sendControl("POST", "/hosts", encodeList(fleet, 2, 99, 0, null))
+                            .status());
             assertEquals(
                     409,
-                    fleet.sendControl("POST", "/hosts", list(fleet, 3, 11, 10, null)).status(),
+                    fleet.sendControl("POST", "/hosts", encodeList(fleet, 3, 11, 10, null))
+                            .status(),
                     "a gap");
             assertEquals(
                     409,
@@ -212,7 +234,8 @@
                     "the registry says that it is gone");
             assertEquals("GONE", state(fleet, "c1"));
             assertEquals(
-                    200, fleet.sendControl("POST", "/hosts", list(fleet, 4, 1, 0, null)).status());
+                    200,
+                    fleet.sendControl("POST", "/hosts", encodeList(fleet, 4, 1, 0, null)).status());
             assertEquals("READY", state(fleet, "c1"));
             assertEquals("DRAINING", state(fleet, "c2"), "by hand, until it is taken back by hand");
             assertEquals(
@@ -220,7 +243,7 @@
                     fleet.sendControl(
                                     "POST",
                                     "/hosts",
-                                    list(fleet, 4, 2, 0, null).replace("epoch 4", "epoch x"))
+                                    encodeList(fleet, 4, 2, 0, null).replace("epoch 4", "epoch x"))
                             .status());
             assertEquals(404, fleet.sendControl("POST", "/reset?source=nobody", "").status());
             assertEquals(404, fleet.sendControl("POST", "/forget", "").status());
