--- a/src/main/java/brooklock/proxy/Completion.java
+++ b/src/main/java/brooklock/proxy/Completion.java
@@ -14,7 +14,7 @@
     CLIENT_DISCONNECTED("client left"),
     /** The attempt's timeout expired within the response's body. */
     TIMEOUT_IN_BODY("deadline within the answer"),
-    /** The router gave up; the request may have been executed. */
+    /** The router failed the request, which may have been executed. */
     FAILED("failed"),
     /** The request exceeded one of its tenant's limits. */
     RATE_LIMITED("held back"),
--- a/src/test/java/brooklock/proxy/ClientFaultTest.java
+++ b/src/test/java/brooklock/proxy/ClientFaultTest.java
@@ -47,8 +47,9 @@
                             .sum();
             assertTrue(
                     directBufferBytes < 64_000_000,
-                    "expected less than 64000000 bytes of direct buffers for 40 responses of 8 MB but used "
-                            + directBufferBytes);
+                    "direct buffers use "
+                            + directBufferBytes
+                            + " bytes for 40 responses of 8 MB; expected less than 64000000");
             for (Socket socket : readers) {
                 socket.close();
             }
--- a/src/test/java/brooklock/proxy/WatchEventOrderTest.java
+++ b/src/test/java/brooklock/proxy/WatchEventOrderTest.java
@@ -156,9 +156,7 @@
             }
             assertTrue(
                     overtaken > 50 && overtaken < 950,
-                    "expected both orders of arrival; the newer list was first "
-                            + overtaken
-                            + " times");
+                    "expected both orders of arrival; older lists rejected: " + overtaken);
         } finally {
             executor.shutdown();
         }
