--- a/src/main/java/brooklock/proxy/PrefetchRequest.java
+++ b/src/main/java/brooklock/proxy/PrefetchRequest.java
@@ -45,7 +45,7 @@
 
     private final ProxyContext context;
     private final long endpointId;
-    private final long sourceId;
+    private final long peerId;
     private final Consumer<Result> listener;
     private final long sentAtNs;
     // Null until the response's head is received.
@@ -56,14 +56,13 @@
      * Creates a new prefetch that is not yet sent.
      *
      * @param endpointId the identifier of the cache that fetches the copy
-     * @param sourceId the identifier of the peer that serves the copy to it
+     * @param peerId the identifier of the peer that serves the copy to it
      * @param listener receives the result, on the I/O thread
      */
-    PrefetchRequest(
-            ProxyContext context, long endpointId, long sourceId, Consumer<Result> listener) {
+    PrefetchRequest(ProxyContext context, long endpointId, long peerId, Consumer<Result> listener) {
         this.context = context;
         this.endpointId = endpointId;
-        this.sourceId = sourceId;
+        this.peerId = peerId;
         this.listener = listener;
         sentAtNs = context.clock().nowNs();
     }
@@ -90,7 +89,7 @@
     @Override
     public boolean shouldSend() {
         return context.endpointRegistry().isReady(endpointId)
-                && context.endpointRegistry().isReady(sourceId);
+                && context.endpointRegistry().isReady(peerId);
     }
 
     @Override
--- a/src/main/java/brooklock/proxy/PrefetchSender.java
+++ b/src/main/java/brooklock/proxy/PrefetchSender.java
@@ -30,19 +30,19 @@
      * @param listener receives the result, on the I/O thread of the prefetch
      */
     void send(Prefetch<PrefetchTarget> prefetch, Consumer<PrefetchRequest.Result> listener) {
-        ListedEndpoint endpoint = context.endpointRegistry().find(prefetch.endpointId());
-        ListedEndpoint source = context.endpointRegistry().find(prefetch.peerId());
-        RequestHead head = buildHead(prefetch, endpoint, source);
+        ListedEndpoint cache = context.endpointRegistry().find(prefetch.endpointId());
+        ListedEndpoint peer = context.endpointRegistry().find(prefetch.peerId());
+        RequestHead head = buildHead(prefetch, cache, peer);
         IoLoop loop = ioThreads.loop(nextLoop++ % ioThreads.size());
         loop.execute(
                 () ->
                         new PrefetchRequest(
                                         context, prefetch.endpointId(), prefetch.peerId(), listener)
-                                .send(loop, endpoint.address(), head));
+                                .send(loop, cache.address(), head));
     }
 
     private RequestHead buildHead(
-            Prefetch<PrefetchTarget> prefetch, ListedEndpoint endpoint, ListedEndpoint source) {
+            Prefetch<PrefetchTarget> prefetch, ListedEndpoint cache, ListedEndpoint peer) {
         PrefetchTarget target = prefetch.request();
         long maxAgeNs = target.requestClass().freshnessLifetimeNs();
         Fields fields =
@@ -61,15 +61,15 @@
                         .add(
                                 "Brooklock-Get",
                                 "keep=2, source="
-                                        + source.name()
+                                        + peer.name()
                                         + ", at="
-                                        + UpstreamRequestBuilder.quotedAddress(source)
+                                        + UpstreamRequestBuilder.quotedAddress(peer)
                                         + (maxAgeNs > 0 ? ", oldest=" + maxAgeNs / 1000 : "")
                                         + ", join, held-only, fetch")
                         .add(
                                 "Brooklock-Attempt",
                                 "id=0, try=0, left=" + PrefetchRequest.TIMEOUT_NS / 1000);
-        String authority = target.authority().isEmpty() ? endpoint.name() : target.authority();
+        String authority = target.authority().isEmpty() ? cache.name() : target.authority();
         return new RequestHead("GET", target.target(), authority, 1, fields);
     }
 
--- a/src/main/java/brooklock/proxy/RequestAuthorizer.java
+++ b/src/main/java/brooklock/proxy/RequestAuthorizer.java
@@ -127,7 +127,7 @@
                                 .orElseGet(
                                         () ->
                                                 Denied.unauthenticated(
-                                                        "expected a token or a client certificate but received neither")));
+                                                        "expected a credential but received none")));
             }
         } catch (InvalidCredentialException e) {
             onResult.accept(Denied.unauthenticated(e.getMessage()));
--- a/src/main/java/brooklock/proxy/TraceReplay.java
+++ b/src/main/java/brooklock/proxy/TraceReplay.java
@@ -100,7 +100,7 @@
         // reported as malformed, not as a missing action.
         if (!INPUT_WORDS.contains(words[0])) {
             throw new IllegalArgumentException(
-                    "expected a line that begins with 'settings', 'start', 'event', 'action' or 'full' but received '"
+                    "expected 'settings', 'start', 'event', 'action' or 'full' but received '"
                             + words[0].substring(0, Math.min(40, words[0].length()))
                             + "'");
         }
