--- a/src/main/java/brooklock/proxy/EndpointListStore.java
+++ b/src/main/java/brooklock/proxy/EndpointListStore.java
@@ -110,9 +110,7 @@
             lastSaved = pending.state();
         } catch (IOException e) {
             failure = Optional.of(e);
-            LOG.error(
-                    "endpoint list could not be saved; a restart will use the previously saved list",
-                    e);
+            LOG.error("endpoint list not saved; a restart will use the previously saved list", e);
         }
         for (SaveListener listener : pending.listeners()) {
             listener.onSaved(failure);
--- a/src/main/java/brooklock/proxy/EndpointListUpdater.java
+++ b/src/main/java/brooklock/proxy/EndpointListUpdater.java
@@ -74,9 +74,7 @@
         try {
             return store.load();
         } catch (IOException e) {
-            LOG.error(
-                    "saved endpoint list could not be loaded; using the endpoints of the settings instead",
-                    e);
+            LOG.error("saved endpoint list not loaded; using the endpoints of the settings", e);
             return Optional.empty();
         }
     }
--- a/src/main/java/brooklock/proxy/RequestAuthorizer.java
+++ b/src/main/java/brooklock/proxy/RequestAuthorizer.java
@@ -124,10 +124,7 @@
                 onResult.accept(
                         authenticateByCertificate(exchange, nowMs)
                                 .map(check::apply)
-                                .orElseGet(
-                                        () ->
-                                                Denied.unauthenticated(
-                                                        "expected a credential but received none")));
+                                .orElseGet(() -> Denied.unauthenticated("received no credential")));
             }
         } catch (InvalidCredentialException e) {
             onResult.accept(Denied.unauthenticated(e.getMessage()));
--- a/src/test/java/brooklock/proxy/CertificateAuthorizationTest.java
+++ b/src/test/java/brooklock/proxy/CertificateAuthorizationTest.java
@@ -156,8 +156,7 @@
                     IOException.class,
                     () -> {
                         if (sendTls(fleet, revokedContext, "/own/acme/x/0") != 200) {
-                            throw new IOException(
-                                    "the revoked certificate was rejected in a new or resumed session");
+                            throw new IOException("the revoked certificate was rejected");
                         }
                     });
             LoopbackFleet.write(validConnection, get("/own/acme/x/0", ""));
--- a/src/test/java/brooklock/proxy/WarmingCoordinatorTest.java
+++ b/src/test/java/brooklock/proxy/WarmingCoordinatorTest.java
@@ -270,8 +270,8 @@
     }
 
     /**
-     * The snapshot is damaged or has another version. The dispatcher must start without the saved
-     * warming state.
+     * The snapshot is damaged, because the dispatcher was killed while writing it, or has another
+     * version. The dispatcher must start without the saved warming state.
      */
     @Test
     void damagedOrOldSnapshotIsNotUsed() throws Exception {
