--- a/src/test/java/brooklock/proxy/DrainTest.java
+++ b/src/test/java/brooklock/proxy/DrainTest.java
@@ -49,7 +49,7 @@
                             .noneMatch(
                                     recorded ->
                                             recorded.server.equals("c1")
-                                                    && recorded.atNs > acknowledgedAtNs));
+                                                    && recorded.arrivedNs > acknowledgedAtNs));
         }
     }
 
@@ -72,7 +72,7 @@
                     fleet.recorder.requests().stream()
                             .noneMatch(
                                     recorded ->
-                                            recorded.atNs > acknowledgedAtNs
+                                            recorded.arrivedNs > acknowledgedAtNs
                                                     && ("p1".equals(recorded.source)
                                                             || recorded.server.equals("p1"))));
         }
@@ -101,7 +101,7 @@
                             .noneMatch(
                                     recorded ->
                                             recorded.server.equals("c1")
-                                                    && recorded.atNs > acknowledgedAtNs));
+                                                    && recorded.arrivedNs > acknowledgedAtNs));
         }
     }
 }
--- a/src/test/java/brooklock/proxy/LoopbackFleet.java
+++ b/src/test/java/brooklock/proxy/LoopbackFleet.java
@@ -305,7 +305,7 @@
     /** Returns the requests that reached the servers for a client's request, in order. */
     public List<RecordedRequest> recordedRequests(String request) {
         return recorder.requests().stream()
-                .filter(recorded -> request.equals(recorded.request))
+                .filter(recorded -> request.equals(recorded.requestId))
                 .toList();
     }
 
--- a/src/test/java/brooklock/proxy/PurgeTest.java
+++ b/src/test/java/brooklock/proxy/PurgeTest.java
@@ -72,14 +72,14 @@
             LoopbackFleet fleet, String request, long oldestAllowedNs) {
         RecordedRequest lastDirect =
                 fleet.recordedRequests(request).stream()
-                        .filter(RecordedRequest::isDirect)
+                        .filter(RecordedRequest::isFromDispatcher)
                         .reduce((a, b) -> b)
                         .orElseThrow();
         assertTrue(lastDirect.copySerial > 0);
         assertTrue(
-                fleet.recorder.copyBirthNs(lastDirect.copySerial) - oldestAllowedNs > 0,
+                fleet.recorder.copyCreatedNs(lastDirect.copySerial) - oldestAllowedNs > 0,
                 "the copy was created "
-                        + (fleet.recorder.copyBirthNs(lastDirect.copySerial) - oldestAllowedNs)
+                        + (fleet.recorder.copyCreatedNs(lastDirect.copySerial) - oldestAllowedNs)
                                 / LoopbackFleet.NS_PER_MS
                         + " ms after the oldest allowed time");
     }
--- a/src/test/java/brooklock/proxy/TenantBoundaryTest.java
+++ b/src/test/java/brooklock/proxy/TenantBoundaryTest.java
@@ -102,7 +102,7 @@
             assertEquals(
                     served,
                     fleet.recordedRequests("carl").stream()
-                            .filter(RecordedRequest::isDirect)
+                            .filter(RecordedRequest::isFromDispatcher)
                             .count());
         }
     }
--- a/src/test/java/brooklock/proxy/WarmingCoordinatorTest.java
+++ b/src/test/java/brooklock/proxy/WarmingCoordinatorTest.java
@@ -94,7 +94,7 @@
                 .filter(
                         recorded ->
                                 isFromC1ToAPeer(recorded)
-                                        && recorded.atNs - afterNs > 0
+                                        && recorded.arrivedNs - afterNs > 0
                                         && recorded.copySerial != 0)
                 .count();
     }
@@ -158,8 +158,8 @@
                                 .noneMatch(
                                         recorded ->
                                                 recorded.server.equals("c3")
-                                                        && recorded.atNs - acknowledgedAtNs > 0
-                                                        && recorded.isDirect()),
+                                                        && recorded.arrivedNs - acknowledgedAtNs > 0
+                                                        && recorded.isFromDispatcher()),
                         "a draining cache must receive no requests");
                 assertTrue(
                         fleet.recorder.requests().stream()
@@ -167,7 +167,7 @@
                                         recorded ->
                                                 isFromC1ToAPeer(recorded)
                                                         && recorded.server.equals("c3")
-                                                        && recorded.atNs - acknowledgedAtNs > 0));
+                                                        && recorded.arrivedNs - acknowledgedAtNs > 0));
             }
         }
     }
@@ -197,11 +197,11 @@
                 requestAllObjects(socket, 3);
             }
             for (RecordedRequest recorded : fleet.recorder.requests()) {
-                if (recorded.isDirect()
-                        && recorded.atNs - acknowledgedAtNs > 0
+                if (recorded.isFromDispatcher()
+                        && recorded.arrivedNs - acknowledgedAtNs > 0
                         && recorded.copySerial != 0) {
                     assertTrue(
-                            fleet.recorder.copyBirthNs(recorded.copySerial) - purgedAtNs
+                            fleet.recorder.copyCreatedNs(recorded.copySerial) - purgedAtNs
                                     > -2 * LoopbackFleet.NS_PER_MS,
                             recorded + ": an old copy");
                 }
@@ -263,8 +263,8 @@
                 .anyMatch(
                         recorded ->
                                 recorded.server.equals("c1")
-                                        && recorded.isDirect()
-                                        && recorded.request == null
+                                        && recorded.isFromDispatcher()
+                                        && recorded.requestId == null
                                         && recorded.source != null
                                         && recorded.source.startsWith("c"));
     }
