--- a/src/main/java/brooklock/platform/Attempt.java
+++ b/src/main/java/brooklock/platform/Attempt.java
@@ -4,15 +4,15 @@
 import brooklock.routing.RouterAction.StartAttempt;
 
 /**
- * One attempt of a request at one endpoint. Owned by the I/O thread.
+ * One attempt to serve a request from one endpoint. Not thread-safe; owned by the I/O thread.
  *
- * <p>An attempt is {@link State#QUEUED} until a connection takes it, {@link State#IN_FLIGHT} from
- * its first byte on, and {@link State#ENDED} once its result has been reported. One that ends while
- * it is queued was never sent, which proves that it had no effect. Whatever ends it first counts:
- * later responses, time-outs and cancellations find it ended and change nothing.
+ * <p>An attempt is {@link State#QUEUED} until it is assigned a connection, {@link State#IN_FLIGHT}
+ * once its request frame is written, and {@link State#ENDED} once its result has been reported. An
+ * attempt that ends while queued was never sent, which proves that it had no effect. The first
+ * response, time-out or cancellation ends the attempt; later ones are ignored.
  */
 final class Attempt {
-    /** Where an attempt stands. States are passed in this order. */
+    /** The states of an attempt, in the order in which they are entered; states may be skipped. */
     enum State {
         QUEUED,
         IN_FLIGHT,
@@ -32,10 +32,10 @@
     /**
      * Creates a queued attempt.
      *
-     * @param request the request it belongs to
-     * @param index its place among the request's attempts, from 0
-     * @param decision what the router decided
-     * @param decidedAtNs when, on the router's clock
+     * @param request the request that the attempt belongs to
+     * @param index the index of the attempt among the request's attempts, from 0
+     * @param decision the router's decision
+     * @param decidedAtNs the time of the decision on the router's clock, ns
      */
     Attempt(PendingRequest request, int index, StartAttempt decision, long decidedAtNs) {
         this.request = request;
@@ -61,7 +61,7 @@
         return decision;
     }
 
-    /** Returns when the router decided it, on the router's clock. */
+    /** Returns when the router decided the attempt, on the router's clock, ns. */
     long decidedAtNs() {
         return decidedAtNs;
     }
@@ -74,43 +74,49 @@
         return state == State.ENDED;
     }
 
-    /** Returns when its first byte was written; before that, when it was decided. */
+    /**
+     * Returns when the request frame was written, or the time of the decision while the attempt is
+     * queued; on the router's clock, ns.
+     */
     long startedAtNs() {
         return startedAtNs;
     }
 
     /**
-     * Keeps what the endpoint list says of both ends of the attempt at the time of the decision.
+     * Records the list entries that the decision was based on.
+     *
+     * @param endpoint the entry of the endpoint that the attempt is sent to
+     * @param source the entry of the endpoint that a cache miss is filled from
      */
     void rememberListing(Endpoint endpoint, Endpoint source) {
         endpointAtDecision = endpoint;
         sourceAtDecision = source;
     }
 
-    /** Returns whether the endpoint list still says what it said when the attempt was decided. */
+    /** Returns whether these list entries equal the ones that the decision was based on. */
     boolean wasDecidedOn(Endpoint endpoint, Endpoint source) {
         return endpointAtDecision.equals(endpoint) && sourceAtDecision.equals(source);
     }
 
-    /** Sets the time of the first byte, on the router's clock. */
+    /** Sets the time at which the request frame is written, on the router's clock, ns. */
     void setStartedAtNs(long nowNs) {
         startedAtNs = nowNs;
     }
 
-    /** Goes in flight on a connection. */
+    /** Marks this attempt as in flight on the specified connection. */
     void start(EndpointConnection on) {
         state = State.IN_FLIGHT;
         connection = on;
         request.addUsedConnection(on);
     }
 
-    /** Ends it. */
+    /** Marks this attempt as ended and drops the reference to its connection. */
     void end() {
         state = State.ENDED;
         connection = null;
     }
 
-    /** Returns the connection it is in flight on; null in every other state. */
+    /** Returns the connection that carries the attempt; null unless the attempt is in flight. */
     EndpointConnection connection() {
         return connection;
     }
--- a/src/main/java/brooklock/platform/AttemptHandler.java
+++ b/src/main/java/brooklock/platform/AttemptHandler.java
@@ -3,15 +3,20 @@
 import java.nio.ByteBuffer;
 import java.util.Optional;
 
-/** What a connection pool needs to know of the attempts it carries. Called on the I/O thread. */
+/**
+ * Encodes the attempts that a connection pool sends and receives their results. All methods are
+ * called on the I/O thread. {@link #startFrame} is called at most once for each attempt, always
+ * before {@link #onCompleted} unless the attempt ends while it is queued.
+ */
 interface AttemptHandler {
     /**
-     * Returns the request frame of an attempt that is about to be written and takes this moment as
-     * the attempt's start. Empty if the attempt must not start any more, because it waited too long
-     * or because what it was decided on has changed.
+     * Sets the start time of an attempt that is about to be written to the current time and returns
+     * its request frame. Returns an empty result if the attempt must not start any more: it has
+     * ended, its request is completed, it waited too long, or the list entry of its endpoint or fill
+     * source has changed since the decision.
      */
     Optional<ByteBuffer> startFrame(Attempt attempt);
 
-    /** Takes the result of an attempt. */
+    /** Called with the result of an attempt, also of one that could not be sent. */
     void onCompleted(Attempt attempt, AttemptResult result);
 }
--- a/src/main/java/brooklock/platform/AttemptResult.java
+++ b/src/main/java/brooklock/platform/AttemptResult.java
@@ -4,13 +4,14 @@
 import brooklock.routing.CacheStatus;
 
 /**
- * What an attempt came to.
+ * The result of an attempt.
  *
- * @param outcome how it ended
- * @param cacheStatus what the endpoint says of the copy or of the fill
- * @param fillDurationNs time that the endpoint waited for its fill source, ns
- * @param notModified whether the endpoint confirmed the client's own copy, so that no body follows
- * @param body the bytes of the object; empty where there are none
+ * @param outcome how the attempt ended
+ * @param cacheStatus the status that the endpoint reports for its cached copy or its fill
+ * @param fillDurationNs the time for which the endpoint waited for its fill source, ns
+ * @param notModified whether the endpoint confirmed the client's own copy, so that the response has
+ *     no body
+ * @param body the bytes of the object; empty if the response has no body
  */
 @SuppressWarnings("ArrayRecordComponent") // Never compared; a copy of each body would be wasted.
 record AttemptResult(
--- a/src/main/java/brooklock/platform/AttemptTransport.java
+++ b/src/main/java/brooklock/platform/AttemptTransport.java
@@ -3,11 +3,11 @@
 /** Sends attempts to endpoints. Called on the I/O thread. */
 interface AttemptTransport {
     /**
-     * Sends an attempt as soon as a connection can carry it. Its end is reported by {@link
-     * RequestExecutor#completeAttempt}, possibly before this returns.
+     * Sends an attempt as soon as a connection is available. The result is reported to {@link
+     * RequestExecutor#completeAttempt}, possibly before this method returns.
      */
     void send(Attempt attempt);
 
-    /** Drops an attempt that ended while it waited for a connection. */
+    /** Removes an attempt that ended while it waited for a connection. */
     void dropQueued(Attempt attempt);
 }
--- a/src/main/java/brooklock/platform/ByteAccumulator.java
+++ b/src/main/java/brooklock/platform/ByteAccumulator.java
@@ -4,12 +4,12 @@
 import java.util.Arrays;
 
 /**
- * Collects the bytes of a text or body of an announced length that comes in pieces. Memory grows
- * with what has come, not with what was announced, so that a peer which announces much costs
- * nothing. Pure.
+ * Accumulates a text or body of known length that arrives in pieces. The buffer grows with the bytes
+ * received and not with the announced length; otherwise a peer could make the dispatcher allocate
+ * memory merely by announcing long bodies. Performs no I/O; not thread-safe.
  */
 final class ByteAccumulator {
-    // Most texts fit, and a body doubles it a few times.
+    // Holds most texts without growing; the largest body needs a few doublings.
     private static final int INITIAL_CAPACITY_BYTES = 4096;
 
     private final int length;
@@ -26,7 +26,11 @@
         bytes = new byte[Math.min(length, INITIAL_CAPACITY_BYTES)];
     }
 
-    /** Appends what belongs here; returns whether all of it has come. */
+    /**
+     * Appends bytes from a buffer, at most as many as are missing.
+     *
+     * @return whether all announced bytes have been received
+     */
     boolean append(ByteBuffer in) {
         int count = Math.min(length - received, in.remaining());
         if (received + count > bytes.length) {
@@ -39,7 +43,10 @@
         return received == length;
     }
 
-    /** Returns all of it, once it has come; not a copy. */
+    /**
+     * Returns the accumulated bytes without copying them. The result is valid only after {@link
+     * #append} has returned true.
+     */
     byte[] bytes() {
         return bytes;
     }
--- a/src/main/java/brooklock/platform/ClientConnection.java
+++ b/src/main/java/brooklock/platform/ClientConnection.java
@@ -8,30 +8,35 @@
 import java.util.Map;
 
 /**
- * One client's connection: calls in, one response to each, in any order. Owned by the I/O thread.
+ * A connection from a client. Reads calls and writes one response to each; responses may be written
+ * in any order. Not thread-safe; owned by the I/O thread.
  *
- * <p>It is idle while no request is open, no call is half read and no response waits to be written;
- * else it is busy. It ends in one of two ways. It is closed at once when the client has closed it,
- * is silent within a message or takes none of its responses. It is closed gracefully when it is
- * idle for too long, has to make room, the dispatcher shuts down, or its bytes can't be read: what
- * waits is written, the sending side is shut, and what still comes is read and dropped until the
- * client closes its side. A close over unread bytes would reset the connection and take written
- * responses with it. Open requests are cancelled when their connection closes.
+ * <p>A connection is idle while no request is open, no call is partially read and no response waits
+ * to be written; otherwise it is busy.
+ *
+ * <p>A connection is closed immediately when the client has closed it, stops sending in the middle
+ * of a message, or does not read its responses. It is closed gracefully when it has been idle for
+ * too long, when it is evicted in favour of a new connection, when the dispatcher shuts down, and
+ * when its input is malformed. A graceful close writes the pending responses, shuts down output, and
+ * then reads and drops input until the client closes its side: closing a socket with unread input
+ * would reset the connection, and responses already written would be lost. Open requests are
+ * cancelled when their connection closes.
  */
 final class ClientConnection implements RawConnection.EventListener {
-    /** Calls open on one connection; the protocol's bound, further ones are rejected. */
+    /** Maximum number of open calls per connection, set by the protocol; more are rejected. */
     static final int MAX_OPEN_CALLS = 32;
 
-    // Invalid calls before their connection is closed: a client that sends nothing else must cost
-    // little more.
+    // Number of invalid calls that are answered; the next one closes the connection, so that a
+    // client that sends only invalid calls cannot keep the dispatcher busy.
     private static final int MAX_INVALID_CALLS = 4;
-    // Time in which more of a message has to come, and the first byte on a new connection, ns.
+    // Time within which the next bytes of a message, or the first byte on a new connection, must
+    // arrive, ns.
     private static final long MESSAGE_PROGRESS_TIMEOUT_NS = 2_000_000_000L;
-    // Time in which a client has to take a byte of what waits for it, ns.
+    // Time within which a client must read at least one byte of the pending output, ns.
     private static final long WRITE_STALL_TIMEOUT_NS = 5_000_000_000L;
-    // Time for a client to close its side once ours is shut, ns: many round trips.
+    // Time for a client to close its side after output has been shut down, ns: many round trips.
     private static final long CLOSE_TIMEOUT_NS = 1_000_000_000L;
-    // Bytes that may wait for a client before no more calls are read from it.
+    // Reading from a client is suspended while more bytes than this wait to be written to it.
     private static final long MAX_PENDING_WRITE_BYTES = 512 * 1024;
 
     private final ClientListener listener;
@@ -52,13 +57,16 @@
         this.transport = transport;
     }
 
-    /** Begins to read. */
+    /** Starts reading from the client. */
     void start() {
         transport.setTimeout(MESSAGE_PROGRESS_TIMEOUT_NS);
         transport.start(this);
     }
 
-    /** Returns whether no request is open, no call half read and no response unwritten. */
+    /**
+     * Returns whether the connection is not closed and has no open request, no partially read call
+     * and no unwritten response.
+     */
     boolean isIdle() {
         return !transport.isClosed()
                 && openRequests.isEmpty()
@@ -67,14 +75,14 @@
     }
 
     /**
-     * Closes gracefully if the connection is idle, even after everything has been read that the
-     * operating system holds for it.
+     * Closes the connection gracefully if it is still idle after all input that the operating system
+     * has received was read. Without that read, a call that has just arrived would be lost.
      *
-     * @return whether it is closing
+     * @return whether the connection is now closing
      */
     boolean closeIfIdle() {
         while (isIdle() && transport.readNow()) {
-            // A call that has come makes the connection busy.
+            // A call in the received input makes the connection busy and ends the loop.
         }
         boolean idle = isIdle();
         if (idle) {
@@ -88,17 +96,20 @@
         transport.closeGracefully(CLOSE_TIMEOUT_NS, () -> listener.onClosed(this));
     }
 
-    /** Returns whether the client has sent a whole message. */
+    /** Returns whether the client has sent at least one complete message. */
     boolean hasSentMessage() {
         return hasSentMessage;
     }
 
-    /** Returns how many bytes wait to be written; 0 once it is closed. */
+    /** Returns the number of bytes that wait to be written; 0 if the connection is closed. */
     long pendingWriteBytes() {
         return transport.isClosed() ? 0 : transport.pendingBytes();
     }
 
-    /** Returns since when it has been idle, as a reading of {@link System#nanoTime}. */
+    /**
+     * Returns when the last message was received or the last response was written, as a {@link
+     * System#nanoTime} reading. Meaningful while the connection is idle.
+     */
     long idleSinceNs() {
         return idleSinceNs;
     }
@@ -128,13 +139,16 @@
         }
     }
 
-    // A client that sends byte by byte keeps the progress timeout from expiring, and would hold its
-    // connection for ever.
+    // Bounds the duration of a whole message: a client that sends one byte at a time restarts the
+    // progress timeout with each byte and could otherwise occupy its connection indefinitely.
     private void checkMessageDuration(boolean messageBegins) throws MalformedMessageException {
         if (messageBegins) {
             messageStartedAtNs = System.nanoTime();
         } else if (System.nanoTime() - messageStartedAtNs > listener.messageTimeoutNs()) {
-            throw new MalformedMessageException("a message that takes too long");
+            throw new MalformedMessageException(
+                    "expected a complete message within "
+                            + listener.messageTimeoutNs()
+                            + " ns of its first byte");
         }
     }
 
@@ -156,13 +170,19 @@
             return;
         }
         if (openRequests.containsKey(messageId) || receivedCalls.containsKey(messageId)) {
-            throw new MalformedMessageException("message " + messageId + " twice");
+            throw new MalformedMessageException(
+                    "expected a message id without an open call but received " + messageId);
         }
         if (message instanceof RpcMessage.HealthCheck) {
             write(RpcEncoder.health(messageId, listener.healthy()));
         } else if (openRequests.size() + receivedCalls.size() >= MAX_OPEN_CALLS) {
             respondClientFault(
-                    messageId, RpcError.REJECTED, "more than " + MAX_OPEN_CALLS + " calls open");
+                    messageId,
+                    RpcError.REJECTED,
+                    "expected at most "
+                            + MAX_OPEN_CALLS
+                            + " open calls per connection but received one more, message id "
+                            + messageId);
         } else {
             receivedCalls.put(messageId, (RpcMessage.Call) message);
         }
@@ -178,8 +198,8 @@
         }
     }
 
-    // Calls that came in one read are submitted together, after it: one that is cancelled in the
-    // same read reaches no endpoint.
+    // Calls received in one read are submitted only after all of that input has been decoded, so
+    // that a call which is cancelled in the same read never reaches an endpoint.
     private void submitReceivedCalls() throws MalformedMessageException {
         for (RpcMessage.Call call : receivedCalls.values()) {
             submit(call);
@@ -198,7 +218,13 @@
         }
         RequestExecutor executor = listener.executor();
         if (executor.isOpen(clientRequest.id())) {
-            respondClientFault(messageId, RpcError.INVALID, "a request id that is open");
+            respondClientFault(
+                    messageId,
+                    RpcError.INVALID,
+                    "expected a new request id in field "
+                            + ClientRequestParser.ID
+                            + " but received the id of an open request, message id "
+                            + messageId);
         } else if (listener.isRejectingRequests() || !executor.hasRoomFor(clientRequest)) {
             write(RpcEncoder.error(messageId, RpcError.REJECTED));
         } else {
@@ -209,20 +235,27 @@
     }
 
     /**
-     * Answers a call that breaks the protocol, or one above the bound of open calls, and counts it
-     * as invalid; a client that makes too many of them loses its connection.
+     * Responds with an error to a call that violates the protocol or exceeds the number of open
+     * calls, and counts it as invalid.
+     *
+     * @param reason the violation, for the log
+     * @throws MalformedMessageException if the connection has had too many invalid calls
      */
     private void respondClientFault(long messageId, RpcError error, String reason)
             throws MalformedMessageException {
         listener.executor().stats().invalid();
         listener.logClientFault(reason);
         if (++invalidCalls > MAX_INVALID_CALLS) {
-            throw new MalformedMessageException("too many invalid calls");
+            throw new MalformedMessageException(
+                    "expected at most "
+                            + MAX_INVALID_CALLS
+                            + " invalid calls per connection but received one more, message id "
+                            + messageId);
         }
         write(RpcEncoder.error(messageId, error));
     }
 
-    /** Sends the final response: an object, or that the client's copy is current. */
+    /** Sends the object, or the confirmation of the client's own copy, as the final response. */
     void respondServed(PendingRequest request, AttemptResult result) {
         if (closeRequest(request)) {
             write(
@@ -233,9 +266,10 @@
     }
 
     /**
-     * Sends the final response: rejected, and a retry is harmless.
+     * Sends a rejection as the final response. The request was not executed, so that the client may
+     * retry it.
      *
-     * @param retryAfterNs when the client may retry, ns from now; 0 if nothing is said
+     * @param retryAfterNs the delay after which the client may retry, ns; 0 to name none
      */
     void respondRejected(PendingRequest request, long retryAfterNs) {
         if (closeRequest(request)) {
@@ -243,7 +277,7 @@
         }
     }
 
-    /** Sends the final response: failed. */
+    /** Sends an error as the final response: the request may have been executed. */
     void respondFailed(PendingRequest request) {
         if (closeRequest(request)) {
             write(RpcEncoder.error(request.messageId(), RpcError.FAILED));
@@ -283,7 +317,8 @@
             writtenAtLastCheck = transport.writtenBytes();
             transport.setTimeout(WRITE_STALL_TIMEOUT_NS);
         } else {
-            listener.logClientFault("a client that neither sends nor reads");
+            listener.logClientFault(
+                    "a client that neither sends nor reads; its connection is closed");
             close();
         }
     }
@@ -293,7 +328,7 @@
         close();
     }
 
-    /** Closes it at once and cancels its requests. */
+    /** Closes the connection immediately and cancels its open requests. */
     void close() {
         transport.close();
         listener.remove(this);
--- a/src/main/java/brooklock/platform/ClientListener.java
+++ b/src/main/java/brooklock/platform/ClientListener.java
@@ -14,32 +14,34 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Accepts clients and holds their connections within the bounds. Owned by the I/O thread.
+ * Accepts connections from clients and bounds their number, their idle time and the memory of their
+ * pending responses. Not thread-safe; owned by the I/O thread.
  *
- * <p>It serves until {@link #reportUnhealthy}, after which health checks say that no new clients
- * are wanted while requests are still accepted, and until {@link #shutDown}, after which requests
- * are rejected and connections close as they become idle.
+ * <p>A listener serves all requests until {@link #reportUnhealthy} is called. From then on health
+ * checks are answered with false, so that clients choose another dispatcher, while requests are
+ * still accepted. After {@link #shutDown} requests are rejected and connections close as they become
+ * idle.
  */
 final class ClientListener {
     private static final Logger LOG = LoggerFactory.getLogger(ClientListener.class);
-    // Connections that the operating system holds until they are accepted.
+    // Maximum number of established connections that wait in the operating system to be accepted.
     private static final int ACCEPT_BACKLOG = 512;
-    // Time without a call after which a connection is closed, ns; longer than the 4 s after which
-    // clients close theirs, so that no call crosses the close.
+    // Time after which an idle connection is closed, ns. Clients close idle connections after 4 s;
+    // this timeout is longer so that a client does not send a call while its connection is closed.
     private static final long IDLE_TIMEOUT_NS = 8_000_000_000L;
     private static final long SWEEP_INTERVAL_NS = 500_000_000L;
-    // Time for a whole message, ns; above every deadline.
+    // Maximum duration of a whole message, ns; longer than every deadline.
     private static final long MESSAGE_TIMEOUT_NS = 6_000_000_000L;
-    // Responses that clients have not read yet may take the heap divided by this; above it the
-    // connection with the most is closed, before the heap is full.
+    // The responses that clients have not read yet may occupy the heap size divided by this. Above
+    // that the connection with the most pending bytes is closed; otherwise the heap would fill up.
     private static final int PENDING_WRITE_HEAP_DIVISOR = 4;
 
-    /** Interval at which a shutdown looks for connections that have become idle, ns. */
+    /** Interval at which a shutdown closes connections that have become idle, ns. */
     static final long SHUTDOWN_POLL_NS = 10_000_000L;
 
     /**
-     * Connections that may be closing gracefully beyond the bound on connections. Their descriptors
-     * have to be set aside for them.
+     * Maximum number of gracefully closing connections in addition to the bound on connections. The
+     * creator of a listener reserves file descriptors for them.
      */
     static final int MAX_CLOSING_CONNECTIONS = 16;
 
@@ -57,13 +59,13 @@
     private boolean rejectingRequests;
 
     /**
-     * Creates a listener that does not listen yet.
+     * Creates a listener; {@link #open} starts listening.
      *
-     * @param loop the I/O thread that owns it
-     * @param classes what is known of each class of requests, by its name
-     * @param maxConnections connections that may be open; above that an idle one is closed, or else
-     *     the new one
-     * @param executor runs the requests
+     * @param loop the I/O thread that owns the listener
+     * @param classes the rules of each request class by the name of the class
+     * @param maxConnections maximum number of open connections; when it is reached, a new connection
+     *     replaces an idle one, or is closed if none is idle
+     * @param executor the executor of the requests
      */
     ClientListener(
             IoLoop loop,
@@ -77,9 +79,12 @@
     }
 
     /**
-     * Begins to listen.
+     * Starts listening on an address.
      *
-     * @throws IOException if the address is in use or not this machine's
+     * @param threads the I/O threads, of which the owner of this listener is one
+     * @param address the local address
+     * @return the listening socket
+     * @throws IOException if the address is in use or is not a local address
      */
     RawListener open(IoThreads threads, InetSocketAddress address) throws IOException {
         loop.execute(this::closeIdleConnections);
@@ -87,7 +92,7 @@
         return listener;
     }
 
-    /** Accepts a connection, or closes it if there is no room. */
+    /** Accepts a connection, or closes it if the bound is reached and no connection is idle. */
     void accept(RawConnection transport) {
         if (connections.size() - closingConnections >= maxConnections && !evictIdle()) {
             transport.close();
@@ -98,8 +103,9 @@
         connection.start();
     }
 
-    // A client that has never sent a message goes first, the oldest of them; then the one that has
-    // been idle for longest. Otherwise silent clients would keep out those that have requests.
+    // Evicts the oldest idle connection that has never sent a message, or else the one that has been
+    // idle for longest. Otherwise silent clients could lock out clients that have requests. Returns
+    // whether a connection was evicted.
     private boolean evictIdle() {
         ClientConnection longestIdle = null;
         for (ClientConnection connection : connections) {
@@ -130,18 +136,21 @@
         loop.schedule(SWEEP_INTERVAL_NS, this::closeIdleConnections);
     }
 
-    /** Counts a connection that closes gracefully and holds its descriptor for a while. */
+    /**
+     * Called when a connection starts to close gracefully. It occupies its file descriptor until
+     * {@link #onClosed}.
+     */
     void onClosing() {
         closingConnections++;
     }
 
-    /** Forgets a connection that has closed gracefully. */
+    /** Removes a connection whose graceful close has finished. */
     void onClosed(ClientConnection connection) {
         closingConnections--;
         remove(connection);
     }
 
-    /** Forgets a connection that has closed. */
+    /** Removes a connection that has been closed. */
     void remove(ClientConnection connection) {
         connections.remove(connection);
     }
@@ -151,7 +160,8 @@
     }
 
     /**
-     * A response waits for its client to read it: closes the connection with the most, if needed.
+     * Called when a client has not read all of its output yet. Closes the connection with the most
+     * pending bytes if the pending bytes of all connections exceed the bound.
      */
     void onWriteBacklog() {
         long pendingBytes = 0;
@@ -170,27 +180,27 @@
         }
     }
 
-    /** Sets how many bytes may wait to be written to all clients together. For tests. */
+    /** Sets the maximum number of bytes that may wait to be written to all clients. For tests. */
     void setMaxPendingWriteBytes(long bytes) {
         maxPendingWriteBytes = bytes;
     }
 
-    /** Returns the time for a whole message, ns. */
+    /** Returns the maximum duration of a whole message, ns. */
     long messageTimeoutNs() {
         return messageTimeoutNs;
     }
 
-    /** Sets the time for a whole message, ns. For tests. */
+    /** Sets the maximum duration of a whole message, ns. For tests. */
     void setMessageTimeoutNs(long ns) {
         messageTimeoutNs = ns;
     }
 
-    /** Returns what is known of each class of requests, by its name. */
+    /** Returns the rules of each request class by the name of the class. */
     Map<String, RequestClassRules> classes() {
         return classes;
     }
 
-    /** Returns what health checks are answered. */
+    /** Returns the answer to health checks: whether new clients are wanted. */
     boolean healthy() {
         return healthy;
     }
@@ -201,22 +211,23 @@
     }
 
     /**
-     * Answers health checks with false from now on, so that no new clients come. Connections and
-     * requests that come nevertheless are accepted until {@link #shutDown}.
+     * Answers health checks with false from now on, so that clients choose another dispatcher.
+     * Connections and requests are still accepted until {@link #shutDown}.
      */
     void reportUnhealthy() {
         healthy = false;
     }
 
     /**
-     * Rejects new requests from now on, stops listening and closes each connection gracefully once
-     * it is idle.
+     * Rejects new requests from now on, stops listening and closes each connection gracefully as it
+     * becomes idle.
      *
-     * @param onShutDown called when the last has closed
+     * @param onShutDown called on the I/O thread when the last connection has closed
      */
     void shutDown(Runnable onShutDown) {
         rejectingRequests = true;
-        // Connections that were accepted before this moment may still be queued for this thread.
+        // Delays the close: connections that were accepted before this moment may still be queued
+        // for the I/O thread.
         loop.schedule(
                 SHUTDOWN_POLL_NS,
                 () -> {
@@ -234,12 +245,12 @@
         }
     }
 
-    /** Returns how many connections there are, those that are closing included. */
+    /** Returns the number of connections, including those that are closing. */
     int connectionCount() {
         return connections.size();
     }
 
-    /** Logs what a client did wrong. */
+    /** Logs a client's violation of the protocol. */
     void logClientFault(String reason) {
         LOG.debug("client fault: {}", reason);
     }
--- a/src/main/java/brooklock/platform/ClientRequest.java
+++ b/src/main/java/brooklock/platform/ClientRequest.java
@@ -1,20 +1,21 @@
 package brooklock.platform;
 
 /**
- * A client's request, checked by {@link ClientRequestParser}. Immutable.
+ * A client's request, validated by {@link ClientRequestParser}. Immutable; the body must not be
+ * modified.
  *
- * @param id the request's id; new with every request, also with a client's retry
- * @param classIndex the router's index of its class
- * @param className the name of its class
- * @param objectHex the object, as 16 hexadecimal digits
- * @param part the part of the object, from 0
+ * @param id the id of the request; a client's retry has a new one
+ * @param classIndex the router's index of the request class
+ * @param className the name of the request class
+ * @param objectHex the id of the object, 16 hexadecimal digits
+ * @param part the index of the object's part, from 0
  * @param group the purge group of the object
- * @param sizeKb size of the part in KB, as the router counts it; 0 if not known
- * @param timeoutMs how long the client waits, ms
- * @param clientRetry whether the client says that it repeats a request
- * @param idempotencyKey the idempotency key; null where the class has none
- * @param etag the entity tag of the client's copy; null if it holds none
- * @param body the bytes to be written; empty if there are none
+ * @param sizeKb the size of the part in the router's unit, KB; 0 if unknown
+ * @param timeoutMs the time for which the client waits for the response, ms
+ * @param clientRetry whether the client marked the request as a retry
+ * @param idempotencyKey the idempotency key; null if the class does not require one
+ * @param etag the entity tag of the client's copy; null if the client has none
+ * @param body the body to be written; empty if the request has none
  */
 @SuppressWarnings("ArrayRecordComponent") // Never compared; a copy of each body would be wasted.
 record ClientRequest(
@@ -30,7 +31,7 @@
         String idempotencyKey,
         String etag,
         byte[] body) {
-    /** Returns the object as a number. */
+    /** Returns the id of the object as an unsigned number. */
     long objectId() {
         return Long.parseUnsignedLong(objectHex, 16);
     }
--- a/src/main/java/brooklock/platform/ClientRequestParser.java
+++ b/src/main/java/brooklock/platform/ClientRequestParser.java
@@ -4,22 +4,22 @@
 import java.util.regex.Pattern;
 
 /**
- * Checks the fields of a call and parses them into a request. Pure.
+ * Validates the fields of a call and parses them into a request. Stateless and thread-safe.
  *
- * <p>It is strict because endpoints are: they close a connection on a request that they can't read,
- * and every other attempt on it is lost.
+ * <p>The parser is strict because endpoints are: an endpoint closes its connection on a request that
+ * it cannot parse, and every other attempt on that connection is lost.
  */
 final class ClientRequestParser {
-    /** Field: the request's id, 16 hexadecimal digits. */
+    /** Field: the id of the request, 16 hexadecimal digits. */
     static final String ID = "i";
 
-    /** Field: how long the client waits, ms. */
+    /** Field: the time for which the client waits for the response, ms. */
     static final String TIMEOUT = "d";
 
-    /** Field: the object, 16 hexadecimal digits. */
+    /** Field: the id of the object, 16 hexadecimal digits. */
     static final String OBJECT = "o";
 
-    /** Field: the part of the object. */
+    /** Field: the index of the object's part. */
     static final String PART = "seg";
 
     /** Field: the purge group of the object. */
@@ -28,7 +28,7 @@
     /** Field: the size of the part, KB. */
     static final String SIZE = "m";
 
-    /** Field: 1 marks a client's retry. */
+    /** Field: 1 if the request is a client's retry, otherwise 0. */
     static final String RETRY = "r";
 
     /** Field: the idempotency key, 32 hexadecimal digits. */
@@ -48,17 +48,22 @@
     private ClientRequestParser() {}
 
     /**
-     * Parses a call.
+     * Parses a call into a request.
      *
-     * @param classes the classes by their names
-     * @throws InvalidRequestException if the class is not known, a field is missing or can't be
-     *     used, or there is a body where the class has none
+     * @param call the call; its method is the name of the request class
+     * @param classes the rules of each request class by the name of the class
+     * @throws InvalidRequestException if the class is unknown, a required field is missing, a field
+     *     is malformed or out of range, or the call has a body that its class does not accept
      */
     static ClientRequest parse(RpcMessage.Call call, Map<String, RequestClassRules> classes)
             throws InvalidRequestException {
         RequestClassRules requestClass = classes.get(call.method());
         if (requestClass == null) {
-            throw new InvalidRequestException("no such class");
+            throw new InvalidRequestException(
+                    "expected the name of a configured request class as method but received an"
+                            + " unknown name of "
+                            + call.method().length()
+                            + " characters");
         }
         Map<String, String> fields = call.fields();
         long id = Long.parseUnsignedLong(required(fields, ID, HEX16), 16);
@@ -71,7 +76,12 @@
                         : null;
         String etag = fields.containsKey(ETAG) ? required(fields, ETAG, HEX16) : null;
         if (call.body().length > 0 && !requestClass.acceptsBody()) {
-            throw new InvalidRequestException("a body where nothing is written");
+            throw new InvalidRequestException(
+                    "expected no body in a call of class "
+                            + call.method()
+                            + " but received "
+                            + call.body().length
+                            + " bytes");
         }
         return new ClientRequest(
                 id,
@@ -95,7 +105,14 @@
             throw new InvalidRequestException("field " + name + " is missing");
         }
         if (!pattern.matcher(value).matches()) {
-            throw new InvalidRequestException("field " + name + " can't be read");
+            throw new InvalidRequestException(
+                    "expected field "
+                            + name
+                            + " to match "
+                            + pattern
+                            + " but received another value of "
+                            + value.length()
+                            + " characters");
         }
         return value;
     }
@@ -108,7 +125,15 @@
         }
         int number = Integer.parseInt(required(fields, name, INTEGER));
         if (number < min || number > max) {
-            throw new InvalidRequestException("field " + name + " is out of range");
+            throw new InvalidRequestException(
+                    "expected field "
+                            + name
+                            + " to be from "
+                            + min
+                            + " to "
+                            + max
+                            + " but received "
+                            + number);
         }
         return number;
     }
@@ -118,7 +143,12 @@
             return false;
         }
         if (!value.equals("1")) {
-            throw new InvalidRequestException("field " + RETRY + " is no mark");
+            throw new InvalidRequestException(
+                    "expected field "
+                            + RETRY
+                            + " to be 0 or 1 but received another value of "
+                            + value.length()
+                            + " characters");
         }
         return true;
     }
@@ -128,7 +158,14 @@
             return 0;
         }
         if (!DECIMAL.matcher(value).matches()) {
-            throw new InvalidRequestException("field " + SIZE + " is no number");
+            throw new InvalidRequestException(
+                    "expected field "
+                            + SIZE
+                            + " to match "
+                            + DECIMAL
+                            + " but received another value of "
+                            + value.length()
+                            + " characters");
         }
         return Double.parseDouble(value);
     }
--- a/src/main/java/brooklock/platform/ConnectionBudget.java
+++ b/src/main/java/brooklock/platform/ConnectionBudget.java
@@ -1,10 +1,20 @@
 package brooklock.platform;
 
-/** The connections that all endpoints may have together. Called on the I/O thread. */
+/**
+ * Bounds the number of connections to each endpoint and to all endpoints. All methods are called on
+ * the I/O thread; each new connection is preceded by {@link #permits} and then {@link #makeRoom}.
+ */
 interface ConnectionBudget {
-    /** Returns whether an endpoint that has so many connections may open one more. */
+    /**
+     * Returns whether one more connection to an endpoint may be opened.
+     *
+     * @param connections the number of connections that the endpoint has now
+     */
     boolean permits(int connections);
 
-    /** Makes room for one more connection, which is {@linkplain #permits permitted}. */
+    /**
+     * Closes the connection that has been idle for longest if all connections are in use, so that
+     * one more can be opened. Must be called only if that is {@linkplain #permits permitted}.
+     */
     void makeRoom();
 }
--- a/src/main/java/brooklock/platform/ConnectionOpener.java
+++ b/src/main/java/brooklock/platform/ConnectionOpener.java
@@ -6,31 +6,37 @@
 import java.util.List;
 
 /**
- * The connections to one endpoint that are on their way. Owned by the I/O thread.
+ * Opens connections to one endpoint and tracks those that are not established yet. Not thread-safe;
+ * owned by the I/O thread.
  *
- * <p>A connection on its way is expected, then slow, then overdue; it ends opened, failed or
- * cancelled. While it is expected or slow one queued attempt counts on it. An overdue one is still
- * waited for, without any attempt that counts on it: to cancel it and connect anew would meet the
- * same obstacle, and once it is up it serves later attempts.
+ * <p>A pending connection is expected at first, slow after a fraction of the connect timeout, and
+ * overdue after the whole timeout. It ends as connected, failed or cancelled. Each connection that
+ * is not overdue accounts for one queued attempt. An overdue connection is not cancelled, although
+ * no attempt waits for it any more: a new connection would be delayed in the same way, and once the
+ * overdue one is established it serves later attempts.
  */
 final class ConnectionOpener {
-    // A connection is slow after the connect timeout divided by this.
+    // A pending connection is slow after the connect timeout divided by this.
     private static final int SLOW_CONNECT_DIVISOR = 8;
-    // An overdue connection is given up after this many connect timeouts in all.
+    // A pending connection is abandoned after the connect timeout multiplied by this.
     private static final int MAX_CONNECT_TIMEOUTS = 4;
 
-    /** Takes what becomes of the connections. */
+    /** Receives the results of connecting. All methods are called on the I/O thread. */
     interface Listener {
-        /** Takes a connection that has come up. */
+        /** Called when a connection is established, also if it was overdue. */
         void onConnected(RawConnection transport);
 
-        /** A connection takes long; attempts that wait for it should share one that is up. */
+        /**
+         * Called when a connection is slow. Attempts that wait for it should share an established
+         * connection.
+         */
         void onSlow();
 
         /**
-         * A connection that an attempt counted on has failed or is overdue.
+         * Called when a connection has failed or has become overdue. Not called when an overdue
+         * connection fails later.
          *
-         * @param reason for the log
+         * @param reason the reason, for the log
          */
         void onFailed(String reason);
     }
@@ -51,12 +57,12 @@
         this.listener = listener;
     }
 
-    /** Returns how many connections are on their way. */
+    /** Returns the number of pending connections, including overdue ones. */
     int pendingCount() {
         return pendingConnections.size();
     }
 
-    /** Returns how many connections are on their way and not overdue. */
+    /** Returns the number of pending connections that are not overdue. */
     int expectedCount() {
         int expected = 0;
         for (PendingConnection pending : pendingConnections) {
@@ -67,7 +73,7 @@
         return expected;
     }
 
-    /** Begins one more connection. */
+    /** Starts opening one more connection. */
     void open() {
         long timeoutNs = settings.connectTimeoutNs();
         PendingConnection pending = new PendingConnection();
@@ -83,7 +89,7 @@
         settings.loop().schedule(timeoutNs, () -> onTimeout(pending));
     }
 
-    /** Cancels all of them. */
+    /** Cancels all pending connections without notifying the listener. */
     void cancelAll() {
         pendingConnections.forEach(pending -> pending.cancel.run());
         pendingConnections.clear();
--- a/src/main/java/brooklock/platform/ConnectionSettings.java
+++ b/src/main/java/brooklock/platform/ConnectionSettings.java
@@ -3,14 +3,14 @@
 import brooklock.net.IoLoop;
 
 /**
- * What holds for the connections to every endpoint.
+ * The settings of the connections to endpoints. Immutable.
  *
- * @param loop the I/O thread that owns them
- * @param factory makes them
- * @param connectTimeoutNs time for one to come up, ns
- * @param idleTimeoutNs time after which an idle one is closed, ns
- * @param maxInFlight attempts that may be in flight on one
- * @param maxConnections connections to all endpoints together
+ * @param loop the I/O thread that owns the connections
+ * @param factory opens connections
+ * @param connectTimeoutNs the time after which a pending connection is overdue, ns
+ * @param idleTimeoutNs the time after which an idle connection is closed, ns
+ * @param maxInFlight maximum number of attempts in flight on one connection
+ * @param maxConnections maximum number of connections to all endpoints together
  */
 record ConnectionSettings(
         IoLoop loop,
@@ -19,11 +19,19 @@
         long idleTimeoutNs,
         int maxInFlight,
         int maxConnections) {
-    // An idle connection is closed this much before the endpoint would close it: a request written
-    // into that close would be lost, and its attempt would end as a reset that may have run.
+    // An idle connection is closed this much earlier than the endpoint would close it. A request
+    // sent while the endpoint closes the connection would be lost, and its attempt would end as a
+    // reset, after which it is unknown whether the request was executed.
     private static final long IDLE_MARGIN_NS = 5_000_000_000L;
 
-    /** Returns what a configuration says. */
+    /**
+     * Returns the settings of a configuration.
+     *
+     * @param loop the I/O thread that owns the connections
+     * @param factory opens connections
+     * @param config the configuration
+     * @param maxConnections maximum number of connections to all endpoints together
+     */
     static ConnectionSettings of(
             IoLoop loop,
             EndpointConnectFunction factory,
--- a/src/main/java/brooklock/platform/DiscoveryClient.java
+++ b/src/main/java/brooklock/platform/DiscoveryClient.java
@@ -11,26 +11,27 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Receives discovery events in their order, each once, over connections that break, fall silent or
- * repeat events. Owned by the I/O thread.
+ * Receives the events of the discovery service in sequence and delivers each of them once, over
+ * connections that may break, fall silent or repeat events. Not thread-safe; owned by the I/O
+ * thread.
  *
- * <p>It connects, asks for the events after the last one that it has, and reads until the
- * connection is lost: closed, silent, or out of sequence. Then it waits for a backoff and connects
- * again. At most one connection exists at a time, and a number is taken once, so that no event can
- * come twice.
+ * <p>The client connects, requests the events after the last one that it has received, and reads
+ * until the connection is closed, is silent for too long, or delivers events out of sequence. Then
+ * it waits for a backoff and reconnects. No event is delivered twice, because at most one connection
+ * is open at a time and each sequence number is accepted only once.
  */
 final class DiscoveryClient implements RawConnection.EventListener {
     private static final Logger LOG = LoggerFactory.getLogger(DiscoveryClient.class);
-    // Time for a connection to come up, ns.
+    // Time within which a connection must be established, ns.
     private static final long CONNECT_TIMEOUT_NS = 1_000_000_000L;
-    // Time without a line after which the connection counts as dead, ns; a heartbeat comes each
-    // second.
+    // Time without a line after which the connection is considered lost, ns; the service sends a
+    // heartbeat each second.
     private static final long SILENCE_TIMEOUT_NS = 1_600_000_000L;
-    // Backoff before the next connection, ns; doubled with each that failed.
+    // Backoff before reconnecting, ns; it doubles after each connection that delivered no event.
     private static final long INITIAL_BACKOFF_NS = 100_000_000L;
     private static final long MAX_BACKOFF_NS = 500_000_000L;
-    // A backoff is multiplied by a random factor between these: what disconnects one dispatcher
-    // disconnects the whole fleet, which must not come back in the same instant.
+    // Bounds of the random factor by which each backoff is multiplied. A failure of the service
+    // disconnects all dispatchers at once; without jitter they would all reconnect at once.
     private static final double MIN_JITTER = 0.2;
     private static final double MAX_JITTER = 1.6;
 
@@ -46,13 +47,13 @@
     private int connectGeneration;
 
     /**
-     * Creates a client that does not connect yet.
+     * Creates a client; {@link #connect} opens its first connection.
      *
-     * @param loop the I/O thread that owns it
-     * @param address where the discovery service is
-     * @param lastSequence number of the last event that is known already
-     * @param seed for the jitter of the backoff
-     * @param eventListener takes each event, on the I/O thread
+     * @param loop the I/O thread that owns the client
+     * @param address the address of the discovery service
+     * @param lastSequence the sequence number of the last event that is already known
+     * @param seed the seed of the backoff's jitter
+     * @param eventListener called with each event, on the I/O thread
      */
     DiscoveryClient(
             IoLoop loop,
@@ -67,7 +68,10 @@
         this.eventListener = eventListener;
     }
 
-    /** Goes on at another address, from the last event on. Does nothing if it is the same. */
+    /**
+     * Reconnects to another address and resumes after the last event received. Does nothing if the
+     * address is unchanged.
+     */
     void moveTo(InetSocketAddress newAddress) {
         if (!newAddress.equals(address)) {
             address = newAddress;
@@ -77,7 +81,7 @@
         }
     }
 
-    /** Connects, in place of any connection that there is. */
+    /** Closes the current connection, if any, and opens a new one. */
     void connect() {
         disconnect();
         connectGeneration++;
@@ -109,7 +113,10 @@
     }
 
     private void onConnectionLost(String reason) {
-        LOG.info("connection to the discovery service at {} lost: {}", address, reason);
+        LOG.info(
+                "connection to the discovery service at {} lost: {}; reconnecting after a backoff",
+                address,
+                reason);
         scheduleConnect();
     }
 
@@ -142,11 +149,18 @@
         if (event instanceof DiscoveryEvent.Heartbeat) {
             if (event.sequence() > lastSequence) {
                 throw new MalformedMessageException(
-                        "event " + event.sequence() + " is missing after " + lastSequence);
+                        "expected a heartbeat with sequence number at most "
+                                + lastSequence
+                                + " but received "
+                                + event.sequence()
+                                + ", so that at least one event is missing");
             }
         } else if (event.sequence() > lastSequence + 1) {
             throw new MalformedMessageException(
-                    "event " + event.sequence() + " after " + lastSequence);
+                    "expected the event after sequence number "
+                            + lastSequence
+                            + " but received sequence number "
+                            + event.sequence());
         } else if (event.sequence() == lastSequence + 1) {
             lastSequence = event.sequence();
             eventListener.accept(event);
@@ -160,7 +174,7 @@
 
     @Override
     public void onTimeout() {
-        reconnect("silent");
+        reconnect("no line received for " + SILENCE_TIMEOUT_NS + " ns");
     }
 
     @Override
--- a/src/main/java/brooklock/platform/DiscoveryEvent.java
+++ b/src/main/java/brooklock/platform/DiscoveryEvent.java
@@ -4,21 +4,21 @@
 import java.util.List;
 import java.util.Optional;
 
-/** What the platform's discovery service sends. Immutable. */
+/** An event of the platform's discovery service. Immutable. */
 public sealed interface DiscoveryEvent {
-    /** Returns its number; events are numbered from 1 at the start of a dispatcher. */
+    /** Returns the sequence number; events are numbered from 1 at the start of a dispatcher. */
     long sequence();
 
     /**
-     * An endpoint of a list.
+     * An endpoint in an {@link EndpointListUpdate}.
      *
-     * @param name its name
-     * @param address where it listens; not parsed yet, and empty if absent
+     * @param name the name of the endpoint
+     * @param address the unparsed address on which it listens; empty if absent
      * @param zone the name of its zone; empty if absent
      * @param kind the name of its kind; empty if absent
-     * @param state its state; empty if that is none that is known here
-     * @param weight its weight
-     * @param startedAtMs when it started, Unix ms; 0 means long ago
+     * @param state the state; empty if the service sent a state that this program does not know
+     * @param weight the weight
+     * @param startedAtMs the time of its start, Unix ms; 0 if it started long ago
      */
     record Endpoint(
             String name,
@@ -30,37 +30,38 @@
             long startedAtMs) {}
 
     /**
-     * The endpoint list or a change of it.
+     * The complete endpoint list or a change of it.
      *
-     * @param sequence the event's number
-     * @param snapshot whether it is the complete list
-     * @param endpoints the endpoints it names
+     * @param sequence the sequence number of the event
+     * @param snapshot whether the event contains the complete list
+     * @param endpoints the endpoints of the complete list, or the changed ones
      */
     record EndpointListUpdate(long sequence, boolean snapshot, List<Endpoint> endpoints)
             implements DiscoveryEvent {}
 
     /**
-     * A purge.
+     * A purge of one object or of a whole purge group.
      *
-     * @param sequence the event's number
-     * @param objectId the object; 0 means all objects of the group
+     * @param sequence the sequence number of the event
+     * @param objectId the id of the object; 0 for all objects of the group
      * @param group the purge group
-     * @param purgedAtMs when it was issued, Unix ms
+     * @param purgedAtMs the time at which the purge was issued, Unix ms
      */
     record Purge(long sequence, long objectId, int group, long purgedAtMs)
             implements DiscoveryEvent {}
 
     /**
-     * A sign of life, sent each second.
+     * A heartbeat, sent each second.
      *
-     * @param sequence the number of the last event
+     * @param sequence the sequence number of the last event that the service has sent
      */
     record Heartbeat(long sequence) implements DiscoveryEvent {}
 
     /**
-     * An event of a kind that is not known here.
+     * An event of a type that this program does not know. It is ignored, but its sequence number
+     * counts.
      *
-     * @param sequence the event's number
+     * @param sequence the sequence number of the event
      */
     record UnknownEvent(long sequence) implements DiscoveryEvent {}
 }
--- a/src/main/java/brooklock/platform/DiscoveryEventDecoder.java
+++ b/src/main/java/brooklock/platform/DiscoveryEventDecoder.java
@@ -13,24 +13,26 @@
 import java.util.Optional;
 
 /**
- * Codec of the discovery service: JSON lines, incrementally from any cut of bytes. A line that has
- * not come to its end is no event. Pure.
+ * Decodes the JSON lines of the discovery service incrementally, from input split at any byte, and
+ * encodes the request that a client sends. A line is decoded only once its line feed has been
+ * received. Performs no I/O; not thread-safe.
  */
 public final class DiscoveryEventDecoder {
-    /** Longest line, bytes: a list of some thousand endpoints. */
+    /** Maximum length of a line, bytes; enough for a list of some thousand endpoints. */
     static final int MAX_LINE_BYTES = 1 << 20;
 
-    // Characters of a line that an exception quotes.
+    // Maximum number of characters of a line that an exception message quotes.
     private static final int MAX_QUOTED_CHARS = 80;
     private static final double DEFAULT_WEIGHT = 1;
 
     private ByteArrayOutputStream line = new ByteArrayOutputStream();
 
     /**
-     * Reads up to the end of one line.
+     * Decodes the next event. Reads at most one line from the buffer and keeps an incomplete line for
+     * the next call.
      *
      * @return the next event, or null if more bytes are needed
-     * @throws MalformedMessageException if the line is too long or no event
+     * @throws MalformedMessageException if the line is too long or is not a valid event
      */
     public DiscoveryEvent next(ByteBuffer in) throws MalformedMessageException {
         while (in.hasRemaining()) {
@@ -42,23 +44,25 @@
             }
             if (line.size() == MAX_LINE_BYTES) {
                 throw new MalformedMessageException(
-                        "a line of more than " + MAX_LINE_BYTES + " bytes");
+                        "expected a line of at most "
+                                + MAX_LINE_BYTES
+                                + " bytes but received a longer one");
             }
             line.write(b);
         }
         return null;
     }
 
-    /** Returns the line that asks for all events after one. */
+    /** Encodes the request for all events after the specified sequence number. */
     static ByteBuffer resumeAfter(long lastSequence) {
         return ByteBuffer.wrap(
                 ("resume " + lastSequence + "\n").getBytes(StandardCharsets.US_ASCII));
     }
 
     /**
-     * Parses a line.
+     * Parses a line: a heartbeat, which is a number, or an event, which is a JSON object.
      *
-     * @throws MalformedMessageException if it is no event
+     * @throws MalformedMessageException if the line is neither
      */
     static DiscoveryEvent parse(String text) throws MalformedMessageException {
         try {
@@ -71,15 +75,16 @@
                 | NumberFormatException
                 | UnsupportedOperationException e) {
             throw new MalformedMessageException(
-                    "a line that can't be read: "
-                            + text.substring(0, Math.min(MAX_QUOTED_CHARS, text.length())));
+                    "expected a line with an event as JSON object or a sequence number but received '"
+                            + text.substring(0, Math.min(MAX_QUOTED_CHARS, text.length()))
+                            + "'");
         }
     }
 
     /**
-     * Parses an event, from a line or from the configuration.
+     * Parses an event of a line or of the configuration.
      *
-     * @throws MalformedMessageException if it is none
+     * @throws MalformedMessageException if a required field is missing or a field has another type
      */
     static DiscoveryEvent parse(JsonObject event) throws MalformedMessageException {
         try {
@@ -92,7 +97,11 @@
             }
             return new DiscoveryEvent.UnknownEvent(sequence);
         } catch (IllegalStateException | NumberFormatException | UnsupportedOperationException e) {
-            throw new MalformedMessageException("an event that can't be read");
+            throw new MalformedMessageException(
+                    "expected a discovery event whose fields have the types of the protocol but"
+                            + " received one with "
+                            + event.size()
+                            + " fields of which at least one has another type");
         }
     }
 
@@ -139,7 +148,8 @@
     private static JsonElement required(JsonObject object, String key)
             throws MalformedMessageException {
         if (!object.has(key)) {
-            throw new MalformedMessageException("an event without " + key);
+            throw new MalformedMessageException(
+                    "expected field " + key + " in a discovery event but it is missing");
         }
         return object.get(key);
     }
--- a/src/main/java/brooklock/platform/DispatcherStats.java
+++ b/src/main/java/brooklock/platform/DispatcherStats.java
@@ -7,8 +7,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Counts what happens in a second, for one line of the log at level DEBUG, logger {@code
- * dispatcher-stats}. Owned by the I/O thread.
+ * Counts requests and attempts and logs one line each second, at level DEBUG of logger {@code
+ * dispatcher-stats}. Not thread-safe; owned by the I/O thread.
  */
 final class DispatcherStats {
     private static final Logger LOG = LoggerFactory.getLogger("dispatcher-stats");
@@ -31,7 +31,11 @@
         accepted++;
     }
 
-    /** Counts a request that was served, and the time from its acceptance to its response, ns. */
+    /**
+     * Counts a request that was served.
+     *
+     * @param latencyNs the time from the acceptance of the request to its response, ns
+     */
     void served(long latencyNs) {
         served++;
         totalLatencyNs += latencyNs;
@@ -39,8 +43,8 @@
     }
 
     /**
-     * Counts a request that the router rejected. Calls that are rejected before the router, at the
-     * dispatcher's own bounds or while it shuts down, are not counted.
+     * Counts a request that the router rejected. Calls that are rejected before they reach the
+     * router, because of the dispatcher's own bounds or a shutdown, are not counted.
      */
     void rejected() {
         rejected++;
@@ -56,29 +60,34 @@
         cancelled++;
     }
 
-    /** Counts a call that was no valid request, or one above the bound of its connection. */
+    /** Counts a call that was invalid or exceeded the number of open calls of its connection. */
     void invalid() {
         invalid++;
     }
 
-    /** Counts an attempt that ended. */
-    @SuppressWarnings("EnumOrdinal") // Index of an array of this program run, stored nowhere.
+    /** Counts an attempt that ended, by its outcome. */
+    @SuppressWarnings("EnumOrdinal") // Indexes an array in memory; ordinals are never stored.
     void attemptEnded(AttemptOutcome outcome) {
         attemptOutcomes[outcome.ordinal()]++;
     }
 
-    /** Notes how late a timer was, ns: how long the I/O thread was busy or had no processor. */
+    /**
+     * Records how late a timer fired. A large lag means that the I/O thread was busy or was not
+     * scheduled on a processor.
+     *
+     * @param lagNs the time from the due time to the call, ns
+     */
     void timerLag(long lagNs) {
         maxTimerLagNs = Math.max(maxTimerLagNs, lagNs);
     }
 
     /**
-     * Writes the second's line and begins the next.
+     * Logs the counts and resets them.
      *
-     * @param openRequests requests without a final response
-     * @param clientConnections connections from clients
-     * @param endpointSummary each endpoint's connections and attempts; called if the line is
-     *     written
+     * @param openRequests the number of requests without a final response
+     * @param clientConnections the number of connections from clients
+     * @param endpointSummary supplies the connections and attempts of each endpoint; called only if
+     *     the line is logged
      */
     void logAndReset(int openRequests, int clientConnections, Supplier<String> endpointSummary) {
         if (LOG.isDebugEnabled()) {
--- a/src/main/java/brooklock/platform/EndpointConnectFunction.java
+++ b/src/main/java/brooklock/platform/EndpointConnectFunction.java
@@ -4,17 +4,17 @@
 import java.net.InetSocketAddress;
 import java.util.function.Consumer;
 
-/** Makes connections to endpoints. Called on the I/O thread. */
+/** Opens connections to endpoints. Called on the I/O thread. */
 interface EndpointConnectFunction {
     /**
-     * Begins to connect. Calls one of the two consumers later, once and on the I/O thread, unless
-     * it is cancelled before.
+     * Starts opening a connection and returns immediately. Exactly one of the two consumers is called
+     * later on the I/O thread, unless the connection is cancelled before.
      *
-     * @param address where to connect
-     * @param timeoutNs time for the connection to come up, ns
-     * @param onConnected takes the connection
-     * @param onFailed takes the reason, for the log
-     * @return cancels it
+     * @param address the address to connect to
+     * @param timeoutNs the time within which the connection must be established, ns
+     * @param onConnected called with the established connection
+     * @param onFailed called with the reason of the failure, for the log
+     * @return a task that cancels the pending connection
      */
     Runnable connect(
             InetSocketAddress address,
--- a/src/main/java/brooklock/platform/EndpointConnection.java
+++ b/src/main/java/brooklock/platform/EndpointConnection.java
@@ -10,19 +10,19 @@
 import java.util.Set;
 
 /**
- * One connection to an endpoint. Owned by the I/O thread.
+ * A connection to an endpoint. Not thread-safe; owned by the I/O thread.
  *
- * <p>It is idle while nothing is in flight, busy while something is, and closed at the end. It
- * closes when the endpoint closes it, when its bytes can't be read, when the rest of a frame stays
- * away, when its only attempt is cancelled, or when the pool closes it while it is idle. Every
- * attempt in flight ends with it. A response to a cancelled attempt is read and dropped.
+ * <p>A connection is idle while no attempt is in flight and busy otherwise. It closes when the
+ * endpoint closes it, when its input is malformed, when the remainder of a frame does not arrive in
+ * time, when its only attempt is cancelled, or when the pool closes it while it is idle. All attempts
+ * in flight end when their connection closes. A response to a cancelled attempt is read and dropped.
  */
 final class EndpointConnection implements RawConnection.EventListener {
-    // Longest that the rest of a frame may stay away, ns: several times the gaps of the slowest
-    // transfer. Without it a half response would hold its attempt until the deadline.
+    // Maximum time between two reads within a frame, ns: several times the gaps of the slowest
+    // transfer. Without it the attempt of an incomplete response would wait until its deadline.
     private static final long FRAME_STALL_TIMEOUT_NS = 1_500_000_000L;
-    // With more cancelled ids the connection takes no new attempts: the ids are kept as long as it
-    // lives.
+    // A connection with this many cancelled ids accepts no new attempts: the ids are kept until it
+    // closes and would otherwise use memory without bound.
     private static final int MAX_CANCELLED_IDS = 256;
     private static final byte[] NO_BODY = {};
 
@@ -30,7 +30,8 @@
     private final RawConnection transport;
     private final FrameDecoder decoder = new FrameDecoder();
     private final Map<Long, Attempt> attemptsInFlight = new HashMap<>();
-    // A late response to a cancelled id must not be taken for that of a later attempt.
+    // The ids of cancelled attempts. They are not used again on this connection: a late response to
+    // a cancelled attempt would be mistaken for that of a later attempt with the same id.
     private final Set<Long> cancelledIds = new HashSet<>();
     private long idleSinceNs;
 
@@ -49,15 +50,19 @@
         return attemptsInFlight.size();
     }
 
-    /** Returns since when it has been idle, as a reading of {@link System#nanoTime}. */
+    /**
+     * Returns when the connection was opened or the last response was received, as a {@link
+     * System#nanoTime} reading. Meaningful while the connection is idle.
+     */
     long idleSinceNs() {
         return idleSinceNs;
     }
 
     /**
-     * Returns whether an attempt of a request may be written here.
+     * Returns whether an attempt of a request may be sent on this connection.
      *
-     * @param maxInFlight attempts that may be in flight on one connection
+     * @param request the request
+     * @param maxInFlight maximum number of attempts in flight on one connection
      */
     boolean canCarry(PendingRequest request, int maxInFlight) {
         long id = request.clientRequest().id();
@@ -69,7 +74,7 @@
                 && !request.hasUsed(this);
     }
 
-    /** Writes an attempt's request frame. */
+    /** Writes the request frame of an attempt and marks the attempt as in flight. */
     void send(Attempt attempt, ByteBuffer frame) {
         attempt.start(this);
         attemptsInFlight.put(attempt.clientRequest().id(), attempt);
@@ -77,8 +82,9 @@
     }
 
     /**
-     * Cancels an attempt that has ended. A connection that carries nothing else is closed: what it
-     * still brings is of no use, and a silent endpoint can't be distinguished from a slow one.
+     * Cancels an attempt that has ended. If no other attempt is in flight the connection is closed:
+     * its remaining input is of no use, and a silent endpoint cannot be distinguished from a slow
+     * one.
      */
     void cancel(Attempt attempt) {
         long id = attempt.clientRequest().id();
@@ -93,7 +99,7 @@
         }
     }
 
-    /** Closes it at once. */
+    /** Closes the connection immediately. */
     void close() {
         transport.close();
         pool.remove(this);
@@ -134,7 +140,7 @@
 
     @Override
     public void onTimeout() {
-        fail("the rest of a frame did not come");
+        fail("the rest of a frame did not come within " + FRAME_STALL_TIMEOUT_NS + " ns");
     }
 
     @Override
@@ -142,8 +148,8 @@
         fail(reason);
     }
 
-    // The attempt whose response was being read failed by what the endpoint sent; the others only
-    // lost their connection.
+    // Ends all attempts in flight. The attempt whose response is partially received ends as an error
+    // of the endpoint; the others have only lost their connection and end as reset.
     private void fail(String reason) {
         Attempt receiving = decoder.inFrame() ? attemptsInFlight.get(decoder.id()) : null;
         close();
--- a/src/main/java/brooklock/platform/EndpointConnectionPool.java
+++ b/src/main/java/brooklock/platform/EndpointConnectionPool.java
@@ -12,20 +12,21 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The connections to one endpoint and the attempts that wait for one. Owned by the I/O thread.
+ * A pool of connections to one endpoint, with a queue of attempts that wait for a connection. Not
+ * thread-safe; owned by the I/O thread.
  *
- * <p>A connection carries one attempt while more connections may be opened, so that a broken one
- * takes little with it; only when no more may be opened, or when a new one is slow to come up, do
- * attempts share. The HTTP dispatcher's pool stays apart for that reason: its connections carry one
- * request at a time and never share.
+ * <p>A connection carries one attempt at a time while more connections may be opened, so that few
+ * attempts are lost when a connection breaks. Attempts share a connection only when no more may be
+ * opened or when a new connection is slow to be established. The HTTP dispatcher therefore has a pool
+ * of its own: its connections carry one request at a time and are never shared.
  *
- * <p>A connection is on its way ({@link ConnectionOpener}), then busy or idle, then closed. A pool
- * is in use until it is {@linkplain #retire retired}: from then on it starts nothing new, and its
- * connections close as they become idle.
+ * <p>A connection is pending ({@link ConnectionOpener}) at first, then busy or idle, and finally
+ * closed. A pool is in use until it is {@linkplain #retire retired}; from then on it starts no
+ * attempts, and its connections close as they become idle.
  */
 final class EndpointConnectionPool implements ConnectionOpener.Listener {
     private static final Logger LOG = LoggerFactory.getLogger(EndpointConnectionPool.class);
-    // Attempts that may wait for a connection; further ones fail as not connected.
+    // Maximum number of attempts that wait for a connection; more fail as not connected.
     private static final int MAX_QUEUED_ATTEMPTS = 1024;
 
     private final String endpointName;
@@ -42,11 +43,11 @@
     /**
      * Creates a pool without connections.
      *
-     * @param endpointName the endpoint's name, for the log
-     * @param address where it listens
-     * @param settings what holds for the connections to every endpoint
-     * @param budget says whether one more connection may be opened
-     * @param attemptHandler makes the attempts' frames and takes their results
+     * @param endpointName the name of the endpoint, for the log
+     * @param address the address of the endpoint
+     * @param settings the settings of the connections to endpoints
+     * @param budget decides whether one more connection may be opened
+     * @param attemptHandler encodes attempts and receives their results
      */
     EndpointConnectionPool(
             String endpointName,
@@ -63,8 +64,8 @@
     }
 
     /**
-     * Sends an attempt: on an idle connection, else on a new one, else on the one with the fewest
-     * attempts in flight.
+     * Sends an attempt on an idle connection, or else on a new one, or, if no more may be opened, on
+     * the one with the fewest attempts in flight.
      */
     void send(Attempt attempt) {
         EndpointConnection free = selectConnection(attempt);
@@ -78,16 +79,16 @@
         }
     }
 
-    // A connection that was taken from the idle ones for an attempt that does not start goes back
-    // to them.
+    // Returns the connection to the idle ones if the attempt does not start; otherwise it would be
+    // lost to the pool.
     private void startOrRelease(Attempt attempt, EndpointConnection connection) {
         if (!start(attempt, connection) && connection.inFlight() == 0) {
             onIdle(connection);
         }
     }
 
-    // The frame is made at this moment, so that it promises the endpoint only the time that is
-    // left, and an attempt whose grounds have changed while it waited goes back to the router.
+    // Encodes the frame only now, so that its time limit excludes the time spent in the queue, and
+    // so that an attempt is returned to the router if its list entries have changed meanwhile.
     private boolean start(Attempt attempt, EndpointConnection connection) {
         Optional<ByteBuffer> frame = attemptHandler.startFrame(attempt);
         if (frame.isEmpty()) {
@@ -160,7 +161,10 @@
                 attempt, AttemptResult.withoutResponse(AttemptOutcome.CONNECT_FAILED));
     }
 
-    /** Gives a connection that has nothing in flight the attempts that wait, or keeps it idle. */
+    /**
+     * Called when a connection has no attempts in flight. Starts the next queued attempt on it, or
+     * keeps it as idle; a retired pool closes it.
+     */
     void onIdle(EndpointConnection connection) {
         for (Attempt attempt = queue.peek();
                 attempt != null && connection.canCarry(attempt.request(), maxInFlight);
@@ -177,29 +181,29 @@
         }
     }
 
-    /** Takes the result of an attempt that was in flight. */
+    /** Called with the result of an attempt that was in flight. */
     void onCompleted(Attempt attempt, AttemptResult result) {
         attemptHandler.onCompleted(attempt, result);
     }
 
-    /** Forgets a connection that has closed. */
+    /** Removes a connection that has closed. */
     void remove(EndpointConnection connection) {
         connections.remove(connection);
         idleConnections.remove(connection);
         openConnections();
     }
 
-    /** Returns the attempts that wait for a connection; a copy. */
+    /** Returns a copy of the queue of attempts that wait for a connection. */
     List<Attempt> queuedAttempts() {
         return List.copyOf(queue);
     }
 
-    /** Forgets an attempt that waits for a connection. */
+    /** Removes an attempt from the queue. */
     void dequeue(Attempt attempt) {
         queue.remove(attempt);
     }
 
-    /** Returns how many connections there are, those on their way included. */
+    /** Returns the number of connections, including pending ones. */
     int connectionCount() {
         return connections.size() + opener.pendingCount();
     }
@@ -210,9 +214,9 @@
     }
 
     /**
-     * Closes connections that have been idle since before a time.
+     * Closes the connections that became idle before the specified time.
      *
-     * @param idleBeforeNs a reading of {@link System#nanoTime}
+     * @param idleBeforeNs the time as a {@link System#nanoTime} reading
      */
     void closeIdleSince(long idleBeforeNs) {
         for (EndpointConnection connection = idleConnections.peekLast();
@@ -223,9 +227,9 @@
     }
 
     /**
-     * Starts nothing new from now on, since the endpoint has left the list or has moved: its
-     * address may soon be another's. Attempts in flight go on; those that wait fail as not
-     * connected.
+     * Stops starting attempts, since the endpoint has left the list or has another address, and its
+     * address may soon belong to another endpoint. Attempts in flight continue; queued ones fail as
+     * not connected.
      */
     void retire() {
         retired = true;
@@ -240,12 +244,12 @@
         }
     }
 
-    /** Returns whether the pool's connections lead to this address. */
+    /** Returns whether the pool connects to the specified address. */
     boolean hasAddress(InetSocketAddress candidate) {
         return address.equals(candidate);
     }
 
-    /** Returns {@code name=connections/in flight/queued}, for the log. */
+    /** Returns a summary for the log: {@code name=connections/in flight/queued}. */
     String summary() {
         int inFlight = 0;
         for (EndpointConnection connection : connections) {
@@ -257,8 +261,8 @@
     /**
      * Logs that a connection failed.
      *
-     * @param reason what happened
-     * @param attempts how many attempts it concerned
+     * @param reason the reason of the failure
+     * @param attempts the number of attempts that were in flight on it or waited for it
      */
     void logFailure(String reason, int attempts) {
         if (LOG.isDebugEnabled()) {
--- a/src/main/java/brooklock/platform/EndpointConnectionPools.java
+++ b/src/main/java/brooklock/platform/EndpointConnectionPools.java
@@ -5,14 +5,14 @@
 import java.util.Map;
 
 /**
- * The connection pools of all endpoints and the descriptors that they share. Owned by the I/O
- * thread.
+ * The connection pools of all endpoints, which share a fixed number of file descriptors. Not
+ * thread-safe; owned by the I/O thread.
  *
- * <p>Each endpoint may have its part of the descriptors, within bounds. When all are in use, a new
- * connection takes the place of the one that has been idle for longest, wherever it leads.
+ * <p>Each endpoint may use an equal share of the descriptors, within bounds. When all descriptors are
+ * in use, a new connection replaces the one that has been idle for longest, in whichever pool it is.
  */
 final class EndpointConnectionPools implements ConnectionBudget {
-    // Bounds on the connections to one endpoint, however many endpoints share the descriptors.
+    // Bounds of an endpoint's share, for lists of very few or very many endpoints.
     private static final int MAX_CONNECTIONS_PER_ENDPOINT = 48;
     private static final int MIN_CONNECTIONS_PER_ENDPOINT = 2;
 
@@ -28,7 +28,7 @@
         this.attemptHandler = attemptHandler;
     }
 
-    /** Returns the pool of an endpoint; makes it if there is none. */
+    /** Returns the pool of an endpoint and creates it if there is none. */
     EndpointConnectionPool getOrCreate(EndpointTable.Entry endpoint) {
         EndpointConnectionPool pool = poolsById.get(endpoint.id());
         if (pool == null) {
@@ -45,12 +45,12 @@
         return poolsById.get(endpointId);
     }
 
-    /** Returns all pools; a copy. */
+    /** Returns a copy of the list of all pools. */
     List<EndpointConnectionPool> all() {
         return List.copyOf(poolsById.values());
     }
 
-    /** Retires the pools of endpoints that have left the list or have another address in it. */
+    /** Retires the pools of endpoints that have left the list or whose address has changed. */
     void retireOutdated() {
         for (EndpointTable.Entry entry : table.all()) {
             EndpointConnectionPool pool = poolsById.get(entry.id());
@@ -66,7 +66,7 @@
         all().forEach(EndpointConnectionPool::retire);
     }
 
-    /** Closes connections that have been idle for too long. */
+    /** Closes the connections that have been idle for longer than the idle timeout. */
     void closeIdle() {
         long idleBeforeNs = System.nanoTime() - settings.idleTimeoutNs();
         for (EndpointConnectionPool pool : poolsById.values()) {
@@ -112,7 +112,7 @@
         return longest;
     }
 
-    /** Returns the summaries of all pools, for the log. */
+    /** Returns the summaries of all pools, each followed by a blank, for the log. */
     String summary() {
         StringBuilder out = new StringBuilder();
         for (EndpointConnectionPool pool : poolsById.values()) {
--- a/src/main/java/brooklock/platform/EndpointConnector.java
+++ b/src/main/java/brooklock/platform/EndpointConnector.java
@@ -8,12 +8,13 @@
 import java.util.function.Predicate;
 
 /**
- * Carries attempts to the endpoints of the list: caches, parents and the origin. Owned by the I/O
- * thread, which also owns the endpoint list.
+ * Sends attempts to the endpoints of the list: caches, parents and the origin. Not thread-safe; owned
+ * by the I/O thread, which also owns the endpoint list. {@link #start} must be called before any
+ * other method.
  *
- * <p>An attempt that waits for a connection is sent as it was decided or not at all. When the list
- * entry of its endpoint or fill source changes, or its object is purged, it goes back to the router
- * as {@link AttemptOutcome#NOT_STARTED} and is decided anew.
+ * <p>A queued attempt is sent only if the state that the router decided on is still valid. When the
+ * list entry of its endpoint or fill source changes, or when its object is purged, the attempt ends
+ * as {@link AttemptOutcome#NOT_STARTED} and the router decides again.
  */
 final class EndpointConnector implements AttemptTransport, AttemptHandler {
     private static final long SWEEP_INTERVAL_NS = 1_000_000_000L;
@@ -28,7 +29,7 @@
      * Creates a connector without connections.
      *
      * @param table the endpoint list
-     * @param settings what holds for the connections to every endpoint
+     * @param settings the settings of the connections to endpoints
      */
     EndpointConnector(EndpointTable table, ConnectionSettings settings) {
         loop = settings.loop();
@@ -37,9 +38,10 @@
     }
 
     /**
-     * Begins to serve an executor.
+     * Sets the executor and starts the periodic removal of idle connections and of endpoints that
+     * have left the list.
      *
-     * @param requestExecutor takes the results of attempts
+     * @param requestExecutor receives the results of attempts
      */
     void start(RequestExecutor requestExecutor) {
         executor = requestExecutor;
@@ -55,7 +57,10 @@
         loop.schedule(SWEEP_INTERVAL_NS, this::sweep);
     }
 
-    /** Takes a change of the endpoint list and hands it to the router. */
+    /**
+     * Applies an update of the endpoint list, submits it to the router and returns the queued
+     * attempts whose list entries have changed.
+     */
     void onListUpdate(DiscoveryEvent.EndpointListUpdate update) {
         EndpointListReceived list = table.apply(update);
         pools.retireOutdated();
@@ -64,9 +69,10 @@
     }
 
     /**
-     * Takes a purge that the router has taken.
+     * Returns the queued attempts of purged objects to the router. Must be called after the purge has
+     * been submitted to the router, which then decides with the purge taken into account.
      *
-     * @param objectId the object; 0 means all objects of the group
+     * @param objectId the id of the purged object; 0 for all objects of the group
      * @param group the purge group
      */
     void onPurge(long objectId, int group) {
@@ -96,13 +102,13 @@
                 && attempt.wasDecidedOn(endpoint.listing(), source.listing());
     }
 
-    /** Closes idle connections at once and the others as they become idle. */
+    /** Closes idle connections immediately and the others as they become idle. */
     void close() {
         closed = true;
         pools.retireAll();
     }
 
-    /** Returns each endpoint's connections and attempts, for the log. */
+    /** Returns the connections and attempts of each endpoint, for the log. */
     String summary() {
         return pools.summary();
     }
@@ -112,7 +118,8 @@
         EndpointTable.Entry endpoint = table.get(attempt.decision().endpoint());
         EndpointTable.Entry source = table.get(attempt.decision().fillSource());
         if (endpoint == null || source == null || endpoint.isGone()) {
-            // It left after the router chose it; the router's event of that is still queued.
+            // The endpoint left the list after the router chose it; the router has not processed
+            // that update yet.
             onCompleted(attempt, AttemptResult.withoutResponse(AttemptOutcome.CONNECT_FAILED));
             return;
         }
--- a/src/main/java/brooklock/platform/EndpointTable.java
+++ b/src/main/java/brooklock/platform/EndpointTable.java
@@ -15,17 +15,17 @@
 import java.util.zip.CRC32;
 
 /**
- * The endpoint list, by name and by the id under which the router knows each endpoint. Pure; owned
- * by the I/O thread.
+ * The endpoint list of the discovery service, indexed by name and by the router's endpoint id.
+ * Performs no I/O; not thread-safe; owned by the I/O thread.
  *
- * <p>An id is the checksum of the name, so that all dispatchers hash alike, also after a restart.
- * If two names have the same checksum, which is not expected, the one that comes later gets the
- * next free id; another dispatcher may give it another.
+ * <p>The id of an endpoint is the checksum of its name, so that all dispatchers hash objects to the
+ * same endpoints, also after a restart. If two names have the same checksum, which is not expected,
+ * the later one gets the next free id, and dispatchers may then differ in the id of that endpoint.
  */
 final class EndpointTable {
     private static final long MAX_ID = 0xffffffffL;
 
-    /** An endpoint as the list has it. */
+    /** An endpoint of the list. Mutable; modified by the enclosing table only. */
     static final class Entry {
         private final String name;
         private final long id;
@@ -42,22 +42,22 @@
             return name;
         }
 
-        /** Returns the router's id of it. */
+        /** Returns the router's id of the endpoint. */
         long id() {
             return id;
         }
 
-        /** Returns where it listens. */
+        /** Returns the address on which the endpoint listens. */
         InetSocketAddress address() {
             return address;
         }
 
-        /** Returns it as the router knows it. */
+        /** Returns the entry that the router has received for the endpoint. */
         Endpoint listing() {
             return listing;
         }
 
-        /** Returns whether it has left the list. */
+        /** Returns whether the endpoint has left the list. */
         boolean isGone() {
             return listing.state() == EndpointState.GONE;
         }
@@ -83,10 +83,11 @@
     /**
      * Creates an empty table.
      *
-     * @param zones the names of the zones, by the router's index; empty if there is one zone only
-     * @param kinds the names of the kinds of endpoint, by the router's index
-     * @param toRouterTimeNs turns Unix milliseconds into the router's clock; called once for each
-     *     start of an endpoint, so that later lists name the same time
+     * @param zones the names of the zones in the order of the router's indices; empty if there is
+     *     only one zone
+     * @param kinds the names of the kinds of endpoint in the order of the router's indices
+     * @param toRouterTimeNs converts Unix milliseconds to the router's clock, ns; called once for
+     *     each start of an endpoint, so that all later lists give the router the same start time
      */
     EndpointTable(List<String> zones, List<String> kinds, LongUnaryOperator toRouterTimeNs) {
         this.zones = zones;
@@ -95,10 +96,10 @@
     }
 
     /**
-     * Applies a change of the list. Endpoints of an unknown zone, kind or state, or without a
-     * usable address, are left out.
+     * Applies an update of the list. Endpoints of an unknown zone, kind or state, or without a valid
+     * address, are ignored.
      *
-     * @return the router's event of it
+     * @return the router's event for the update
      */
     EndpointListReceived apply(DiscoveryEvent.EndpointListUpdate update) {
         List<Endpoint> listings = new ArrayList<>();
@@ -121,7 +122,7 @@
                 update.snapshot() ? EndpointListKind.FULL : EndpointListKind.DELTA, listings);
     }
 
-    // The listing of one endpoint, or null if it is left out.
+    // Creates or updates the entry of an endpoint. Returns its listing, or null if it is ignored.
     private Endpoint updateEntry(DiscoveryEvent.Endpoint endpoint) {
         EndpointState state = endpoint.state().orElse(null);
         Entry entry = byName.get(endpoint.name());
@@ -157,7 +158,8 @@
                 : toRouterTimeNs.applyAsLong(startedAtMs);
     }
 
-    // One endpoint that can't be read must not take the others of its list with it.
+    // Returns null for an invalid address instead of throwing: one invalid endpoint must not cause
+    // the rest of its list to be dropped.
     private static InetSocketAddress addressOf(DiscoveryEvent.Endpoint endpoint) {
         try {
             return SocketAddressParser.parse(endpoint.address());
@@ -176,17 +178,17 @@
         return id;
     }
 
-    /** Returns an endpoint by its id, or null if it is not known. */
+    /** Returns the endpoint with the specified id, or null if there is none. */
     Entry get(long id) {
         return byId.get(id);
     }
 
-    /** Returns all endpoints, also those that have left and are not removed yet. */
+    /** Returns all endpoints, including those that have left the list and are not removed yet. */
     Iterable<Entry> all() {
         return byName.values();
     }
 
-    /** Returns how many endpoints have not left. */
+    /** Returns the number of endpoints that have not left the list. */
     int presentCount() {
         int present = 0;
         for (Entry entry : byName.values()) {
@@ -197,7 +199,7 @@
         return present;
     }
 
-    /** Forgets the endpoints that have left. */
+    /** Removes the endpoints that have left the list. */
     void removeGone() {
         for (Iterator<Entry> entries = byName.values().iterator(); entries.hasNext(); ) {
             Entry entry = entries.next();
--- a/src/main/java/brooklock/platform/Frame.java
+++ b/src/main/java/brooklock/platform/Frame.java
@@ -3,12 +3,13 @@
 import java.util.Map;
 
 /**
- * A frame of the protocol between dispatchers and endpoints. Immutable.
+ * A frame of the protocol between dispatchers and endpoints. Immutable; the fields and the body must
+ * not be modified.
  *
- * @param code what it is
- * @param id the id of the request that it belongs to
- * @param fields its fields by their names
- * @param body its body; empty if there is none
+ * @param code the type of the frame, one of the code constants
+ * @param id the id of the request that the frame belongs to
+ * @param fields the values of the fields by name
+ * @param body the body; empty if the frame has none
  */
 @SuppressWarnings("ArrayRecordComponent") // Never compared; a copy of each body would be wasted.
 public record Frame(int code, long id, Map<String, String> fields, byte[] body) {
@@ -18,39 +19,39 @@
     /** First byte of a frame from an endpoint. */
     static final int ENDPOINT_MARK = 90;
 
-    /** Code: a request. */
+    /** Code from a dispatcher: a request. */
     static final int REQUEST = 16;
 
-    /** Code: cancels a request; there is no response. */
+    /** Code from a dispatcher: cancels a request; an endpoint does not respond to it. */
     static final int CANCEL = 17;
 
-    /** Code: served, with the bytes of the object. */
+    /** Code of a response: served; the body contains the bytes of the object. */
     static final int OK = 64;
 
-    /** Code: the client's own copy is current. */
+    /** Code of a response: the client's own copy is current. */
     static final int NOT_MODIFIED = 65;
 
-    /** Code: there is no copy; the request was not executed. */
+    /** Code of a response: the endpoint has no copy; the request was not executed. */
     static final int MISS = 66;
 
-    /** Code: overloaded; the request was not executed. */
+    /** Code of a response: the endpoint is overloaded; the request was not executed. */
     static final int OVERLOADED = 67;
 
-    /** Code: failed; the request may have been executed. */
+    /** Code of a response: failed; the request may have been executed. */
     static final int ERROR = 68;
 
-    /** Code: the request came after its time limit and was not executed. */
+    /** Code of a response: the request arrived after its time limit and was not executed. */
     static final int TOO_LATE = 69;
 
-    /** Code: the connection works. */
+    /** Code from an endpoint: the connection works. */
     static final int HEALTHY = 70;
 
-    /** Length of a header, bytes. */
+    /** Length of a frame header, bytes. */
     static final int HEADER_BYTES = 16;
 
-    /** Longest body, bytes; the protocol's bound of an object. */
+    /** Maximum length of a body, bytes; the protocol's bound on an object. */
     public static final int MAX_BODY_BYTES = 240_000;
 
-    /** Longest fields, bytes; several times what the protocol names. */
+    /** Maximum length of all fields together, bytes; several times what the protocol requires. */
     public static final int MAX_FIELDS_BYTES = 4096;
 }
--- a/src/main/java/brooklock/platform/FrameDecoder.java
+++ b/src/main/java/brooklock/platform/FrameDecoder.java
@@ -8,11 +8,12 @@
 import java.util.zip.CRC32;
 
 /**
- * Decodes frames, incrementally from any cut of bytes. Strict, with every length bounded before
- * memory is taken for it. Pure.
+ * Decodes frames incrementally, from input split at any byte. Rejects everything that is not a valid
+ * frame, and checks every length before memory is allocated for it. Performs no I/O; not thread-safe.
+ * A decoder must not be used again after it has thrown an exception.
  */
 public final class FrameDecoder {
-    /** Length of the checksum that ends a frame, bytes. */
+    /** Length of the checksum at the end of a frame, bytes. */
     static final int CHECKSUM_BYTES = 4;
 
     private final int expectedMark;
@@ -26,17 +27,17 @@
     private boolean fieldsComplete;
     private boolean bodyComplete;
 
-    /** Creates a decoder of what endpoints send. */
+    /** Creates a decoder of frames from endpoints. */
     public FrameDecoder() {
         this(Frame.ENDPOINT_MARK, Frame.OK, Frame.HEALTHY);
     }
 
     /**
-     * Creates a decoder.
+     * Creates a decoder of frames from either side.
      *
-     * @param expectedMark first byte of every frame
-     * @param minCode lowest code that is accepted
-     * @param maxCode highest code that is accepted
+     * @param expectedMark the first byte of every frame
+     * @param minCode the lowest accepted code
+     * @param maxCode the highest accepted code
      */
     FrameDecoder(int expectedMark, int minCode, int maxCode) {
         this.expectedMark = expectedMark;
@@ -45,10 +46,11 @@
     }
 
     /**
-     * Reads up to the end of one frame.
+     * Decodes the next frame. Reads at most one frame from the buffer. Bytes of an incomplete header
+     * or checksum remain in the buffer and must precede the new bytes in the next call.
      *
      * @return the next frame, or null if more bytes are needed
-     * @throws MalformedMessageException if the bytes are none
+     * @throws MalformedMessageException if the input is not a valid frame
      */
     public Frame next(ByteBuffer in) throws MalformedMessageException {
         in.order(ByteOrder.BIG_ENDIAN);
@@ -64,7 +66,13 @@
         checksum.update(fields.bytes());
         checksum.update(body.bytes());
         if (in.getInt() != (int) checksum.getValue()) {
-            throw new MalformedMessageException("the checksum does not match");
+            throw new MalformedMessageException(
+                    "the checksum does not match: expected 0x"
+                            + Integer.toHexString((int) checksum.getValue())
+                            + " in the frame of code "
+                            + code
+                            + " but received 0x"
+                            + Integer.toHexString(in.getInt(in.position() - CHECKSUM_BYTES)));
         }
         Frame frame = new Frame(code, id, parseFields(fields.bytes()), body.bytes());
         inFrame = false;
@@ -83,12 +91,30 @@
         long bodyBytes = in.getInt() & 0xffffffffL;
         id = in.getLong();
         if (mark != expectedMark || code < minCode || code > maxCode) {
-            throw new MalformedMessageException("no header: mark " + mark + ", code " + code);
+            throw new MalformedMessageException(
+                    "no header: expected mark "
+                            + expectedMark
+                            + " and a code from "
+                            + minCode
+                            + " to "
+                            + maxCode
+                            + " but received mark "
+                            + mark
+                            + " and code "
+                            + code);
         }
         inFrame = true;
         if (fieldBytes > Frame.MAX_FIELDS_BYTES || bodyBytes > Frame.MAX_BODY_BYTES) {
             throw new MalformedMessageException(
-                    "a frame of " + fieldBytes + " and " + bodyBytes + " bytes");
+                    "expected a frame header with at most "
+                            + Frame.MAX_FIELDS_BYTES
+                            + " bytes of fields and "
+                            + Frame.MAX_BODY_BYTES
+                            + " bytes of body but received lengths of "
+                            + fieldBytes
+                            + " and "
+                            + bodyBytes
+                            + " bytes");
         }
         fields = new ByteAccumulator(fieldBytes);
         body = new ByteAccumulator((int) bodyBytes);
@@ -97,20 +123,21 @@
         return true;
     }
 
-    /** Returns whether a frame has begun and not ended. */
+    /** Returns whether the header of a frame has been decoded but the frame is incomplete. */
     public boolean inFrame() {
         return inFrame;
     }
 
-    /** Returns the id of the frame that has begun. */
+    /** Returns the id of the frame whose header was decoded last. */
     public long id() {
         return id;
     }
 
     /**
-     * Parses fields, {@code name=value,name=value}.
+     * Parses fields of the form {@code name=value,name=value}.
      *
-     * @throws MalformedMessageException if a field has no name or comes twice
+     * @return the values by name
+     * @throws MalformedMessageException if a field has no name or no value, or occurs twice
      */
     static Map<String, String> parseFields(byte[] text) throws MalformedMessageException {
         Map<String, String> out = new HashMap<>();
@@ -122,7 +149,11 @@
             if (separator <= 0
                     || out.put(pair.substring(0, separator), pair.substring(separator + 1))
                             != null) {
-                throw new MalformedMessageException("fields that can't be read");
+                throw new MalformedMessageException(
+                        "expected distinct fields of the form name=value but received a malformed or"
+                                + " repeated one of "
+                                + pair.length()
+                                + " characters");
             }
         }
         return out;
--- a/src/main/java/brooklock/platform/FrameEncoder.java
+++ b/src/main/java/brooklock/platform/FrameEncoder.java
@@ -4,23 +4,30 @@
 import java.nio.charset.StandardCharsets;
 import java.util.zip.CRC32;
 
-/** Encodes frames. Pure. */
+/** Encodes frames. Stateless and thread-safe. */
 final class FrameEncoder {
     private FrameEncoder() {}
 
-    /** Encodes a frame of a dispatcher. */
+    /**
+     * Encodes a frame from a dispatcher.
+     *
+     * @param code the type of the frame
+     * @param id the id of the request that the frame belongs to
+     * @param fields the fields in the form {@code name=value,name=value}; empty for none
+     * @param body the body; empty for none
+     */
     static ByteBuffer encode(int code, long id, String fields, byte[] body) {
         return encode(Frame.DISPATCHER_MARK, code, id, fields, body);
     }
 
     /**
-     * Encodes a frame of either side.
+     * Encodes a frame from either side.
      *
-     * @param mark first byte of the frame
-     * @param code what it is
-     * @param id the id of the request that it belongs to
-     * @param fields its fields as they go on the wire
-     * @param body its body
+     * @param mark the first byte of the frame
+     * @param code the type of the frame
+     * @param id the id of the request that the frame belongs to
+     * @param fields the fields in the form {@code name=value,name=value}; empty for none
+     * @param body the body; empty for none
      */
     static ByteBuffer encode(int mark, int code, long id, String fields, byte[] body) {
         byte[] fieldBytes = fields.getBytes(StandardCharsets.ISO_8859_1);
--- a/src/main/java/brooklock/platform/InvalidAddressException.java
+++ b/src/main/java/brooklock/platform/InvalidAddressException.java
@@ -1,6 +1,6 @@
 package brooklock.platform;
 
-/** A text that is no address; the message says why. */
+/** Thrown when a text is not a valid socket address. The message states the reason. */
 final class InvalidAddressException extends Exception {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/brooklock/platform/InvalidConfigurationException.java
+++ b/src/main/java/brooklock/platform/InvalidConfigurationException.java
@@ -2,7 +2,7 @@
 
 import java.io.IOException;
 
-/** A text that is no configuration; the message says why. */
+/** Thrown when a text is not a valid configuration. The message states the reason. */
 final class InvalidConfigurationException extends IOException {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/brooklock/platform/InvalidRequestException.java
+++ b/src/main/java/brooklock/platform/InvalidRequestException.java
@@ -1,14 +1,14 @@
 package brooklock.platform;
 
 /**
- * A call that is read but is no valid request; the message says why. It is answered with an error
- * and costs its connection nothing, unless the client sends too many.
+ * Thrown when a well-formed call is not a valid request. The message states the reason. The call is
+ * answered with an error; its connection stays open unless the client sends too many invalid calls.
  */
 final class InvalidRequestException extends Exception {
     private static final long serialVersionUID = 1L;
 
     InvalidRequestException(String message) {
-        // Without a stack trace: clients cause these, and filling it in takes time.
+        // No stack trace: clients can trigger this exception at any rate, and a trace is expensive.
         super(message, null, false, false);
     }
 }
--- a/src/main/java/brooklock/platform/MalformedMessageException.java
+++ b/src/main/java/brooklock/platform/MalformedMessageException.java
@@ -1,14 +1,14 @@
 package brooklock.platform;
 
 /**
- * Bytes that are no message of the protocol; the message says why. Where the next message begins is
- * unknown from then on, so the connection has to be closed.
+ * Thrown when input is not a valid message of its protocol. The message states the reason. The
+ * connection must be closed, because the start of the next message in its input is unknown.
  */
 public final class MalformedMessageException extends Exception {
     private static final long serialVersionUID = 1L;
 
     MalformedMessageException(String message) {
-        // Without a stack trace: peers cause these, and filling it in takes time.
+        // No stack trace: peers can trigger this exception at any rate, and a trace is expensive.
         super(message, null, false, false);
     }
 }
--- a/src/main/java/brooklock/platform/MessagePackFormat.java
+++ b/src/main/java/brooklock/platform/MessagePackFormat.java
@@ -1,23 +1,23 @@
 package brooklock.platform;
 
-/** The formats of MessagePack: the first byte of each token, by the names of its specification. */
+/** The first byte of each MessagePack format, named as in the MessagePack specification. */
 final class MessagePackFormat {
-    /** Highest first byte that is a small number itself. */
+    /** Highest first byte that encodes a small non-negative integer by itself. */
     static final int MAX_POSITIVE_FIXINT = 0x7f;
 
-    /** Lowest first byte that is a small negative number itself. */
+    /** Lowest first byte that encodes a small negative integer by itself. */
     static final int MIN_NEGATIVE_FIXINT = 0xe0;
 
-    /** A map; its size in the low bits. */
+    /** A map with its size in the low bits. */
     static final int FIXMAP = 0x80;
 
-    /** An array; its size in the low bits. */
+    /** An array with its size in the low bits. */
     static final int FIXARRAY = 0x90;
 
-    /** A text; its length in the low bits. */
+    /** A text with its length in the low bits. */
     static final int FIXSTR = 0xa0;
 
-    /** Longest text of format {@link #FIXSTR}, bytes. */
+    /** Maximum length of a text in format {@link #FIXSTR}, bytes. */
     static final int MAX_FIXSTR_BYTES = 31;
 
     static final int NIL = 0xc0;
--- a/src/main/java/brooklock/platform/MessagePackReader.java
+++ b/src/main/java/brooklock/platform/MessagePackReader.java
@@ -45,12 +45,15 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Reads MessagePack token by token, incrementally from any cut of bytes. Strict: texts are UTF-8,
- * lengths within the bound that the caller states, and extension types are not accepted. The
- * formats are those of {@link MessagePackFormat}. Pure.
+ * Reads MessagePack token by token, from input split at any byte. Texts must be UTF-8, texts and byte
+ * strings are bounded in length, and extension types are rejected. The formats are those of {@link
+ * MessagePackFormat}. Performs no I/O; not thread-safe.
+ *
+ * <p>After {@link #next} has returned true, {@link #tokenType} and the accessor of that type describe
+ * the token.
  */
 final class MessagePackReader {
-    /** The kinds of token. */
+    /** The types of token. */
     enum TokenType {
         NIL,
         BOOL,
@@ -72,17 +75,19 @@
     /**
      * Creates a reader.
      *
-     * @param maxPayloadBytes longest text or byte string, bytes
+     * @param maxPayloadBytes maximum length of a text or byte string, bytes
      */
     MessagePackReader(int maxPayloadBytes) {
         this.maxPayloadBytes = maxPayloadBytes;
     }
 
     /**
-     * Reads one token. A head of which bytes are missing stays in the buffer.
+     * Reads the next token. Bytes of an incomplete token head remain in the buffer and must precede
+     * the new bytes in the next call.
      *
-     * @return whether there is a token; else more bytes are needed
-     * @throws MalformedMessageException if the bytes are no token that is accepted
+     * @return true if a token was read; false if more bytes are needed
+     * @throws MalformedMessageException if the input is not a token, is too long, or has a format
+     *     that is not accepted
      */
     boolean next(ByteBuffer in) throws MalformedMessageException {
         in.order(ByteOrder.BIG_ENDIAN);
@@ -123,7 +128,7 @@
         return true;
     }
 
-    // Bytes of a head after its first.
+    // Returns the number of bytes that follow the first byte of a token head.
     private static int extraHeadBytes(int format) throws MalformedMessageException {
         return switch (format) {
             case BIN8, UINT8, INT8, STR8 -> 1;
@@ -132,7 +137,9 @@
             case FLOAT64, UINT64, INT64 -> 8;
             case NEVER_USED, EXT8, EXT16, EXT32, FIXEXT1, FIXEXT2, FIXEXT4, FIXEXT8, FIXEXT16 ->
                     throw new MalformedMessageException(
-                            "a token that has no place here: 0x" + Integer.toHexString(format));
+                            "expected a MessagePack format other than 0xc1 and the extension types"
+                                    + " but received 0x"
+                                    + Integer.toHexString(format));
             default -> 0;
         };
     }
@@ -167,7 +174,9 @@
 
     private void readUnsigned(long number) throws MalformedMessageException {
         if (number < 0) {
-            throw new MalformedMessageException("a number above 2^63");
+            throw new MalformedMessageException(
+                    "expected an unsigned integer of at most 2^63 - 1 but received "
+                            + Long.toUnsignedString(number));
         }
         setToken(TokenType.INT, number);
     }
@@ -180,38 +189,48 @@
     private void beginPayload(boolean isText, long length) throws MalformedMessageException {
         if (length > maxPayloadBytes) {
             throw new MalformedMessageException(
-                    "a string of " + length + " bytes, more than " + maxPayloadBytes);
+                    "expected a text or byte string of at most "
+                            + maxPayloadBytes
+                            + " bytes but received one of "
+                            + length
+                            + " bytes");
         }
         payloadIsText = isText;
         payload = new ByteAccumulator((int) length);
     }
 
-    /** Returns the kind of the last token. */
+    /** Returns the type of the last token. */
     TokenType tokenType() {
         return tokenType;
     }
 
-    /** Returns a number, 1 for true and 0 for false, or the size of an array or map. */
+    /**
+     * Returns the value of the last token: an integer, 1 for true and 0 for false, the bits of a
+     * floating-point number, or the size of an array or map.
+     */
     long value() {
         return value;
     }
 
-    /** Returns a byte string, or a text as its bytes. */
+    /** Returns the bytes of the last byte string or text, without copying them. */
     byte[] bytes() {
         return bytes;
     }
 
     /**
-     * Returns a text.
+     * Decodes and returns the last text.
      *
-     * @throws MalformedMessageException if it is not UTF-8
+     * @throws MalformedMessageException if its bytes are not valid UTF-8
      */
     String text() throws MalformedMessageException {
         try {
             CharBuffer chars = StandardCharsets.UTF_8.newDecoder().decode(ByteBuffer.wrap(bytes));
             return chars.toString();
         } catch (CharacterCodingException e) {
-            throw new MalformedMessageException("a text that is not UTF-8");
+            throw new MalformedMessageException(
+                    "expected a text in UTF-8 but received "
+                            + bytes.length
+                            + " bytes that are not valid UTF-8");
         }
     }
 }
--- a/src/main/java/brooklock/platform/PendingRequest.java
+++ b/src/main/java/brooklock/platform/PendingRequest.java
@@ -5,10 +5,12 @@
 import java.util.List;
 
 /**
- * A request from its arrival to the end of its last attempt. Owned by the I/O thread.
+ * A client's request, from its acceptance to the end of its last attempt. Not thread-safe; owned by
+ * the I/O thread.
  *
- * <p>It is open until it is completed: by its final response, or by a client that cancels it or
- * disconnects. Attempts in flight may outlive that; the request is finished once none is left.
+ * <p>A request is open until it is completed, either by its final response or because the client
+ * cancels it or disconnects. Attempts may still be in flight at that time; the request is finished
+ * once all of them have ended too.
  */
 final class PendingRequest {
     private final long routingId;
@@ -25,12 +27,12 @@
     /**
      * Creates an open request.
      *
-     * @param routingId the request's id in router events and actions
-     * @param clientRequest what the client sent
-     * @param acceptedAtNs when it was accepted, on the router's clock
-     * @param deadlineNs when the client stops waiting, on the router's clock
-     * @param connection where the response goes
-     * @param messageId the call that the response answers
+     * @param routingId the id of the request in router events and actions
+     * @param clientRequest the request as the client sent it
+     * @param acceptedAtNs the time of its acceptance on the router's clock, ns
+     * @param deadlineNs the time until which the client waits, on the router's clock, ns
+     * @param connection the connection that the response is written to
+     * @param messageId the id of the call that the response answers
      */
     PendingRequest(
             long routingId,
@@ -71,7 +73,12 @@
         return messageId;
     }
 
-    /** Adds an attempt that the router decided. */
+    /**
+     * Adds an attempt.
+     *
+     * @param decision the router's decision
+     * @param nowNs the current time on the router's clock, ns
+     */
     Attempt addAttempt(StartAttempt decision, long nowNs) {
         Attempt attempt = new Attempt(this, attempts.size(), decision, nowNs);
         attempts.add(attempt);
@@ -79,30 +86,31 @@
         return attempt;
     }
 
-    /** Returns the attempt of that index, or null if there is none. */
+    /** Returns the attempt with the specified index, or null if there is none. */
     Attempt attempt(int index) {
         return index < attempts.size() ? attempts.get(index) : null;
     }
 
-    /** Counts the end of one of its attempts. */
+    /** Called when one of the request's attempts has ended. */
     void onAttemptEnded() {
         openAttempts--;
     }
 
-    /** Notes that an attempt was written to a connection. */
+    /** Records that an attempt is sent on a connection. */
     void addUsedConnection(EndpointConnection used) {
         usedConnections.add(used);
     }
 
     /**
-     * Returns whether an attempt was written to this connection. No second one may be: a late
-     * response to the first would be taken for the second's, since both carry the same id.
+     * Returns whether an attempt of this request was sent on a connection. A second attempt must not
+     * use the same connection: both carry the same id, and a late response to the first would be
+     * mistaken for the response to the second.
      */
     boolean hasUsed(EndpointConnection candidate) {
         return usedConnections.contains(candidate);
     }
 
-    /** Marks that its final response is out, or that none is wanted any more. */
+    /** Marks the request as completed: no response will be sent from now on. */
     void complete() {
         completed = true;
     }
@@ -111,7 +119,7 @@
         return completed;
     }
 
-    /** Returns whether nothing of it is left: completed, and no attempt open. */
+    /** Returns whether the request is completed and all of its attempts have ended. */
     boolean isFinished() {
         return completed && openAttempts == 0;
     }
--- a/src/main/java/brooklock/platform/PendingRequestTable.java
+++ b/src/main/java/brooklock/platform/PendingRequestTable.java
@@ -4,14 +4,14 @@
 import java.util.Map;
 
 /**
- * The requests that were accepted and are not finished, and the bounds on them. Owned by the I/O
- * thread.
+ * The requests that have been accepted and are not finished, with bounds on their number and memory.
+ * Not thread-safe; owned by the I/O thread.
  */
 final class PendingRequestTable {
-    // More than one core can serve within a deadline; what comes above it would only wait.
+    // More requests than one core can serve within a deadline; further ones would only time out.
     private static final int MAX_PENDING_REQUESTS = 8192;
-    // The bodies of pending requests may take the heap divided by this; more would leave no room
-    // for responses.
+    // The bodies of pending requests may occupy the heap size divided by this; more would leave too
+    // little memory for responses.
     private static final int BODY_HEAP_DIVISOR = 8;
     private static final long NS_PER_MS = 1_000_000L;
 
@@ -22,12 +22,12 @@
     private long heldBodyBytes;
     private long maxBodyBytes = Runtime.getRuntime().maxMemory() / BODY_HEAP_DIVISOR;
 
-    /** Sets how many bytes the bodies of all pending requests may take together. */
+    /** Sets the maximum number of bytes in the bodies of all pending requests together. */
     void setMaxBodyBytes(long bytes) {
         maxBodyBytes = bytes;
     }
 
-    /** Returns whether one more request fits within the bounds. */
+    /** Returns whether the request can be added within the bounds. */
     boolean hasRoomFor(ClientRequest clientRequest) {
         return openCount < MAX_PENDING_REQUESTS
                 && heldBodyBytes + clientRequest.body().length <= maxBodyBytes;
@@ -36,10 +36,11 @@
     /**
      * Adds a request.
      *
-     * @param clientRequest what the client sent; its id is not {@linkplain #isOpen open}
-     * @param connection where the response goes
-     * @param messageId the call that the response answers
-     * @param nowNs the time on the router's clock
+     * @param clientRequest the request as the client sent it; its id must not be {@linkplain #isOpen
+     *     open}
+     * @param connection the connection that the response is written to
+     * @param messageId the id of the call that the response answers
+     * @param nowNs the current time on the router's clock, ns
      */
     PendingRequest add(
             ClientRequest clientRequest, ClientConnection connection, long messageId, long nowNs) {
@@ -58,28 +59,28 @@
         return request;
     }
 
-    /** Returns the request of that id in router events, or null if it is finished. */
+    /** Returns the request with the specified routing id, or null if it is finished. */
     PendingRequest get(long routingId) {
         return byRoutingId.get(routingId);
     }
 
-    /** Returns the request of that id in router events, or null if it is completed. */
+    /** Returns the request with the specified routing id, or null if it is completed. */
     PendingRequest getOpen(long routingId) {
         PendingRequest request = byRoutingId.get(routingId);
         return request == null || request.isCompleted() ? null : request;
     }
 
-    /** Returns whether a client's request of this id has no final response yet. */
+    /** Returns whether a request with the specified client id has no final response yet. */
     boolean isOpen(long clientId) {
         return openByClientId.containsKey(clientId);
     }
 
-    /** Returns how many requests have no final response yet. */
+    /** Returns the number of requests without a final response. */
     int openCount() {
         return openCount;
     }
 
-    /** Completes an open request; forgets it if no attempt of it is left. */
+    /** Marks an open request as completed and removes it if all of its attempts have ended. */
     void complete(PendingRequest request) {
         request.complete();
         openCount--;
@@ -87,7 +88,7 @@
         removeIfFinished(request);
     }
 
-    /** Forgets a request of which nothing is left. */
+    /** Removes a request if it is finished. */
     void removeIfFinished(PendingRequest request) {
         if (request.isFinished() && byRoutingId.remove(request.routingId()) != null) {
             heldBodyBytes -= request.clientRequest().body().length;
--- a/src/main/java/brooklock/platform/PlatformConfig.java
+++ b/src/main/java/brooklock/platform/PlatformConfig.java
@@ -6,21 +6,22 @@
 import java.util.Map;
 
 /**
- * What the platform gives a dispatcher at its start. Immutable.
+ * The configuration that the platform gives a dispatcher at its start. Immutable.
  *
- * @param name the dispatcher's name
- * @param listenAddress where clients connect
- * @param discoveryAddress where endpoint lists and purges come from
- * @param seed for random numbers
- * @param maxDescriptors descriptors that may be open
- * @param lastSequence number of the last of the initial events
+ * @param name the name of the dispatcher
+ * @param listenAddress the address that clients connect to
+ * @param discoveryAddress the address of the discovery service, which sends endpoint lists and purges
+ * @param seed the seed of random numbers
+ * @param maxDescriptors maximum number of open file descriptors
+ * @param lastSequence the sequence number of the last initial event
  * @param initialEvents the discovery events up to the start
  * @param routerSettings the router's settings
- * @param requestClasses what the dispatcher needs of each class of requests, by its name
- * @param zones the names of the zones, by the router's index
- * @param kinds the names of the kinds of endpoint, by the router's index
- * @param idleTimeoutNs time after which endpoints close idle connections, ns
- * @param maxInFlightPerConnection attempts that one connection to an endpoint may carry
+ * @param requestClasses the rules of each request class by the name of the class
+ * @param zones the names of the zones in the order of the router's indices
+ * @param kinds the names of the kinds of endpoint in the order of the router's indices
+ * @param idleTimeoutNs the time after which endpoints close idle connections, ns
+ * @param maxInFlightPerConnection maximum number of attempts in flight on one connection to an
+ *     endpoint
  */
 record PlatformConfig(
         String name,
--- a/src/main/java/brooklock/platform/PlatformConfigReader.java
+++ b/src/main/java/brooklock/platform/PlatformConfigReader.java
@@ -17,19 +17,22 @@
 import java.util.List;
 import java.util.Map;
 
-/** Reads the platform's configuration file, JSON, whole or not at all. */
+/**
+ * Reads the platform's JSON configuration file. A file with any missing or malformed required field
+ * is rejected as a whole. Stateless and thread-safe.
+ */
 final class PlatformConfigReader {
-    // The fewest descriptors that the platform gives, for a configuration that does not say.
+    // The minimum that the platform guarantees; used if the configuration states no maximum.
     private static final int DEFAULT_MAX_DESCRIPTORS = 256;
     private static final double NS_PER_MS = 1e6;
 
     private PlatformConfigReader() {}
 
     /**
-     * Reads a configuration.
+     * Reads a configuration from a file.
      *
-     * @throws IOException if the file can't be read
-     * @throws InvalidConfigurationException if it is no configuration
+     * @throws IOException if the file cannot be read
+     * @throws InvalidConfigurationException if the file is not a valid configuration
      */
     static PlatformConfig read(Path file) throws IOException {
         return parse(Files.readString(file, StandardCharsets.UTF_8));
@@ -38,14 +41,14 @@
     /**
      * Parses the text of a configuration.
      *
-     * @throws InvalidConfigurationException if it is none
+     * @throws InvalidConfigurationException if the text is not a valid configuration
      */
     static PlatformConfig parse(String text) throws InvalidConfigurationException {
         try {
             return parse(JsonParser.parseString(text).getAsJsonObject());
         } catch (MalformedMessageException | InvalidAddressException | RuntimeException e) {
-            // Gson and the settings' codec report a wrong shape by unchecked exceptions of many
-            // kinds.
+            // Gson and SettingsDecoder report malformed input by unchecked exceptions of several
+            // types.
             throw new InvalidConfigurationException(e);
         }
     }
--- a/src/main/java/brooklock/platform/PlatformDispatcher.java
+++ b/src/main/java/brooklock/platform/PlatformDispatcher.java
@@ -18,22 +18,24 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A dispatcher on the operators' platform: its parts, its start, its new configurations and its
- * end. Everything in it runs on one I/O thread; the public methods may be called from any other.
+ * A dispatcher on the operators' platform. Creates and connects its components, starts them, reloads
+ * the configuration and shuts down. All components run on one I/O thread; the public methods may be
+ * called from any other thread.
  */
 public final class PlatformDispatcher implements Closeable {
     private static final Logger LOG = LoggerFactory.getLogger(PlatformDispatcher.class);
-    // Descriptors that the process itself needs: jars, selectors, the listening socket, the
-    // connection to the discovery service.
+    // File descriptors reserved for the process itself: jars, selectors, the listening socket and
+    // the connection to the discovery service.
     private static final int RESERVED_DESCRIPTORS = 56;
-    // Part of the other descriptors that clients may hold; endpoints have the rest. The protocol
-    // lets clients have a third of all.
+    // Fraction of the other descriptors that clients may use; endpoints use the rest. The protocol
+    // grants clients a third of all descriptors.
     private static final double CLIENT_DESCRIPTOR_FRACTION = 0.5;
-    // Time for which requests are still accepted after SIGTERM, ns: above the 0.6 s for which
-    // clients still send some, and below the 0.7 s that the platform grants beyond the longest
-    // deadline before it kills the process.
+    // Time for which requests are still accepted after SIGTERM, ns. Longer than the 0.6 s for which
+    // clients continue to send requests, and shorter than the 0.7 s that the platform grants beyond
+    // the longest deadline before it kills the process.
     private static final long ACCEPT_AFTER_SHUTDOWN_NS = 650_000_000L;
-    // A configuration that can't be read may be half written: it is read again so often.
+    // A configuration that cannot be read may be partially written; it is read again up to this many
+    // times.
     private static final int MAX_RELOAD_RETRIES = 20;
     private static final long RELOAD_RETRY_DELAY_NS = 100_000_000L;
     private static final long STATS_INTERVAL_NS = 1_000_000_000L;
@@ -84,11 +86,13 @@
     }
 
     /**
-     * Starts a dispatcher: reads the configuration, starts the I/O thread, runs the start-up
-     * warm-up on it, takes the initial discovery events, and listens. It serves once this returns.
+     * Starts a dispatcher: reads the configuration, starts the I/O thread, runs the start-up warm-up
+     * on it, processes the initial discovery events, and listens. The dispatcher serves clients when
+     * this method returns.
      *
-     * @param configFile the platform's configuration
-     * @throws IOException if the configuration can't be read or its address can't be listened on
+     * @param configFile the platform's configuration file
+     * @throws IOException if the configuration cannot be read, or if its address is in use or is not
+     *     a local address
      */
     public static PlatformDispatcher start(Path configFile) throws IOException {
         PlatformConfig config = PlatformConfigReader.read(configFile);
@@ -137,15 +141,16 @@
         }
     }
 
-    /** Returns where clients connect. */
+    /** Returns the address that clients connect to. */
     public InetSocketAddress address() {
         return listeningSocket.address();
     }
 
     /**
-     * Reads the configuration again and moves to its discovery service if that has another address.
-     * Nothing else of a running dispatcher changes. A file that can't be read is read again for two
-     * seconds; the present address stays in use meanwhile, and after them.
+     * Reads the configuration again and reconnects to the discovery service if its address has
+     * changed. No other setting of a running dispatcher changes. A file that cannot be read is read
+     * again for two seconds; the previous address stays in use until a read succeeds. Returns without
+     * waiting for the reload.
      */
     public void reload() {
         reload(MAX_RELOAD_RETRIES);
@@ -158,7 +163,10 @@
                         discoveryClient.moveTo(
                                 PlatformConfigReader.read(configFile).discoveryAddress());
                     } catch (IOException e) {
-                        LOG.warn("configuration not reloaded: {}", e.getMessage());
+                        LOG.warn(
+                                "configuration not reloaded: {}; {} retries left",
+                                e.getMessage(),
+                                retriesLeft);
                         if (retriesLeft > 0) {
                             loop.schedule(RELOAD_RETRY_DELAY_NS, () -> reload(retriesLeft - 1));
                         }
@@ -167,18 +175,18 @@
     }
 
     /**
-     * Shuts down gracefully and returns once no client connection is left, however long that takes:
+     * Shuts down gracefully and waits, without a time limit, until no client connection is left:
      *
      * <ol>
-     *   <li>health checks are answered false at once, so that no new clients come;
-     *   <li>requests are accepted for another 0.65 s, then rejected;
-     *   <li>connections that the operating system has accepted by then are taken, and the listening
-     *       socket closes;
-     *   <li>each client's connection closes gracefully once all of its requests have their
-     *       responses.
+     *   <li>Health checks are answered with false immediately, so that clients choose another
+     *       dispatcher.
+     *   <li>Requests are accepted for another 0.65 s and then rejected.
+     *   <li>Connections that the operating system has established by then are accepted, and the
+     *       listening socket closes.
+     *   <li>Each client connection closes gracefully once all of its requests have been answered.
      * </ol>
      *
-     * @throws InterruptedException if the caller is interrupted; the shutdown goes on
+     * @throws InterruptedException if the calling thread is interrupted; the shutdown continues
      */
     public void shutDownGracefully() throws InterruptedException {
         CountDownLatch allClosed = new CountDownLatch(1);
@@ -188,7 +196,7 @@
         allClosed.await();
     }
 
-    /** Closes everything at once; open requests get no response. */
+    /** Closes all sockets and threads immediately; open requests get no response. */
     @Override
     public void close() throws IOException {
         listeningSocket.close();
--- a/src/main/java/brooklock/platform/PlatformLogging.java
+++ b/src/main/java/brooklock/platform/PlatformLogging.java
@@ -11,19 +11,21 @@
 import org.slf4j.Logger;
 
 /**
- * Sets up the log of a dispatcher on the platform: the JSON lines that the other programs write, on
- * standard error. It reads no XML, which would lengthen each start. The system property {@code
- * brooklock.log} sets the level, {@code INFO} if absent. The logging library finds it by {@code
- * META-INF/services}; in other programs it does nothing, and {@code logback.xml} applies.
+ * Configures logging for a dispatcher on the platform: JSON lines in the format of the other programs
+ * on standard error. It is written in code because parsing {@code logback.xml} would lengthen each
+ * start. The system property {@code brooklock.log} sets the level; the default is {@code INFO}.
+ *
+ * <p>Logback discovers this class through {@code META-INF/services}. Unless {@link #enable} has been
+ * called it does nothing, so that {@code logback.xml} applies to the other programs.
  */
 @ConfiguratorRank(ConfiguratorRank.CUSTOM_HIGH_PRIORITY)
 public final class PlatformLogging extends ContextAwareBase implements Configurator {
     private static volatile boolean enabled;
 
-    /** Called by the logging library. */
+    /** Creates a configurator; called by Logback. */
     public PlatformLogging() {}
 
-    /** Makes this set-up apply; to be called before the first logger is made. */
+    /** Enables this configuration. Must be called before the first logger is created. */
     static void enable() {
         enabled = true;
     }
--- a/src/main/java/brooklock/platform/PlatformMain.java
+++ b/src/main/java/brooklock/platform/PlatformMain.java
@@ -15,18 +15,18 @@
 import sun.misc.Signal;
 
 /**
- * The program as the platform starts it. The environment variable {@code NODE_CONFIG} names the
- * configuration file.
+ * The entry point of a dispatcher on the platform. The environment variable {@code NODE_CONFIG}
+ * names the configuration file.
  *
- * <p>SIGHUP: the configuration is read again, and if the discovery service has another address, the
- * dispatcher moves there ({@link PlatformDispatcher#reload}).
+ * <p>SIGHUP reloads the configuration and reconnects to the discovery service if its address has
+ * changed ({@link PlatformDispatcher#reload}).
  *
- * <p>SIGTERM: the dispatcher shuts down ({@link PlatformDispatcher#shutDownGracefully}) and the
- * process ends with status 0. The wait has no bound of its own: a platform that wants the process
- * gone kills it.
+ * <p>SIGTERM shuts the dispatcher down ({@link PlatformDispatcher#shutDownGracefully}) and ends the
+ * process with status 0. The shutdown has no time limit; the platform kills a process that takes too
+ * long.
  *
- * <p>A signal that comes before the dispatcher serves waits until it does. A second SIGTERM changes
- * nothing.
+ * <p>Signals that arrive during the start are handled once the dispatcher serves clients. A second
+ * SIGTERM has no effect.
  */
 public final class PlatformMain {
     private static final int STATUS_OK = 0;
@@ -36,10 +36,11 @@
     private PlatformMain() {}
 
     /**
-     * Runs a dispatcher. Does not return once it serves: SIGTERM ends the process.
+     * Runs a dispatcher. Returns only if the start fails; a running dispatcher ends the process on
+     * SIGTERM.
      *
-     * @param configPath the configuration file, or null if none was named
-     * @return the exit status of a dispatcher that can't start
+     * @param configPath the path of the configuration file; null if the environment names none
+     * @return the exit status of a dispatcher that failed to start
      * @throws InterruptedException if the calling thread is interrupted
      */
     public static int run(String configPath) throws InterruptedException {
@@ -49,7 +50,7 @@
         }
         PlatformLogging.enable();
         CompletableFuture<PlatformDispatcher> started = new CompletableFuture<>();
-        // Before anything else: a signal without a handler would end the process.
+        // Installed before the start: a signal without a handler would end the process.
         handleSignals(started);
         System.err.println("starting");
         try {
@@ -77,7 +78,7 @@
                 });
     }
 
-    // The tasks report their own failures, so nothing is lost with the future's result.
+    // The future of the task is ignored because the tasks report their own failures.
     private static void whenStarted(
             CompletableFuture<PlatformDispatcher> started, Consumer<PlatformDispatcher> task) {
         CompletableFuture<Void> unused = started.thenAccept(task);
@@ -94,8 +95,8 @@
     }
 
     /**
-     * Starts a dispatcher without a platform, sends it a health check and shuts it down. A build
-     * runs this to make the class archive: it loads what a start loads.
+     * Starts a dispatcher without a platform, sends it a health check and shuts it down. The build
+     * runs this method to create the class archive, since it loads the same classes as a start.
      *
      * @return the exit status
      */
--- a/src/main/java/brooklock/platform/RequestClassRules.java
+++ b/src/main/java/brooklock/platform/RequestClassRules.java
@@ -1,12 +1,12 @@
 package brooklock.platform;
 
 /**
- * What has to be known of a class to check a client's request.
+ * The rules of a request class by which clients' requests are validated. Immutable.
  *
  * @param index the router's index of the class
- * @param requiresIdempotencyKey whether each request carries an idempotency key
- * @param acceptsBody whether requests may carry a body
- * @param maxTimeoutMs longest that a client of the class waits, ms
+ * @param requiresIdempotencyKey whether each request must have an idempotency key
+ * @param acceptsBody whether requests may have a body
+ * @param maxTimeoutMs the longest time for which a client may wait for a response, ms
  */
 record RequestClassRules(
         int index, boolean requiresIdempotencyKey, boolean acceptsBody, long maxTimeoutMs) {}
--- a/src/main/java/brooklock/platform/RequestExecutor.java
+++ b/src/main/java/brooklock/platform/RequestExecutor.java
@@ -13,12 +13,12 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Runs requests: hands events to the router one after another, carries out its actions in their
- * order and keeps the time-outs of attempts. Every attempt is reported to the router exactly once,
- * and every open request gets at most one final response. Owned by the I/O thread.
+ * Executes requests: passes events to the router one at a time, executes the router's actions in
+ * order, and enforces the time-outs of attempts. Every attempt is reported to the router exactly
+ * once, and every request gets at most one final response. Not thread-safe; owned by the I/O thread.
  *
- * <p>The HTTP dispatcher's routing thread has a similar loop of its own: it takes events from other
- * threads over a bounded queue and records a trace, neither of which exists here.
+ * <p>The HTTP dispatcher has a separate routing thread with a similar loop, because it receives
+ * events from other threads over a bounded queue and records a trace. Neither is needed here.
  */
 final class RequestExecutor {
     private static final Logger LOG = LoggerFactory.getLogger(RequestExecutor.class);
@@ -36,7 +36,7 @@
     /**
      * Creates an executor without requests.
      *
-     * @param routingStrategy makes the decisions
+     * @param routingStrategy the router, which makes the decisions
      * @param clock the router's clock
      * @param loop the I/O thread that owns the executor
      * @param transport sends attempts
@@ -52,7 +52,7 @@
         timers = new TimerQueue(clock, loop, stats);
     }
 
-    /** Starts the router. */
+    /** Starts the router and executes its first actions. */
     void start() {
         routingStrategy.start(clock.nowNs(), actions);
         executeActions();
@@ -63,12 +63,12 @@
         return stats;
     }
 
-    /** Sets how many bytes the bodies of all pending requests may take together. */
+    /** Sets the maximum number of bytes in the bodies of all pending requests together. */
     void setMaxBodyBytes(long bytes) {
         requests.setMaxBodyBytes(bytes);
     }
 
-    /** Returns how many requests have no final response yet. */
+    /** Returns the number of requests without a final response. */
     int openRequests() {
         return requests.openCount();
     }
@@ -78,23 +78,23 @@
         return clock.nowNs();
     }
 
-    /** Returns whether a client's request of this id has no final response yet. */
+    /** Returns whether a request with the specified client id has no final response yet. */
     boolean isOpen(long clientId) {
         return requests.isOpen(clientId);
     }
 
-    /** Returns whether one more request may be accepted; else it has to be rejected at once. */
+    /** Returns whether the request can be accepted; otherwise the caller must reject it. */
     boolean hasRoomFor(ClientRequest clientRequest) {
         return requests.hasRoomFor(clientRequest);
     }
 
     /**
-     * Accepts a request for which there is {@linkplain #hasRoomFor room} and whose id is not
-     * {@linkplain #isOpen open}. Nothing happens to it before it is {@linkplain #route routed}.
+     * Accepts a request. The caller must have checked that it fits {@linkplain #hasRoomFor within the
+     * bounds} and that its id is not {@linkplain #isOpen open}, and must then call {@link #route}.
      *
-     * @param clientRequest what the client sent
-     * @param connection where the response goes
-     * @param messageId the call that the response answers
+     * @param clientRequest the request as the client sent it
+     * @param connection the connection that the response is written to
+     * @param messageId the id of the call that the response answers
      */
     PendingRequest accept(
             ClientRequest clientRequest, ClientConnection connection, long messageId) {
@@ -102,7 +102,7 @@
         return requests.add(clientRequest, connection, messageId, clock.nowNs());
     }
 
-    /** Hands an accepted request to the router; its response may come before this returns. */
+    /** Passes an accepted request to the router. The response may be sent before this returns. */
     void route(PendingRequest request) {
         ClientRequest clientRequest = request.clientRequest();
         submit(
@@ -117,7 +117,7 @@
                         request.deadlineNs()));
     }
 
-    /** Completes a request whose client has disconnected or wants no response any more. */
+    /** Completes a request whose client has disconnected or cancelled it. No response is sent. */
     void cancelByClient(PendingRequest request) {
         if (!request.isCompleted()) {
             requests.complete(request);
@@ -127,8 +127,9 @@
     }
 
     /**
-     * Ends an attempt and reports it to the router. The first {@link AttemptOutcome#OK} is the
-     * request's final response. Does nothing for an attempt that has ended.
+     * Ends an attempt and reports its result to the router. The first result with outcome {@link
+     * AttemptOutcome#OK} is sent to the client as the final response. Does nothing if the attempt has
+     * already ended.
      */
     void completeAttempt(Attempt attempt, AttemptResult result) {
         if (attempt.hasEnded()) {
@@ -157,8 +158,8 @@
     }
 
     /**
-     * Hands an event to the router. An event that arises while the actions of another are carried
-     * out is handed over after them.
+     * Passes an event to the router and executes the resulting actions. An event that is submitted
+     * while the actions of another event are executed is processed after them.
      */
     void submit(RouterEvent event) {
         queuedEvents.add(event);
@@ -180,8 +181,8 @@
         try {
             routingStrategy.onEvent(clock.nowNs(), event, actions);
         } catch (RuntimeException fault) {
-            // Without this guard a fault in one decision would end the I/O thread's work for all
-            // other requests, and its own request would wait for a response until its deadline.
+            // Without this handler an exception in one decision would leave the events of all other
+            // requests unprocessed, and the client of the failed request would get no response.
             LOG.error("routing failed: {}", event, fault);
             actions.clear();
             if (event instanceof RouterEvent.RequestReceived received) {
@@ -265,7 +266,8 @@
         }
     }
 
-    // An attempt that still waits for a connection has no effect, whatever stops it.
+    // An attempt that is still queued was never sent, so it ends as not started whatever the reason
+    // of the abort; the specified outcome applies only to an attempt in flight.
     private void abortAttempt(Attempt attempt, AttemptOutcome outcomeInFlight) {
         if (attempt.state() == Attempt.State.QUEUED) {
             completeAttempt(attempt, AttemptResult.withoutResponse(AttemptOutcome.NOT_STARTED));
--- a/src/main/java/brooklock/platform/RequestFrameEncoder.java
+++ b/src/main/java/brooklock/platform/RequestFrameEncoder.java
@@ -3,9 +3,9 @@
 import brooklock.routing.RouterAction.StartAttempt;
 import java.nio.ByteBuffer;
 
-/** Encodes an attempt as the request frame that endpoints read. Pure. */
+/** Encodes an attempt as a request frame for an endpoint. Stateless and thread-safe. */
 final class RequestFrameEncoder {
-    // Enough for all fields of most requests.
+    // Initial capacity, characters; enough for the fields of most requests.
     private static final int FIELDS_CAPACITY = 160;
     private static final long NS_PER_MS = 1_000_000L;
 
@@ -14,10 +14,10 @@
     /**
      * Encodes an attempt.
      *
-     * @param request what the client sent
-     * @param decision what the router decided
-     * @param fillSourceName the name of the endpoint that a miss is filled from
-     * @param timeoutNs how long the dispatcher will wait from now on, ns
+     * @param request the client's request
+     * @param decision the router's decision
+     * @param fillSourceName the name of the endpoint that a cache miss is filled from
+     * @param timeoutNs the time for which the dispatcher waits for the response from now on, ns
      */
     static ByteBuffer encode(
             ClientRequest request, StartAttempt decision, String fillSourceName, long timeoutNs) {
@@ -59,7 +59,7 @@
         return decision.onlyIfCached() ? "share+peek" : "share";
     }
 
-    // A duration below one millisecond must not become 0, which means that none is given.
+    // Rounds down to milliseconds, but to at least 1: endpoints treat 0 as an absent value.
     private static long wholeMs(long ns) {
         return Math.max(1, ns / NS_PER_MS);
     }
--- a/src/main/java/brooklock/platform/ResponseFrameDecoder.java
+++ b/src/main/java/brooklock/platform/ResponseFrameDecoder.java
@@ -4,7 +4,10 @@
 import brooklock.routing.CacheStatus;
 import java.util.regex.Pattern;
 
-/** Decodes the response frame of an endpoint into the result of an attempt. Pure. */
+/**
+ * Decodes the response frame of an endpoint into the result of an attempt. Stateless and
+ * thread-safe.
+ */
 final class ResponseFrameDecoder {
     private static final Pattern DURATION_MS = Pattern.compile("[0-9]{1,9}(\\.[0-9]{1,9})?");
     private static final double NS_PER_MS = 1e6;
@@ -14,9 +17,10 @@
     /**
      * Decodes a response.
      *
-     * @param request the request that it answers
-     * @throws MalformedMessageException if the frame is no response, has fields that can't be used,
-     *     or confirms a copy that is not the client's
+     * @param response the response frame
+     * @param request the request that the frame answers
+     * @throws MalformedMessageException if the frame is not a response, has a malformed field, or
+     *     confirms a copy other than the client's
      */
     static AttemptResult decode(Frame response, ClientRequest request)
             throws MalformedMessageException {
@@ -25,7 +29,11 @@
         if (notModified
                 && (request.etag() == null
                         || !request.etag().equals(response.fields().get("rev")))) {
-            throw new MalformedMessageException("a copy confirmed that is not the client's");
+            throw new MalformedMessageException(
+                    "expected field rev of a response with code "
+                            + response.code()
+                            + " to be the entity tag of the client's copy but received another tag"
+                            + " or none");
         }
         return new AttemptResult(
                 outcome,
@@ -42,7 +50,14 @@
             case Frame.OVERLOADED -> AttemptOutcome.OVERLOADED;
             case Frame.ERROR -> AttemptOutcome.ERROR;
             case Frame.TOO_LATE -> AttemptOutcome.NOT_STARTED;
-            default -> throw new MalformedMessageException("code " + code + " answers no request");
+            default ->
+                    throw new MalformedMessageException(
+                            "expected a response code from "
+                                    + Frame.OK
+                                    + " to "
+                                    + Frame.TOO_LATE
+                                    + " but received "
+                                    + code);
         };
     }
 
@@ -67,7 +82,12 @@
             return 0;
         }
         if (!DURATION_MS.matcher(ms).matches()) {
-            throw new MalformedMessageException("field fill is no time");
+            throw new MalformedMessageException(
+                    "field fill is no time: expected milliseconds that match "
+                            + DURATION_MS
+                            + " but received another value of "
+                            + ms.length()
+                            + " characters");
         }
         return (long) (Double.parseDouble(ms) * NS_PER_MS);
     }
--- a/src/main/java/brooklock/platform/RpcDecoder.java
+++ b/src/main/java/brooklock/platform/RpcDecoder.java
@@ -6,21 +6,22 @@
 import java.util.Map;
 
 /**
- * Decodes what clients send, MessagePack-RPC, incrementally from any cut of bytes. Strict in form,
- * with every length bounded; what a call's fields mean is checked by {@link ClientRequestParser}.
- * Pure.
+ * Decodes the MessagePack-RPC messages of clients incrementally, from input split at any byte. Checks
+ * the structure of messages and bounds every length; the values of a call's fields are validated by
+ * {@link ClientRequestParser}. Performs no I/O; not thread-safe. A decoder must not be used again
+ * after it has thrown an exception.
  */
 public final class RpcDecoder {
-    /** Longest body, bytes; the protocol's bound of a write. */
+    /** Maximum length of a body, bytes; the protocol's bound on a write. */
     public static final int MAX_BODY_BYTES = 48_000;
 
     /** The method of a health check. */
     static final String HEALTH_CHECK_METHOD = "isWell";
 
-    /** Fields of one call; several times as many as the protocol names. */
+    /** Maximum number of fields in a call; several times as many as the protocol defines. */
     static final int MAX_FIELDS = 64;
 
-    // Longest method, field name or field value, bytes.
+    // Maximum length of a method, field name or field value, bytes.
     private static final int MAX_TEXT_BYTES = 256;
     private static final long MAX_MESSAGE_ID = 0xffffffffL;
 
@@ -31,7 +32,7 @@
     private static final String CANCEL_METHOD = "forget";
     private static final byte[] NO_BODY = {};
 
-    // What the next token is.
+    // The element of a message that the next token is expected to be.
     private enum State {
         MESSAGE,
         TYPE,
@@ -56,10 +57,11 @@
     private Map<String, String> fields;
 
     /**
-     * Reads up to the end of one message.
+     * Decodes the next message. Reads at most one message from the buffer. Bytes of an incomplete
+     * token head remain in the buffer and must precede the new bytes in the next call.
      *
      * @return the next message, or null if more bytes are needed
-     * @throws MalformedMessageException if the bytes are none
+     * @throws MalformedMessageException if the input is not a valid message
      */
     public RpcMessage next(ByteBuffer in) throws MalformedMessageException {
         while (reader.next(in)) {
@@ -73,7 +75,7 @@
         return null;
     }
 
-    /** Returns whether a message has begun and not ended. */
+    /** Returns whether at least one token of an incomplete message has been decoded. */
     public boolean inMessage() {
         return state != State.MESSAGE;
     }
@@ -114,7 +116,13 @@
     private void onPartCount() throws MalformedMessageException {
         long parts = expect(TokenType.ARRAY);
         if (parts != NOTIFICATION_PARTS && parts != CALL_PARTS) {
-            throw new MalformedMessageException("a message of " + parts + " parts");
+            throw new MalformedMessageException(
+                    "expected a message of "
+                            + NOTIFICATION_PARTS
+                            + " or "
+                            + CALL_PARTS
+                            + " elements but received "
+                            + parts);
         }
         notification = parts == NOTIFICATION_PARTS;
         state = State.TYPE;
@@ -123,7 +131,16 @@
     private void onType() throws MalformedMessageException {
         if (expect(TokenType.INT) != (notification ? NOTIFICATION_TYPE : CALL_TYPE)) {
             throw new MalformedMessageException(
-                    "a message that is neither a call nor a notification");
+                    "expected message type "
+                            + CALL_TYPE
+                            + " of a call with "
+                            + CALL_PARTS
+                            + " elements or "
+                            + NOTIFICATION_TYPE
+                            + " of a notification with "
+                            + NOTIFICATION_PARTS
+                            + " elements but received type "
+                            + reader.value());
         }
         state = notification ? State.METHOD : State.MESSAGE_ID;
     }
@@ -131,7 +148,12 @@
     private void onMethod() throws MalformedMessageException {
         method = readShortText();
         if (notification && !method.equals(CANCEL_METHOD)) {
-            throw new MalformedMessageException("an unknown notification");
+            throw new MalformedMessageException(
+                    "expected notification "
+                            + CANCEL_METHOD
+                            + " but received an unknown method of "
+                            + method.length()
+                            + " characters");
         }
         state = State.PARAMS;
     }
@@ -139,7 +161,9 @@
     private RpcMessage onParameterCount() throws MalformedMessageException {
         long count = expect(TokenType.ARRAY);
         if (notification ? count != 1 : count > 2) {
-            throw new MalformedMessageException(count + " parameters");
+            throw new MalformedMessageException(
+                    "expected 1 parameter in a notification or at most 2 in a call but received "
+                            + count);
         }
         hasBody = count == 2;
         state = notification ? State.CANCELLED_ID : State.FIELDS;
@@ -155,7 +179,13 @@
     private RpcMessage onFieldCount() throws MalformedMessageException {
         fieldsLeft = expect(TokenType.MAP);
         if (fieldsLeft > MAX_FIELDS) {
-            throw new MalformedMessageException(fieldsLeft + " fields, more than " + MAX_FIELDS);
+            throw new MalformedMessageException(
+                    "expected at most "
+                            + MAX_FIELDS
+                            + " fields in the call with message id "
+                            + messageId
+                            + " but received "
+                            + fieldsLeft);
         }
         fields = new HashMap<>();
         fieldsLeft++;
@@ -164,7 +194,10 @@
 
     private RpcMessage onFieldValue() throws MalformedMessageException {
         if (fields.put(fieldName, readShortText()) != null) {
-            throw new MalformedMessageException("a field twice");
+            throw new MalformedMessageException(
+                    "expected distinct field names in the call with message id "
+                            + messageId
+                            + " but received the same name twice");
         }
         return onFieldComplete();
     }
@@ -183,7 +216,12 @@
     private long expect(TokenType expected) throws MalformedMessageException {
         if (reader.tokenType() != expected) {
             throw new MalformedMessageException(
-                    "a " + reader.tokenType() + " where a " + expected + " belongs");
+                    "expected a token of type "
+                            + expected
+                            + " for "
+                            + state
+                            + " but received type "
+                            + reader.tokenType());
         }
         return reader.value();
     }
@@ -191,7 +229,8 @@
     private long readMessageId() throws MalformedMessageException {
         long id = expect(TokenType.INT);
         if (id < 0 || id > MAX_MESSAGE_ID) {
-            throw new MalformedMessageException("a message id that is none: " + id);
+            throw new MalformedMessageException(
+                    "expected a message id from 0 to " + MAX_MESSAGE_ID + " but received " + id);
         }
         return id;
     }
@@ -200,7 +239,13 @@
         expect(TokenType.TEXT);
         if (reader.bytes().length > MAX_TEXT_BYTES) {
             throw new MalformedMessageException(
-                    "a text of " + reader.bytes().length + " bytes, more than " + MAX_TEXT_BYTES);
+                    "expected a text of at most "
+                            + MAX_TEXT_BYTES
+                            + " bytes for "
+                            + state
+                            + " but received "
+                            + reader.bytes().length
+                            + " bytes");
         }
         return reader.text();
     }
--- a/src/main/java/brooklock/platform/RpcEncoder.java
+++ b/src/main/java/brooklock/platform/RpcEncoder.java
@@ -18,9 +18,13 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Map;
 
-/** Encodes messages of MessagePack-RPC: responses, and the calls of the start-up warm-up. Pure. */
+/**
+ * Encodes MessagePack-RPC messages: responses to clients, and the calls of the start-up warm-up.
+ * Stateless and thread-safe.
+ */
 final class RpcEncoder {
-    // Room for everything but the body: fixed parts, an error's name, a few short fields.
+    // Buffer capacity for everything but the body: fixed elements, an error name and a few short
+    // fields.
     private static final int HEAD_CAPACITY_BYTES = 512;
     private static final long NS_PER_MS = 1_000_000L;
 
@@ -36,7 +40,7 @@
 
     private RpcEncoder() {}
 
-    /** Encodes a response that carries an object. The body is not copied. */
+    /** Encodes a response with the bytes of an object. The body is not copied. */
     static ByteBuffer[] served(long messageId, byte[] body) {
         return result(messageId, body, NO_FIELDS);
     }
@@ -57,7 +61,8 @@
     /**
      * Encodes a rejection.
      *
-     * @param retryAfterNs when the client may retry, ns from now; 0 if nothing is said
+     * @param messageId the id of the call
+     * @param retryAfterNs the delay after which the client may retry, ns; 0 to name none
      */
     static ByteBuffer rejected(long messageId, long retryAfterNs) {
         return retryAfterNs > 0
@@ -68,7 +73,7 @@
                 : error(messageId, RpcError.REJECTED);
     }
 
-    /** Encodes an error. */
+    /** Encodes an error response without fields. */
     static ByteBuffer error(long messageId, RpcError error) {
         return error(messageId, error, NO_FIELDS);
     }
@@ -91,7 +96,7 @@
         return buffer.flip();
     }
 
-    /** Encodes a health check. */
+    /** Encodes a health check, as a client sends it. */
     static ByteBuffer healthCheck(long messageId) {
         ByteBuffer buffer = beginCall(messageId, HEAD_CAPACITY_BYTES);
         putText(buffer, RpcDecoder.HEALTH_CHECK_METHOD);
@@ -99,10 +104,12 @@
     }
 
     /**
-     * Encodes a request.
+     * Encodes a request, as a client sends it.
      *
-     * @param method the name of its class
-     * @param namesAndValues its fields, each name followed by its value; at most 15 fields
+     * @param messageId the id of the call
+     * @param method the name of the request class
+     * @param namesAndValues the fields, each name followed by its value; at most 15 fields
+     * @param body the body; empty for none
      */
     static ByteBuffer call(long messageId, String method, String[] namesAndValues, byte[] body) {
         ByteBuffer buffer = beginCall(messageId, HEAD_CAPACITY_BYTES + body.length);
@@ -152,7 +159,7 @@
         }
     }
 
-    /** Appends a text of at most 255 bytes. */
+    /** Appends a text of at most 255 bytes in UTF-8. */
     static void putText(ByteBuffer buffer, String text) {
         byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
         if (bytes.length <= MAX_FIXSTR_BYTES) {
--- a/src/main/java/brooklock/platform/RpcError.java
+++ b/src/main/java/brooklock/platform/RpcError.java
@@ -1,12 +1,12 @@
 package brooklock.platform;
 
-/** The errors that a client may get, and their names on the wire. */
+/** The errors that a client may receive, with their names in the protocol. */
 enum RpcError {
-    /** Rejected; a retry is harmless, since nothing was executed. */
+    /** The request was rejected and not executed, so that it is safe to retry. */
     REJECTED("Overloaded"),
-    /** Failed; the request may have been executed. */
+    /** The request failed and may have been executed. */
     FAILED("Internal"),
-    /** The call is no valid request; no endpoint has seen it. */
+    /** The call is not a valid request; it was not sent to any endpoint. */
     INVALID("Invalid");
 
     private final String wireName;
--- a/src/main/java/brooklock/platform/RpcMessage.java
+++ b/src/main/java/brooklock/platform/RpcMessage.java
@@ -2,18 +2,18 @@
 
 import java.util.Map;
 
-/** A message of a client. Immutable. */
+/** A message from a client. Immutable; fields and bodies must not be modified. */
 public sealed interface RpcMessage {
-    /** Returns the id of the call that it makes or cancels, unique on its connection. */
+    /** Returns the id of the call that is made or cancelled, unique among its connection's calls. */
     long messageId();
 
     /**
-     * A request.
+     * A call that carries a request.
      *
      * @param messageId the id of the call
-     * @param method the name of the request's class
-     * @param fields its fields, not checked yet
-     * @param body its body; empty if there is none
+     * @param method the name of the request class
+     * @param fields the values of the fields by name, not validated yet
+     * @param body the body; empty if the call has none
      */
     @SuppressWarnings(
             "ArrayRecordComponent") // Never compared; a copy of each body would be wasted.
@@ -21,16 +21,16 @@
             implements RpcMessage {}
 
     /**
-     * A question whether the dispatcher wants new clients.
+     * A call that asks whether the dispatcher accepts new clients.
      *
      * @param messageId the id of the call
      */
     record HealthCheck(long messageId) implements RpcMessage {}
 
     /**
-     * Cancels a call; no response is owed any more.
+     * A notification that cancels a call, to which no response is expected any more.
      *
-     * @param messageId the id of that call
+     * @param messageId the id of the cancelled call
      */
     record Cancel(long messageId) implements RpcMessage {}
 }
--- a/src/main/java/brooklock/platform/StartupWarmup.java
+++ b/src/main/java/brooklock/platform/StartupWarmup.java
@@ -17,26 +17,27 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Runs requests within the program before clients come, so that the classes of a request's path are
- * linked and its hottest methods compiled. It has a client, endpoints and a router of its own,
- * which are dropped afterwards, and uses pipes instead of sockets.
+ * Runs requests inside the process before clients connect, so that the classes on the request path
+ * are linked and its hottest methods are compiled. The warm-up has its own client, endpoints and
+ * router, which are dropped afterwards, and connects them by pipes instead of sockets.
  *
- * <p>Without it the first requests would be late while their code is still interpreted. The router
- * would take that for overloaded endpoints and reject requests after each start.
+ * <p>Without a warm-up the first requests would exceed their latency objective while their code is
+ * interpreted. The router would attribute that to overloaded endpoints and reject requests after
+ * each start.
  *
- * <p>{@link #run} waits on the starting thread; everything else is on the I/O thread.
+ * <p>{@link #run} blocks the calling thread; everything else runs on the I/O thread.
  */
 final class StartupWarmup {
     private static final Logger LOG = LoggerFactory.getLogger(StartupWarmup.class);
     private static final String CONFIG_RESOURCE = "startup-warmup.json";
     private static final int ROUNDS = 6;
     private static final int CALLS_PER_ROUND = 16;
-    // It ends after this time however far it is, ns: to serve late is worse than to be slow at
-    // first.
+    // The warm-up ends after this time even if it is incomplete, ns: delaying the start further
+    // would be worse than slow first requests.
     private static final long MAX_DURATION_NS = 1_500_000_000L;
     private static final long POLL_INTERVAL_NS = 1_000_000L;
     private static final int BODY_BYTES = 20_000;
-    // Endpoints in the configuration; each may have a connection for each call of a round.
+    // Number of endpoints in the configuration; each may need a connection for each call of a round.
     private static final int ENDPOINTS = 5;
 
     private final IoLoop loop;
@@ -65,15 +66,16 @@
         clientListener = new ClientListener(loop, config.requestClasses(), 1, executor);
     }
 
-    /** Opens the configuration that a warm-up uses. */
+    /** Opens the configuration of the warm-up, a resource of this package. */
     static InputStream openConfig() {
         return StartupWarmup.class.getResourceAsStream(CONFIG_RESOURCE);
     }
 
     /**
-     * Runs a warm-up and returns once it has ended. A failed one is logged; the start goes on.
+     * Runs a warm-up and returns once it has ended. A failure is logged and does not prevent the
+     * start.
      *
-     * @param loop an I/O thread that has nothing else to do yet
+     * @param loop the I/O thread, which must not be in use yet
      */
     static void run(IoLoop loop) {
         try (InputStream in = openConfig()) {
@@ -81,7 +83,9 @@
             StartupWarmup warmup = new StartupWarmup(loop, PlatformConfigReader.parse(text));
             loop.execute(warmup::start);
             if (!warmup.done.await(2 * MAX_DURATION_NS, TimeUnit.NANOSECONDS)) {
-                LOG.warn("start-up warm-up failed: it did not end in time");
+                LOG.warn(
+                        "start-up warm-up failed: not finished within {} ns; starting without it",
+                        2 * MAX_DURATION_NS);
             }
         } catch (IOException e) {
             LOG.warn("start-up warm-up failed: {}", e.getMessage());
@@ -124,7 +128,7 @@
         }
     }
 
-    // The first object of a round is written, the others are read.
+    // The first call of a round writes its object, the others read theirs.
     private static ByteBuffer encodeCall(long messageId, int index) {
         boolean write = index == 0;
         String id = String.format("%016x", messageId);
@@ -166,7 +170,7 @@
         return () -> {};
     }
 
-    /** Reads responses and drops them. */
+    /** Reads and discards all input. */
     private static class DiscardingListener implements RawConnection.EventListener {
         @Override
         public void onBytes(ByteBuffer in) {
@@ -175,11 +179,11 @@
 
         @Override
         public void onClose(String reason) {
-            // Nothing here waits for more.
+            // Nothing waits for input on this connection.
         }
     }
 
-    /** Serves every request from its cache. */
+    /** Responds to every request with a cache hit. */
     private static final class SimulatedEndpoint extends DiscardingListener {
         private static final byte[] BODY = new byte[BODY_BYTES];
         private static final String FIELDS = "tell=hit,fill=1.5,rev=1,since=1";
--- a/src/main/java/brooklock/platform/TimerQueue.java
+++ b/src/main/java/brooklock/platform/TimerQueue.java
@@ -9,9 +9,9 @@
 import org.xnio.XnioExecutor;
 
 /**
- * Everything that is due at some time on the router's clock: the router's timers and the time-outs
- * of attempts. One timer of the I/O thread serves all of it, set for what is due first. Owned by
- * the I/O thread.
+ * A queue of tasks that are due at a time on the router's clock: the router's timers and the
+ * time-outs of attempts. A single timer of the I/O thread is set for the task that is due first. Not
+ * thread-safe; owned by the I/O thread, on which all tasks run.
  */
 final class TimerQueue {
     private static final Logger LOG = LoggerFactory.getLogger(TimerQueue.class);
@@ -33,16 +33,17 @@
     }
 
     /**
-     * Adds a task. It takes effect with the next {@link #arm}, so that a batch of tasks sets the
-     * timer once.
+     * Adds a task. The caller must call {@link #arm} afterwards, once for a batch of tasks, so that
+     * the timer is set only once.
      *
-     * @param atNs when it is due, on the router's clock
+     * @param atNs the time at which the task is due on the router's clock, ns
+     * @param task the task
      */
     void schedule(long atNs, Runnable task) {
         tasks.add(new ScheduledTask(atNs, task));
     }
 
-    /** Sets the timer for what is due first, unless it is set for that or earlier. */
+    /** Sets the timer for the task that is due first, unless it is set for that time or earlier. */
     void arm() {
         ScheduledTask next = tasks.peek();
         if (next == null || timerAtNs <= next.atNs()) {
@@ -66,8 +67,8 @@
             try {
                 next.task().run();
             } catch (RuntimeException fault) {
-                // Without this guard one fault would leave the timer unset, and every time-out
-                // after it would never come.
+                // Without this handler an exception in one task would leave the timer unset, and no
+                // later task would run.
                 LOG.error("timer task failed", fault);
             }
         }
--- a/src/main/java/brooklock/platform/package-info.java
+++ b/src/main/java/brooklock/platform/package-info.java
@@ -1,17 +1,17 @@
 /**
- * The dispatcher on the operators' platform: MessagePack-RPC from clients, binary frames to
- * endpoints, endpoint lists and purges over a discovery connection, the configuration and the
- * signals.
+ * The dispatcher on the operators' platform. It speaks MessagePack-RPC with clients and a protocol of
+ * binary frames with endpoints, receives endpoint lists and purges from a discovery service, and is
+ * controlled by a configuration file and signals.
  *
- * <p>The package decides nothing: it turns what happens into {@link brooklock.routing.RouterEvent}s
- * and carries out the {@link brooklock.routing.RouterAction}s that come back. One I/O thread owns
- * every object here, the router included; only {@link brooklock.platform.PlatformMain} and the
- * signal handlers run on other threads, and they hand work over with {@link
- * brooklock.net.IoLoop#execute}.
+ * <p>The package makes no routing decisions. It converts input into {@link
+ * brooklock.routing.RouterEvent}s and executes the resulting {@link brooklock.routing.RouterAction}s.
+ * One I/O thread owns every stateful object of the package, including the router. Only {@link
+ * brooklock.platform.PlatformMain} and the signal handlers run on other threads; they submit work to
+ * the I/O thread with {@link brooklock.net.IoLoop#execute}.
  *
- * <p>The platform's own words (field names, error names, codes) appear in the codec classes only:
+ * <p>The names in the platform's protocols (fields, errors, codes) appear only in the codec classes:
  * {@code Frame*}, {@code Rpc*}, {@code RequestFrameEncoder}, {@code ResponseFrameDecoder}, {@code
  * ClientRequestParser}, {@code DiscoveryEventDecoder} and {@code PlatformConfigReader}. The codecs
- * are pure: no sockets, files, threads or clock.
+ * use no sockets, threads or clocks.
  */
 package brooklock.platform;
