--- a/src/main/java/brooklock/platform/AttemptHandler.java
+++ b/src/main/java/brooklock/platform/AttemptHandler.java
@@ -12,8 +12,8 @@
     /**
      * Sets the start time of an attempt that is about to be written to the current time and returns
      * its request frame. Returns an empty result if the attempt must not start any more: it has
-     * ended, its request is completed, it waited too long, or the list entry of its endpoint or fill
-     * source has changed since the decision.
+     * ended, its request is completed, it waited too long, or the list entry of its endpoint or
+     * fill source has changed since the decision.
      */
     Optional<ByteBuffer> startFrame(Attempt attempt);
 
--- a/src/main/java/brooklock/platform/ClientConnection.java
+++ b/src/main/java/brooklock/platform/ClientConnection.java
@@ -17,9 +17,9 @@
  * <p>A connection is closed immediately when the client has closed it, stops sending in the middle
  * of a message, or does not read its responses. It is closed gracefully when it has been idle for
  * too long, when it is evicted in favour of a new connection, when the dispatcher shuts down, and
- * when its input is malformed. A graceful close writes the pending responses, shuts down output, and
- * then reads and drops input until the client closes its side: closing a socket with unread input
- * would reset the connection, and responses already written would be lost. Open requests are
+ * when its input is malformed. A graceful close writes the pending responses, shuts down output,
+ * and then reads and drops input until the client closes its side: closing a socket with unread
+ * input would reset the connection, and responses already written would be lost. Open requests are
  * cancelled when their connection closes.
  */
 final class ClientConnection implements RawConnection.EventListener {
@@ -75,8 +75,8 @@
     }
 
     /**
-     * Closes the connection gracefully if it is still idle after all input that the operating system
-     * has received was read. Without that read, a call that has just arrived would be lost.
+     * Closes the connection gracefully if it is still idle after all input that the operating
+     * system has received was read. Without that read, a call that has just arrived would be lost.
      *
      * @return whether the connection is now closing
      */
@@ -147,8 +147,8 @@
         } else if (System.nanoTime() - messageStartedAtNs > listener.messageTimeoutNs()) {
             throw new MalformedMessageException(
                     "expected a complete message within "
-                            + listener.messageTimeoutNs()
-                            + " ns of its first byte");
+                            + listener.messageTimeoutNs() / 1_000_000
+                            + " ms of its first byte");
         }
     }
 
--- a/src/main/java/brooklock/platform/ClientListener.java
+++ b/src/main/java/brooklock/platform/ClientListener.java
@@ -19,8 +19,8 @@
  *
  * <p>A listener serves all requests until {@link #reportUnhealthy} is called. From then on health
  * checks are answered with false, so that clients choose another dispatcher, while requests are
- * still accepted. After {@link #shutDown} requests are rejected and connections close as they become
- * idle.
+ * still accepted. After {@link #shutDown} requests are rejected and connections close as they
+ * become idle.
  */
 final class ClientListener {
     private static final Logger LOG = LoggerFactory.getLogger(ClientListener.class);
@@ -63,8 +63,8 @@
      *
      * @param loop the I/O thread that owns the listener
      * @param classes the rules of each request class by the name of the class
-     * @param maxConnections maximum number of open connections; when it is reached, a new connection
-     *     replaces an idle one, or is closed if none is idle
+     * @param maxConnections maximum number of open connections; when it is reached, a new
+     *     connection replaces an idle one, or is closed if none is idle
      * @param executor the executor of the requests
      */
     ClientListener(
@@ -103,7 +103,8 @@
         connection.start();
     }
 
-    // Evicts the oldest idle connection that has never sent a message, or else the one that has been
+    // Evicts the oldest idle connection that has never sent a message, or else the one that has
+    // been
     // idle for longest. Otherwise silent clients could lock out clients that have requests. Returns
     // whether a connection was evicted.
     private boolean evictIdle() {
--- a/src/main/java/brooklock/platform/ClientRequestParser.java
+++ b/src/main/java/brooklock/platform/ClientRequestParser.java
@@ -6,8 +6,8 @@
 /**
  * Validates the fields of a call and parses them into a request. Stateless and thread-safe.
  *
- * <p>The parser is strict because endpoints are: an endpoint closes its connection on a request that
- * it cannot parse, and every other attempt on that connection is lost.
+ * <p>The parser is strict because endpoints are: an endpoint closes its connection on a request
+ * that it cannot parse, and every other attempt on that connection is lost.
  */
 final class ClientRequestParser {
     /** Field: the id of the request, 16 hexadecimal digits. */
--- a/src/main/java/brooklock/platform/DiscoveryClient.java
+++ b/src/main/java/brooklock/platform/DiscoveryClient.java
@@ -17,8 +17,8 @@
  *
  * <p>The client connects, requests the events after the last one that it has received, and reads
  * until the connection is closed, is silent for too long, or delivers events out of sequence. Then
- * it waits for a backoff and reconnects. No event is delivered twice, because at most one connection
- * is open at a time and each sequence number is accepted only once.
+ * it waits for a backoff and reconnects. No event is delivered twice, because at most one
+ * connection is open at a time and each sequence number is accepted only once.
  */
 final class DiscoveryClient implements RawConnection.EventListener {
     private static final Logger LOG = LoggerFactory.getLogger(DiscoveryClient.class);
@@ -27,7 +27,7 @@
     // Time without a line after which the connection is considered lost, ns; the service sends a
     // heartbeat each second.
     private static final long SILENCE_TIMEOUT_NS = 1_600_000_000L;
-    // Backoff before reconnecting, ns; it doubles after each connection that delivered no event.
+    // Backoff before reconnecting, ns; it doubles with each lost connection until an event is received.
     private static final long INITIAL_BACKOFF_NS = 100_000_000L;
     private static final long MAX_BACKOFF_NS = 500_000_000L;
     // Bounds of the random factor by which each backoff is multiplied. A failure of the service
@@ -174,7 +174,7 @@
 
     @Override
     public void onTimeout() {
-        reconnect("no line received for " + SILENCE_TIMEOUT_NS + " ns");
+        reconnect("no line received for " + SILENCE_TIMEOUT_NS / 1_000_000 + " ms");
     }
 
     @Override
--- a/src/main/java/brooklock/platform/DiscoveryEventDecoder.java
+++ b/src/main/java/brooklock/platform/DiscoveryEventDecoder.java
@@ -28,8 +28,8 @@
     private ByteArrayOutputStream line = new ByteArrayOutputStream();
 
     /**
-     * Decodes the next event. Reads at most one line from the buffer and keeps an incomplete line for
-     * the next call.
+     * Decodes the next event. Reads at most one line from the buffer and keeps an incomplete line
+     * for the next call.
      *
      * @return the next event, or null if more bytes are needed
      * @throws MalformedMessageException if the line is too long or is not a valid event
@@ -75,7 +75,7 @@
                 | NumberFormatException
                 | UnsupportedOperationException e) {
             throw new MalformedMessageException(
-                    "expected a line with an event as JSON object or a sequence number but received '"
+                    "expected a line with a JSON object or a sequence number but received '"
                             + text.substring(0, Math.min(MAX_QUOTED_CHARS, text.length()))
                             + "'");
         }
@@ -98,10 +98,8 @@
             return new DiscoveryEvent.UnknownEvent(sequence);
         } catch (IllegalStateException | NumberFormatException | UnsupportedOperationException e) {
             throw new MalformedMessageException(
-                    "expected a discovery event whose fields have the types of the protocol but"
-                            + " received one with "
-                            + event.size()
-                            + " fields of which at least one has another type");
+                    "expected a discovery event whose fields have the types and formats of the"
+                            + " protocol but received a field of another type or format");
         }
     }
 
--- a/src/main/java/brooklock/platform/EndpointConnection.java
+++ b/src/main/java/brooklock/platform/EndpointConnection.java
@@ -14,8 +14,9 @@
  *
  * <p>A connection is idle while no attempt is in flight and busy otherwise. It closes when the
  * endpoint closes it, when its input is malformed, when the remainder of a frame does not arrive in
- * time, when its only attempt is cancelled, or when the pool closes it while it is idle. All attempts
- * in flight end when their connection closes. A response to a cancelled attempt is read and dropped.
+ * time, when its only attempt is cancelled, or when the pool closes it while it is idle. All
+ * attempts in flight end when their connection closes. A response to a cancelled attempt is read
+ * and dropped.
  */
 final class EndpointConnection implements RawConnection.EventListener {
     // Maximum time between two reads within a frame, ns: several times the gaps of the slowest
@@ -140,7 +141,7 @@
 
     @Override
     public void onTimeout() {
-        fail("the rest of a frame did not come within " + FRAME_STALL_TIMEOUT_NS + " ns");
+        fail("the rest of a frame did not come within " + FRAME_STALL_TIMEOUT_NS / 1_000_000 + " ms");
     }
 
     @Override
@@ -148,7 +149,8 @@
         fail(reason);
     }
 
-    // Ends all attempts in flight. The attempt whose response is partially received ends as an error
+    // Ends all attempts in flight. The attempt whose response is partially received ends as an
+    // error
     // of the endpoint; the others have only lost their connection and end as reset.
     private void fail(String reason) {
         Attempt receiving = decoder.inFrame() ? attemptsInFlight.get(decoder.id()) : null;
--- a/src/main/java/brooklock/platform/EndpointConnectionPools.java
+++ b/src/main/java/brooklock/platform/EndpointConnectionPools.java
@@ -8,8 +8,9 @@
  * The connection pools of all endpoints, which share a fixed number of file descriptors. Not
  * thread-safe; owned by the I/O thread.
  *
- * <p>Each endpoint may use an equal share of the descriptors, within bounds. When all descriptors are
- * in use, a new connection replaces the one that has been idle for longest, in whichever pool it is.
+ * <p>Each endpoint may use an equal share of the descriptors, within bounds. When all descriptors
+ * are in use, a new connection replaces the one that has been idle for longest, in whichever pool
+ * it is.
  */
 final class EndpointConnectionPools implements ConnectionBudget {
     // Bounds of an endpoint's share, for lists of very few or very many endpoints.
--- a/src/main/java/brooklock/platform/EndpointConnector.java
+++ b/src/main/java/brooklock/platform/EndpointConnector.java
@@ -8,9 +8,9 @@
 import java.util.function.Predicate;
 
 /**
- * Sends attempts to the endpoints of the list: caches, parents and the origin. Not thread-safe; owned
- * by the I/O thread, which also owns the endpoint list. {@link #start} must be called before any
- * other method.
+ * Sends attempts to the endpoints of the list: caches, parents and the origin. Not thread-safe;
+ * owned by the I/O thread, which also owns the endpoint list. {@link #start} must be called before
+ * any other method.
  *
  * <p>A queued attempt is sent only if the state that the router decided on is still valid. When the
  * list entry of its endpoint or fill source changes, or when its object is purged, the attempt ends
@@ -69,8 +69,8 @@
     }
 
     /**
-     * Returns the queued attempts of purged objects to the router. Must be called after the purge has
-     * been submitted to the router, which then decides with the purge taken into account.
+     * Returns the queued attempts of purged objects to the router. Must be called after the purge
+     * has been submitted to the router, which then decides with the purge taken into account.
      *
      * @param objectId the id of the purged object; 0 for all objects of the group
      * @param group the purge group
--- a/src/main/java/brooklock/platform/EndpointTable.java
+++ b/src/main/java/brooklock/platform/EndpointTable.java
@@ -96,8 +96,8 @@
     }
 
     /**
-     * Applies an update of the list. Endpoints of an unknown zone, kind or state, or without a valid
-     * address, are ignored.
+     * Applies an update of the list. Endpoints of an unknown zone, kind or state, or without a
+     * valid address, are ignored.
      *
      * @return the router's event for the update
      */
--- a/src/main/java/brooklock/platform/Frame.java
+++ b/src/main/java/brooklock/platform/Frame.java
@@ -3,8 +3,8 @@
 import java.util.Map;
 
 /**
- * A frame of the protocol between dispatchers and endpoints. Immutable; the fields and the body must
- * not be modified.
+ * A frame of the protocol between dispatchers and endpoints. Immutable; the fields and the body
+ * must not be modified.
  *
  * @param code the type of the frame, one of the code constants
  * @param id the id of the request that the frame belongs to
--- a/src/main/java/brooklock/platform/FrameDecoder.java
+++ b/src/main/java/brooklock/platform/FrameDecoder.java
@@ -8,9 +8,9 @@
 import java.util.zip.CRC32;
 
 /**
- * Decodes frames incrementally, from input split at any byte. Rejects everything that is not a valid
- * frame, and checks every length before memory is allocated for it. Performs no I/O; not thread-safe.
- * A decoder must not be used again after it has thrown an exception.
+ * Decodes frames incrementally, from input split at any byte. Rejects everything that is not a
+ * valid frame, and checks every length before memory is allocated for it. Performs no I/O; not
+ * thread-safe. A decoder must not be used again after it has thrown an exception.
  */
 public final class FrameDecoder {
     /** Length of the checksum at the end of a frame, bytes. */
@@ -46,8 +46,8 @@
     }
 
     /**
-     * Decodes the next frame. Reads at most one frame from the buffer. Bytes of an incomplete header
-     * or checksum remain in the buffer and must precede the new bytes in the next call.
+     * Decodes the next frame. Reads at most one frame from the buffer. Bytes of an incomplete
+     * header or checksum remain in the buffer and must precede the new bytes in the next call.
      *
      * @return the next frame, or null if more bytes are needed
      * @throws MalformedMessageException if the input is not a valid frame
--- a/src/main/java/brooklock/platform/MessagePackReader.java
+++ b/src/main/java/brooklock/platform/MessagePackReader.java
@@ -45,12 +45,12 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Reads MessagePack token by token, from input split at any byte. Texts must be UTF-8, texts and byte
- * strings are bounded in length, and extension types are rejected. The formats are those of {@link
- * MessagePackFormat}. Performs no I/O; not thread-safe.
+ * Reads MessagePack token by token, from input split at any byte. Texts must be UTF-8, texts and
+ * byte strings are bounded in length, and extension types are rejected. The formats are those of
+ * {@link MessagePackFormat}. Performs no I/O; not thread-safe.
  *
- * <p>After {@link #next} has returned true, {@link #tokenType} and the accessor of that type describe
- * the token.
+ * <p>After {@link #next} has returned true, {@link #tokenType} and the accessor of that type
+ * describe the token.
  */
 final class MessagePackReader {
     /** The types of token. */
--- a/src/main/java/brooklock/platform/PendingRequest.java
+++ b/src/main/java/brooklock/platform/PendingRequest.java
@@ -102,9 +102,9 @@
     }
 
     /**
-     * Returns whether an attempt of this request was sent on a connection. A second attempt must not
-     * use the same connection: both carry the same id, and a late response to the first would be
-     * mistaken for the response to the second.
+     * Returns whether an attempt of this request was sent on a connection. A second attempt must
+     * not use the same connection: both carry the same id, and a late response to the first would
+     * be mistaken for the response to the second.
      */
     boolean hasUsed(EndpointConnection candidate) {
         return usedConnections.contains(candidate);
--- a/src/main/java/brooklock/platform/PendingRequestTable.java
+++ b/src/main/java/brooklock/platform/PendingRequestTable.java
@@ -4,8 +4,8 @@
 import java.util.Map;
 
 /**
- * The requests that have been accepted and are not finished, with bounds on their number and memory.
- * Not thread-safe; owned by the I/O thread.
+ * The requests that have been accepted and are not finished, with bounds on their number and
+ * memory. Not thread-safe; owned by the I/O thread.
  */
 final class PendingRequestTable {
     // More requests than one core can serve within a deadline; further ones would only time out.
@@ -36,8 +36,8 @@
     /**
      * Adds a request.
      *
-     * @param clientRequest the request as the client sent it; its id must not be {@linkplain #isOpen
-     *     open}
+     * @param clientRequest the request as the client sent it; its id must not be {@linkplain
+     *     #isOpen open}
      * @param connection the connection that the response is written to
      * @param messageId the id of the call that the response answers
      * @param nowNs the current time on the router's clock, ns
--- a/src/main/java/brooklock/platform/PlatformConfig.java
+++ b/src/main/java/brooklock/platform/PlatformConfig.java
@@ -10,7 +10,8 @@
  *
  * @param name the name of the dispatcher
  * @param listenAddress the address that clients connect to
- * @param discoveryAddress the address of the discovery service, which sends endpoint lists and purges
+ * @param discoveryAddress the address of the discovery service, which sends endpoint lists and
+ *     purges
  * @param seed the seed of random numbers
  * @param maxDescriptors maximum number of open file descriptors
  * @param lastSequence the sequence number of the last initial event
--- a/src/main/java/brooklock/platform/PlatformDispatcher.java
+++ b/src/main/java/brooklock/platform/PlatformDispatcher.java
@@ -18,9 +18,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A dispatcher on the operators' platform. Creates and connects its components, starts them, reloads
- * the configuration and shuts down. All components run on one I/O thread; the public methods may be
- * called from any other thread.
+ * A dispatcher on the operators' platform. Creates and connects its components, starts them,
+ * reloads the configuration and shuts down. All components run on one I/O thread; the public
+ * methods may be called from any other thread.
  */
 public final class PlatformDispatcher implements Closeable {
     private static final Logger LOG = LoggerFactory.getLogger(PlatformDispatcher.class);
@@ -34,7 +34,8 @@
     // clients continue to send requests, and shorter than the 0.7 s that the platform grants beyond
     // the longest deadline before it kills the process.
     private static final long ACCEPT_AFTER_SHUTDOWN_NS = 650_000_000L;
-    // A configuration that cannot be read may be partially written; it is read again up to this many
+    // A configuration that cannot be read may be partially written; it is read again up to this
+    // many
     // times.
     private static final int MAX_RELOAD_RETRIES = 20;
     private static final long RELOAD_RETRY_DELAY_NS = 100_000_000L;
@@ -86,13 +87,13 @@
     }
 
     /**
-     * Starts a dispatcher: reads the configuration, starts the I/O thread, runs the start-up warm-up
-     * on it, processes the initial discovery events, and listens. The dispatcher serves clients when
-     * this method returns.
+     * Starts a dispatcher: reads the configuration, starts the I/O thread, runs the start-up
+     * warm-up on it, processes the initial discovery events, and listens. The dispatcher serves
+     * clients when this method returns.
      *
      * @param configFile the platform's configuration file
-     * @throws IOException if the configuration cannot be read, or if its address is in use or is not
-     *     a local address
+     * @throws IOException if the configuration cannot be read, or if its address is in use or is
+     *     not a local address
      */
     public static PlatformDispatcher start(Path configFile) throws IOException {
         PlatformConfig config = PlatformConfigReader.read(configFile);
@@ -149,8 +150,8 @@
     /**
      * Reads the configuration again and reconnects to the discovery service if its address has
      * changed. No other setting of a running dispatcher changes. A file that cannot be read is read
-     * again for two seconds; the previous address stays in use until a read succeeds. Returns without
-     * waiting for the reload.
+     * again for two seconds; the previous address stays in use until a read succeeds. Returns
+     * without waiting for the reload.
      */
     public void reload() {
         reload(MAX_RELOAD_RETRIES);
--- a/src/main/java/brooklock/platform/PlatformMain.java
+++ b/src/main/java/brooklock/platform/PlatformMain.java
@@ -22,8 +22,8 @@
  * changed ({@link PlatformDispatcher#reload}).
  *
  * <p>SIGTERM shuts the dispatcher down ({@link PlatformDispatcher#shutDownGracefully}) and ends the
- * process with status 0. The shutdown has no time limit; the platform kills a process that takes too
- * long.
+ * process with status 0. The shutdown has no time limit; the platform kills a process that takes
+ * too long.
  *
  * <p>Signals that arrive during the start are handled once the dispatcher serves clients. A second
  * SIGTERM has no effect.
--- a/src/main/java/brooklock/platform/RequestExecutor.java
+++ b/src/main/java/brooklock/platform/RequestExecutor.java
@@ -15,7 +15,8 @@
 /**
  * Executes requests: passes events to the router one at a time, executes the router's actions in
  * order, and enforces the time-outs of attempts. Every attempt is reported to the router exactly
- * once, and every request gets at most one final response. Not thread-safe; owned by the I/O thread.
+ * once, and every request gets at most one final response. Not thread-safe; owned by the I/O
+ * thread.
  *
  * <p>The HTTP dispatcher has a separate routing thread with a similar loop, because it receives
  * events from other threads over a bounded queue and records a trace. Neither is needed here.
@@ -89,8 +90,9 @@
     }
 
     /**
-     * Accepts a request. The caller must have checked that it fits {@linkplain #hasRoomFor within the
-     * bounds} and that its id is not {@linkplain #isOpen open}, and must then call {@link #route}.
+     * Accepts a request. The caller must have checked that it fits {@linkplain #hasRoomFor within
+     * the bounds} and that its id is not {@linkplain #isOpen open}, and must then call {@link
+     * #route}.
      *
      * @param clientRequest the request as the client sent it
      * @param connection the connection that the response is written to
@@ -128,8 +130,8 @@
 
     /**
      * Ends an attempt and reports its result to the router. The first result with outcome {@link
-     * AttemptOutcome#OK} is sent to the client as the final response. Does nothing if the attempt has
-     * already ended.
+     * AttemptOutcome#OK} is sent to the client as the final response. Does nothing if the attempt
+     * has already ended.
      */
     void completeAttempt(Attempt attempt, AttemptResult result) {
         if (attempt.hasEnded()) {
--- a/src/main/java/brooklock/platform/RpcDecoder.java
+++ b/src/main/java/brooklock/platform/RpcDecoder.java
@@ -6,10 +6,10 @@
 import java.util.Map;
 
 /**
- * Decodes the MessagePack-RPC messages of clients incrementally, from input split at any byte. Checks
- * the structure of messages and bounds every length; the values of a call's fields are validated by
- * {@link ClientRequestParser}. Performs no I/O; not thread-safe. A decoder must not be used again
- * after it has thrown an exception.
+ * Decodes the MessagePack-RPC messages of clients incrementally, from input split at any byte.
+ * Checks the structure of messages and bounds every length; the values of a call's fields are
+ * validated by {@link ClientRequestParser}. Performs no I/O; not thread-safe. A decoder must not be
+ * used again after it has thrown an exception.
  */
 public final class RpcDecoder {
     /** Maximum length of a body, bytes; the protocol's bound on a write. */
--- a/src/main/java/brooklock/platform/RpcMessage.java
+++ b/src/main/java/brooklock/platform/RpcMessage.java
@@ -4,7 +4,9 @@
 
 /** A message from a client. Immutable; fields and bodies must not be modified. */
 public sealed interface RpcMessage {
-    /** Returns the id of the call that is made or cancelled, unique among its connection's calls. */
+    /**
+     * Returns the id of the call that is made or cancelled, unique among its connection's calls.
+     */
     long messageId();
 
     /**
--- a/src/main/java/brooklock/platform/SocketAddressParser.java
+++ b/src/main/java/brooklock/platform/SocketAddressParser.java
@@ -18,10 +18,11 @@
     private SocketAddressParser() {}
 
     /**
-     * Parses a text of the form {@code a.b.c.d:port}. Host names are rejected because resolving them
-     * could block the I/O thread.
+     * Parses a text of the form {@code a.b.c.d:port}. Host names are rejected because resolving
+     * them could block the I/O thread.
      *
-     * @throws InvalidAddressException if the text does not have that form or the port is out of range
+     * @throws InvalidAddressException if the text does not have that form or the port is out of
+     *     range
      */
     static InetSocketAddress parse(String text) throws InvalidAddressException {
         if (!ADDRESS.matcher(text).matches()) {
--- a/src/main/java/brooklock/platform/StartupWarmup.java
+++ b/src/main/java/brooklock/platform/StartupWarmup.java
@@ -37,7 +37,8 @@
     private static final long MAX_DURATION_NS = 1_500_000_000L;
     private static final long POLL_INTERVAL_NS = 1_000_000L;
     private static final int BODY_BYTES = 20_000;
-    // Number of endpoints in the configuration; each may need a connection for each call of a round.
+    // Number of endpoints in the configuration; each may need a connection for each call of a
+    // round.
     private static final int ENDPOINTS = 5;
 
     private final IoLoop loop;
@@ -84,8 +85,8 @@
             loop.execute(warmup::start);
             if (!warmup.done.await(2 * MAX_DURATION_NS, TimeUnit.NANOSECONDS)) {
                 LOG.warn(
-                        "start-up warm-up failed: not finished within {} ns; starting without it",
-                        2 * MAX_DURATION_NS);
+                        "start-up warm-up failed: not finished within {} ms; the dispatcher starts nevertheless",
+                        2 * MAX_DURATION_NS / 1_000_000);
             }
         } catch (IOException e) {
             LOG.warn("start-up warm-up failed: {}", e.getMessage());
--- a/src/main/java/brooklock/platform/TimerQueue.java
+++ b/src/main/java/brooklock/platform/TimerQueue.java
@@ -10,8 +10,8 @@
 
 /**
  * A queue of tasks that are due at a time on the router's clock: the router's timers and the
- * time-outs of attempts. A single timer of the I/O thread is set for the task that is due first. Not
- * thread-safe; owned by the I/O thread, on which all tasks run.
+ * time-outs of attempts. A single timer of the I/O thread is set for the task that is due first.
+ * Not thread-safe; owned by the I/O thread, on which all tasks run.
  */
 final class TimerQueue {
     private static final Logger LOG = LoggerFactory.getLogger(TimerQueue.class);
