--- a/src/main/java/brooklock/platform/AttemptHandler.java
+++ b/src/main/java/brooklock/platform/AttemptHandler.java
@@ -15,8 +15,8 @@
      * ended, its request is completed, it waited too long, or the list entry of its endpoint or
      * fill source has changed since the decision.
      */
-    Optional<ByteBuffer> startFrame(Attempt attempt);
+    Optional<ByteBuffer> startFrame(EndpointAttempt attempt);
 
     /** Called with the result of an attempt, also of one that could not be sent. */
-    void onCompleted(Attempt attempt, AttemptResult result);
+    void onCompleted(EndpointAttempt attempt, AttemptResult result);
 }
--- a/src/main/java/brooklock/platform/AttemptTransport.java
+++ b/src/main/java/brooklock/platform/AttemptTransport.java
@@ -6,8 +6,8 @@
      * Sends an attempt as soon as a connection is available. The result is reported to {@link
      * RequestExecutor#completeAttempt}, possibly before this method returns.
      */
-    void send(Attempt attempt);
+    void send(EndpointAttempt attempt);
 
     /** Removes an attempt that ended while it waited for a connection. */
-    void dropQueued(Attempt attempt);
+    void dropQueued(EndpointAttempt attempt);
 }
--- a/src/main/java/brooklock/platform/EndpointTable.java
+++ b/src/main/java/brooklock/platform/DiscoveredEndpointTable.java
@@ -22,7 +22,7 @@
  * same endpoints, also after a restart. If two names have the same checksum, which is not expected,
  * the later one gets the next free id, and dispatchers may then differ in the id of that endpoint.
  */
-final class EndpointTable {
+final class DiscoveredEndpointTable {
     private static final long MAX_ID = 0xffffffffL;
 
     /** An endpoint of the list. Mutable; modified by the enclosing table only. */
@@ -89,7 +89,7 @@
      * @param toRouterTimeNs converts Unix milliseconds to the router's clock, ns; called once for
      *     each start of an endpoint, so that all later lists give the router the same start time
      */
-    EndpointTable(List<String> zones, List<String> kinds, LongUnaryOperator toRouterTimeNs) {
+    DiscoveredEndpointTable(List<String> zones, List<String> kinds, LongUnaryOperator toRouterTimeNs) {
         this.zones = zones;
         this.kinds = kinds;
         this.toRouterTimeNs = toRouterTimeNs;
--- a/src/main/java/brooklock/platform/Attempt.java
+++ b/src/main/java/brooklock/platform/EndpointAttempt.java
@@ -11,7 +11,7 @@
  * attempt that ends while queued was never sent, which proves that it had no effect. The first
  * response, time-out or cancellation ends the attempt; later ones are ignored.
  */
-final class Attempt {
+final class EndpointAttempt {
     /** The states of an attempt, in the order in which they are entered; states may be skipped. */
     enum State {
         QUEUED,
@@ -19,7 +19,7 @@
         ENDED
     }
 
-    private final PendingRequest request;
+    private final PendingClientRequest request;
     private final int index;
     private final StartAttempt decision;
     private final long decidedAtNs;
@@ -37,7 +37,7 @@
      * @param decision the router's decision
      * @param decidedAtNs the time of the decision on the router's clock, ns
      */
-    Attempt(PendingRequest request, int index, StartAttempt decision, long decidedAtNs) {
+    EndpointAttempt(PendingClientRequest request, int index, StartAttempt decision, long decidedAtNs) {
         this.request = request;
         this.index = index;
         this.decision = decision;
@@ -45,7 +45,7 @@
         startedAtNs = decidedAtNs;
     }
 
-    PendingRequest request() {
+    PendingClientRequest request() {
         return request;
     }
 
--- a/src/main/java/brooklock/platform/EndpointConnection.java
+++ b/src/main/java/brooklock/platform/EndpointConnection.java
@@ -30,7 +30,7 @@
     private final EndpointConnectionPool pool;
     private final RawConnection transport;
     private final FrameDecoder decoder = new FrameDecoder();
-    private final Map<Long, Attempt> attemptsInFlight = new HashMap<>();
+    private final Map<Long, EndpointAttempt> attemptsInFlight = new HashMap<>();
     // The ids of cancelled attempts. They are not used again on this connection: a late response to
     // a cancelled attempt would be mistaken for that of a later attempt with the same id.
     private final Set<Long> cancelledIds = new HashSet<>();
@@ -65,7 +65,7 @@
      * @param request the request
      * @param maxInFlight maximum number of attempts in flight on one connection
      */
-    boolean canCarry(PendingRequest request, int maxInFlight) {
+    boolean canCarry(PendingClientRequest request, int maxInFlight) {
         long id = request.clientRequest().id();
         return !transport.isClosed()
                 && attemptsInFlight.size() < maxInFlight
@@ -76,7 +76,7 @@
     }
 
     /** Writes the request frame of an attempt and marks the attempt as in flight. */
-    void send(Attempt attempt, ByteBuffer frame) {
+    void send(EndpointAttempt attempt, ByteBuffer frame) {
         attempt.start(this);
         attemptsInFlight.put(attempt.clientRequest().id(), attempt);
         transport.write(frame);
@@ -87,7 +87,7 @@
      * its remaining input is of no use, and a silent endpoint cannot be distinguished from a slow
      * one.
      */
-    void cancel(Attempt attempt) {
+    void cancel(EndpointAttempt attempt) {
         long id = attempt.clientRequest().id();
         if (!attemptsInFlight.remove(id, attempt)) {
             return;
@@ -126,7 +126,7 @@
     }
 
     private void onResponse(Frame response) throws MalformedMessageException {
-        Attempt attempt = attemptsInFlight.get(response.id());
+        EndpointAttempt attempt = attemptsInFlight.get(response.id());
         if (attempt == null) {
             return;
         }
@@ -153,10 +153,10 @@
     // error
     // of the endpoint; the others have only lost their connection and end as reset.
     private void fail(String reason) {
-        Attempt receiving = decoder.inFrame() ? attemptsInFlight.get(decoder.id()) : null;
+        EndpointAttempt receiving = decoder.inFrame() ? attemptsInFlight.get(decoder.id()) : null;
         close();
         pool.logFailure(reason, attemptsInFlight.size());
-        for (Attempt attempt : new ArrayList<>(attemptsInFlight.values())) {
+        for (EndpointAttempt attempt : new ArrayList<>(attemptsInFlight.values())) {
             attemptsInFlight.remove(attempt.clientRequest().id());
             pool.onCompleted(
                     attempt,
--- a/src/main/java/brooklock/platform/EndpointConnectionPool.java
+++ b/src/main/java/brooklock/platform/EndpointConnectionPool.java
@@ -37,7 +37,7 @@
     private final ConnectionOpener opener;
     private final List<EndpointConnection> connections = new ArrayList<>();
     private final ArrayDeque<EndpointConnection> idleConnections = new ArrayDeque<>();
-    private final ArrayDeque<Attempt> queue = new ArrayDeque<>();
+    private final ArrayDeque<EndpointAttempt> queue = new ArrayDeque<>();
     private boolean retired;
 
     /**
@@ -67,7 +67,7 @@
      * Sends an attempt on an idle connection, or else on a new one, or, if no more may be opened,
      * on the one with the fewest attempts in flight.
      */
-    void send(Attempt attempt) {
+    void send(EndpointAttempt attempt) {
         EndpointConnection free = selectConnection(attempt);
         if (free != null) {
             startOrRelease(attempt, free);
@@ -81,7 +81,7 @@
 
     // Returns the connection to the idle ones if the attempt does not start; otherwise it would be
     // lost to the pool.
-    private void startOrRelease(Attempt attempt, EndpointConnection connection) {
+    private void startOrRelease(EndpointAttempt attempt, EndpointConnection connection) {
         if (!start(attempt, connection) && connection.inFlight() == 0) {
             onIdle(connection);
         }
@@ -89,7 +89,7 @@
 
     // Encodes the frame only now, so that its time limit excludes the time spent in the queue, and
     // so that an attempt is returned to the router if its list entries have changed meanwhile.
-    private boolean start(Attempt attempt, EndpointConnection connection) {
+    private boolean start(EndpointAttempt attempt, EndpointConnection connection) {
         Optional<ByteBuffer> frame = attemptHandler.startFrame(attempt);
         if (frame.isEmpty()) {
             attemptHandler.onCompleted(
@@ -100,7 +100,7 @@
         return true;
     }
 
-    private EndpointConnection selectConnection(Attempt attempt) {
+    private EndpointConnection selectConnection(EndpointAttempt attempt) {
         for (EndpointConnection connection : idleConnections) {
             if (connection.canCarry(attempt.request(), maxInFlight)) {
                 idleConnections.remove(connection);
@@ -110,7 +110,7 @@
         return budget.permits(connectionCount()) ? null : leastBusy(attempt);
     }
 
-    private EndpointConnection leastBusy(Attempt attempt) {
+    private EndpointConnection leastBusy(EndpointAttempt attempt) {
         EndpointConnection best = null;
         for (EndpointConnection connection : connections) {
             if (connection.canCarry(attempt.request(), maxInFlight)
@@ -137,7 +137,7 @@
 
     @Override
     public void onSlow() {
-        for (Attempt attempt : queuedAttempts()) {
+        for (EndpointAttempt attempt : queuedAttempts()) {
             EndpointConnection shared = leastBusy(attempt);
             if (shared != null && queue.remove(attempt)) {
                 idleConnections.remove(shared);
@@ -148,7 +148,7 @@
 
     @Override
     public void onFailed(String reason) {
-        Attempt first = queue.poll();
+        EndpointAttempt first = queue.poll();
         logFailure(reason, queue.size() + 1);
         if (first != null) {
             failUnconnected(first);
@@ -156,7 +156,7 @@
         openConnections();
     }
 
-    private void failUnconnected(Attempt attempt) {
+    private void failUnconnected(EndpointAttempt attempt) {
         attemptHandler.onCompleted(
                 attempt, AttemptResult.withoutResponse(AttemptOutcome.CONNECT_FAILED));
     }
@@ -166,7 +166,7 @@
      * keeps it as idle; a retired pool closes it.
      */
     void onIdle(EndpointConnection connection) {
-        for (Attempt attempt = queue.peek();
+        for (EndpointAttempt attempt = queue.peek();
                 attempt != null && connection.canCarry(attempt.request(), maxInFlight);
                 attempt = queue.peek()) {
             queue.poll();
@@ -182,7 +182,7 @@
     }
 
     /** Called with the result of an attempt that was in flight. */
-    void onCompleted(Attempt attempt, AttemptResult result) {
+    void onCompleted(EndpointAttempt attempt, AttemptResult result) {
         attemptHandler.onCompleted(attempt, result);
     }
 
@@ -194,12 +194,12 @@
     }
 
     /** Returns a copy of the queue of attempts that wait for a connection. */
-    List<Attempt> queuedAttempts() {
+    List<EndpointAttempt> queuedAttempts() {
         return List.copyOf(queue);
     }
 
     /** Removes an attempt from the queue. */
-    void dequeue(Attempt attempt) {
+    void dequeue(EndpointAttempt attempt) {
         queue.remove(attempt);
     }
 
@@ -234,7 +234,7 @@
     void retire() {
         retired = true;
         opener.cancelAll();
-        for (Attempt attempt = queue.poll(); attempt != null; attempt = queue.poll()) {
+        for (EndpointAttempt attempt = queue.poll(); attempt != null; attempt = queue.poll()) {
             failUnconnected(attempt);
         }
         for (EndpointConnection connection = idleConnections.peek();
--- a/src/main/java/brooklock/platform/EndpointConnector.java
+++ b/src/main/java/brooklock/platform/EndpointConnector.java
@@ -20,7 +20,7 @@
     private static final long SWEEP_INTERVAL_NS = 1_000_000_000L;
 
     private final IoLoop loop;
-    private final EndpointTable table;
+    private final DiscoveredEndpointTable table;
     private final EndpointConnectionPools pools;
     private RequestExecutor executor;
     private boolean closed;
@@ -31,7 +31,7 @@
      * @param table the endpoint list
      * @param settings the settings of the connections to endpoints
      */
-    EndpointConnector(EndpointTable table, ConnectionSettings settings) {
+    EndpointConnector(DiscoveredEndpointTable table, ConnectionSettings settings) {
         loop = settings.loop();
         this.table = table;
         pools = new EndpointConnectionPools(settings, table, this);
@@ -83,9 +83,9 @@
                                 : group == attempt.clientRequest().group());
     }
 
-    private void returnQueued(Predicate<Attempt> affected) {
+    private void returnQueued(Predicate<EndpointAttempt> affected) {
         for (EndpointConnectionPool pool : pools.all()) {
-            for (Attempt attempt : pool.queuedAttempts()) {
+            for (EndpointAttempt attempt : pool.queuedAttempts()) {
                 if (affected.test(attempt)) {
                     pool.dequeue(attempt);
                     onCompleted(attempt, AttemptResult.withoutResponse(AttemptOutcome.NOT_STARTED));
@@ -94,9 +94,9 @@
         }
     }
 
-    private boolean isCurrent(Attempt attempt) {
-        EndpointTable.Entry endpoint = table.get(attempt.decision().endpoint());
-        EndpointTable.Entry source = table.get(attempt.decision().fillSource());
+    private boolean isCurrent(EndpointAttempt attempt) {
+        DiscoveredEndpointTable.Entry endpoint = table.get(attempt.decision().endpoint());
+        DiscoveredEndpointTable.Entry source = table.get(attempt.decision().fillSource());
         return endpoint != null
                 && source != null
                 && attempt.wasDecidedOn(endpoint.listing(), source.listing());
@@ -114,9 +114,9 @@
     }
 
     @Override
-    public void send(Attempt attempt) {
-        EndpointTable.Entry endpoint = table.get(attempt.decision().endpoint());
-        EndpointTable.Entry source = table.get(attempt.decision().fillSource());
+    public void send(EndpointAttempt attempt) {
+        DiscoveredEndpointTable.Entry endpoint = table.get(attempt.decision().endpoint());
+        DiscoveredEndpointTable.Entry source = table.get(attempt.decision().fillSource());
         if (endpoint == null || source == null || endpoint.isGone()) {
             // The endpoint left the list after the router chose it; the router has not processed
             // that update yet.
@@ -128,7 +128,7 @@
     }
 
     @Override
-    public void dropQueued(Attempt attempt) {
+    public void dropQueued(EndpointAttempt attempt) {
         EndpointConnectionPool pool = pools.get(attempt.decision().endpoint());
         if (pool != null) {
             pool.dequeue(attempt);
@@ -136,7 +136,7 @@
     }
 
     @Override
-    public Optional<ByteBuffer> startFrame(Attempt attempt) {
+    public Optional<ByteBuffer> startFrame(EndpointAttempt attempt) {
         long nowNs = executor.nowNs();
         long waitedNs = nowNs - attempt.decidedAtNs();
         if (attempt.hasEnded()
@@ -155,7 +155,7 @@
     }
 
     @Override
-    public void onCompleted(Attempt attempt, AttemptResult result) {
+    public void onCompleted(EndpointAttempt attempt, AttemptResult result) {
         executor.completeAttempt(attempt, result);
     }
 }
--- a/src/main/java/brooklock/platform/PendingRequest.java
+++ b/src/main/java/brooklock/platform/PendingClientRequest.java
@@ -12,14 +12,14 @@
  * cancels it or disconnects. Attempts may still be in flight at that time; the request is finished
  * once all of them have ended too.
  */
-final class PendingRequest {
+final class PendingClientRequest {
     private final long routingId;
     private final ClientRequest clientRequest;
     private final long acceptedAtNs;
     private final long deadlineNs;
     private final ClientConnection connection;
     private final long messageId;
-    private final List<Attempt> attempts = new ArrayList<>(2);
+    private final List<EndpointAttempt> attempts = new ArrayList<>(2);
     private final List<EndpointConnection> usedConnections = new ArrayList<>(1);
     private boolean completed;
     private int openAttempts;
@@ -34,7 +34,7 @@
      * @param connection the connection that the response is written to
      * @param messageId the id of the call that the response answers
      */
-    PendingRequest(
+    PendingClientRequest(
             long routingId,
             ClientRequest clientRequest,
             long acceptedAtNs,
@@ -79,15 +79,15 @@
      * @param decision the router's decision
      * @param nowNs the current time on the router's clock, ns
      */
-    Attempt addAttempt(StartAttempt decision, long nowNs) {
-        Attempt attempt = new Attempt(this, attempts.size(), decision, nowNs);
+    EndpointAttempt addAttempt(StartAttempt decision, long nowNs) {
+        EndpointAttempt attempt = new EndpointAttempt(this, attempts.size(), decision, nowNs);
         attempts.add(attempt);
         openAttempts++;
         return attempt;
     }
 
     /** Returns the attempt with the specified index, or null if there is none. */
-    Attempt attempt(int index) {
+    EndpointAttempt attempt(int index) {
         return index < attempts.size() ? attempts.get(index) : null;
     }
 
--- a/src/main/java/brooklock/platform/PendingRequestTable.java
+++ b/src/main/java/brooklock/platform/PendingClientRequestTable.java
@@ -7,7 +7,7 @@
  * The requests that have been accepted and are not finished, with bounds on their number and
  * memory. Not thread-safe; owned by the I/O thread.
  */
-final class PendingRequestTable {
+final class PendingClientRequestTable {
     // More requests than one core can serve within a deadline; further ones would only time out.
     private static final int MAX_PENDING_REQUESTS = 8192;
     // The bodies of pending requests may occupy the heap size divided by this; more would leave too
@@ -15,8 +15,8 @@
     private static final int BODY_HEAP_DIVISOR = 8;
     private static final long NS_PER_MS = 1_000_000L;
 
-    private final Map<Long, PendingRequest> byRoutingId = new HashMap<>();
-    private final Map<Long, PendingRequest> openByClientId = new HashMap<>();
+    private final Map<Long, PendingClientRequest> byRoutingId = new HashMap<>();
+    private final Map<Long, PendingClientRequest> openByClientId = new HashMap<>();
     private long lastRoutingId;
     private int openCount;
     private long heldBodyBytes;
@@ -42,10 +42,10 @@
      * @param messageId the id of the call that the response answers
      * @param nowNs the current time on the router's clock, ns
      */
-    PendingRequest add(
+    PendingClientRequest add(
             ClientRequest clientRequest, ClientConnection connection, long messageId, long nowNs) {
-        PendingRequest request =
-                new PendingRequest(
+        PendingClientRequest request =
+                new PendingClientRequest(
                         ++lastRoutingId,
                         clientRequest,
                         nowNs,
@@ -60,13 +60,13 @@
     }
 
     /** Returns the request with the specified routing id, or null if it is finished. */
-    PendingRequest get(long routingId) {
+    PendingClientRequest get(long routingId) {
         return byRoutingId.get(routingId);
     }
 
     /** Returns the request with the specified routing id, or null if it is completed. */
-    PendingRequest getOpen(long routingId) {
-        PendingRequest request = byRoutingId.get(routingId);
+    PendingClientRequest getOpen(long routingId) {
+        PendingClientRequest request = byRoutingId.get(routingId);
         return request == null || request.isCompleted() ? null : request;
     }
 
@@ -81,7 +81,7 @@
     }
 
     /** Marks an open request as completed and removes it if all of its attempts have ended. */
-    void complete(PendingRequest request) {
+    void complete(PendingClientRequest request) {
         request.complete();
         openCount--;
         openByClientId.remove(request.clientRequest().id(), request);
@@ -89,7 +89,7 @@
     }
 
     /** Removes a request if it is finished. */
-    void removeIfFinished(PendingRequest request) {
+    void removeIfFinished(PendingClientRequest request) {
         if (request.isFinished() && byRoutingId.remove(request.routingId()) != null) {
             heldBodyBytes -= request.clientRequest().body().length;
         }
--- a/src/main/java/brooklock/platform/RequestExecutor.java
+++ b/src/main/java/brooklock/platform/RequestExecutor.java
@@ -25,7 +25,7 @@
     private static final Logger LOG = LoggerFactory.getLogger(RequestExecutor.class);
 
     private final DispatcherStats stats = new DispatcherStats();
-    private final PendingRequestTable requests = new PendingRequestTable();
+    private final PendingClientRequestTable requests = new PendingClientRequestTable();
     private final RoutingStrategy routingStrategy;
     private final MonotonicClock clock;
     private final TimerQueue timers;
@@ -98,14 +98,14 @@
      * @param connection the connection that the response is written to
      * @param messageId the id of the call that the response answers
      */
-    PendingRequest accept(
+    PendingClientRequest accept(
             ClientRequest clientRequest, ClientConnection connection, long messageId) {
         stats.accepted();
         return requests.add(clientRequest, connection, messageId, clock.nowNs());
     }
 
     /** Passes an accepted request to the router. The response may be sent before this returns. */
-    void route(PendingRequest request) {
+    void route(PendingClientRequest request) {
         ClientRequest clientRequest = request.clientRequest();
         submit(
                 new RouterEvent.RequestReceived(
@@ -120,7 +120,7 @@
     }
 
     /** Completes a request whose client has disconnected or cancelled it. No response is sent. */
-    void cancelByClient(PendingRequest request) {
+    void cancelByClient(PendingClientRequest request) {
         if (!request.isCompleted()) {
             requests.complete(request);
             stats.cancelled();
@@ -133,12 +133,12 @@
      * AttemptOutcome#OK} is sent to the client as the final response. Does nothing if the attempt
      * has already ended.
      */
-    void completeAttempt(Attempt attempt, AttemptResult result) {
+    void completeAttempt(EndpointAttempt attempt, AttemptResult result) {
         if (attempt.hasEnded()) {
             return;
         }
         attempt.end();
-        PendingRequest request = attempt.request();
+        PendingClientRequest request = attempt.request();
         request.onAttemptEnded();
         stats.attemptEnded(result.outcome());
         if (result.outcome() == AttemptOutcome.OK && !request.isCompleted()) {
@@ -216,7 +216,7 @@
     }
 
     private void rejectRequest(RouterAction.RejectRequest reject) {
-        PendingRequest request = requests.getOpen(reject.id());
+        PendingClientRequest request = requests.getOpen(reject.id());
         if (request != null) {
             requests.complete(request);
             stats.rejected();
@@ -225,7 +225,7 @@
     }
 
     private void failRequest(RouterAction.FailRequest fail) {
-        PendingRequest request = requests.getOpen(fail.id());
+        PendingClientRequest request = requests.getOpen(fail.id());
         if (request != null) {
             requests.complete(request);
             stats.failed();
@@ -234,19 +234,19 @@
     }
 
     private void cancelAttempt(RouterAction.CancelAttempt cancel) {
-        PendingRequest request = requests.get(cancel.id());
-        Attempt attempt = request == null ? null : request.attempt(cancel.attempt());
+        PendingClientRequest request = requests.get(cancel.id());
+        EndpointAttempt attempt = request == null ? null : request.attempt(cancel.attempt());
         if (attempt != null) {
             abortAttempt(attempt, AttemptOutcome.CANCELLED);
         }
     }
 
     private void startAttempt(RouterAction.StartAttempt decision) {
-        PendingRequest request = requests.get(decision.id());
+        PendingClientRequest request = requests.get(decision.id());
         if (request == null) {
             return;
         }
-        Attempt attempt = request.addAttempt(decision, clock.nowNs());
+        EndpointAttempt attempt = request.addAttempt(decision, clock.nowNs());
         long decidedAtNs = attempt.decidedAtNs();
         if (request.isCompleted() || decidedAtNs >= request.deadlineNs()) {
             completeAttempt(attempt, AttemptResult.withoutResponse(AttemptOutcome.NOT_STARTED));
@@ -262,19 +262,19 @@
         transport.send(attempt);
     }
 
-    private void abortUnlessStarted(Attempt attempt) {
-        if (attempt.state() == Attempt.State.QUEUED) {
+    private void abortUnlessStarted(EndpointAttempt attempt) {
+        if (attempt.state() == EndpointAttempt.State.QUEUED) {
             abortAttempt(attempt, AttemptOutcome.NOT_STARTED);
         }
     }
 
     // An attempt that is still queued was never sent, so it ends as not started whatever the reason
     // of the abort; the specified outcome applies only to an attempt in flight.
-    private void abortAttempt(Attempt attempt, AttemptOutcome outcomeInFlight) {
-        if (attempt.state() == Attempt.State.QUEUED) {
+    private void abortAttempt(EndpointAttempt attempt, AttemptOutcome outcomeInFlight) {
+        if (attempt.state() == EndpointAttempt.State.QUEUED) {
             completeAttempt(attempt, AttemptResult.withoutResponse(AttemptOutcome.NOT_STARTED));
             transport.dropQueued(attempt);
-        } else if (attempt.state() == Attempt.State.IN_FLIGHT) {
+        } else if (attempt.state() == EndpointAttempt.State.IN_FLIGHT) {
             EndpointConnection connection = attempt.connection();
             completeAttempt(attempt, AttemptResult.withoutResponse(outcomeInFlight));
             connection.cancel(attempt);
