--- a/src/main/java/brooklock/platform/AttemptHandler.java
+++ b/src/main/java/brooklock/platform/AttemptHandler.java
@@ -5,7 +5,7 @@
 
 /**
  * Encodes the attempts that a connection pool sends and receives their results. All methods are
- * called on the I/O thread. {@link #startFrame} is called at most once for each attempt, always
+ * called on the I/O thread. {@link #startAndEncode} is called at most once for each attempt, always
  * before {@link #onCompleted} unless the attempt ends while it is queued.
  */
 interface AttemptHandler {
@@ -15,7 +15,7 @@
      * ended, its request is completed, it waited too long, or the list entry of its endpoint or
      * fill source has changed since the decision.
      */
-    Optional<ByteBuffer> startFrame(EndpointAttempt attempt);
+    Optional<ByteBuffer> startAndEncode(EndpointAttempt attempt);
 
     /** Called with the result of an attempt, also of one that could not be sent. */
     void onCompleted(EndpointAttempt attempt, AttemptResult result);
--- a/src/main/java/brooklock/platform/ByteAccumulator.java
+++ b/src/main/java/brooklock/platform/ByteAccumulator.java
@@ -12,9 +12,9 @@
     // Holds most texts without growing; the largest body needs a few doublings.
     private static final int INITIAL_CAPACITY_BYTES = 4096;
 
-    private final int length;
+    private final int expectedLength;
     private byte[] bytes;
-    private int received;
+    private int receivedCount;
 
     /**
      * Creates an empty accumulator.
@@ -22,7 +22,7 @@
      * @param length the announced length, bytes
      */
     ByteAccumulator(int length) {
-        this.length = length;
+        this.expectedLength = length;
         bytes = new byte[Math.min(length, INITIAL_CAPACITY_BYTES)];
     }
 
@@ -31,16 +31,16 @@
      *
      * @return whether all announced bytes have been received
      */
-    boolean append(ByteBuffer in) {
-        int count = Math.min(length - received, in.remaining());
-        if (received + count > bytes.length) {
+    boolean append(ByteBuffer input) {
+        int count = Math.min(expectedLength - receivedCount, input.remaining());
+        if (receivedCount + count > bytes.length) {
             bytes =
                     Arrays.copyOf(
-                            bytes, Math.min(length, Math.max(received + count, 2 * bytes.length)));
+                            bytes, Math.min(expectedLength, Math.max(receivedCount + count, 2 * bytes.length)));
         }
-        in.get(bytes, received, count);
-        received += count;
-        return received == length;
+        input.get(bytes, receivedCount, count);
+        receivedCount += count;
+        return receivedCount == expectedLength;
     }
 
     /**
--- a/src/main/java/brooklock/platform/ClientConnection.java
+++ b/src/main/java/brooklock/platform/ClientConnection.java
@@ -43,13 +43,13 @@
     private final RawConnection transport;
     private final RpcDecoder decoder = new RpcDecoder();
     private final Map<Long, PendingClientRequest> openRequests = new HashMap<>();
-    private final Map<Long, RpcMessage.Call> receivedCalls = new LinkedHashMap<>();
+    private final Map<Long, RpcMessage.Call> unsubmittedCalls = new LinkedHashMap<>();
     private long idleSinceNs = System.nanoTime();
     private long messageStartedAtNs;
-    private long writtenAtLastCheck;
+    private long writtenBytesAtLastCheck;
     private int invalidCalls;
     private boolean hasSentMessage;
-    private boolean writeStalled;
+    private boolean writePending;
     private boolean messageIncomplete;
 
     ClientConnection(ClientListener listener, RawConnection transport) {
@@ -115,19 +115,19 @@
     }
 
     @Override
-    public void onBytes(ByteBuffer in) {
+    public void onBytes(ByteBuffer input) {
         try {
-            boolean messageBegins = !messageIncomplete;
-            for (RpcMessage message = decoder.next(in);
+            boolean messageStarted = !messageIncomplete;
+            for (RpcMessage message = decoder.next(input);
                     message != null && !transport.isClosed();
-                    message = decoder.next(in)) {
+                    message = decoder.next(input)) {
                 hasSentMessage = true;
-                messageBegins = true;
+                messageStarted = true;
                 idleSinceNs = System.nanoTime();
                 onMessage(message);
             }
-            messageIncomplete = decoder.inMessage() || in.hasRemaining();
-            checkMessageDuration(messageBegins);
+            messageIncomplete = decoder.hasPartialMessage() || input.hasRemaining();
+            checkMessageDuration(messageStarted);
             submitReceivedCalls();
             if (!transport.isClosed()) {
                 updateTimeout();
@@ -141,8 +141,8 @@
 
     // Bounds the duration of a whole message: a client that sends one byte at a time restarts the
     // progress timeout with each byte and could otherwise occupy its connection indefinitely.
-    private void checkMessageDuration(boolean messageBegins) throws MalformedMessageException {
-        if (messageBegins) {
+    private void checkMessageDuration(boolean messageStarted) throws MalformedMessageException {
+        if (messageStarted) {
             messageStartedAtNs = System.nanoTime();
         } else if (System.nanoTime() - messageStartedAtNs > listener.messageTimeoutNs()) {
             throw new MalformedMessageException(
@@ -153,7 +153,7 @@
     }
 
     private void updateTimeout() {
-        if (writeStalled) {
+        if (writePending) {
             return;
         }
         if (messageIncomplete) {
@@ -169,13 +169,13 @@
             cancel(messageId);
             return;
         }
-        if (openRequests.containsKey(messageId) || receivedCalls.containsKey(messageId)) {
+        if (openRequests.containsKey(messageId) || unsubmittedCalls.containsKey(messageId)) {
             throw new MalformedMessageException(
                     "expected a message id without an open call but received " + messageId);
         }
         if (message instanceof RpcMessage.HealthCheck) {
-            write(RpcEncoder.health(messageId, listener.healthy()));
-        } else if (openRequests.size() + receivedCalls.size() >= MAX_OPEN_CALLS) {
+            write(RpcEncoder.health(messageId, listener.isHealthy()));
+        } else if (openRequests.size() + unsubmittedCalls.size() >= MAX_OPEN_CALLS) {
             respondClientFault(
                     messageId,
                     RpcError.REJECTED,
@@ -184,12 +184,12 @@
                             + " open calls per connection but received one more, message id "
                             + messageId);
         } else {
-            receivedCalls.put(messageId, (RpcMessage.Call) message);
+            unsubmittedCalls.put(messageId, (RpcMessage.Call) message);
         }
     }
 
     private void cancel(long messageId) {
-        if (receivedCalls.remove(messageId) != null) {
+        if (unsubmittedCalls.remove(messageId) != null) {
             return;
         }
         PendingClientRequest request = openRequests.remove(messageId);
@@ -201,17 +201,17 @@
     // Calls received in one read are submitted only after all of that input has been decoded, so
     // that a call which is cancelled in the same read never reaches an endpoint.
     private void submitReceivedCalls() throws MalformedMessageException {
-        for (RpcMessage.Call call : receivedCalls.values()) {
+        for (RpcMessage.Call call : unsubmittedCalls.values()) {
             submit(call);
         }
-        receivedCalls.clear();
+        unsubmittedCalls.clear();
     }
 
     private void submit(RpcMessage.Call call) throws MalformedMessageException {
         long messageId = call.messageId();
         ClientRequest clientRequest;
         try {
-            clientRequest = ClientRequestParser.parse(call, listener.classes());
+            clientRequest = ClientRequestParser.parse(call, listener.requestClasses());
         } catch (InvalidRequestException e) {
             respondClientFault(messageId, RpcError.INVALID, e.getMessage());
             return;
@@ -225,7 +225,7 @@
                             + ClientRequestParser.ID
                             + " but received the id of an open request, message id "
                             + messageId);
-        } else if (listener.isRejectingRequests() || !executor.hasRoomFor(clientRequest)) {
+        } else if (listener.isRejectingRequests() || !executor.canAccept(clientRequest)) {
             write(RpcEncoder.error(messageId, RpcError.REJECTED));
         } else {
             PendingClientRequest request = executor.accept(clientRequest, this, messageId);
@@ -243,7 +243,7 @@
      */
     private void respondClientFault(long messageId, RpcError error, String reason)
             throws MalformedMessageException {
-        listener.executor().stats().invalid();
+        listener.executor().stats().recordInvalid();
         listener.logClientFault(reason);
         if (++invalidCalls > MAX_INVALID_CALLS) {
             throw new MalformedMessageException(
@@ -288,12 +288,12 @@
         return openRequests.remove(request.messageId(), request);
     }
 
-    private void write(ByteBuffer... parts) {
+    private void write(ByteBuffer... buffers) {
         idleSinceNs = System.nanoTime();
-        transport.write(parts);
-        if (transport.pendingBytes() > 0 && !writeStalled) {
-            writeStalled = true;
-            writtenAtLastCheck = transport.writtenBytes();
+        transport.write(buffers);
+        if (transport.pendingBytes() > 0 && !writePending) {
+            writePending = true;
+            writtenBytesAtLastCheck = transport.writtenBytes();
             transport.setTimeout(WRITE_STALL_TIMEOUT_NS);
         }
         if (transport.pendingBytes() > MAX_PENDING_WRITE_BYTES) {
@@ -306,15 +306,15 @@
 
     @Override
     public void onAllWritten() {
-        writeStalled = false;
+        writePending = false;
         transport.setReading(true);
         updateTimeout();
     }
 
     @Override
     public void onTimeout() {
-        if (writeStalled && transport.writtenBytes() > writtenAtLastCheck) {
-            writtenAtLastCheck = transport.writtenBytes();
+        if (writePending && transport.writtenBytes() > writtenBytesAtLastCheck) {
+            writtenBytesAtLastCheck = transport.writtenBytes();
             transport.setTimeout(WRITE_STALL_TIMEOUT_NS);
         } else {
             listener.logClientFault(
--- a/src/main/java/brooklock/platform/ClientListener.java
+++ b/src/main/java/brooklock/platform/ClientListener.java
@@ -46,7 +46,7 @@
     static final int MAX_CLOSING_CONNECTIONS = 16;
 
     private final IoLoop loop;
-    private final Map<String, RequestClassRules> classes;
+    private final Map<String, RequestClassRules> requestClasses;
     private final int maxConnections;
     private final RequestExecutor executor;
     private final Set<ClientConnection> connections = new LinkedHashSet<>();
@@ -62,18 +62,18 @@
      * Creates a listener; {@link #open} starts listening.
      *
      * @param loop the I/O thread that owns the listener
-     * @param classes the rules of each request class by the name of the class
+     * @param requestClasses the rules of each request class by the name of the class
      * @param maxConnections maximum number of open connections; when it is reached, a new
      *     connection replaces an idle one, or is closed if none is idle
      * @param executor the executor of the requests
      */
     ClientListener(
             IoLoop loop,
-            Map<String, RequestClassRules> classes,
+            Map<String, RequestClassRules> requestClasses,
             int maxConnections,
             RequestExecutor executor) {
         this.loop = loop;
-        this.classes = classes;
+        this.requestClasses = requestClasses;
         this.maxConnections = maxConnections;
         this.executor = executor;
     }
@@ -166,18 +166,18 @@
      */
     void onWriteBacklog() {
         long pendingBytes = 0;
-        long maxBytes = 0;
-        ClientConnection slowest = null;
+        long largestPendingBytes = 0;
+        ClientConnection largest = null;
         for (ClientConnection connection : connections) {
-            long bytes = connection.pendingWriteBytes();
-            pendingBytes += bytes;
-            if (bytes > maxBytes) {
-                maxBytes = bytes;
-                slowest = connection;
+            long connectionPendingBytes = connection.pendingWriteBytes();
+            pendingBytes += connectionPendingBytes;
+            if (connectionPendingBytes > largestPendingBytes) {
+                largestPendingBytes = connectionPendingBytes;
+                largest = connection;
             }
         }
-        if (slowest != null && pendingBytes > maxPendingWriteBytes) {
-            slowest.close();
+        if (largest != null && pendingBytes > maxPendingWriteBytes) {
+            largest.close();
         }
     }
 
@@ -197,12 +197,12 @@
     }
 
     /** Returns the rules of each request class by the name of the class. */
-    Map<String, RequestClassRules> classes() {
-        return classes;
+    Map<String, RequestClassRules> requestClasses() {
+        return requestClasses;
     }
 
     /** Returns the answer to health checks: whether new clients are wanted. */
-    boolean healthy() {
+    boolean isHealthy() {
         return healthy;
     }
 
--- a/src/main/java/brooklock/platform/ClientRequestParser.java
+++ b/src/main/java/brooklock/platform/ClientRequestParser.java
@@ -66,15 +66,15 @@
                             + " characters");
         }
         Map<String, String> fields = call.fields();
-        long id = Long.parseUnsignedLong(required(fields, ID, HEX16), 16);
-        int timeoutMs = integer(fields, TIMEOUT, REQUIRED, 1, requestClass.maxTimeoutMs());
-        String objectHex = required(fields, OBJECT, HEX16);
-        boolean clientRetry = retryMark(fields.get(RETRY));
+        long id = Long.parseUnsignedLong(requiredField(fields, ID, HEX16), 16);
+        int timeoutMs = integerField(fields, TIMEOUT, REQUIRED, 1, requestClass.maxTimeoutMs());
+        String objectHex = requiredField(fields, OBJECT, HEX16);
+        boolean clientRetry = parseRetryFlag(fields.get(RETRY));
         String idempotencyKey =
                 requestClass.requiresIdempotencyKey()
-                        ? required(fields, IDEMPOTENCY_KEY, HEX32)
+                        ? requiredField(fields, IDEMPOTENCY_KEY, HEX32)
                         : null;
-        String etag = fields.containsKey(ETAG) ? required(fields, ETAG, HEX16) : null;
+        String etag = fields.containsKey(ETAG) ? requiredField(fields, ETAG, HEX16) : null;
         if (call.body().length > 0 && !requestClass.acceptsBody()) {
             throw new InvalidRequestException(
                     "expected no body in a call of class "
@@ -88,9 +88,9 @@
                 requestClass.index(),
                 call.method(),
                 objectHex,
-                integer(fields, PART, 0, 0, MAX_PART),
-                integer(fields, GROUP, 0, 0, MAX_GROUP),
-                sizeKb(fields.get(SIZE)),
+                integerField(fields, PART, 0, 0, MAX_PART),
+                integerField(fields, GROUP, 0, 0, MAX_GROUP),
+                parseSizeKb(fields.get(SIZE)),
                 timeoutMs,
                 clientRetry,
                 idempotencyKey,
@@ -98,7 +98,7 @@
                 call.body());
     }
 
-    private static String required(Map<String, String> fields, String name, Pattern pattern)
+    private static String requiredField(Map<String, String> fields, String name, Pattern pattern)
             throws InvalidRequestException {
         String value = fields.get(name);
         if (value == null) {
@@ -117,13 +117,13 @@
         return value;
     }
 
-    private static int integer(
+    private static int integerField(
             Map<String, String> fields, String name, int defaultValue, long min, long max)
             throws InvalidRequestException {
         if (defaultValue != REQUIRED && !fields.containsKey(name)) {
             return defaultValue;
         }
-        int number = Integer.parseInt(required(fields, name, INTEGER));
+        int number = Integer.parseInt(requiredField(fields, name, INTEGER));
         if (number < min || number > max) {
             throw new InvalidRequestException(
                     "expected field "
@@ -138,7 +138,7 @@
         return number;
     }
 
-    private static boolean retryMark(String value) throws InvalidRequestException {
+    private static boolean parseRetryFlag(String value) throws InvalidRequestException {
         if (value == null || value.equals("0")) {
             return false;
         }
@@ -153,7 +153,7 @@
         return true;
     }
 
-    private static double sizeKb(String value) throws InvalidRequestException {
+    private static double parseSizeKb(String value) throws InvalidRequestException {
         if (value == null) {
             return 0;
         }
--- a/src/main/java/brooklock/platform/ConnectionBudget.java
+++ b/src/main/java/brooklock/platform/ConnectionBudget.java
@@ -2,19 +2,19 @@
 
 /**
  * Bounds the number of connections to each endpoint and to all endpoints. All methods are called on
- * the I/O thread; each new connection is preceded by {@link #permits} and then {@link #makeRoom}.
+ * the I/O thread; each new connection is preceded by {@link #permitsConnection} and then {@link #evictIdleIfFull}.
  */
 interface ConnectionBudget {
     /**
      * Returns whether one more connection to an endpoint may be opened.
      *
-     * @param connections the number of connections that the endpoint has now
+     * @param currentConnections the number of connections that the endpoint has now
      */
-    boolean permits(int connections);
+    boolean permitsConnection(int currentConnections);
 
     /**
      * Closes the connection that has been idle for longest if all connections are in use, so that
-     * one more can be opened. Must be called only if that is {@linkplain #permits permitted}.
+     * one more can be opened. Must be called only if that is {@linkplain #permitsConnection permitted}.
      */
-    void makeRoom();
+    void evictIdleIfFull();
 }
--- a/src/main/java/brooklock/platform/ConnectionOpener.java
+++ b/src/main/java/brooklock/platform/ConnectionOpener.java
@@ -64,13 +64,13 @@
 
     /** Returns the number of pending connections that are not overdue. */
     int expectedCount() {
-        int expected = 0;
+        int count = 0;
         for (PendingConnection pending : pendingConnections) {
             if (!pending.overdue) {
-                expected++;
+                count++;
             }
         }
-        return expected;
+        return count;
     }
 
     /** Starts opening one more connection. */
@@ -79,7 +79,7 @@
         PendingConnection pending = new PendingConnection();
         pendingConnections.add(pending);
         pending.cancel =
-                settings.factory()
+                settings.connectFunction()
                         .connect(
                                 address,
                                 MAX_CONNECT_TIMEOUTS * timeoutNs,
--- a/src/main/java/brooklock/platform/ConnectionSettings.java
+++ b/src/main/java/brooklock/platform/ConnectionSettings.java
@@ -6,7 +6,7 @@
  * The settings of the connections to endpoints. Immutable.
  *
  * @param loop the I/O thread that owns the connections
- * @param factory opens connections
+ * @param connectFunction opens connections
  * @param connectTimeoutNs the time after which a pending connection is overdue, ns
  * @param idleTimeoutNs the time after which an idle connection is closed, ns
  * @param maxInFlight maximum number of attempts in flight on one connection
@@ -14,7 +14,7 @@
  */
 record ConnectionSettings(
         IoLoop loop,
-        EndpointConnectFunction factory,
+        EndpointConnectFunction connectFunction,
         long connectTimeoutNs,
         long idleTimeoutNs,
         int maxInFlight,
@@ -28,18 +28,18 @@
      * Returns the settings of a configuration.
      *
      * @param loop the I/O thread that owns the connections
-     * @param factory opens connections
+     * @param connectFunction opens connections
      * @param config the configuration
      * @param maxConnections maximum number of connections to all endpoints together
      */
     static ConnectionSettings of(
             IoLoop loop,
-            EndpointConnectFunction factory,
+            EndpointConnectFunction connectFunction,
             PlatformConfig config,
             int maxConnections) {
         return new ConnectionSettings(
                 loop,
-                factory,
+                connectFunction,
                 config.routerSettings().limits().connectTimeoutNs(),
                 Math.max(config.idleTimeoutNs() / 2, config.idleTimeoutNs() - IDLE_MARGIN_NS),
                 Math.max(1, config.maxInFlightPerConnection()),
--- a/src/main/java/brooklock/platform/DiscoveredEndpointTable.java
+++ b/src/main/java/brooklock/platform/DiscoveredEndpointTable.java
@@ -128,7 +128,7 @@
         Entry entry = byName.get(endpoint.name());
         int zone = zones.isEmpty() ? 0 : zones.indexOf(endpoint.zone());
         int kind = kinds.indexOf(endpoint.kind());
-        InetSocketAddress address = addressOf(endpoint);
+        InetSocketAddress address = parseAddress(endpoint);
         boolean usable = zone >= 0 && kind >= 0 && address != null;
         if (state == EndpointState.GONE && entry != null && !usable) {
             entry.markGone();
@@ -160,7 +160,7 @@
 
     // Returns null for an invalid address instead of throwing: one invalid endpoint must not cause
     // the rest of its list to be dropped.
-    private static InetSocketAddress addressOf(DiscoveryEvent.Endpoint endpoint) {
+    private static InetSocketAddress parseAddress(DiscoveryEvent.Endpoint endpoint) {
         try {
             return SocketAddressParser.parse(endpoint.address());
         } catch (InvalidAddressException ignored) {
@@ -189,7 +189,7 @@
     }
 
     /** Returns the number of endpoints that have not left the list. */
-    int presentCount() {
+    int listedCount() {
         int present = 0;
         for (Entry entry : byName.values()) {
             if (!entry.isGone()) {
--- a/src/main/java/brooklock/platform/DiscoveryClient.java
+++ b/src/main/java/brooklock/platform/DiscoveryClient.java
@@ -72,7 +72,7 @@
      * Reconnects to another address and resumes after the last event received. Does nothing if the
      * address is unchanged.
      */
-    void moveTo(InetSocketAddress newAddress) {
+    void changeAddress(InetSocketAddress newAddress) {
         if (!newAddress.equals(address)) {
             address = newAddress;
             backoffNs = INITIAL_BACKOFF_NS;
@@ -109,7 +109,7 @@
         decoder = new DiscoveryEventDecoder();
         connected.setTimeout(SILENCE_TIMEOUT_NS);
         connected.start(this);
-        connected.write(DiscoveryEventDecoder.resumeAfter(lastSequence));
+        connected.write(DiscoveryEventDecoder.encodeResume(lastSequence));
     }
 
     private void onConnectionLost(String reason) {
@@ -133,9 +133,9 @@
     }
 
     @Override
-    public void onBytes(ByteBuffer in) {
+    public void onBytes(ByteBuffer input) {
         try {
-            for (DiscoveryEvent event = decoder.next(in); event != null; event = decoder.next(in)) {
+            for (DiscoveryEvent event = decoder.next(input); event != null; event = decoder.next(input)) {
                 connection.setTimeout(SILENCE_TIMEOUT_NS);
                 backoffNs = INITIAL_BACKOFF_NS;
                 onEvent(event);
--- a/src/main/java/brooklock/platform/DiscoveryEventDecoder.java
+++ b/src/main/java/brooklock/platform/DiscoveryEventDecoder.java
@@ -34,9 +34,9 @@
      * @return the next event, or null if more bytes are needed
      * @throws MalformedMessageException if the line is too long or is not a valid event
      */
-    public DiscoveryEvent next(ByteBuffer in) throws MalformedMessageException {
-        while (in.hasRemaining()) {
-            byte b = in.get();
+    public DiscoveryEvent next(ByteBuffer input) throws MalformedMessageException {
+        while (input.hasRemaining()) {
+            byte b = input.get();
             if (b == '\n') {
                 String text = line.toString(StandardCharsets.UTF_8);
                 line = new ByteArrayOutputStream();
@@ -54,7 +54,7 @@
     }
 
     /** Encodes the request for all events after the specified sequence number. */
-    static ByteBuffer resumeAfter(long lastSequence) {
+    static ByteBuffer encodeResume(long lastSequence) {
         return ByteBuffer.wrap(
                 ("resume " + lastSequence + "\n").getBytes(StandardCharsets.US_ASCII));
     }
@@ -90,10 +90,10 @@
         try {
             long sequence = required(event, "cursor").getAsLong();
             if (event.has("nodes")) {
-                return listUpdate(sequence, event.get("nodes").getAsJsonObject());
+                return parseListUpdate(sequence, event.get("nodes").getAsJsonObject());
             }
             if (event.has("drop")) {
-                return purge(sequence, event.get("drop").getAsJsonObject());
+                return parsePurge(sequence, event.get("drop").getAsJsonObject());
             }
             return new DiscoveryEvent.UnknownEvent(sequence);
         } catch (IllegalStateException | NumberFormatException | UnsupportedOperationException e) {
@@ -103,17 +103,17 @@
         }
     }
 
-    private static DiscoveryEvent listUpdate(long sequence, JsonObject nodes)
+    private static DiscoveryEvent parseListUpdate(long sequence, JsonObject nodes)
             throws MalformedMessageException {
         List<DiscoveryEvent.Endpoint> endpoints = new ArrayList<>();
         for (JsonElement endpoint : required(nodes, "endpoints").getAsJsonArray()) {
-            endpoints.add(endpoint(endpoint.getAsJsonObject()));
+            endpoints.add(parseEndpoint(endpoint.getAsJsonObject()));
         }
         return new DiscoveryEvent.EndpointListUpdate(
                 sequence, required(nodes, "snapshot").getAsBoolean(), endpoints);
     }
 
-    private static DiscoveryEvent purge(long sequence, JsonObject drop)
+    private static DiscoveryEvent parsePurge(long sequence, JsonObject drop)
             throws MalformedMessageException {
         return new DiscoveryEvent.Purge(
                 sequence,
@@ -122,19 +122,19 @@
                 required(drop, "when").getAsLong());
     }
 
-    private static DiscoveryEvent.Endpoint endpoint(JsonObject endpoint)
+    private static DiscoveryEvent.Endpoint parseEndpoint(JsonObject endpoint)
             throws MalformedMessageException {
         return new DiscoveryEvent.Endpoint(
                 required(endpoint, "name").getAsString(),
                 optionalText(endpoint, "address"),
                 optionalText(endpoint, "zone"),
                 optionalText(endpoint, "type"),
-                stateOf(required(endpoint, "status").getAsString()),
+                parseState(required(endpoint, "status").getAsString()),
                 endpoint.has("weight") ? endpoint.get("weight").getAsDouble() : DEFAULT_WEIGHT,
                 endpoint.has("since_ms") ? endpoint.get("since_ms").getAsLong() : 0);
     }
 
-    private static Optional<EndpointState> stateOf(String status) {
+    private static Optional<EndpointState> parseState(String status) {
         return switch (status) {
             case "active" -> Optional.of(EndpointState.READY);
             case "leaving" -> Optional.of(EndpointState.DRAINING);
--- a/src/main/java/brooklock/platform/DispatcherStats.java
+++ b/src/main/java/brooklock/platform/DispatcherStats.java
@@ -27,7 +27,7 @@
     private long maxLatencyNs;
 
     /** Counts a request that was accepted. */
-    void accepted() {
+    void recordAccepted() {
         accepted++;
     }
 
@@ -36,7 +36,7 @@
      *
      * @param latencyNs the time from the acceptance of the request to its response, ns
      */
-    void served(long latencyNs) {
+    void recordServed(long latencyNs) {
         served++;
         totalLatencyNs += latencyNs;
         maxLatencyNs = Math.max(maxLatencyNs, latencyNs);
@@ -46,28 +46,28 @@
      * Counts a request that the router rejected. Calls that are rejected before they reach the
      * router, because of the dispatcher's own bounds or a shutdown, are not counted.
      */
-    void rejected() {
+    void recordRejected() {
         rejected++;
     }
 
     /** Counts a request that failed. */
-    void failed() {
+    void recordFailed() {
         failed++;
     }
 
     /** Counts a request whose client cancelled it or disconnected. */
-    void cancelled() {
+    void recordCancelled() {
         cancelled++;
     }
 
     /** Counts a call that was invalid or exceeded the number of open calls of its connection. */
-    void invalid() {
+    void recordInvalid() {
         invalid++;
     }
 
     /** Counts an attempt that ended, by its outcome. */
     @SuppressWarnings("EnumOrdinal") // Indexes an array in memory; ordinals are never stored.
-    void attemptEnded(AttemptOutcome outcome) {
+    void recordAttemptEnded(AttemptOutcome outcome) {
         attemptOutcomes[outcome.ordinal()]++;
     }
 
@@ -77,7 +77,7 @@
      *
      * @param lagNs the time from the due time to the call, ns
      */
-    void timerLag(long lagNs) {
+    void recordTimerLag(long lagNs) {
         maxTimerLagNs = Math.max(maxTimerLagNs, lagNs);
     }
 
--- a/src/main/java/brooklock/platform/EndpointAttempt.java
+++ b/src/main/java/brooklock/platform/EndpointAttempt.java
@@ -26,7 +26,7 @@
     private State state = State.QUEUED;
     private long startedAtNs;
     private Endpoint endpointAtDecision;
-    private Endpoint sourceAtDecision;
+    private Endpoint fillSourceAtDecision;
     private EndpointConnection connection;
 
     /**
@@ -86,16 +86,16 @@
      * Records the list entries that the decision was based on.
      *
      * @param endpoint the entry of the endpoint that the attempt is sent to
-     * @param source the entry of the endpoint that a cache miss is filled from
+     * @param fillSource the entry of the endpoint that a cache miss is filled from
      */
-    void rememberListing(Endpoint endpoint, Endpoint source) {
+    void setDecisionListings(Endpoint endpoint, Endpoint fillSource) {
         endpointAtDecision = endpoint;
-        sourceAtDecision = source;
+        fillSourceAtDecision = fillSource;
     }
 
     /** Returns whether these list entries equal the ones that the decision was based on. */
-    boolean wasDecidedOn(Endpoint endpoint, Endpoint source) {
-        return endpointAtDecision.equals(endpoint) && sourceAtDecision.equals(source);
+    boolean matchesDecisionListings(Endpoint endpoint, Endpoint fillSource) {
+        return endpointAtDecision.equals(endpoint) && fillSourceAtDecision.equals(fillSource);
     }
 
     /** Sets the time at which the request frame is written, on the router's clock, ns. */
@@ -104,10 +104,10 @@
     }
 
     /** Marks this attempt as in flight on the specified connection. */
-    void start(EndpointConnection on) {
+    void start(EndpointConnection newConnection) {
         state = State.IN_FLIGHT;
-        connection = on;
-        request.addUsedConnection(on);
+        connection = newConnection;
+        request.addUsedConnection(newConnection);
     }
 
     /** Marks this attempt as ended and drops the reference to its connection. */
--- a/src/main/java/brooklock/platform/EndpointConnection.java
+++ b/src/main/java/brooklock/platform/EndpointConnection.java
@@ -47,7 +47,7 @@
         return transport.isClosed();
     }
 
-    int inFlight() {
+    int inFlightCount() {
         return attemptsInFlight.size();
     }
 
@@ -65,7 +65,7 @@
      * @param request the request
      * @param maxInFlight maximum number of attempts in flight on one connection
      */
-    boolean canCarry(PendingClientRequest request, int maxInFlight) {
+    boolean canSend(PendingClientRequest request, int maxInFlight) {
         long id = request.clientRequest().id();
         return !transport.isClosed()
                 && attemptsInFlight.size() < maxInFlight
@@ -107,15 +107,15 @@
     }
 
     @Override
-    public void onBytes(ByteBuffer in) {
+    public void onBytes(ByteBuffer input) {
         try {
-            for (Frame frame = decoder.next(in); frame != null; frame = decoder.next(in)) {
+            for (Frame frame = decoder.next(input); frame != null; frame = decoder.next(input)) {
                 onResponse(frame);
                 if (transport.isClosed()) {
                     return;
                 }
             }
-            if (decoder.inFrame() || in.hasRemaining()) {
+            if (decoder.hasPartialFrame() || input.hasRemaining()) {
                 transport.setTimeout(FRAME_STALL_TIMEOUT_NS);
             } else {
                 transport.clearTimeout();
@@ -153,7 +153,7 @@
     // error
     // of the endpoint; the others have only lost their connection and end as reset.
     private void fail(String reason) {
-        EndpointAttempt receiving = decoder.inFrame() ? attemptsInFlight.get(decoder.id()) : null;
+        EndpointAttempt partiallyReceived = decoder.hasPartialFrame() ? attemptsInFlight.get(decoder.frameId()) : null;
         close();
         pool.logFailure(reason, attemptsInFlight.size());
         for (EndpointAttempt attempt : new ArrayList<>(attemptsInFlight.values())) {
@@ -161,7 +161,7 @@
             pool.onCompleted(
                     attempt,
                     AttemptResult.withoutResponse(
-                            attempt == receiving ? AttemptOutcome.ERROR : AttemptOutcome.RESET));
+                            attempt == partiallyReceived ? AttemptOutcome.ERROR : AttemptOutcome.RESET));
         }
     }
 }
--- a/src/main/java/brooklock/platform/EndpointConnectionPool.java
+++ b/src/main/java/brooklock/platform/EndpointConnectionPool.java
@@ -68,11 +68,11 @@
      * on the one with the fewest attempts in flight.
      */
     void send(EndpointAttempt attempt) {
-        EndpointConnection free = selectConnection(attempt);
-        if (free != null) {
-            startOrRelease(attempt, free);
+        EndpointConnection connection = selectConnection(attempt);
+        if (connection != null) {
+            startOrReturnToIdle(attempt, connection);
         } else if (retired || queue.size() >= MAX_QUEUED_ATTEMPTS) {
-            failUnconnected(attempt);
+            failAsNotConnected(attempt);
         } else {
             queue.add(attempt);
             openConnections();
@@ -81,16 +81,16 @@
 
     // Returns the connection to the idle ones if the attempt does not start; otherwise it would be
     // lost to the pool.
-    private void startOrRelease(EndpointAttempt attempt, EndpointConnection connection) {
-        if (!start(attempt, connection) && connection.inFlight() == 0) {
+    private void startOrReturnToIdle(EndpointAttempt attempt, EndpointConnection connection) {
+        if (!tryStart(attempt, connection) && connection.inFlightCount() == 0) {
             onIdle(connection);
         }
     }
 
     // Encodes the frame only now, so that its time limit excludes the time spent in the queue, and
     // so that an attempt is returned to the router if its list entries have changed meanwhile.
-    private boolean start(EndpointAttempt attempt, EndpointConnection connection) {
-        Optional<ByteBuffer> frame = attemptHandler.startFrame(attempt);
+    private boolean tryStart(EndpointAttempt attempt, EndpointConnection connection) {
+        Optional<ByteBuffer> frame = attemptHandler.startAndEncode(attempt);
         if (frame.isEmpty()) {
             attemptHandler.onCompleted(
                     attempt, AttemptResult.withoutResponse(AttemptOutcome.NOT_STARTED));
@@ -102,19 +102,19 @@
 
     private EndpointConnection selectConnection(EndpointAttempt attempt) {
         for (EndpointConnection connection : idleConnections) {
-            if (connection.canCarry(attempt.request(), maxInFlight)) {
+            if (connection.canSend(attempt.request(), maxInFlight)) {
                 idleConnections.remove(connection);
                 return connection;
             }
         }
-        return budget.permits(connectionCount()) ? null : leastBusy(attempt);
+        return budget.permitsConnection(connectionCount()) ? null : leastLoadedConnection(attempt);
     }
 
-    private EndpointConnection leastBusy(EndpointAttempt attempt) {
+    private EndpointConnection leastLoadedConnection(EndpointAttempt attempt) {
         EndpointConnection best = null;
         for (EndpointConnection connection : connections) {
-            if (connection.canCarry(attempt.request(), maxInFlight)
-                    && (best == null || connection.inFlight() < best.inFlight())) {
+            if (connection.canSend(attempt.request(), maxInFlight)
+                    && (best == null || connection.inFlightCount() < best.inFlightCount())) {
                 best = connection;
             }
         }
@@ -122,8 +122,8 @@
     }
 
     private void openConnections() {
-        while (opener.expectedCount() < queue.size() && budget.permits(connectionCount())) {
-            budget.makeRoom();
+        while (opener.expectedCount() < queue.size() && budget.permitsConnection(connectionCount())) {
+            budget.evictIdleIfFull();
             opener.open();
         }
     }
@@ -138,25 +138,25 @@
     @Override
     public void onSlow() {
         for (EndpointAttempt attempt : queuedAttempts()) {
-            EndpointConnection shared = leastBusy(attempt);
+            EndpointConnection shared = leastLoadedConnection(attempt);
             if (shared != null && queue.remove(attempt)) {
                 idleConnections.remove(shared);
-                startOrRelease(attempt, shared);
+                startOrReturnToIdle(attempt, shared);
             }
         }
     }
 
     @Override
     public void onFailed(String reason) {
-        EndpointAttempt first = queue.poll();
+        EndpointAttempt failedAttempt = queue.poll();
         logFailure(reason, queue.size() + 1);
-        if (first != null) {
-            failUnconnected(first);
+        if (failedAttempt != null) {
+            failAsNotConnected(failedAttempt);
         }
         openConnections();
     }
 
-    private void failUnconnected(EndpointAttempt attempt) {
+    private void failAsNotConnected(EndpointAttempt attempt) {
         attemptHandler.onCompleted(
                 attempt, AttemptResult.withoutResponse(AttemptOutcome.CONNECT_FAILED));
     }
@@ -167,16 +167,16 @@
      */
     void onIdle(EndpointConnection connection) {
         for (EndpointAttempt attempt = queue.peek();
-                attempt != null && connection.canCarry(attempt.request(), maxInFlight);
+                attempt != null && connection.canSend(attempt.request(), maxInFlight);
                 attempt = queue.peek()) {
             queue.poll();
-            if (start(attempt, connection)) {
+            if (tryStart(attempt, connection)) {
                 return;
             }
         }
         if (retired) {
             connection.close();
-        } else if (connection.inFlight() == 0 && !connection.isClosed()) {
+        } else if (connection.inFlightCount() == 0 && !connection.isClosed()) {
             idleConnections.addFirst(connection);
         }
     }
@@ -199,7 +199,7 @@
     }
 
     /** Removes an attempt from the queue. */
-    void dequeue(EndpointAttempt attempt) {
+    void removeQueued(EndpointAttempt attempt) {
         queue.remove(attempt);
     }
 
@@ -209,7 +209,7 @@
     }
 
     /** Returns the connection that has been idle for longest, or null if none is idle. */
-    EndpointConnection longestIdle() {
+    EndpointConnection longestIdleConnection() {
         return idleConnections.peekLast();
     }
 
@@ -218,7 +218,7 @@
      *
      * @param idleBeforeNs the time as a {@link System#nanoTime} reading
      */
-    void closeIdleSince(long idleBeforeNs) {
+    void closeIdleBefore(long idleBeforeNs) {
         for (EndpointConnection connection = idleConnections.peekLast();
                 connection != null && connection.idleSinceNs() - idleBeforeNs < 0;
                 connection = idleConnections.peekLast()) {
@@ -235,7 +235,7 @@
         retired = true;
         opener.cancelAll();
         for (EndpointAttempt attempt = queue.poll(); attempt != null; attempt = queue.poll()) {
-            failUnconnected(attempt);
+            failAsNotConnected(attempt);
         }
         for (EndpointConnection connection = idleConnections.peek();
                 connection != null;
@@ -253,7 +253,7 @@
     String summary() {
         int inFlight = 0;
         for (EndpointConnection connection : connections) {
-            inFlight += connection.inFlight();
+            inFlight += connection.inFlightCount();
         }
         return endpointName + "=" + connectionCount() + "/" + inFlight + "/" + queue.size();
     }
--- a/src/main/java/brooklock/platform/EndpointConnectionPools.java
+++ b/src/main/java/brooklock/platform/EndpointConnectionPools.java
@@ -71,25 +71,25 @@
     void closeIdle() {
         long idleBeforeNs = System.nanoTime() - settings.idleTimeoutNs();
         for (EndpointConnectionPool pool : poolsById.values()) {
-            pool.closeIdleSince(idleBeforeNs);
+            pool.closeIdleBefore(idleBeforeNs);
         }
     }
 
     @Override
-    public boolean permits(int connections) {
-        int fairPart = settings.maxConnections() / Math.max(1, table.presentCount());
+    public boolean permitsConnection(int currentConnections) {
+        int fairShare = settings.maxConnections() / Math.max(1, table.listedCount());
         int max =
                 Math.max(
                         MIN_CONNECTIONS_PER_ENDPOINT,
-                        Math.min(MAX_CONNECTIONS_PER_ENDPOINT, fairPart));
-        return connections < max
-                && (connectionCount() < settings.maxConnections() || longestIdle() != null);
+                        Math.min(MAX_CONNECTIONS_PER_ENDPOINT, fairShare));
+        return currentConnections < max
+                && (connectionCount() < settings.maxConnections() || longestIdleConnection() != null);
     }
 
     @Override
-    public void makeRoom() {
+    public void evictIdleIfFull() {
         if (connectionCount() >= settings.maxConnections()) {
-            longestIdle().close();
+            longestIdleConnection().close();
         }
     }
 
@@ -101,10 +101,10 @@
         return count;
     }
 
-    private EndpointConnection longestIdle() {
+    private EndpointConnection longestIdleConnection() {
         EndpointConnection longest = null;
         for (EndpointConnectionPool pool : poolsById.values()) {
-            EndpointConnection candidate = pool.longestIdle();
+            EndpointConnection candidate = pool.longestIdleConnection();
             if (candidate != null
                     && (longest == null || candidate.idleSinceNs() < longest.idleSinceNs())) {
                 longest = candidate;
@@ -115,10 +115,10 @@
 
     /** Returns the summaries of all pools, each followed by a blank, for the log. */
     String summary() {
-        StringBuilder out = new StringBuilder();
+        StringBuilder summaries = new StringBuilder();
         for (EndpointConnectionPool pool : poolsById.values()) {
-            out.append(pool.summary()).append(' ');
+            summaries.append(pool.summary()).append(' ');
         }
-        return out.toString();
+        return summaries.toString();
     }
 }
--- a/src/main/java/brooklock/platform/EndpointConnector.java
+++ b/src/main/java/brooklock/platform/EndpointConnector.java
@@ -65,7 +65,7 @@
         EndpointListReceived list = table.apply(update);
         pools.retireOutdated();
         executor.submit(list);
-        returnQueued(attempt -> !isCurrent(attempt));
+        returnQueuedToRouter(attempt -> !isCurrent(attempt));
     }
 
     /**
@@ -76,18 +76,18 @@
      * @param group the purge group
      */
     void onPurge(long objectId, int group) {
-        returnQueued(
+        returnQueuedToRouter(
                 attempt ->
                         objectId != 0
                                 ? objectId == attempt.clientRequest().objectId()
                                 : group == attempt.clientRequest().group());
     }
 
-    private void returnQueued(Predicate<EndpointAttempt> affected) {
+    private void returnQueuedToRouter(Predicate<EndpointAttempt> affected) {
         for (EndpointConnectionPool pool : pools.all()) {
             for (EndpointAttempt attempt : pool.queuedAttempts()) {
                 if (affected.test(attempt)) {
-                    pool.dequeue(attempt);
+                    pool.removeQueued(attempt);
                     onCompleted(attempt, AttemptResult.withoutResponse(AttemptOutcome.NOT_STARTED));
                 }
             }
@@ -99,7 +99,7 @@
         DiscoveredEndpointTable.Entry source = table.get(attempt.decision().fillSource());
         return endpoint != null
                 && source != null
-                && attempt.wasDecidedOn(endpoint.listing(), source.listing());
+                && attempt.matchesDecisionListings(endpoint.listing(), source.listing());
     }
 
     /** Closes idle connections immediately and the others as they become idle. */
@@ -123,7 +123,7 @@
             onCompleted(attempt, AttemptResult.withoutResponse(AttemptOutcome.CONNECT_FAILED));
             return;
         }
-        attempt.rememberListing(endpoint.listing(), source.listing());
+        attempt.setDecisionListings(endpoint.listing(), source.listing());
         pools.getOrCreate(endpoint).send(attempt);
     }
 
@@ -131,12 +131,12 @@
     public void dropQueued(EndpointAttempt attempt) {
         EndpointConnectionPool pool = pools.get(attempt.decision().endpoint());
         if (pool != null) {
-            pool.dequeue(attempt);
+            pool.removeQueued(attempt);
         }
     }
 
     @Override
-    public Optional<ByteBuffer> startFrame(EndpointAttempt attempt) {
+    public Optional<ByteBuffer> startAndEncode(EndpointAttempt attempt) {
         long nowNs = executor.nowNs();
         long waitedNs = nowNs - attempt.decidedAtNs();
         if (attempt.hasEnded()
--- a/src/main/java/brooklock/platform/Frame.java
+++ b/src/main/java/brooklock/platform/Frame.java
@@ -14,10 +14,10 @@
 @SuppressWarnings("ArrayRecordComponent") // Never compared; a copy of each body would be wasted.
 public record Frame(int code, long id, Map<String, String> fields, byte[] body) {
     /** First byte of a frame from a dispatcher. */
-    static final int DISPATCHER_MARK = 165;
+    static final int DISPATCHER_MAGIC = 165;
 
     /** First byte of a frame from an endpoint. */
-    static final int ENDPOINT_MARK = 90;
+    static final int ENDPOINT_MAGIC = 90;
 
     /** Code from a dispatcher: a request. */
     static final int REQUEST = 16;
--- a/src/main/java/brooklock/platform/FrameDecoder.java
+++ b/src/main/java/brooklock/platform/FrameDecoder.java
@@ -16,31 +16,31 @@
     /** Length of the checksum at the end of a frame, bytes. */
     static final int CHECKSUM_BYTES = 4;
 
-    private final int expectedMark;
+    private final int expectedMagic;
     private final int minCode;
     private final int maxCode;
     private int code;
-    private long id;
+    private long frameId;
     private ByteAccumulator fields;
     private ByteAccumulator body;
-    private boolean inFrame;
+    private boolean hasPartialFrame;
     private boolean fieldsComplete;
     private boolean bodyComplete;
 
     /** Creates a decoder of frames from endpoints. */
     public FrameDecoder() {
-        this(Frame.ENDPOINT_MARK, Frame.OK, Frame.HEALTHY);
+        this(Frame.ENDPOINT_MAGIC, Frame.OK, Frame.HEALTHY);
     }
 
     /**
      * Creates a decoder of frames from either side.
      *
-     * @param expectedMark the first byte of every frame
+     * @param expectedMagic the first byte of every frame
      * @param minCode the lowest accepted code
      * @param maxCode the highest accepted code
      */
-    FrameDecoder(int expectedMark, int minCode, int maxCode) {
-        this.expectedMark = expectedMark;
+    FrameDecoder(int expectedMagic, int minCode, int maxCode) {
+        this.expectedMagic = expectedMagic;
         this.minCode = minCode;
         this.maxCode = maxCode;
     }
@@ -52,58 +52,58 @@
      * @return the next frame, or null if more bytes are needed
      * @throws MalformedMessageException if the input is not a valid frame
      */
-    public Frame next(ByteBuffer in) throws MalformedMessageException {
-        in.order(ByteOrder.BIG_ENDIAN);
-        if (!inFrame && !readHeader(in)) {
+    public Frame next(ByteBuffer input) throws MalformedMessageException {
+        input.order(ByteOrder.BIG_ENDIAN);
+        if (!hasPartialFrame && !readHeader(input)) {
             return null;
         }
-        fieldsComplete = fieldsComplete || fields.append(in);
-        bodyComplete = fieldsComplete && (bodyComplete || body.append(in));
-        if (!bodyComplete || in.remaining() < CHECKSUM_BYTES) {
+        fieldsComplete = fieldsComplete || fields.append(input);
+        bodyComplete = fieldsComplete && (bodyComplete || body.append(input));
+        if (!bodyComplete || input.remaining() < CHECKSUM_BYTES) {
             return null;
         }
         CRC32 checksum = new CRC32();
         checksum.update(fields.bytes());
         checksum.update(body.bytes());
-        if (in.getInt() != (int) checksum.getValue()) {
+        if (input.getInt() != (int) checksum.getValue()) {
             throw new MalformedMessageException(
                     "the checksum does not match: expected 0x"
                             + Integer.toHexString((int) checksum.getValue())
                             + " in the frame of code "
                             + code
                             + " but received 0x"
-                            + Integer.toHexString(in.getInt(in.position() - CHECKSUM_BYTES)));
+                            + Integer.toHexString(input.getInt(input.position() - CHECKSUM_BYTES)));
         }
-        Frame frame = new Frame(code, id, parseFields(fields.bytes()), body.bytes());
-        inFrame = false;
+        Frame frame = new Frame(code, frameId, parseFields(fields.bytes()), body.bytes());
+        hasPartialFrame = false;
         fields = null;
         body = null;
         return frame;
     }
 
-    private boolean readHeader(ByteBuffer in) throws MalformedMessageException {
-        if (in.remaining() < Frame.HEADER_BYTES) {
+    private boolean readHeader(ByteBuffer input) throws MalformedMessageException {
+        if (input.remaining() < Frame.HEADER_BYTES) {
             return false;
         }
-        int mark = in.get() & 0xff;
-        code = in.get() & 0xff;
-        int fieldBytes = in.getShort() & 0xffff;
-        long bodyBytes = in.getInt() & 0xffffffffL;
-        id = in.getLong();
-        if (mark != expectedMark || code < minCode || code > maxCode) {
+        int magic = input.get() & 0xff;
+        code = input.get() & 0xff;
+        int fieldBytes = input.getShort() & 0xffff;
+        long bodyBytes = input.getInt() & 0xffffffffL;
+        frameId = input.getLong();
+        if (magic != expectedMagic || code < minCode || code > maxCode) {
             throw new MalformedMessageException(
                     "no header: expected mark "
-                            + expectedMark
+                            + expectedMagic
                             + " and a code from "
                             + minCode
                             + " to "
                             + maxCode
                             + " but received mark "
-                            + mark
+                            + magic
                             + " and code "
                             + code);
         }
-        inFrame = true;
+        hasPartialFrame = true;
         if (fieldBytes > Frame.MAX_FIELDS_BYTES || bodyBytes > Frame.MAX_BODY_BYTES) {
             throw new MalformedMessageException(
                     "expected a frame header with at most "
@@ -124,13 +124,13 @@
     }
 
     /** Returns whether the header of a frame has been decoded but the frame is incomplete. */
-    public boolean inFrame() {
-        return inFrame;
+    public boolean hasPartialFrame() {
+        return hasPartialFrame;
     }
 
     /** Returns the id of the frame whose header was decoded last. */
-    public long id() {
-        return id;
+    public long frameId() {
+        return frameId;
     }
 
     /**
@@ -139,15 +139,15 @@
      * @return the values by name
      * @throws MalformedMessageException if a field has no name or no value, or occurs twice
      */
-    static Map<String, String> parseFields(byte[] text) throws MalformedMessageException {
-        Map<String, String> out = new HashMap<>();
-        if (text.length == 0) {
-            return out;
+    static Map<String, String> parseFields(byte[] bytes) throws MalformedMessageException {
+        Map<String, String> values = new HashMap<>();
+        if (bytes.length == 0) {
+            return values;
         }
-        for (String pair : new String(text, StandardCharsets.ISO_8859_1).split(",", -1)) {
+        for (String pair : new String(bytes, StandardCharsets.ISO_8859_1).split(",", -1)) {
             int separator = pair.indexOf('=');
             if (separator <= 0
-                    || out.put(pair.substring(0, separator), pair.substring(separator + 1))
+                    || values.put(pair.substring(0, separator), pair.substring(separator + 1))
                             != null) {
                 throw new MalformedMessageException(
                         "expected distinct fields of the form name=value but received a malformed or"
@@ -156,6 +156,6 @@
                                 + " characters");
             }
         }
-        return out;
+        return values;
     }
 }
--- a/src/main/java/brooklock/platform/FrameEncoder.java
+++ b/src/main/java/brooklock/platform/FrameEncoder.java
@@ -17,19 +17,19 @@
      * @param body the body; empty for none
      */
     static ByteBuffer encode(int code, long id, String fields, byte[] body) {
-        return encode(Frame.DISPATCHER_MARK, code, id, fields, body);
+        return encode(Frame.DISPATCHER_MAGIC, code, id, fields, body);
     }
 
     /**
      * Encodes a frame from either side.
      *
-     * @param mark the first byte of the frame
+     * @param magic the first byte of the frame
      * @param code the type of the frame
      * @param id the id of the request that the frame belongs to
      * @param fields the fields in the form {@code name=value,name=value}; empty for none
      * @param body the body; empty for none
      */
-    static ByteBuffer encode(int mark, int code, long id, String fields, byte[] body) {
+    static ByteBuffer encode(int magic, int code, long id, String fields, byte[] body) {
         byte[] fieldBytes = fields.getBytes(StandardCharsets.ISO_8859_1);
         CRC32 checksum = new CRC32();
         checksum.update(fieldBytes);
@@ -37,7 +37,7 @@
         int length =
                 Frame.HEADER_BYTES + fieldBytes.length + body.length + FrameDecoder.CHECKSUM_BYTES;
         return ByteBuffer.allocate(length)
-                .put((byte) mark)
+                .put((byte) magic)
                 .put((byte) code)
                 .putShort((short) fieldBytes.length)
                 .putInt(body.length)
--- a/src/main/java/brooklock/platform/MessagePackReader.java
+++ b/src/main/java/brooklock/platform/MessagePackReader.java
@@ -89,13 +89,13 @@
      * @throws MalformedMessageException if the input is not a token, is too long, or has a format
      *     that is not accepted
      */
-    boolean next(ByteBuffer in) throws MalformedMessageException {
-        in.order(ByteOrder.BIG_ENDIAN);
-        if (payload == null && !readHead(in)) {
+    boolean next(ByteBuffer input) throws MalformedMessageException {
+        input.order(ByteOrder.BIG_ENDIAN);
+        if (payload == null && !readHead(input)) {
             return false;
         }
         if (payload != null) {
-            if (!payload.append(in)) {
+            if (!payload.append(input)) {
                 return false;
             }
             bytes = payload.bytes();
@@ -105,15 +105,15 @@
         return true;
     }
 
-    private boolean readHead(ByteBuffer in) throws MalformedMessageException {
-        if (!in.hasRemaining()) {
+    private boolean readHead(ByteBuffer input) throws MalformedMessageException {
+        if (!input.hasRemaining()) {
             return false;
         }
-        int format = in.get(in.position()) & 0xff;
-        if (in.remaining() < 1 + extraHeadBytes(format)) {
+        int format = input.get(input.position()) & 0xff;
+        if (input.remaining() < 1 + extraHeadBytes(format)) {
             return false;
         }
-        in.get();
+        input.get();
         if (format <= MAX_POSITIVE_FIXINT || format >= MIN_NEGATIVE_FIXINT) {
             setToken(TokenType.INT, (byte) format);
         } else if (format < FIXARRAY) {
@@ -123,7 +123,7 @@
         } else if (format < NIL) {
             beginPayload(true, format - FIXSTR);
         } else {
-            readTagged(in, format);
+            readTagged(input, format);
         }
         return true;
     }
@@ -144,31 +144,31 @@
         };
     }
 
-    private void readTagged(ByteBuffer in, int format) throws MalformedMessageException {
+    private void readTagged(ByteBuffer input, int format) throws MalformedMessageException {
         switch (format) {
             case NIL -> setToken(TokenType.NIL, 0);
             case FALSE -> setToken(TokenType.BOOL, 0);
             case TRUE -> setToken(TokenType.BOOL, 1);
-            case BIN8 -> beginPayload(false, in.get() & 0xff);
-            case BIN16 -> beginPayload(false, in.getShort() & 0xffff);
-            case BIN32 -> beginPayload(false, in.getInt() & 0xffffffffL);
-            case FLOAT32 -> setToken(TokenType.FLOAT, in.getInt());
-            case FLOAT64 -> setToken(TokenType.FLOAT, in.getLong());
-            case UINT8 -> setToken(TokenType.INT, in.get() & 0xff);
-            case UINT16 -> setToken(TokenType.INT, in.getShort() & 0xffff);
-            case UINT32 -> setToken(TokenType.INT, in.getInt() & 0xffffffffL);
-            case UINT64 -> readUnsigned(in.getLong());
-            case INT8 -> setToken(TokenType.INT, in.get());
-            case INT16 -> setToken(TokenType.INT, in.getShort());
-            case INT32 -> setToken(TokenType.INT, in.getInt());
-            case INT64 -> setToken(TokenType.INT, in.getLong());
-            case STR8 -> beginPayload(true, in.get() & 0xff);
-            case STR16 -> beginPayload(true, in.getShort() & 0xffff);
-            case STR32 -> beginPayload(true, in.getInt() & 0xffffffffL);
-            case ARRAY16 -> setToken(TokenType.ARRAY, in.getShort() & 0xffff);
-            case ARRAY32 -> setToken(TokenType.ARRAY, in.getInt() & 0xffffffffL);
-            case MAP16 -> setToken(TokenType.MAP, in.getShort() & 0xffff);
-            default -> setToken(TokenType.MAP, in.getInt() & 0xffffffffL);
+            case BIN8 -> beginPayload(false, input.get() & 0xff);
+            case BIN16 -> beginPayload(false, input.getShort() & 0xffff);
+            case BIN32 -> beginPayload(false, input.getInt() & 0xffffffffL);
+            case FLOAT32 -> setToken(TokenType.FLOAT, input.getInt());
+            case FLOAT64 -> setToken(TokenType.FLOAT, input.getLong());
+            case UINT8 -> setToken(TokenType.INT, input.get() & 0xff);
+            case UINT16 -> setToken(TokenType.INT, input.getShort() & 0xffff);
+            case UINT32 -> setToken(TokenType.INT, input.getInt() & 0xffffffffL);
+            case UINT64 -> readUnsigned(input.getLong());
+            case INT8 -> setToken(TokenType.INT, input.get());
+            case INT16 -> setToken(TokenType.INT, input.getShort());
+            case INT32 -> setToken(TokenType.INT, input.getInt());
+            case INT64 -> setToken(TokenType.INT, input.getLong());
+            case STR8 -> beginPayload(true, input.get() & 0xff);
+            case STR16 -> beginPayload(true, input.getShort() & 0xffff);
+            case STR32 -> beginPayload(true, input.getInt() & 0xffffffffL);
+            case ARRAY16 -> setToken(TokenType.ARRAY, input.getShort() & 0xffff);
+            case ARRAY32 -> setToken(TokenType.ARRAY, input.getInt() & 0xffffffffL);
+            case MAP16 -> setToken(TokenType.MAP, input.getShort() & 0xffff);
+            default -> setToken(TokenType.MAP, input.getInt() & 0xffffffffL);
         }
     }
 
--- a/src/main/java/brooklock/platform/PendingClientRequestTable.java
+++ b/src/main/java/brooklock/platform/PendingClientRequestTable.java
@@ -19,7 +19,7 @@
     private final Map<Long, PendingClientRequest> openByClientId = new HashMap<>();
     private long lastRoutingId;
     private int openCount;
-    private long heldBodyBytes;
+    private long totalBodyBytes;
     private long maxBodyBytes = Runtime.getRuntime().maxMemory() / BODY_HEAP_DIVISOR;
 
     /** Sets the maximum number of bytes in the bodies of all pending requests together. */
@@ -28,9 +28,9 @@
     }
 
     /** Returns whether the request can be added within the bounds. */
-    boolean hasRoomFor(ClientRequest clientRequest) {
+    boolean canAccept(ClientRequest clientRequest) {
         return openCount < MAX_PENDING_REQUESTS
-                && heldBodyBytes + clientRequest.body().length <= maxBodyBytes;
+                && totalBodyBytes + clientRequest.body().length <= maxBodyBytes;
     }
 
     /**
@@ -54,7 +54,7 @@
                         messageId);
         byRoutingId.put(request.routingId(), request);
         openByClientId.put(clientRequest.id(), request);
-        heldBodyBytes += clientRequest.body().length;
+        totalBodyBytes += clientRequest.body().length;
         openCount++;
         return request;
     }
@@ -91,7 +91,7 @@
     /** Removes a request if it is finished. */
     void removeIfFinished(PendingClientRequest request) {
         if (request.isFinished() && byRoutingId.remove(request.routingId()) != null) {
-            heldBodyBytes -= request.clientRequest().body().length;
+            totalBodyBytes -= request.clientRequest().body().length;
         }
     }
 }
--- a/src/main/java/brooklock/platform/PlatformConfigReader.java
+++ b/src/main/java/brooklock/platform/PlatformConfigReader.java
@@ -75,8 +75,8 @@
                 List.copyOf(events),
                 routerSettings,
                 requestClasses(required(settings, "lanes").getAsJsonArray(), routerSettings),
-                names(settings, "dcs"),
-                names(settings, "machineTypes"),
+                stringList(settings, "dcs"),
+                stringList(settings, "machineTypes"),
                 required(limits, "connIdleNs").getAsLong(),
                 required(limits, "streamsPerConn").getAsInt());
     }
@@ -123,7 +123,7 @@
         return Map.copyOf(classes);
     }
 
-    private static List<String> names(JsonObject object, String key)
+    private static List<String> stringList(JsonObject object, String key)
             throws InvalidConfigurationException {
         List<String> names = new ArrayList<>();
         for (JsonElement name : required(object, key).getAsJsonArray()) {
--- a/src/main/java/brooklock/platform/PlatformDispatcher.java
+++ b/src/main/java/brooklock/platform/PlatformDispatcher.java
@@ -161,7 +161,7 @@
         loop.execute(
                 () -> {
                     try {
-                        discoveryClient.moveTo(
+                        discoveryClient.changeAddress(
                                 PlatformConfigReader.read(configFile).discoveryAddress());
                     } catch (IOException e) {
                         LOG.warn(
--- a/src/main/java/brooklock/platform/PlatformMain.java
+++ b/src/main/java/brooklock/platform/PlatformMain.java
@@ -135,9 +135,9 @@
             byte[] bytes = new byte[healthCheck.remaining()];
             healthCheck.get(bytes);
             socket.getOutputStream().write(bytes);
-            boolean answered = socket.getInputStream().read() >= 0;
+            boolean receivedResponse = socket.getInputStream().read() >= 0;
             dispatcher.shutDownGracefully();
-            return answered;
+            return receivedResponse;
         }
     }
 }
--- a/src/main/java/brooklock/platform/RequestExecutor.java
+++ b/src/main/java/brooklock/platform/RequestExecutor.java
@@ -32,7 +32,7 @@
     private final AttemptTransport transport;
     private final ArrayDeque<RouterEvent> queuedEvents = new ArrayDeque<>();
     private final List<RouterAction> actions = new ArrayList<>();
-    private boolean deciding;
+    private boolean processingEvents;
 
     /**
      * Creates an executor without requests.
@@ -85,12 +85,12 @@
     }
 
     /** Returns whether the request can be accepted; otherwise the caller must reject it. */
-    boolean hasRoomFor(ClientRequest clientRequest) {
-        return requests.hasRoomFor(clientRequest);
+    boolean canAccept(ClientRequest clientRequest) {
+        return requests.canAccept(clientRequest);
     }
 
     /**
-     * Accepts a request. The caller must have checked that it fits {@linkplain #hasRoomFor within
+     * Accepts a request. The caller must have checked that it fits {@linkplain #canAccept within
      * the bounds} and that its id is not {@linkplain #isOpen open}, and must then call {@link
      * #route}.
      *
@@ -100,7 +100,7 @@
      */
     PendingClientRequest accept(
             ClientRequest clientRequest, ClientConnection connection, long messageId) {
-        stats.accepted();
+        stats.recordAccepted();
         return requests.add(clientRequest, connection, messageId, clock.nowNs());
     }
 
@@ -123,7 +123,7 @@
     void cancelByClient(PendingClientRequest request) {
         if (!request.isCompleted()) {
             requests.complete(request);
-            stats.cancelled();
+            stats.recordCancelled();
             submit(new RouterEvent.ClientDisconnected(request.routingId()));
         }
     }
@@ -140,10 +140,10 @@
         attempt.end();
         PendingClientRequest request = attempt.request();
         request.onAttemptEnded();
-        stats.attemptEnded(result.outcome());
+        stats.recordAttemptEnded(result.outcome());
         if (result.outcome() == AttemptOutcome.OK && !request.isCompleted()) {
             requests.complete(request);
-            stats.served(clock.nowNs() - request.acceptedAtNs());
+            stats.recordServed(clock.nowNs() - request.acceptedAtNs());
             request.connection().respondServed(request, result);
         }
         submit(
@@ -165,21 +165,21 @@
      */
     void submit(RouterEvent event) {
         queuedEvents.add(event);
-        if (deciding) {
+        if (processingEvents) {
             return;
         }
-        deciding = true;
+        processingEvents = true;
         try {
             for (RouterEvent next = queuedEvents.poll(); next != null; next = queuedEvents.poll()) {
-                decide(next);
+                processEvent(next);
             }
         } finally {
-            deciding = false;
+            processingEvents = false;
         }
         timers.arm();
     }
 
-    private void decide(RouterEvent event) {
+    private void processEvent(RouterEvent event) {
         try {
             routingStrategy.onEvent(clock.nowNs(), event, actions);
         } catch (RuntimeException fault) {
@@ -219,7 +219,7 @@
         PendingClientRequest request = requests.getOpen(reject.id());
         if (request != null) {
             requests.complete(request);
-            stats.rejected();
+            stats.recordRejected();
             request.connection().respondRejected(request, reject.retryAfterNs());
         }
     }
@@ -228,7 +228,7 @@
         PendingClientRequest request = requests.getOpen(fail.id());
         if (request != null) {
             requests.complete(request);
-            stats.failed();
+            stats.recordFailed();
             request.connection().respondFailed(request);
         }
     }
--- a/src/main/java/brooklock/platform/RequestFrameEncoder.java
+++ b/src/main/java/brooklock/platform/RequestFrameEncoder.java
@@ -30,7 +30,7 @@
                         .append(",chunk=")
                         .append(request.part())
                         .append(",limit=")
-                        .append(wholeMs(timeoutNs));
+                        .append(toWholeMs(timeoutNs));
         if (request.idempotencyKey() != null) {
             fields.append(",nonce=").append(request.idempotencyKey());
         }
@@ -41,7 +41,7 @@
             fields.append(",store=").append(decision.cachePriority());
         }
         if (decision.maxAgeNs() > 0) {
-            fields.append(",cap=").append(wholeMs(decision.maxAgeNs()));
+            fields.append(",cap=").append(toWholeMs(decision.maxAgeNs()));
         }
         if (decision.collapse() || decision.onlyIfCached()) {
             fields.append(",do=").append(fillOptions(decision));
@@ -60,7 +60,7 @@
     }
 
     // Rounds down to milliseconds, but to at least 1: endpoints treat 0 as an absent value.
-    private static long wholeMs(long ns) {
+    private static long toWholeMs(long ns) {
         return Math.max(1, ns / NS_PER_MS);
     }
 }
--- a/src/main/java/brooklock/platform/ResponseFrameDecoder.java
+++ b/src/main/java/brooklock/platform/ResponseFrameDecoder.java
@@ -24,7 +24,7 @@
      */
     static AttemptResult decode(Frame response, ClientRequest request)
             throws MalformedMessageException {
-        AttemptOutcome outcome = outcomeOf(response.code());
+        AttemptOutcome outcome = toOutcome(response.code());
         boolean notModified = response.code() == Frame.NOT_MODIFIED;
         if (notModified
                 && (request.etag() == null
@@ -37,13 +37,13 @@
         }
         return new AttemptResult(
                 outcome,
-                cacheStatusOf(response.fields().getOrDefault("tell", "")),
-                fillDurationNs(response.fields().get("fill")),
+                parseCacheStatus(response.fields().getOrDefault("tell", "")),
+                parseFillDurationNs(response.fields().get("fill")),
                 notModified,
                 response.body());
     }
 
-    private static AttemptOutcome outcomeOf(int code) throws MalformedMessageException {
+    private static AttemptOutcome toOutcome(int code) throws MalformedMessageException {
         return switch (code) {
             case Frame.OK, Frame.NOT_MODIFIED -> AttemptOutcome.OK;
             case Frame.MISS -> AttemptOutcome.CACHE_MISS;
@@ -61,7 +61,7 @@
         };
     }
 
-    private static CacheStatus cacheStatusOf(String word) {
+    private static CacheStatus parseCacheStatus(String word) {
         return switch (word) {
             case "hit" -> CacheStatus.HIT;
             case "filled" -> CacheStatus.FILLED_BY_PARENT;
@@ -77,7 +77,7 @@
         };
     }
 
-    private static long fillDurationNs(String ms) throws MalformedMessageException {
+    private static long parseFillDurationNs(String ms) throws MalformedMessageException {
         if (ms == null) {
             return 0;
         }
--- a/src/main/java/brooklock/platform/RpcDecoder.java
+++ b/src/main/java/brooklock/platform/RpcDecoder.java
@@ -25,8 +25,8 @@
     private static final int MAX_TEXT_BYTES = 256;
     private static final long MAX_MESSAGE_ID = 0xffffffffL;
 
-    private static final int CALL_PARTS = 4;
-    private static final int NOTIFICATION_PARTS = 3;
+    private static final int CALL_ELEMENTS = 4;
+    private static final int NOTIFICATION_ELEMENTS = 3;
     private static final int CALL_TYPE = 0;
     private static final int NOTIFICATION_TYPE = 2;
     private static final String CANCEL_METHOD = "forget";
@@ -52,7 +52,7 @@
     private long messageId;
     private String method;
     private boolean hasBody;
-    private long fieldsLeft;
+    private long remainingFields;
     private String fieldName;
     private Map<String, String> fields;
 
@@ -63,8 +63,8 @@
      * @return the next message, or null if more bytes are needed
      * @throws MalformedMessageException if the input is not a valid message
      */
-    public RpcMessage next(ByteBuffer in) throws MalformedMessageException {
-        while (reader.next(in)) {
+    public RpcMessage next(ByteBuffer input) throws MalformedMessageException {
+        while (reader.next(input)) {
             RpcMessage message = onToken();
             if (message != null) {
                 state = State.MESSAGE;
@@ -76,13 +76,13 @@
     }
 
     /** Returns whether at least one token of an incomplete message has been decoded. */
-    public boolean inMessage() {
+    public boolean hasPartialMessage() {
         return state != State.MESSAGE;
     }
 
     private RpcMessage onToken() throws MalformedMessageException {
         switch (state) {
-            case MESSAGE -> onPartCount();
+            case MESSAGE -> onElementCount();
             case TYPE -> onType();
             case MESSAGE_ID -> {
                 messageId = readMessageId();
@@ -113,18 +113,18 @@
         return null;
     }
 
-    private void onPartCount() throws MalformedMessageException {
-        long parts = expect(TokenType.ARRAY);
-        if (parts != NOTIFICATION_PARTS && parts != CALL_PARTS) {
+    private void onElementCount() throws MalformedMessageException {
+        long elements = expect(TokenType.ARRAY);
+        if (elements != NOTIFICATION_ELEMENTS && elements != CALL_ELEMENTS) {
             throw new MalformedMessageException(
                     "expected a message of "
-                            + NOTIFICATION_PARTS
+                            + NOTIFICATION_ELEMENTS
                             + " or "
-                            + CALL_PARTS
+                            + CALL_ELEMENTS
                             + " elements but received "
-                            + parts);
+                            + elements);
         }
-        notification = parts == NOTIFICATION_PARTS;
+        notification = elements == NOTIFICATION_ELEMENTS;
         state = State.TYPE;
     }
 
@@ -134,11 +134,11 @@
                     "expected message type "
                             + CALL_TYPE
                             + " of a call with "
-                            + CALL_PARTS
+                            + CALL_ELEMENTS
                             + " elements or "
                             + NOTIFICATION_TYPE
                             + " of a notification with "
-                            + NOTIFICATION_PARTS
+                            + NOTIFICATION_ELEMENTS
                             + " elements but received type "
                             + reader.value());
         }
@@ -177,18 +177,18 @@
     }
 
     private RpcMessage onFieldCount() throws MalformedMessageException {
-        fieldsLeft = expect(TokenType.MAP);
-        if (fieldsLeft > MAX_FIELDS) {
+        remainingFields = expect(TokenType.MAP);
+        if (remainingFields > MAX_FIELDS) {
             throw new MalformedMessageException(
                     "expected at most "
                             + MAX_FIELDS
                             + " fields in the call with message id "
                             + messageId
                             + " but received "
-                            + fieldsLeft);
+                            + remainingFields);
         }
         fields = new HashMap<>();
-        fieldsLeft++;
+        remainingFields++;
         return onFieldComplete();
     }
 
@@ -203,7 +203,7 @@
     }
 
     private RpcMessage onFieldComplete() {
-        if (--fieldsLeft > 0) {
+        if (--remainingFields > 0) {
             state = State.FIELD_NAME;
         } else if (hasBody) {
             state = State.BODY;
--- a/src/main/java/brooklock/platform/RpcEncoder.java
+++ b/src/main/java/brooklock/platform/RpcEncoder.java
@@ -28,9 +28,9 @@
     private static final int HEAD_CAPACITY_BYTES = 512;
     private static final long NS_PER_MS = 1_000_000L;
 
-    private static final int MESSAGE = FIXARRAY | 4;
-    private static final int PAIR = FIXARRAY | 2;
-    private static final int SINGLE = FIXARRAY | 1;
+    private static final int MESSAGE_ARRAY = FIXARRAY | 4;
+    private static final int PAIR_ARRAY = FIXARRAY | 2;
+    private static final int SINGLE_ARRAY = FIXARRAY | 1;
     private static final int CALL_TYPE = 0;
     private static final int RESPONSE_TYPE = 1;
 
@@ -51,7 +51,7 @@
     }
 
     private static ByteBuffer[] result(long messageId, byte[] body, Map<String, String> fields) {
-        ByteBuffer head = beginResponse(messageId).put((byte) NIL).put((byte) PAIR);
+        ByteBuffer head = beginResponse(messageId).put((byte) NIL).put((byte) PAIR_ARRAY);
         putBytesHead(head, body.length);
         ByteBuffer tail = ByteBuffer.allocate(HEAD_CAPACITY_BYTES);
         putMap(tail, fields);
@@ -79,7 +79,7 @@
     }
 
     private static ByteBuffer error(long messageId, RpcError error, Map<String, String> fields) {
-        ByteBuffer buffer = beginResponse(messageId).put((byte) PAIR);
+        ByteBuffer buffer = beginResponse(messageId).put((byte) PAIR_ARRAY);
         putText(buffer, error.wireName());
         putMap(buffer, fields);
         return buffer.put((byte) NIL).flip();
@@ -90,7 +90,7 @@
         ByteBuffer buffer =
                 beginResponse(messageId)
                         .put((byte) NIL)
-                        .put((byte) PAIR)
+                        .put((byte) PAIR_ARRAY)
                         .put((byte) (healthy ? TRUE : FALSE));
         putMap(buffer, NO_FIELDS);
         return buffer.flip();
@@ -100,7 +100,7 @@
     static ByteBuffer healthCheck(long messageId) {
         ByteBuffer buffer = beginCall(messageId, HEAD_CAPACITY_BYTES);
         putText(buffer, RpcDecoder.HEALTH_CHECK_METHOD);
-        return buffer.put((byte) SINGLE).put((byte) FIXMAP).flip();
+        return buffer.put((byte) SINGLE_ARRAY).put((byte) FIXMAP).flip();
     }
 
     /**
@@ -114,7 +114,7 @@
     static ByteBuffer call(long messageId, String method, String[] namesAndValues, byte[] body) {
         ByteBuffer buffer = beginCall(messageId, HEAD_CAPACITY_BYTES + body.length);
         putText(buffer, method);
-        buffer.put((byte) PAIR).put((byte) (FIXMAP | namesAndValues.length / 2));
+        buffer.put((byte) PAIR_ARRAY).put((byte) (FIXMAP | namesAndValues.length / 2));
         for (String text : namesAndValues) {
             putText(buffer, text);
         }
@@ -123,14 +123,14 @@
     }
 
     private static ByteBuffer beginCall(long messageId, int capacity) {
-        ByteBuffer buffer = ByteBuffer.allocate(capacity).put((byte) MESSAGE).put((byte) CALL_TYPE);
+        ByteBuffer buffer = ByteBuffer.allocate(capacity).put((byte) MESSAGE_ARRAY).put((byte) CALL_TYPE);
         return putMessageId(buffer, messageId);
     }
 
     private static ByteBuffer beginResponse(long messageId) {
         ByteBuffer buffer =
                 ByteBuffer.allocate(HEAD_CAPACITY_BYTES)
-                        .put((byte) MESSAGE)
+                        .put((byte) MESSAGE_ARRAY)
                         .put((byte) RESPONSE_TYPE);
         return putMessageId(buffer, messageId);
     }
--- a/src/main/java/brooklock/platform/StartupWarmup.java
+++ b/src/main/java/brooklock/platform/StartupWarmup.java
@@ -47,7 +47,7 @@
     private final ClientListener clientListener;
     private final PlatformConfig config;
     private final CountDownLatch done = new CountDownLatch(1);
-    private final long endAtNs = System.nanoTime() + MAX_DURATION_NS;
+    private final long deadlineNs = System.nanoTime() + MAX_DURATION_NS;
     private RawConnection client;
     private int round;
     private long lastMessageId;
@@ -79,8 +79,8 @@
      * @param loop the I/O thread, which must not be in use yet
      */
     static void run(IoLoop loop) {
-        try (InputStream in = openConfig()) {
-            String text = new String(in.readAllBytes(), StandardCharsets.UTF_8);
+        try (InputStream configInput = openConfig()) {
+            String text = new String(configInput.readAllBytes(), StandardCharsets.UTF_8);
             StartupWarmup warmup = new StartupWarmup(loop, PlatformConfigReader.parse(text));
             loop.execute(warmup::start);
             if (!warmup.done.await(2 * MAX_DURATION_NS, TimeUnit.NANOSECONDS)) {
@@ -113,9 +113,9 @@
     }
 
     private void runRound() {
-        if (executor.openRequests() > 0 && System.nanoTime() < endAtNs) {
+        if (executor.openRequests() > 0 && System.nanoTime() < deadlineNs) {
             loop.schedule(POLL_INTERVAL_NS, this::runRound);
-        } else if (round == ROUNDS || System.nanoTime() >= endAtNs) {
+        } else if (round == ROUNDS || System.nanoTime() >= deadlineNs) {
             client.close();
             connector.close();
             done.countDown();
@@ -131,7 +131,7 @@
 
     // The first call of a round writes its object, the others read theirs.
     private static ByteBuffer encodeCall(long messageId, int index) {
-        boolean write = index == 0;
+        boolean isWrite = index == 0;
         String id = String.format("%016x", messageId);
         String[] fields = {
             ClientRequestParser.ID,
@@ -146,11 +146,11 @@
             "1",
             ClientRequestParser.SIZE,
             "20.5",
-            write ? ClientRequestParser.IDEMPOTENCY_KEY : ClientRequestParser.ETAG,
-            write ? id + id : id
+            isWrite ? ClientRequestParser.IDEMPOTENCY_KEY : ClientRequestParser.ETAG,
+            isWrite ? id + id : id
         };
         return RpcEncoder.call(
-                messageId, write ? "write" : "read", fields, new byte[write ? 1 : 0]);
+                messageId, isWrite ? "write" : "read", fields, new byte[isWrite ? 1 : 0]);
     }
 
     private Runnable connect(
@@ -174,8 +174,8 @@
     /** Reads and discards all input. */
     private static class DiscardingListener implements RawConnection.EventListener {
         @Override
-        public void onBytes(ByteBuffer in) {
-            in.position(in.limit());
+        public void onBytes(ByteBuffer input) {
+            input.position(input.limit());
         }
 
         @Override
@@ -189,7 +189,7 @@
         private static final byte[] BODY = new byte[BODY_BYTES];
         private static final String FIELDS = "tell=hit,fill=1.5,rev=1,since=1";
         private final FrameDecoder decoder =
-                new FrameDecoder(Frame.DISPATCHER_MARK, Frame.REQUEST, Frame.CANCEL);
+                new FrameDecoder(Frame.DISPATCHER_MAGIC, Frame.REQUEST, Frame.CANCEL);
         private final RawConnection transport;
 
         SimulatedEndpoint(RawConnection transport) {
@@ -197,12 +197,12 @@
         }
 
         @Override
-        public void onBytes(ByteBuffer in) {
+        public void onBytes(ByteBuffer input) {
             try {
-                for (Frame frame = decoder.next(in); frame != null; frame = decoder.next(in)) {
+                for (Frame frame = decoder.next(input); frame != null; frame = decoder.next(input)) {
                     transport.write(
                             FrameEncoder.encode(
-                                    Frame.ENDPOINT_MARK, Frame.OK, frame.id(), FIELDS, BODY));
+                                    Frame.ENDPOINT_MAGIC, Frame.OK, frame.id(), FIELDS, BODY));
                 }
             } catch (MalformedMessageException e) {
                 transport.close();
--- a/src/main/java/brooklock/platform/TimerQueue.java
+++ b/src/main/java/brooklock/platform/TimerQueue.java
@@ -58,7 +58,7 @@
 
     private void onTimer() {
         timerKey = null;
-        stats.timerLag(clock.nowNs() - timerAtNs);
+        stats.recordTimerLag(clock.nowNs() - timerAtNs);
         timerAtNs = Long.MAX_VALUE;
         for (ScheduledTask next = tasks.peek();
                 next != null && next.atNs() <= clock.nowNs();
--- a/src/test/java/brooklock/platform/ClientCallTest.java
+++ b/src/test/java/brooklock/platform/ClientCallTest.java
@@ -40,7 +40,7 @@
      * response, or the client would take it for that of the second.
      */
     @Test
-    void aCancelledRequestGetsNoResponseAndItsMessageIdIsFree() throws Exception {
+    void aCancelledRequestGetsNoResponseAndItsMessageIdIsReusable() throws Exception {
         loopback.start(servingAllBut(0x18));
         loopback.client().send(read(1, 0x18, 0x87, 2000));
         loopback.client().send(RpcTestClient.encodeCancel(1));
@@ -52,7 +52,7 @@
      * since calls that came in one read are submitted only after it.
      */
     @Test
-    void callsThatAreCancelledInTheSameReadReachNoEndpoint() throws Exception {
+    void callsCancelledInTheSameReadReachNoEndpoint() throws Exception {
         loopback.start(FakeEndpoint.serving(BODY));
         byte[] burst = new byte[0];
         for (int i = 1; i <= 60; i++) {
@@ -74,7 +74,7 @@
      * request that is open on another one is not touched.
      */
     @Test
-    void invalidCallsAreAnsweredAndHarmNoOtherClient() throws Exception {
+    void invalidCallsAreAnsweredAndDoNotAffectOtherClients() throws Exception {
         loopback.start(servingAllBut(0x20));
         loopback.client().send(read(1, 0x20, 0x88, 2000));
         LoopbackDispatcher.await(() -> !loopback.cache(0).received.isEmpty());
@@ -92,7 +92,7 @@
 
     /** A client opens one call more than the protocol allows: that one alone is rejected. */
     @Test
-    void callsAboveTheBoundOfAConnectionAreRejected() throws Exception {
+    void callsAboveTheOpenCallLimitAreRejected() throws Exception {
         loopback.start((request, out, socket) -> {});
         for (int i = 1; i <= ClientConnection.MAX_OPEN_CALLS + 1; i++) {
             loopback.client().send(read(i, 0x200 + i, 0x300 + i, 2400));
@@ -107,7 +107,7 @@
      * closed, so that they hold no descriptor for ever.
      */
     @Test
-    void aClientThatSaysNothingIsClosed() throws Exception {
+    void aSilentClientIsDisconnected() throws Exception {
         loopback.start(FakeEndpoint.serving(BODY));
         assertNull(loopback.client().response());
         try (RpcTestClient half = loopback.newClient()) {
@@ -121,7 +121,7 @@
      * request must be let in all the same: a silent one gives way.
      */
     @Test
-    void silentClientsGiveWayToThoseWithRequests() throws Exception {
+    void silentClientsAreEvictedForNewConnections() throws Exception {
         loopback.start(FakeEndpoint.serving(BODY));
         for (int i = 0; i < 300; i++) {
             loopback.newClient();
@@ -131,7 +131,7 @@
 
     /** A health check is answered without any endpoint. */
     @Test
-    void aHealthCheckIsAnsweredTrueAfterTheStart() throws Exception {
+    void aHealthCheckIsAnsweredWithTrueAfterTheStart() throws Exception {
         loopback.start((request, out, socket) -> {});
         loopback.client().send(RpcTestClient.encodeCall(1, "isWell", Map.of(), null));
         assertTrue(loopback.client().response().healthy());
--- a/src/test/java/brooklock/platform/ClientLimitTest.java
+++ b/src/test/java/brooklock/platform/ClientLimitTest.java
@@ -47,7 +47,7 @@
      * It must be closed once its message has taken too long.
      */
     @Test
-    void aMessageThatComesByteByByteHoldsNoConnectionForEver() throws Exception {
+    void aMessageSentByteByByteTimesOut() throws Exception {
         fixture.onIoThread(
                 () -> {
                     fixture.clientListener.setMessageTimeoutNs(100_000_000);
@@ -73,7 +73,7 @@
      * with a body is rejected at once, and the bodies count no more once their requests are done.
      */
     @Test
-    void bodiesThatTheHeapCannotHoldAreRejected() throws Exception {
+    void requestsAboveTheBodyMemoryLimitAreRejected() throws Exception {
         fixture.onIoThread(
                 () -> {
                     fixture.executor.setMaxBodyBytes(1500);
@@ -98,7 +98,7 @@
      * the unread responses fill the heap.
      */
     @Test
-    void aClientThatReadsNoResponsesIsClosedBeforeTheyFillTheHeap() throws Exception {
+    void aClientThatDoesNotReadItsResponsesIsDisconnected() throws Exception {
         fixture.onIoThread(
                 () -> {
                     fixture.clientListener.setMaxPendingWriteBytes(300_000);
--- a/src/test/java/brooklock/platform/ClientRequestParserTest.java
+++ b/src/test/java/brooklock/platform/ClientRequestParserTest.java
@@ -53,7 +53,7 @@
     }
 
     @Test
-    void fieldsAreParsedAsTheyStand() throws InvalidRequestException {
+    void validFieldsAreParsed() throws InvalidRequestException {
         ClientRequest request = parse("pages", fieldsWith("r", "1"), 0);
         assertEquals(0x9b1f03aa5c7e2d41L, request.id());
         assertEquals(0x7f3a9c21e0b4d655L, request.objectId());
@@ -114,13 +114,13 @@
         "r, yes",
         "etag, 'a,up=b'"
     })
-    void requestsWithAFieldThatCannotBeUsedAreInvalid(String name, String value) {
+    void requestsWithAMalformedFieldAreInvalid(String name, String value) {
         assertThrows(
                 InvalidRequestException.class, () -> parse("pages", fieldsWith(name, value), 0));
     }
 
     @Test
-    void requestsThatDoNotFitTheirClassAreInvalid() {
+    void requestsThatViolateTheirClassAreInvalid() {
         Map<String, String> fields = fieldsWith("r", "1");
         assertThrows(InvalidRequestException.class, () -> parse("nothing", fields, 0));
         InvalidRequestException body =
--- a/src/test/java/brooklock/platform/ConnectionCloseTest.java
+++ b/src/test/java/brooklock/platform/ConnectionCloseTest.java
@@ -83,10 +83,10 @@
      * It must be read and rejected before the connection closes, not lost.
      */
     @Test
-    void aCallThatLiesUnreadAtTheShutdownIsAnswered() throws Exception {
+    void aCallThatIsUnreadAtTheShutdownIsAnswered() throws Exception {
         awaitHealthCheck();
         shutDownOnIoThread();
-        Runnable release = fixture.holdIoThread();
+        Runnable release = fixture.blockIoThread();
         client.getOutputStream().write(read(2, 0x21));
         // Until idle connections are due to be closed: that happens before sockets are read again.
         for (long startNs = System.nanoTime();
@@ -104,8 +104,8 @@
      * when the shutdown begins. Its call must be answered: to the client the connection was open.
      */
     @Test
-    void aConnectionThatTheSystemHasAcceptedIsServedBeforeTheListenerCloses() throws Exception {
-        Runnable release = fixture.holdIoThread();
+    void aConnectionInTheAcceptQueueIsServedBeforeTheListenerCloses() throws Exception {
+        Runnable release = fixture.blockIoThread();
         try (Socket late = new Socket(fixture.address.getAddress(), fixture.address.getPort())) {
             late.setSoTimeout(20_000);
             late.getOutputStream().write(read(1, 0x22));
@@ -120,7 +120,7 @@
      * the client, so they must not be forwarded; and they must not reset the connection.
      */
     @Test
-    void callsAfterTheSendingSideWasShutAreNeitherForwardedNorDoTheyReset() throws Exception {
+    void callsAfterOutputIsShutDownAreDroppedWithoutAReset() throws Exception {
         awaitHealthCheck();
         shutDownOnIoThread();
         assertEquals(-1, client.getInputStream().read());
@@ -137,7 +137,7 @@
      * and the rest of the call must be read and answered.
      */
     @Test
-    void aHalfReadCallKeepsItsConnectionOpenAtTheShutdown() throws Exception {
+    void aPartiallyReadCallKeepsItsConnectionOpenAtTheShutdown() throws Exception {
         awaitHealthCheck();
         byte[] call = read(2, 0x25);
         // The first byte of a longer token: the decoder has taken nothing of it yet.
@@ -160,7 +160,7 @@
      * thread, on which every other connection depends.
      */
     @Test
-    void aFaultWhileBytesAreHandledCostsTheirConnectionAlone() throws Exception {
+    void anExceptionInAnInputHandlerClosesOnlyItsConnection() throws Exception {
         CountDownLatch closed = new CountDownLatch(1);
         AtomicInteger calls = new AtomicInteger();
         RawConnection[] pair = fixture.onIoThread(() -> RawConnection.pair(fixture.loop));
@@ -189,7 +189,7 @@
 
     /** A request is open when the shutdown begins: its response comes before the side is shut. */
     @Test
-    void anOpenRequestIsAnsweredBeforeTheSendingSideIsShut() throws Exception {
+    void anOpenRequestIsAnsweredBeforeOutputIsShutDown() throws Exception {
         client.getOutputStream().write(read(1, 0x26));
         DispatcherFixture.EndpointPeer endpoint = fixture.connect(fixture.nextConnectRequest());
         assertEquals(0x26, endpoint.nextFrame().id());
@@ -205,13 +205,13 @@
      * plain close over the unread bytes would reset the connection, and the response would be lost.
      */
     @Test
-    void aCloseOverUnreadBytesTakesNoResponseWithIt() throws Exception {
+    void aCloseWithUnreadInputLosesNoResponse() throws Exception {
         client.getOutputStream().write(read(1, 0x27));
         DispatcherFixture.EndpointPeer endpoint = fixture.connect(fixture.nextConnectRequest());
         endpoint.nextFrame();
         endpoint.respond(Frame.OVERLOADED, 0x27, "");
         fixture.nextEvent(RouterEvent.AttemptCompleted.class);
-        Runnable release = fixture.holdIoThread();
+        Runnable release = fixture.blockIoThread();
         byte[] noise = new byte[100_000];
         Arrays.fill(noise, (byte) 0xc1);
         client.getOutputStream().write(noise);
--- a/src/test/java/brooklock/platform/DecoderTestUtil.java
+++ b/src/test/java/brooklock/platform/DecoderTestUtil.java
@@ -8,7 +8,7 @@
 final class DecoderTestUtil {
     /** The method of a decoder that reads one message, or null if more bytes are needed. */
     interface Decoder<T> {
-        T next(ByteBuffer in) throws MalformedMessageException;
+        T next(ByteBuffer input) throws MalformedMessageException;
     }
 
     private DecoderTestUtil() {}
@@ -16,22 +16,22 @@
     /**
      * Decodes bytes that come in two pieces; what is left of the first stands before the second.
      */
-    static <T> List<T> decode(Decoder<T> decoder, byte[] bytes, int cut)
+    static <T> List<T> decode(Decoder<T> decoder, byte[] bytes, int splitIndex)
             throws MalformedMessageException {
         List<T> messages = new ArrayList<>();
-        ByteBuffer in = ByteBuffer.allocate(bytes.length);
-        for (int[] piece : new int[][] {{0, cut}, {cut, bytes.length}}) {
-            in.put(bytes, piece[0], piece[1] - piece[0]).flip();
-            for (T message = decoder.next(in); message != null; message = decoder.next(in)) {
+        ByteBuffer input = ByteBuffer.allocate(bytes.length);
+        for (int[] piece : new int[][] {{0, splitIndex}, {splitIndex, bytes.length}}) {
+            input.put(bytes, piece[0], piece[1] - piece[0]).flip();
+            for (T message = decoder.next(input); message != null; message = decoder.next(input)) {
                 messages.add(message);
             }
-            in.compact();
+            input.compact();
         }
         return messages;
     }
 
     /** Returns the bytes of hexadecimal digits; blanks between them are skipped. */
-    static byte[] hex(String text) {
+    static byte[] parseHex(String text) {
         String digits = text.replace(" ", "");
         byte[] bytes = new byte[digits.length() / 2];
         for (int i = 0; i < bytes.length; i++) {
--- a/src/test/java/brooklock/platform/DiscoveredEndpointTableTest.java
+++ b/src/test/java/brooklock/platform/DiscoveredEndpointTableTest.java
@@ -28,8 +28,8 @@
     }
 
     private static EndpointListReceived apply(
-            DiscoveredEndpointTable to, boolean snapshot, DiscoveryEvent.Endpoint... endpoints) {
-        return to.apply(new DiscoveryEvent.EndpointListUpdate(1, snapshot, List.of(endpoints)));
+            DiscoveredEndpointTable target, boolean snapshot, DiscoveryEvent.Endpoint... endpoints) {
+        return target.apply(new DiscoveryEvent.EndpointListUpdate(1, snapshot, List.of(endpoints)));
     }
 
     /**
@@ -37,7 +37,7 @@
      * moved an endpoint's start with each list would warm it up again and again.
      */
     @Test
-    void endpointsHaveTheSameIdEverywhereAndStartOnce() {
+    void idsAgreeBetweenTablesAndStartTimesAreStable() {
         DiscoveryEvent.Endpoint a = endpoint("s-a", "127.0.0.1:1", "west", 1000);
         EndpointListReceived first =
                 apply(table, true, a, endpoint("s-b", "127.0.0.1:2", "nowhere", 0));
@@ -57,7 +57,7 @@
 
     /** An endpoint that leaves may be listed without its address, zone and kind. */
     @Test
-    void anEndpointLeavesAlsoWithoutItsAddress() {
+    void anEndpointCanLeaveWithoutAnAddress() {
         long id =
                 apply(table, true, endpoint("s-a", "127.0.0.1:1", "west", 0))
                         .endpoints()
@@ -73,7 +73,7 @@
         assertTrue(table.get(id).isGone());
         table.removeGone();
         assertNull(table.get(id));
-        assertEquals(0, table.presentCount());
+        assertEquals(0, table.listedCount());
     }
 
     @Test
@@ -90,7 +90,7 @@
     /** One endpoint that can't be used must not take the others of its list with it. */
     @ParameterizedTest
     @ValueSource(strings = {"", "a.host:1", "127.0.0.1", "127.0.0.256:1", "127.0.0.1:65536"})
-    void anEndpointWithoutAUsableAddressIsLeftOut(String address) {
+    void anEndpointWithoutAValidAddressIsIgnored(String address) {
         EndpointListReceived list =
                 apply(
                         table,
@@ -101,7 +101,7 @@
     }
 
     @Test
-    void anEndpointOfAnUnknownStateIsLeftOut() {
+    void anEndpointOfAnUnknownStateIsIgnored() {
         EndpointListReceived list =
                 apply(
                         table,
--- a/src/test/java/brooklock/platform/DiscoveryClientTest.java
+++ b/src/test/java/brooklock/platform/DiscoveryClientTest.java
@@ -41,7 +41,7 @@
      * it has whole, take each event once, and connect again at the gap.
      */
     @Test
-    void eventsAreResumedWhereTheConnectionBroke() throws Exception {
+    void eventsResumeAfterTheLastCompleteEvent() throws Exception {
         loopback.start(FakeEndpoint.serving(BODY));
         try (Socket first = loopback.acceptDiscoveryClient()) {
             assertEquals("resume 1", readLine(first));
@@ -74,7 +74,7 @@
      * go to the new address, not to connections of the old one.
      */
     @Test
-    void anEndpointThatLeftAndIsBackAtAnotherAddressIsReached() throws Exception {
+    void anEndpointThatReturnsAtAnotherAddressIsReached() throws Exception {
         loopback.start(FakeEndpoint.serving(BODY));
         assertArrayEquals(BODY, loopback.client().request(1, 0x30, 0x94, 2000).body());
         FakeEndpoint moved = loopback.newEndpoint(FakeEndpoint.serving(BODY));
@@ -113,7 +113,7 @@
      * of it. The dispatcher reads it again and moves to the new address of the discovery service.
      */
     @Test
-    void aReloadMovesToAnotherDiscoveryServiceAlsoIfTheFileIsHalfWritten() throws Exception {
+    void aReloadOfAPartiallyWrittenFileIsRetried() throws Exception {
         loopback.start(FakeEndpoint.serving(BODY));
         try (Socket first = loopback.acceptDiscoveryClient();
                 ServerSocket next = new ServerSocket(0, 9, InetAddress.getLoopbackAddress())) {
--- a/src/test/java/brooklock/platform/DiscoveryEventDecoderTest.java
+++ b/src/test/java/brooklock/platform/DiscoveryEventDecoderTest.java
@@ -14,7 +14,7 @@
 /** Lines of the discovery service at every cut, and lines that are no event. */
 class DiscoveryEventDecoderTest {
     @Test
-    void linesAreDecodedAtEveryCut() throws MalformedMessageException {
+    void linesAreDecodedAtEverySplit() throws MalformedMessageException {
         Object list =
                 TestConfigs.listUpdate(
                         41,
@@ -71,7 +71,7 @@
                 "43 44",
                 "\u0000"
             })
-    void linesThatAreNoEventAreRejected(String line) {
+    void invalidLinesAreRejected(String line) {
         assertThrows(MalformedMessageException.class, () -> DiscoveryEventDecoder.parse(line));
     }
 }
--- a/src/test/java/brooklock/platform/DispatcherFixture.java
+++ b/src/test/java/brooklock/platform/DispatcherFixture.java
@@ -44,13 +44,13 @@
         final BlockingQueue<Frame> frames = new LinkedBlockingQueue<>();
         final CountDownLatch closed = new CountDownLatch(1);
         private final FrameDecoder decoder =
-                new FrameDecoder(Frame.DISPATCHER_MARK, Frame.REQUEST, Frame.CANCEL);
+                new FrameDecoder(Frame.DISPATCHER_MAGIC, Frame.REQUEST, Frame.CANCEL);
         private RawConnection transport;
 
         @Override
-        public void onBytes(ByteBuffer in) {
+        public void onBytes(ByteBuffer input) {
             try {
-                for (Frame frame = decoder.next(in); frame != null; frame = decoder.next(in)) {
+                for (Frame frame = decoder.next(input); frame != null; frame = decoder.next(input)) {
                     frames.add(frame);
                 }
             } catch (MalformedMessageException e) {
@@ -72,7 +72,7 @@
                     () -> {
                         transport.write(
                                 FrameEncoder.encode(
-                                        Frame.ENDPOINT_MARK, code, id, fields, new byte[bytes]));
+                                        Frame.ENDPOINT_MAGIC, code, id, fields, new byte[bytes]));
                         return null;
                     });
         }
@@ -151,36 +151,36 @@
     }
 
     /** Runs work on the I/O thread and returns its result. */
-    <T> T onIoThread(Callable<T> work) throws Exception {
-        CompletableFuture<T> done = new CompletableFuture<>();
+    <T> T onIoThread(Callable<T> task) throws Exception {
+        CompletableFuture<T> result = new CompletableFuture<>();
         loop.execute(
                 () -> {
                     try {
-                        done.complete(work.call());
+                        result.complete(task.call());
                     } catch (Exception e) {
-                        done.completeExceptionally(e);
+                        result.completeExceptionally(e);
                     }
                 });
-        return done.get(20, TimeUnit.SECONDS);
+        return result.get(20, TimeUnit.SECONDS);
     }
 
     /**
      * Holds the I/O thread until the returned task is run: what peers send meanwhile stays unread.
      */
-    Runnable holdIoThread() throws InterruptedException {
-        CountDownLatch held = new CountDownLatch(1);
-        CountDownLatch free = new CountDownLatch(1);
+    Runnable blockIoThread() throws InterruptedException {
+        CountDownLatch blocked = new CountDownLatch(1);
+        CountDownLatch released = new CountDownLatch(1);
         loop.execute(
                 () -> {
-                    held.countDown();
+                    blocked.countDown();
                     try {
-                        free.await();
+                        released.await();
                     } catch (InterruptedException e) {
                         Thread.currentThread().interrupt();
                     }
                 });
-        held.await();
-        return free::countDown;
+        blocked.await();
+        return released::countDown;
     }
 
     /** Updates the endpoint list with endpoints of one state. */
@@ -207,7 +207,7 @@
     }
 
     /** Returns an attempt that allows no fill. */
-    static RouterAction.StartAttempt attemptAction(
+    static RouterAction.StartAttempt startAttemptAction(
             long request, String endpoint, long timeoutMs, long startWithinMs) {
         return new RouterAction.StartAttempt(
                 request,
@@ -225,7 +225,7 @@
     static BiConsumer<RouterEvent, List<RouterAction>> rejectingUnlessServedBy(String endpoint) {
         return (event, actions) -> {
             if (event instanceof RouterEvent.RequestReceived received) {
-                actions.add(attemptAction(received.id(), endpoint, 2000, 2000));
+                actions.add(startAttemptAction(received.id(), endpoint, 2000, 2000));
             } else if (event instanceof RouterEvent.AttemptCompleted completed
                     && completed.outcome() != AttemptOutcome.OK) {
                 actions.add(new RouterAction.RejectRequest(completed.id(), 0));
--- a/src/test/java/brooklock/platform/DispatcherProcessTest.java
+++ b/src/test/java/brooklock/platform/DispatcherProcessTest.java
@@ -98,7 +98,7 @@
      * dispatcher closes the connection and ends by itself, with status 0.
      */
     @Test
-    void sigtermEndsItAlsoIfItComesTwice() throws Exception {
+    void aSecondSigtermHasNoEffect() throws Exception {
         try (FakeEndpoint origin = new FakeEndpoint(FakeEndpoint.serving(new byte[] {7}))) {
             start(
                     TestConfigs.config(
@@ -121,7 +121,7 @@
      * process with the signal's status; they must wait for the start and then take effect.
      */
     @Test
-    void signalsBeforeItIsReadyWaitForTheStart() throws Exception {
+    void signalsDuringTheStartAreHandledAfterIt() throws Exception {
         try (ServerSocket discovery = new ServerSocket(0, 9, InetAddress.getLoopbackAddress())) {
             start(TestConfigs.config("127.0.0.1:" + discovery.getLocalPort(), List.of()));
             assertEquals("starting", nextLine());
@@ -140,14 +140,14 @@
         config.remove(field);
         start(config.toString());
         assertEquals("starting", nextLine());
-        String all = String.join("\n", log.lines().toList());
+        String output = String.join("\n", log.lines().toList());
         assertExitStatus(1);
-        assertEquals("brooklock: the configuration can't be read: " + field + " is missing", all);
+        assertEquals("brooklock: the configuration can't be read: " + field + " is missing", output);
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"dcs", "lanes", "machineTypes", "limits", "extra", "invariants"})
-    void settingsWithoutAPartServeOrEndTheStartWithOneLine(String field) throws Exception {
+    void settingsWithoutAFieldServeOrEndTheStartWithOneLine(String field) throws Exception {
         JsonObject config =
                 JsonParser.parseString(TestConfigs.config("127.0.0.1:9", List.of()))
                         .getAsJsonObject();
--- a/src/test/java/brooklock/platform/EndpointConnectionPoolTest.java
+++ b/src/test/java/brooklock/platform/EndpointConnectionPoolTest.java
@@ -62,7 +62,7 @@
      * response would be taken for its own.
      */
     @Test
-    void aSecondResponseIsNotTakenForThatOfALaterAttempt() throws Exception {
+    void aDuplicateResponseIsNotMistakenForThatOfALaterAttempt() throws Exception {
         start(
                 64,
                 (event, actions) -> {
@@ -94,7 +94,7 @@
      * the client would go on with an outdated copy.
      */
     @Test
-    void aCopyIsConfirmedOnlyIfTheEndpointNamesItsTag() throws Exception {
+    void aCopyIsConfirmedOnlyByItsEntityTag() throws Exception {
         start(64, QueuedAttemptTest::decideOneAttempt);
         Map<String, String> fields = RpcTestClient.fields(0x19, 0x7f, TIMEOUT_MS);
         fields.put("etag", "4be0c1927d55a6f3");
@@ -110,7 +110,7 @@
      * first after an eighth of the connect timeout; the late connection serves the next attempt.
      */
     @Test
-    void anAttemptSharesAConnectionIfItsOwnIsSlowToComeUp() throws Exception {
+    void anAttemptSharesAConnectionIfItsOwnIsSlow() throws Exception {
         start(64, QueuedAttemptTest::decideOneAttempt);
         DispatcherFixture.EndpointPeer first = fixture.connect(sendFirst(0x1d));
         assertEquals(0x1d, first.nextFrame().id());
@@ -128,7 +128,7 @@
      * is still waited for: once it is up, the next attempt uses it without a new one.
      */
     @Test
-    void aConnectionThatIsOverdueFailsItsAttemptAndServesTheNext() throws Exception {
+    void anOverdueConnectionFailsItsAttemptAndServesTheNext() throws Exception {
         start(64, QueuedAttemptTest::decideOneAttempt);
         DispatcherFixture.ConnectRequest late = sendFirst(0x20);
         AttemptCompleted completed = fixture.nextEvent(AttemptCompleted.class);
@@ -145,13 +145,13 @@
      * go back to the idle ones, or it would be lost to the pool.
      */
     @Test
-    void aConnectionOfAnAttemptThatDoesNotStartIsThereForTheNext() throws Exception {
+    void aConnectionOfAnAttemptThatDoesNotStartIsReused() throws Exception {
         start(
                 64,
                 (event, actions) -> {
                     if (event instanceof RequestReceived received) {
                         actions.add(
-                                DispatcherFixture.attemptAction(
+                                DispatcherFixture.startAttemptAction(
                                         received.id(),
                                         "a",
                                         TIMEOUT_MS,
@@ -177,7 +177,7 @@
      * is closed, so that a request to this endpoint need not wait until it is idle for too long.
      */
     @Test
-    void anIdleConnectionToAnotherEndpointGivesWay() throws Exception {
+    void anIdleConnectionToAnotherEndpointIsEvicted() throws Exception {
         start(
                 1,
                 (event, actions) -> {
@@ -205,6 +205,6 @@
     }
 
     private static RouterAction.StartAttempt attempt(long requestId, String endpoint) {
-        return DispatcherFixture.attemptAction(requestId, endpoint, TIMEOUT_MS, TIMEOUT_MS);
+        return DispatcherFixture.startAttemptAction(requestId, endpoint, TIMEOUT_MS, TIMEOUT_MS);
     }
 }
--- a/src/test/java/brooklock/platform/FakeEndpoint.java
+++ b/src/test/java/brooklock/platform/FakeEndpoint.java
@@ -61,16 +61,16 @@
 
     private void serve(Socket socket) throws IOException, MalformedMessageException {
         socket.setTcpNoDelay(true);
-        DataInputStream in = new DataInputStream(socket.getInputStream());
+        DataInputStream input = new DataInputStream(socket.getInputStream());
         while (true) {
-            in.readUnsignedByte();
-            int code = in.readUnsignedByte();
-            byte[] fields = new byte[in.readUnsignedShort()];
-            byte[] body = new byte[in.readInt()];
-            long id = in.readLong();
-            in.readFully(fields);
-            in.readFully(body);
-            in.readInt();
+            input.readUnsignedByte();
+            int code = input.readUnsignedByte();
+            byte[] fields = new byte[input.readUnsignedShort()];
+            byte[] body = new byte[input.readInt()];
+            long id = input.readLong();
+            input.readFully(fields);
+            input.readFully(body);
+            input.readInt();
             ReceivedFrame frame =
                     new ReceivedFrame(code, id, FrameDecoder.parseFields(fields), body);
             received.add(frame);
@@ -85,7 +85,7 @@
     }
 
     static byte[] frame(int code, long id, String fields, byte[] body) {
-        return FrameEncoder.encode(Frame.ENDPOINT_MARK, code, id, fields, body).array();
+        return FrameEncoder.encode(Frame.ENDPOINT_MAGIC, code, id, fields, body).array();
     }
 
     /** Serves these bytes. */
--- a/src/test/java/brooklock/platform/FrameDecoderTest.java
+++ b/src/test/java/brooklock/platform/FrameDecoderTest.java
@@ -17,11 +17,11 @@
 /** Endpoints' frames at every cut, and bytes that are none. */
 class FrameDecoderTest {
     private static byte[] response(int code, long id, String fields, byte[] body) {
-        return FrameEncoder.encode(Frame.ENDPOINT_MARK, code, id, fields, body).array();
+        return FrameEncoder.encode(Frame.ENDPOINT_MAGIC, code, id, fields, body).array();
     }
 
     @Test
-    void framesAreDecodedAtEveryCut() throws MalformedMessageException {
+    void framesAreDecodedAtEverySplit() throws MalformedMessageException {
         byte[] body = new byte[700];
         new Random(9).nextBytes(body);
         byte[] bytes =
@@ -43,7 +43,7 @@
      * that was sent: it has no valid checksum, waits for more bytes, or has another code or id.
      */
     @Test
-    void everyBitOfAFrameCounts() {
+    void everySingleBitErrorIsDetected() {
         byte[] good = response(Frame.OK, 77, "rev=4b,tell=hit", new byte[40]);
         for (int bit = 0; bit < good.length * 8; bit++) {
             byte[] bad = good.clone();
@@ -67,15 +67,15 @@
                 "5a 10 0000 00000000 0000000000000001", // the code of a request
                 "5a 40 0000 00000000 0000000000000001 00000001", // a wrong checksum
             })
-    void framesThatDoNotFitAreRejectedAtOnce(String text) {
+    void invalidFramesAreRejectedWithoutMoreInput(String text) {
         assertThrows(
                 MalformedMessageException.class,
-                () -> DecoderTestUtil.decode(new FrameDecoder()::next, DecoderTestUtil.hex(text), 0));
+                () -> DecoderTestUtil.decode(new FrameDecoder()::next, DecoderTestUtil.parseHex(text), 0));
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"rev", "=1", "a=1,a=2", "a=1,", ","})
-    void fieldsAreStrict(String fields) {
+    void malformedFieldsAreRejected(String fields) {
         assertThrows(
                 MalformedMessageException.class,
                 () -> FrameDecoder.parseFields(fields.getBytes(StandardCharsets.ISO_8859_1)));
--- a/src/test/java/brooklock/platform/GracefulShutdownTest.java
+++ b/src/test/java/brooklock/platform/GracefulShutdownTest.java
@@ -23,7 +23,7 @@
      * responses before the drain returns.
      */
     @Test
-    void aDrainAnswersWhatIsOpenAndWhatStillComes() throws Exception {
+    void aDrainAnswersOpenAndNewRequests() throws Exception {
         loopback.start(
                 (request, out, socket) -> {
                     if (request.id() == 0x25) {
--- a/src/test/java/brooklock/platform/OperatorPagesTest.java
+++ b/src/test/java/brooklock/platform/OperatorPagesTest.java
@@ -54,7 +54,7 @@
     }
 
     @Test
-    void everyLogLineOnTheOnCallPageIsWritten() throws IOException {
+    void everyLogLineOnTheOnCallPageExists() throws IOException {
         // Texts that are cut over two lines of source are put together again.
         String sources = read("src/main/java").replaceAll("\"\\s*\\+\\s*\"", "");
         sources += readFile(Path.of("deploy/archive"));
--- a/src/test/java/brooklock/platform/PlatformConfigReaderTest.java
+++ b/src/test/java/brooklock/platform/PlatformConfigReaderTest.java
@@ -15,7 +15,7 @@
     private static final String VALID = TestConfigs.config("127.0.0.1:1", List.of());
 
     @Test
-    void aConfigurationIsReadAsItStands() throws InvalidConfigurationException {
+    void aValidConfigurationIsParsed() throws InvalidConfigurationException {
         PlatformConfig config = PlatformConfigReader.parse(VALID);
         assertEquals("n0", config.name());
         assertEquals(1, config.discoveryAddress().getPort());
@@ -35,7 +35,7 @@
     }
 
     @Test
-    void aTextThatIsNoConfigurationIsRejectedWithItsCause() {
+    void anInvalidConfigurationIsRejectedWithItsReason() {
         for (String text :
                 List.of(
                         "",
@@ -54,7 +54,7 @@
 
     /** The operators' engineers read this line when a dispatcher does not start. */
     @Test
-    void theMessageNamesTheFieldThatIsMissing() {
+    void theMessageNamesTheMissingField() {
         JsonObject config = JsonParser.parseString(VALID).getAsJsonObject();
         config.getAsJsonObject("settings")
                 .getAsJsonArray("lanes")
--- a/src/test/java/brooklock/platform/PlatformEndpointFaultTest.java
+++ b/src/test/java/brooklock/platform/PlatformEndpointFaultTest.java
@@ -25,7 +25,7 @@
     @Test
     void aDamagedResponseIsNotForwardedAndTheRequestIsRetried() throws Exception {
         AtomicInteger responses = new AtomicInteger();
-        FakeEndpoint.FrameHandler damagesFirst =
+        FakeEndpoint.FrameHandler corruptsFirst =
                 (request, out, socket) -> {
                     byte[] frame = FakeEndpoint.frame(Frame.OK, request.id(), "tell=hit", BODY);
                     if (responses.getAndIncrement() == 0) {
@@ -33,7 +33,7 @@
                     }
                     out.write(frame);
                 };
-        loopback.start(damagesFirst, damagesFirst);
+        loopback.start(corruptsFirst, corruptsFirst);
         assertArrayEquals(BODY, loopback.client().request(1, 0x14, 0x82, 2000).body());
         assertEquals(2, responses.get());
     }
@@ -43,9 +43,9 @@
      * and not wait for its time-out; the request is retried at the other cache.
      */
     @Test
-    void aResponseWhoseFieldsCannotBeUsedEndsItsAttemptAtOnce() throws Exception {
+    void aResponseWithAMalformedFieldEndsItsAttemptImmediately() throws Exception {
         AtomicInteger requests = new AtomicInteger();
-        FakeEndpoint.FrameHandler spoilsFirst =
+        FakeEndpoint.FrameHandler firstIsMalformed =
                 (request, out, socket) ->
                         out.write(
                                 FakeEndpoint.frame(
@@ -55,7 +55,7 @@
                                                 ? "tell=hit,fill=soon"
                                                 : "tell=hit",
                                         BODY));
-        loopback.start(spoilsFirst, spoilsFirst);
+        loopback.start(firstIsMalformed, firstIsMalformed);
         assertArrayEquals(BODY, loopback.client().request(1, 0x31, 0x95, 2000).body());
         assertEquals(2, requests.get());
     }
@@ -65,7 +65,7 @@
      * superfluous responses are read and dropped; each client request gets exactly one.
      */
     @Test
-    void responsesThatNobodyWaitsForAreDropped() throws Exception {
+    void unexpectedResponsesAreDropped() throws Exception {
         loopback.start(
                 (request, out, socket) -> {
                     out.write(FakeEndpoint.frame(Frame.OK, 999, "tell=hit", new byte[5000]));
@@ -82,9 +82,9 @@
      * request is retried at the other cache.
      */
     @Test
-    void anEndpointThatBreaksOffIsReplacedByAnother() throws Exception {
+    void aRequestIsRetriedAfterATruncatedResponse() throws Exception {
         AtomicInteger requests = new AtomicInteger();
-        FakeEndpoint.FrameHandler breaksOffFirst =
+        FakeEndpoint.FrameHandler truncatesFirst =
                 (request, out, socket) -> {
                     if (requests.getAndIncrement() == 0) {
                         out.write(
@@ -96,7 +96,7 @@
                         FakeEndpoint.serving(BODY).handle(request, out, socket);
                     }
                 };
-        loopback.start(breaksOffFirst, breaksOffFirst);
+        loopback.start(truncatesFirst, truncatesFirst);
         assertArrayEquals(BODY, loopback.client().request(1, 0x15, 0x84, 2000).body());
     }
 
@@ -105,7 +105,7 @@
      * a final response by its deadline all the same, with the time after which it may retry.
      */
     @Test
-    void aSilentEndpointLeavesNoRequestWithoutAResponse() throws Exception {
+    void aRequestToASilentEndpointIsAnsweredByItsDeadline() throws Exception {
         loopback.start((request, out, socket) -> {});
         Response response = loopback.client().request(1, 0x16, 0x85, 300);
         assertEquals("Overloaded", response.error());
@@ -114,7 +114,7 @@
 
     /** No endpoint of the list listens any more. The client gets an error, not silence. */
     @Test
-    void endpointsThatAreNotThereLeaveNoRequestWithoutAResponse() throws Exception {
+    void aRequestIsAnsweredIfNoEndpointListens() throws Exception {
         loopback.start(FakeEndpoint.serving(BODY));
         loopback.cache(0).close();
         loopback.origin().close();
--- a/src/test/java/brooklock/platform/PlatformRequestForwardingTest.java
+++ b/src/test/java/brooklock/platform/PlatformRequestForwardingTest.java
@@ -17,7 +17,7 @@
     @RegisterExtension private final LoopbackDispatcher loopback = new LoopbackDispatcher();
 
     @Test
-    void aReadIsServedWithItsBytesAndForwardedAsTheRouterDecided() throws Exception {
+    void aReadIsForwardedAsDecidedAndServed() throws Exception {
         loopback.start(FakeEndpoint.serving(LoopbackDispatcher.BODY));
         Response response = loopback.client().request(1, 0x11, 0x7f, 2000);
         assertNull(response.error());
@@ -61,7 +61,7 @@
     }
 
     @Test
-    void aCopyThatIsCurrentIsConfirmedWithoutBytes() throws Exception {
+    void aCurrentCopyIsConfirmedWithoutABody() throws Exception {
         loopback.start(
                 (request, out, socket) ->
                         out.write(
--- a/src/test/java/brooklock/platform/QueuedAttemptTest.java
+++ b/src/test/java/brooklock/platform/QueuedAttemptTest.java
@@ -43,7 +43,7 @@
     static void decideOneAttempt(RouterEvent event, List<RouterAction> actions) {
         if (event instanceof RequestReceived received) {
             actions.add(
-                    DispatcherFixture.attemptAction(received.id(), "a", TIMEOUT_MS, TIMEOUT_MS));
+                    DispatcherFixture.startAttemptAction(received.id(), "a", TIMEOUT_MS, TIMEOUT_MS));
         } else if (event instanceof AttemptCompleted completed
                 && completed.outcome() != AttemptOutcome.OK) {
             actions.add(new FailRequest(completed.id()));
@@ -73,7 +73,7 @@
     }
 
     // The change was made on the I/O thread, and that has been waited for.
-    private void assertReturnedAtOnce(DispatcherFixture.ConnectRequest late) throws Exception {
+    private void assertAlreadyReturned(DispatcherFixture.ConnectRequest late) throws Exception {
         assertTrue(fixture.allEvents.stream().anyMatch(AttemptCompleted.class::isInstance));
         assertReturned(late);
     }
@@ -103,7 +103,7 @@
      * that is left, or the endpoint would work on after the client has gone.
      */
     @Test
-    void theTimeSpentWaitingIsNotPromisedToTheEndpoint() throws Exception {
+    void theTimeLimitOfTheRequestFrameExcludesTheQueueTime() throws Exception {
         DispatcherFixture.ConnectRequest late = startAndSendRequest(0x11);
         long startNs = System.nanoTime();
         while (System.nanoTime() - startNs < 60_000_000) {
@@ -117,10 +117,10 @@
 
     /** The endpoint begins to drain while the attempt waits: it must not be sent there any more. */
     @Test
-    void aDrainReturnsIt() throws Exception {
+    void aDrainOfItsEndpointReturnsTheAttempt() throws Exception {
         DispatcherFixture.ConnectRequest late = startAndSendRequest(0x12);
         fixture.updateList(EndpointState.DRAINING, "a");
-        assertReturnedAtOnce(late);
+        assertAlreadyReturned(late);
     }
 
     /**
@@ -128,20 +128,20 @@
      * by now, and it could bring a purged copy. A purge of another object changes nothing.
      */
     @Test
-    void aPurgeOfItsObjectReturnsIt() throws Exception {
+    void aPurgeOfItsObjectReturnsTheAttempt() throws Exception {
         DispatcherFixture.ConnectRequest late = startAndSendRequest(0x13);
         purge(0x80, 0);
         assertTrue(fixture.events.stream().noneMatch(AttemptCompleted.class::isInstance));
         purge(0x7f, 0);
-        assertReturnedAtOnce(late);
+        assertAlreadyReturned(late);
     }
 
     /** As a purge of its object; here the whole group is purged. */
     @Test
-    void aPurgeOfItsGroupReturnsIt() throws Exception {
+    void aPurgeOfItsGroupReturnsTheAttempt() throws Exception {
         DispatcherFixture.ConnectRequest late = startAndSendRequest(0x14);
         purge(0, 1);
-        assertReturnedAtOnce(late);
+        assertAlreadyReturned(late);
     }
 
     /**
@@ -150,12 +150,12 @@
      * at the deadline.
      */
     @Test
-    void theEndOfTheTimeToStartReturnsIt() throws Exception {
+    void theStartTimeoutReturnsTheAttempt() throws Exception {
         start(
                 (event, actions) -> {
                     if (event instanceof RequestReceived received) {
                         actions.add(
-                                DispatcherFixture.attemptAction(
+                                DispatcherFixture.startAttemptAction(
                                         received.id(), "a", TIMEOUT_MS, 40));
                         actions.add(
                                 new SetTimer(
@@ -190,7 +190,7 @@
      * proves that nothing was executed, and says nothing of the endpoint.
      */
     @Test
-    void oneThatStillWaitsAtItsDeadlineWasNeverExecuted() throws Exception {
+    void anAttemptQueuedUntilItsDeadlineEndsAsNotStarted() throws Exception {
         start(QueuedAttemptTest::decideOneAttempt);
         assertReturned(sendRequest(0x17, 60));
     }
@@ -200,7 +200,7 @@
      * router gets must not contain the wait, or it would take the endpoint for slow.
      */
     @Test
-    void theDurationOfAnAttemptCountsFromItsFirstByte() throws Exception {
+    void theDurationOfAnAttemptExcludesTheQueueTime() throws Exception {
         DispatcherFixture.ConnectRequest late = startAndSendRequest(0x2b);
         long startNs = System.nanoTime();
         while (System.nanoTime() - startNs < 100_000_000) {
--- a/src/test/java/brooklock/platform/ResponseFrameDecoderTest.java
+++ b/src/test/java/brooklock/platform/ResponseFrameDecoderTest.java
@@ -37,7 +37,7 @@
         "68, ERROR",
         "69, NOT_STARTED"
     })
-    void codesAreOutcomes(int code, AttemptOutcome outcome) throws MalformedMessageException {
+    void codesMapToOutcomes(int code, AttemptOutcome outcome) throws MalformedMessageException {
         AttemptResult result = decode(code, Map.of("rev", ETAG), ETAG);
         assertEquals(outcome, result.outcome());
         assertEquals(code == 65, result.notModified());
@@ -58,12 +58,12 @@
         "origin_failed, ORIGIN_FAILED",
         "unheard-of, NONE"
     })
-    void wordsAreCacheStatuses(String word, CacheStatus status) throws MalformedMessageException {
+    void wordsMapToCacheStatuses(String word, CacheStatus status) throws MalformedMessageException {
         assertEquals(status, decode(64, Map.of("tell", word), null).cacheStatus());
     }
 
     @Test
-    void aResponseWithoutFieldsSaysNothing() throws MalformedMessageException {
+    void aResponseWithoutFieldsHasDefaults() throws MalformedMessageException {
         AttemptResult result = decode(64, Map.of(), null);
         assertEquals(CacheStatus.NONE, result.cacheStatus());
         assertEquals(0, result.fillDurationNs());
@@ -77,12 +77,12 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"", "soon", "-1", "1e3", ".5", "1.", "1234567890"})
-    void aFillDurationThatIsNoneIsRejected(String ms) {
+    void aMalformedFillDurationIsRejected(String ms) {
         assertThrows(MalformedMessageException.class, () -> decode(64, Map.of("fill", ms), null));
     }
 
     @Test
-    void aCodeThatAnswersNoRequestIsRejected() {
+    void aCodeThatIsNotAResponseIsRejected() {
         MalformedMessageException e =
                 assertThrows(MalformedMessageException.class, () -> decode(70, Map.of(), null));
         assertTrue(e.getMessage().contains("70"));
--- a/src/test/java/brooklock/platform/RpcDecoderTest.java
+++ b/src/test/java/brooklock/platform/RpcDecoderTest.java
@@ -14,7 +14,7 @@
 /** Clients' messages at every cut, and bytes that are none. */
 class RpcDecoderTest {
     @Test
-    void messagesAreDecodedAtEveryCut() throws MalformedMessageException {
+    void messagesAreDecodedAtEverySplit() throws MalformedMessageException {
         byte[] body = new byte[300];
         new Random(7).nextBytes(body);
         Map<String, String> fields = Map.of("i", "9b1f03aa5c7e2d41", "d", "1500");
@@ -56,9 +56,9 @@
                 "94 00 01 a1 ff 92 80", // a name that is not UTF-8
                 "93 02 a4 73746f70", // an unknown notification
             })
-    void bytesThatAreNoMessageAreRejectedAtOnce(String text) {
+    void invalidMessagesAreRejectedWithoutMoreInput(String text) {
         assertThrows(
                 MalformedMessageException.class,
-                () -> DecoderTestUtil.decode(new RpcDecoder()::next, DecoderTestUtil.hex(text), 0));
+                () -> DecoderTestUtil.decode(new RpcDecoder()::next, DecoderTestUtil.parseHex(text), 0));
     }
 }
--- a/src/test/java/brooklock/platform/RpcEncoderTest.java
+++ b/src/test/java/brooklock/platform/RpcEncoderTest.java
@@ -11,11 +11,11 @@
 
 /** The bytes and the words that clients get. */
 class RpcEncoderTest {
-    private static byte[] bytesOf(ByteBuffer... parts) {
-        byte[][] bytes = new byte[parts.length][];
-        for (int i = 0; i < parts.length; i++) {
-            bytes[i] = new byte[parts[i].remaining()];
-            parts[i].get(bytes[i]);
+    private static byte[] bytesOf(ByteBuffer... buffers) {
+        byte[][] bytes = new byte[buffers.length][];
+        for (int i = 0; i < buffers.length; i++) {
+            bytes[i] = new byte[buffers[i].remaining()];
+            buffers[i].get(bytes[i]);
         }
         return RpcTestClient.concat(bytes);
     }
@@ -27,53 +27,53 @@
     /** What clients do on an error hangs on its name alone. */
     @ParameterizedTest
     @CsvSource({"REJECTED, Overloaded", "FAILED, Internal", "INVALID, Invalid"})
-    void errorsHaveTheNamesOfTheProtocol(RpcError error, String name) {
+    void errorsHaveTheirProtocolNames(RpcError error, String name) {
         byte[] expected =
                 RpcTestClient.concat(
-                        DecoderTestUtil.hex("94 01 07 92"),
+                        DecoderTestUtil.parseHex("94 01 07 92"),
                         new byte[] {(byte) (0xa0 | name.length())},
                         ascii(name),
-                        DecoderTestUtil.hex("80 c0"));
+                        DecoderTestUtil.parseHex("80 c0"));
         assertArrayEquals(expected, bytesOf(RpcEncoder.error(7, error)));
         assertEquals(3, RpcError.values().length);
     }
 
     @Test
-    void aRejectionNamesWhenToRetryInWholeMilliseconds() {
-        byte[] head = DecoderTestUtil.hex("94 01 ce 0000012c 92 aa 4f7665726c6f61646564");
+    void aRejectionStatesTheRetryDelayInWholeMilliseconds() {
+        byte[] head = DecoderTestUtil.parseHex("94 01 ce 0000012c 92 aa 4f7665726c6f61646564");
         assertArrayEquals(
-                RpcTestClient.concat(head, DecoderTestUtil.hex("80 c0")),
+                RpcTestClient.concat(head, DecoderTestUtil.parseHex("80 c0")),
                 bytesOf(RpcEncoder.rejected(300, 0)));
         assertArrayEquals(
-                RpcTestClient.concat(head, DecoderTestUtil.hex("81 a1 77 a1 31 c0")),
+                RpcTestClient.concat(head, DecoderTestUtil.parseHex("81 a1 77 a1 31 c0")),
                 bytesOf(RpcEncoder.rejected(300, 1)));
         assertArrayEquals(
-                RpcTestClient.concat(head, DecoderTestUtil.hex("81 a1 77 a4 31353030 c0")),
+                RpcTestClient.concat(head, DecoderTestUtil.parseHex("81 a1 77 a4 31353030 c0")),
                 bytesOf(RpcEncoder.rejected(300, 1_500_999_999)));
     }
 
     @ParameterizedTest
     @CsvSource({"0, c400", "255, c4ff", "256, c50100", "65535, c5ffff", "240000, c60003a980"})
-    void bodiesOfEveryLengthAreServed(int length, String head) {
+    void bodiesOfEveryLengthFormatAreEncoded(int length, String head) {
         byte[] body = new byte[length];
         assertArrayEquals(
                 RpcTestClient.concat(
-                        DecoderTestUtil.hex("94 01 07 c0 92" + head), body, DecoderTestUtil.hex("80")),
+                        DecoderTestUtil.parseHex("94 01 07 c0 92" + head), body, DecoderTestUtil.parseHex("80")),
                 bytesOf(RpcEncoder.served(7, body)));
     }
 
     @Test
     void aConfirmedCopyHasNoBody() {
         assertArrayEquals(
-                DecoderTestUtil.hex("94 01 07 c0 92 c400 81 a6 6e6f746d6f64 a1 31"),
+                DecoderTestUtil.parseHex("94 01 07 c0 92 c400 81 a6 6e6f746d6f64 a1 31"),
                 bytesOf(RpcEncoder.notModified(7)));
     }
 
     @Test
-    void aHealthCheckIsAnsweredTrueOrFalse() {
+    void aHealthCheckResponseIsTrueOrFalse() {
         assertArrayEquals(
-                DecoderTestUtil.hex("94 01 07 c0 92 c3 80"), bytesOf(RpcEncoder.health(7, true)));
+                DecoderTestUtil.parseHex("94 01 07 c0 92 c3 80"), bytesOf(RpcEncoder.health(7, true)));
         assertArrayEquals(
-                DecoderTestUtil.hex("94 01 07 c0 92 c2 80"), bytesOf(RpcEncoder.health(7, false)));
+                DecoderTestUtil.parseHex("94 01 07 c0 92 c2 80"), bytesOf(RpcEncoder.health(7, false)));
     }
 }
--- a/src/test/java/brooklock/platform/RpcTestClient.java
+++ b/src/test/java/brooklock/platform/RpcTestClient.java
@@ -29,18 +29,18 @@
 
     private final Socket socket;
     private final MessagePackReader reader = new MessagePackReader(Frame.MAX_BODY_BYTES);
-    private ByteBuffer in = ByteBuffer.allocate(0);
+    private ByteBuffer input = ByteBuffer.allocate(0);
 
-    RpcTestClient(InetSocketAddress to) throws IOException {
-        socket = new Socket(to.getAddress(), to.getPort());
+    RpcTestClient(InetSocketAddress address) throws IOException {
+        socket = new Socket(address.getAddress(), address.getPort());
         socket.setSoTimeout(20_000);
         socket.setTcpNoDelay(true);
     }
 
-    static byte[] concat(byte[]... parts) {
+    static byte[] concat(byte[]... arrays) {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        for (byte[] part : parts) {
-            out.writeBytes(part);
+        for (byte[] array : arrays) {
+            out.writeBytes(array);
         }
         return out.toByteArray();
     }
@@ -58,16 +58,16 @@
                 .put((byte) 0xde)
                 .putShort((short) fields.size());
         fields.forEach(
-                (k, v) -> {
-                    RpcEncoder.putText(buffer, k);
-                    RpcEncoder.putText(buffer, v);
+                (name, value) -> {
+                    RpcEncoder.putText(buffer, name);
+                    RpcEncoder.putText(buffer, value);
                 });
         if (body != null) {
             buffer.put((byte) 0xc6).putInt(body.length).put(body);
         }
-        byte[] out = new byte[buffer.flip().remaining()];
-        buffer.get(out);
-        return out;
+        byte[] bytes = new byte[buffer.flip().remaining()];
+        buffer.get(bytes);
+        return bytes;
     }
 
     static byte[] encodeCancel(long messageId) {
@@ -137,31 +137,31 @@
 
     private Map<String, String> readMap() throws IOException, MalformedMessageException {
         readToken();
-        Map<String, String> out = new HashMap<>();
-        for (long left = reader.value(); left > 0; left--) {
+        Map<String, String> values = new HashMap<>();
+        for (long remaining = reader.value(); remaining > 0; remaining--) {
             readToken();
             String name = reader.text();
             readToken();
-            out.put(name, reader.text());
+            values.put(name, reader.text());
         }
-        return out;
+        return values;
     }
 
     private boolean readToken() throws IOException, MalformedMessageException {
-        while (!reader.next(in)) {
-            byte[] more = new byte[8192];
+        while (!reader.next(input)) {
+            byte[] chunk = new byte[8192];
             int count;
             try {
-                count = socket.getInputStream().read(more);
+                count = socket.getInputStream().read(chunk);
             } catch (SocketException reset) {
                 return false;
             }
             if (count < 0) {
                 return false;
             }
-            ByteBuffer next =
-                    ByteBuffer.allocate(in.remaining() + count).put(in).put(more, 0, count);
-            in = next.flip();
+            ByteBuffer combined =
+                    ByteBuffer.allocate(input.remaining() + count).put(input).put(chunk, 0, count);
+            input = combined.flip();
         }
         return true;
     }
