--- a/src/main/java/brooklock/platform/ByteAccumulator.java
+++ b/src/main/java/brooklock/platform/ByteAccumulator.java
@@ -36,7 +36,10 @@
         if (receivedCount + count > bytes.length) {
             bytes =
                     Arrays.copyOf(
-                            bytes, Math.min(expectedLength, Math.max(receivedCount + count, 2 * bytes.length)));
+                            bytes,
+                            Math.min(
+                                    expectedLength,
+                                    Math.max(receivedCount + count, 2 * bytes.length)));
         }
         input.get(bytes, receivedCount, count);
         receivedCount += count;
--- a/src/main/java/brooklock/platform/ConnectionBudget.java
+++ b/src/main/java/brooklock/platform/ConnectionBudget.java
@@ -2,7 +2,8 @@
 
 /**
  * Bounds the number of connections to each endpoint and to all endpoints. All methods are called on
- * the I/O thread; each new connection is preceded by {@link #permitsConnection} and then {@link #evictIdleIfFull}.
+ * the I/O thread; each new connection is preceded by {@link #permitsConnection} and then {@link
+ * #evictIdleIfFull}.
  */
 interface ConnectionBudget {
     /**
@@ -14,7 +15,8 @@
 
     /**
      * Closes the connection that has been idle for longest if all connections are in use, so that
-     * one more can be opened. Must be called only if that is {@linkplain #permitsConnection permitted}.
+     * one more can be opened. Must be called only if that is {@linkplain #permitsConnection
+     * permitted}.
      */
     void evictIdleIfFull();
 }
--- a/src/main/java/brooklock/platform/DiscoveredEndpointTable.java
+++ b/src/main/java/brooklock/platform/DiscoveredEndpointTable.java
@@ -89,7 +89,8 @@
      * @param toRouterTimeNs converts Unix milliseconds to the router's clock, ns; called once for
      *     each start of an endpoint, so that all later lists give the router the same start time
      */
-    DiscoveredEndpointTable(List<String> zones, List<String> kinds, LongUnaryOperator toRouterTimeNs) {
+    DiscoveredEndpointTable(
+            List<String> zones, List<String> kinds, LongUnaryOperator toRouterTimeNs) {
         this.zones = zones;
         this.kinds = kinds;
         this.toRouterTimeNs = toRouterTimeNs;
--- a/src/main/java/brooklock/platform/DiscoveryClient.java
+++ b/src/main/java/brooklock/platform/DiscoveryClient.java
@@ -27,7 +27,8 @@
     // Time without a line after which the connection is considered lost, ns; the service sends a
     // heartbeat each second.
     private static final long SILENCE_TIMEOUT_NS = 1_600_000_000L;
-    // Backoff before reconnecting, ns; it doubles with each lost connection until an event is received.
+    // Backoff before reconnecting, ns; it doubles with each lost connection until an event is
+    // received.
     private static final long INITIAL_BACKOFF_NS = 100_000_000L;
     private static final long MAX_BACKOFF_NS = 500_000_000L;
     // Bounds of the random factor by which each backoff is multiplied. A failure of the service
@@ -135,7 +136,9 @@
     @Override
     public void onBytes(ByteBuffer input) {
         try {
-            for (DiscoveryEvent event = decoder.next(input); event != null; event = decoder.next(input)) {
+            for (DiscoveryEvent event = decoder.next(input);
+                    event != null;
+                    event = decoder.next(input)) {
                 connection.setTimeout(SILENCE_TIMEOUT_NS);
                 backoffNs = INITIAL_BACKOFF_NS;
                 onEvent(event);
--- a/src/main/java/brooklock/platform/EndpointAttempt.java
+++ b/src/main/java/brooklock/platform/EndpointAttempt.java
@@ -37,7 +37,8 @@
      * @param decision the router's decision
      * @param decidedAtNs the time of the decision on the router's clock, ns
      */
-    EndpointAttempt(PendingClientRequest request, int index, StartAttempt decision, long decidedAtNs) {
+    EndpointAttempt(
+            PendingClientRequest request, int index, StartAttempt decision, long decidedAtNs) {
         this.request = request;
         this.index = index;
         this.decision = decision;
--- a/src/main/java/brooklock/platform/EndpointConnection.java
+++ b/src/main/java/brooklock/platform/EndpointConnection.java
@@ -141,7 +141,10 @@
 
     @Override
     public void onTimeout() {
-        fail("the rest of a frame did not come within " + FRAME_STALL_TIMEOUT_NS / 1_000_000 + " ms");
+        fail(
+                "the rest of a frame did not come within "
+                        + FRAME_STALL_TIMEOUT_NS / 1_000_000
+                        + " ms");
     }
 
     @Override
@@ -153,7 +156,8 @@
     // error
     // of the endpoint; the others have only lost their connection and end as reset.
     private void fail(String reason) {
-        EndpointAttempt partiallyReceived = decoder.hasPartialFrame() ? attemptsInFlight.get(decoder.frameId()) : null;
+        EndpointAttempt partiallyReceived =
+                decoder.hasPartialFrame() ? attemptsInFlight.get(decoder.frameId()) : null;
         close();
         pool.logFailure(reason, attemptsInFlight.size());
         for (EndpointAttempt attempt : new ArrayList<>(attemptsInFlight.values())) {
@@ -161,7 +165,9 @@
             pool.onCompleted(
                     attempt,
                     AttemptResult.withoutResponse(
-                            attempt == partiallyReceived ? AttemptOutcome.ERROR : AttemptOutcome.RESET));
+                            attempt == partiallyReceived
+                                    ? AttemptOutcome.ERROR
+                                    : AttemptOutcome.RESET));
         }
     }
 }
--- a/src/main/java/brooklock/platform/EndpointConnectionPool.java
+++ b/src/main/java/brooklock/platform/EndpointConnectionPool.java
@@ -122,7 +122,8 @@
     }
 
     private void openConnections() {
-        while (opener.expectedCount() < queue.size() && budget.permitsConnection(connectionCount())) {
+        while (opener.expectedCount() < queue.size()
+                && budget.permitsConnection(connectionCount())) {
             budget.evictIdleIfFull();
             opener.open();
         }
--- a/src/main/java/brooklock/platform/EndpointConnectionPools.java
+++ b/src/main/java/brooklock/platform/EndpointConnectionPools.java
@@ -23,7 +23,9 @@
     private final Map<Long, EndpointConnectionPool> poolsById = new HashMap<>();
 
     EndpointConnectionPools(
-            ConnectionSettings settings, DiscoveredEndpointTable table, AttemptHandler attemptHandler) {
+            ConnectionSettings settings,
+            DiscoveredEndpointTable table,
+            AttemptHandler attemptHandler) {
         this.settings = settings;
         this.table = table;
         this.attemptHandler = attemptHandler;
@@ -83,7 +85,8 @@
                         MIN_CONNECTIONS_PER_ENDPOINT,
                         Math.min(MAX_CONNECTIONS_PER_ENDPOINT, fairShare));
         return currentConnections < max
-                && (connectionCount() < settings.maxConnections() || longestIdleConnection() != null);
+                && (connectionCount() < settings.maxConnections()
+                        || longestIdleConnection() != null);
     }
 
     @Override
--- a/src/main/java/brooklock/platform/FrameDecoder.java
+++ b/src/main/java/brooklock/platform/FrameDecoder.java
@@ -92,13 +92,13 @@
         frameId = input.getLong();
         if (magic != expectedMagic || code < minCode || code > maxCode) {
             throw new MalformedMessageException(
-                    "no header: expected mark "
+                    "no header: expected magic byte "
                             + expectedMagic
                             + " and a code from "
                             + minCode
                             + " to "
                             + maxCode
-                            + " but received mark "
+                            + " but received magic byte "
                             + magic
                             + " and code "
                             + code);
--- a/src/main/java/brooklock/platform/RpcEncoder.java
+++ b/src/main/java/brooklock/platform/RpcEncoder.java
@@ -123,7 +123,8 @@
     }
 
     private static ByteBuffer beginCall(long messageId, int capacity) {
-        ByteBuffer buffer = ByteBuffer.allocate(capacity).put((byte) MESSAGE_ARRAY).put((byte) CALL_TYPE);
+        ByteBuffer buffer =
+                ByteBuffer.allocate(capacity).put((byte) MESSAGE_ARRAY).put((byte) CALL_TYPE);
         return putMessageId(buffer, messageId);
     }
 
--- a/src/main/java/brooklock/platform/StartupWarmup.java
+++ b/src/main/java/brooklock/platform/StartupWarmup.java
@@ -58,7 +58,8 @@
         MonotonicClock clock = new MonotonicClock();
         connector =
                 new EndpointConnector(
-                        new DiscoveredEndpointTable(config.zones(), config.kinds(), clock::fromWallMs),
+                        new DiscoveredEndpointTable(
+                                config.zones(), config.kinds(), clock::fromWallMs),
                         ConnectionSettings.of(
                                 loop, this::connect, config, CALLS_PER_ROUND * ENDPOINTS));
         executor =
@@ -199,7 +200,9 @@
         @Override
         public void onBytes(ByteBuffer input) {
             try {
-                for (Frame frame = decoder.next(input); frame != null; frame = decoder.next(input)) {
+                for (Frame frame = decoder.next(input);
+                        frame != null;
+                        frame = decoder.next(input)) {
                     transport.write(
                             FrameEncoder.encode(
                                     Frame.ENDPOINT_MAGIC, Frame.OK, frame.id(), FIELDS, BODY));
--- a/src/test/java/brooklock/platform/ClientCallTest.java
+++ b/src/test/java/brooklock/platform/ClientCallTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.extension.RegisterExtension;
 
-/** Clients that cancel, send what is no valid call, send too much or say nothing. */
+/** Tests clients that cancel calls, send invalid or too many calls, or send nothing. */
 @Timeout(120)
 class ClientCallTest {
     private static final byte[] BODY = LoopbackDispatcher.BODY;
@@ -26,7 +26,7 @@
                 new byte[0]);
     }
 
-    // Serves every request but one, which never gets a response.
+    // Returns a handler that never responds to one request and serves all others.
     private static FakeEndpoint.FrameHandler servingAllBut(long id) {
         return (request, out, socket) -> {
             if (request.id() != id) {
@@ -36,8 +36,8 @@
     }
 
     /**
-     * A client cancels a call and uses its message id again. The cancelled call must get no
-     * response, or the client would take it for that of the second.
+     * A client cancels a call and reuses its message id. If the cancelled call were answered, the
+     * client would mistake that for the response to the second call.
      */
     @Test
     void aCancelledRequestGetsNoResponseAndItsMessageIdIsReusable() throws Exception {
@@ -48,8 +48,9 @@
     }
 
     /**
-     * A client sends calls and cancels them in the same write. They cost the endpoints nothing,
-     * since calls that came in one read are submitted only after it.
+     * A client sends calls and cancels them in the same write. Calls received in one read are
+     * submitted only after all of its input was decoded, so that almost none of them may reach an
+     * endpoint.
      */
     @Test
     void callsCancelledInTheSameReadReachNoEndpoint() throws Exception {
@@ -69,9 +70,9 @@
     }
 
     /**
-     * A client uses a request id that is open elsewhere, names a class that does not exist, and
-     * then sends bytes that are no message. Each is answered or closed on its own connection; the
-     * request that is open on another one is not touched.
+     * A client uses the id of a request that is open on another connection, calls an unknown class,
+     * and then sends an invalid message. The calls are answered with errors and the message closes
+     * the client's own connection; the request on the other connection must not be affected.
      */
     @Test
     void invalidCallsAreAnsweredAndDoNotAffectOtherClients() throws Exception {
@@ -90,7 +91,7 @@
         assertArrayEquals(BODY, loopback.client().request(2, 0x22, 0x88, 2000).body());
     }
 
-    /** A client opens one call more than the protocol allows: that one alone is rejected. */
+    /** A client opens one call more than the protocol allows; only that call must be rejected. */
     @Test
     void callsAboveTheOpenCallLimitAreRejected() throws Exception {
         loopback.start((request, out, socket) -> {});
@@ -103,8 +104,8 @@
     }
 
     /**
-     * One client connects and says nothing, another stops in the middle of a message. Both are
-     * closed, so that they hold no descriptor for ever.
+     * One client sends nothing, another stops in the middle of a message. Both connections must be
+     * closed, or they would occupy file descriptors indefinitely.
      */
     @Test
     void aSilentClientIsDisconnected() throws Exception {
@@ -117,8 +118,8 @@
     }
 
     /**
-     * Clients that say nothing take all descriptors that clients may hold. One that comes with a
-     * request must be let in all the same: a silent one gives way.
+     * Silent clients occupy all connections that clients may have. A new client with a request must
+     * be accepted nevertheless, in place of a silent one.
      */
     @Test
     void silentClientsAreEvictedForNewConnections() throws Exception {
@@ -129,7 +130,7 @@
         assertArrayEquals(BODY, loopback.newClient().request(1, 0x23, 0x89, 2000).body());
     }
 
-    /** A health check is answered without any endpoint. */
+    /** A health check must be answered without a request to an endpoint. */
     @Test
     void aHealthCheckIsAnsweredWithTrueAfterTheStart() throws Exception {
         loopback.start((request, out, socket) -> {});
--- a/src/test/java/brooklock/platform/ClientLimitTest.java
+++ b/src/test/java/brooklock/platform/ClientLimitTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Clients that would take a place or the heap without bound. */
+/** Tests clients that would occupy a connection indefinitely or exhaust the heap. */
 @Timeout(60)
 class ClientLimitTest {
     private DispatcherFixture fixture;
@@ -43,8 +43,8 @@
     }
 
     /**
-     * A client sends one byte at a time, often enough that the connection never counts as silent.
-     * It must be closed once its message has taken too long.
+     * A client sends one byte at a time, often enough to restart the progress timeout each time.
+     * Its connection must be closed once the message takes too long.
      */
     @Test
     void aMessageSentByteByByteTimesOut() throws Exception {
@@ -69,8 +69,8 @@
     }
 
     /**
-     * The bodies of open requests take the part of the heap that they may have. One more request
-     * with a body is rejected at once, and the bodies count no more once their requests are done.
+     * The bodies of open requests use all memory that bodies may use. Another request with a body
+     * must be rejected immediately; the open request must be answered and removed.
      */
     @Test
     void requestsAboveTheBodyMemoryLimitAreRejected() throws Exception {
@@ -94,8 +94,8 @@
     }
 
     /**
-     * A client sends requests and reads none of its responses. Its connection must be closed before
-     * the unread responses fill the heap.
+     * A client sends requests and does not read its responses. Its connection must be closed before
+     * the pending responses exhaust the heap.
      */
     @Test
     void aClientThatDoesNotReadItsResponsesIsDisconnected() throws Exception {
--- a/src/test/java/brooklock/platform/ClientRequestParserTest.java
+++ b/src/test/java/brooklock/platform/ClientRequestParserTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Calls as requests, and calls that are none. */
+/** Tests the parsing of valid calls and the rejection of invalid ones. */
 class ClientRequestParserTest {
     private static final Map<String, RequestClassRules> CLASSES =
             Map.of(
@@ -126,7 +126,7 @@
         InvalidRequestException body =
                 assertThrows(InvalidRequestException.class, () -> parse("pages", fields, 1));
         assertTrue(body.getMessage().contains("body"), body.getMessage());
-        // Without an idempotency key.
+        // A call of this class must have an idempotency key.
         assertThrows(InvalidRequestException.class, () -> parse("orders", fields, 1));
     }
 }
--- a/src/test/java/brooklock/platform/ConnectionCloseTest.java
+++ b/src/test/java/brooklock/platform/ConnectionCloseTest.java
@@ -22,7 +22,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Bytes that come at the very moment at which a client's connection is shut or closed. */
+/** Tests input that arrives while a client's connection is being shut down or closed. */
 @Timeout(60)
 class ConnectionCloseTest {
     private static final byte[] HEALTH_CHECK =
@@ -79,8 +79,9 @@
     }
 
     /**
-     * A call comes after the shutdown has begun and lies unread when idle connections are closed.
-     * It must be read and rejected before the connection closes, not lost.
+     * A call arrives after the shutdown has begun and is still unread when idle connections are
+     * closed. It must be read and rejected before the connection closes; otherwise it would be
+     * lost.
      */
     @Test
     void aCallThatIsUnreadAtTheShutdownIsAnswered() throws Exception {
@@ -88,7 +89,7 @@
         shutDownOnIoThread();
         Runnable release = fixture.blockIoThread();
         client.getOutputStream().write(read(2, 0x21));
-        // Until idle connections are due to be closed: that happens before sockets are read again.
+        // Wait until idle connections are due to be closed, which happens before the next read.
         for (long startNs = System.nanoTime();
                 System.nanoTime() - startNs < 2 * ClientListener.SHUTDOWN_POLL_NS; ) {
             Thread.onSpinWait();
@@ -100,8 +101,9 @@
     }
 
     /**
-     * A client's connection has been accepted by the operating system but not by the dispatcher
-     * when the shutdown begins. Its call must be answered: to the client the connection was open.
+     * A connection has been established by the operating system but not yet accepted by the
+     * dispatcher when the shutdown begins. Its call must be answered, because the connection is
+     * already open for the client.
      */
     @Test
     void aConnectionInTheAcceptQueueIsServedBeforeTheListenerCloses() throws Exception {
@@ -116,8 +118,8 @@
     }
 
     /**
-     * Calls come after the dispatcher has shut its side of the connection. No response could reach
-     * the client, so they must not be forwarded; and they must not reset the connection.
+     * Calls arrive after the dispatcher has shut down output on the connection. They must not be
+     * forwarded, since no response could reach the client, and they must not cause a reset.
      */
     @Test
     void callsAfterOutputIsShutDownAreDroppedWithoutAReset() throws Exception {
@@ -133,20 +135,20 @@
     }
 
     /**
-     * Only the first byte of a call has come when the shutdown begins. The connection is not idle,
-     * and the rest of the call must be read and answered.
+     * Only the first byte of a call has arrived when the shutdown begins. The connection is not
+     * idle; the rest of the call must be read and answered.
      */
     @Test
     void aPartiallyReadCallKeepsItsConnectionOpenAtTheShutdown() throws Exception {
         awaitHealthCheck();
         byte[] call = read(2, 0x25);
-        // The first byte of a longer token: the decoder has taken nothing of it yet.
+        // The array header is encoded in three bytes, so that its first byte stays in the buffer.
         byte[] wide =
                 RpcTestClient.concat(
                         new byte[] {(byte) 0xdc, 0, 4}, Arrays.copyOfRange(call, 1, call.length));
         client.getOutputStream().write(wide, 0, 1);
         shutDownOnIoThread();
-        // The listener closes in the same task that closes idle connections.
+        // The listening socket is closed by the same task that closes idle connections.
         while (isListening()) {
             Thread.onSpinWait();
         }
@@ -156,8 +158,8 @@
     }
 
     /**
-     * A fault of the protocol's handler must cost the connection whose bytes caused it, not the I/O
-     * thread, on which every other connection depends.
+     * An input handler throws an exception. Only the connection that received the input may be
+     * closed; the I/O thread, on which all other connections depend, must continue.
      */
     @Test
     void anExceptionInAnInputHandlerClosesOnlyItsConnection() throws Exception {
@@ -171,7 +173,7 @@
                                 @Override
                                 public void onBytes(ByteBuffer in) {
                                     calls.incrementAndGet();
-                                    throw new IllegalStateException("a fault of the test's own");
+                                    throw new IllegalStateException("thrown by the test");
                                 }
 
                                 @Override
@@ -187,7 +189,9 @@
         assertEquals(1, calls.get());
     }
 
-    /** A request is open when the shutdown begins: its response comes before the side is shut. */
+    /**
+     * A request is open when the shutdown begins. It must be answered before output is shut down.
+     */
     @Test
     void anOpenRequestIsAnsweredBeforeOutputIsShutDown() throws Exception {
         client.getOutputStream().write(read(1, 0x26));
@@ -201,8 +205,8 @@
     }
 
     /**
-     * A response waits to be read by the client, and the client sends bytes that are no message. A
-     * plain close over the unread bytes would reset the connection, and the response would be lost.
+     * A response is waiting to be read by the client when the client sends an invalid message. An
+     * immediate close with unread input would reset the connection, and the response would be lost.
      */
     @Test
     void aCloseWithUnreadInputLosesNoResponse() throws Exception {
@@ -216,7 +220,7 @@
         Arrays.fill(noise, (byte) 0xc1);
         client.getOutputStream().write(noise);
         release.run();
-        // A reset would throw here, or bring less.
+        // A reset would cause an exception or a truncated response here.
         assertRejected(client);
     }
 }
--- a/src/test/java/brooklock/platform/DecoderTestUtil.java
+++ b/src/test/java/brooklock/platform/DecoderTestUtil.java
@@ -4,9 +4,9 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Feeds decoders with bytes that come in pieces, as from a connection. */
+/** Utilities for tests of incremental decoders. */
 final class DecoderTestUtil {
-    /** The method of a decoder that reads one message, or null if more bytes are needed. */
+    /** Decodes the next message, or returns null if more bytes are needed. */
     interface Decoder<T> {
         T next(ByteBuffer input) throws MalformedMessageException;
     }
@@ -14,7 +14,11 @@
     private DecoderTestUtil() {}
 
     /**
-     * Decodes bytes that come in two pieces; what is left of the first stands before the second.
+     * Decodes bytes that arrive in two pieces, as from a connection. Bytes that the decoder leaves
+     * in the buffer precede the second piece.
+     *
+     * @param splitIndex the index of the first byte of the second piece
+     * @return all decoded messages
      */
     static <T> List<T> decode(Decoder<T> decoder, byte[] bytes, int splitIndex)
             throws MalformedMessageException {
@@ -30,7 +34,7 @@
         return messages;
     }
 
-    /** Returns the bytes of hexadecimal digits; blanks between them are skipped. */
+    /** Parses hexadecimal digits into bytes and ignores blanks. */
     static byte[] parseHex(String text) {
         String digits = text.replace(" ", "");
         byte[] bytes = new byte[digits.length() / 2];
--- a/src/test/java/brooklock/platform/DiscoveredEndpointTableTest.java
+++ b/src/test/java/brooklock/platform/DiscoveredEndpointTableTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The endpoint list and the router's events of it. */
+/** Tests the endpoint list and the router events for its updates. */
 class DiscoveredEndpointTableTest {
     private final long[] routerTimeNs = {100};
     private final DiscoveredEndpointTable table =
@@ -28,13 +28,16 @@
     }
 
     private static EndpointListReceived apply(
-            DiscoveredEndpointTable target, boolean snapshot, DiscoveryEvent.Endpoint... endpoints) {
+            DiscoveredEndpointTable target,
+            boolean snapshot,
+            DiscoveryEvent.Endpoint... endpoints) {
         return target.apply(new DiscoveryEvent.EndpointListUpdate(1, snapshot, List.of(endpoints)));
     }
 
     /**
-     * Dispatchers that gave an endpoint different ids would hash its objects differently; one that
-     * moved an endpoint's start with each list would warm it up again and again.
+     * If dispatchers assigned different ids to an endpoint, they would hash objects to different
+     * endpoints. If the start time of an endpoint changed with each list, its slow start would be
+     * repeated with each list.
      */
     @Test
     void idsAgreeBetweenTablesAndStartTimesAreStable() {
@@ -55,7 +58,9 @@
         assertNotEquals(100, restarted.endpoints().get(0).startedAtNs());
     }
 
-    /** An endpoint that leaves may be listed without its address, zone and kind. */
+    /**
+     * An endpoint that leaves may be listed without its address, zone and kind; it must be removed.
+     */
     @Test
     void anEndpointCanLeaveWithoutAnAddress() {
         long id =
@@ -87,7 +92,7 @@
         assertTrue(table.get(id).isGone());
     }
 
-    /** One endpoint that can't be used must not take the others of its list with it. */
+    /** An endpoint without a valid address must not cause the rest of its list to be dropped. */
     @ParameterizedTest
     @ValueSource(strings = {"", "a.host:1", "127.0.0.1", "127.0.0.256:1", "127.0.0.1:65536"})
     void anEndpointWithoutAValidAddressIsIgnored(String address) {
--- a/src/test/java/brooklock/platform/DiscoveryClientTest.java
+++ b/src/test/java/brooklock/platform/DiscoveryClientTest.java
@@ -14,7 +14,10 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.extension.RegisterExtension;
 
-/** A discovery service that breaks off, repeats, skips, falls silent or moves. */
+/**
+ * Tests a discovery service that closes connections, repeats or skips events, falls silent or
+ * changes its address.
+ */
 @Timeout(120)
 class DiscoveryClientTest {
     private static final byte[] BODY = LoopbackDispatcher.BODY;
@@ -36,9 +39,9 @@
     }
 
     /**
-     * The connection breaks in the middle of event 3. On the next one the service repeats event 2,
-     * sends event 3, and then skips event 4. The dispatcher must resume after the last event that
-     * it has whole, take each event once, and connect again at the gap.
+     * The connection breaks in the middle of event 3. On the next connection the service repeats
+     * event 2, sends event 3, and then skips event 4. The dispatcher must resume after the last
+     * complete event, process each event once, and reconnect when it detects the gap.
      */
     @Test
     void eventsResumeAfterTheLastCompleteEvent() throws Exception {
@@ -61,7 +64,7 @@
             writeLine(second, "{\"cursor\":5,\"drop\":{\"family\":1,\"when\":1}}");
             try (Socket third = loopback.acceptDiscoveryClient()) {
                 assertEquals("resume 3", readLine(third));
-                // The only cache has left: the request goes to the origin.
+                // The only cache has left the list, so the request must go to the origin.
                 assertArrayEquals(BODY, loopback.client().request(1, 0x24, 0x90, 2000).body());
                 assertTrue(loopback.cache(0).received.isEmpty());
                 assertEquals(1, loopback.origin().received.size());
@@ -70,8 +73,8 @@
     }
 
     /**
-     * A cache leaves the list and comes back under the same name at another address. Requests must
-     * go to the new address, not to connections of the old one.
+     * A cache leaves the list and returns under the same name with another address. Requests must
+     * go to the new address and not use connections to the old one.
      */
     @Test
     void anEndpointThatReturnsAtAnotherAddressIsReached() throws Exception {
@@ -94,8 +97,8 @@
     }
 
     /**
-     * The service accepts the connection and then sends nothing, not even heartbeats. The
-     * dispatcher must take the connection for dead and open another.
+     * The service accepts a connection and then sends nothing, not even heartbeats. The dispatcher
+     * must consider the connection lost and open another.
      */
     @Test
     void aSilentConnectionIsReplaced() throws Exception {
@@ -109,8 +112,9 @@
     }
 
     /**
-     * The configuration is reloaded while it is being written, so that the first reading finds half
-     * of it. The dispatcher reads it again and moves to the new address of the discovery service.
+     * The configuration is reloaded while it is being written, so that the first read finds only
+     * part of it. The dispatcher must read it again and connect to the new address of the discovery
+     * service.
      */
     @Test
     void aReloadOfAPartiallyWrittenFileIsRetried() throws Exception {
--- a/src/test/java/brooklock/platform/DiscoveryEventDecoderTest.java
+++ b/src/test/java/brooklock/platform/DiscoveryEventDecoderTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Lines of the discovery service at every cut, and lines that are no event. */
+/** Tests the decoding of discovery events from input split at any byte, and of invalid lines. */
 class DiscoveryEventDecoderTest {
     @Test
     void linesAreDecodedAtEverySplit() throws MalformedMessageException {
--- a/src/test/java/brooklock/platform/DispatcherFixture.java
+++ b/src/test/java/brooklock/platform/DispatcherFixture.java
@@ -29,17 +29,18 @@
 import java.util.zip.CRC32;
 
 /**
- * The parts of a dispatcher with decisions that the test makes, clients on a real socket, and
- * connections to endpoints that come up when the test lets them, so that it can force what crosses.
+ * The components of a dispatcher with a router that is implemented by the test. Clients connect to
+ * a real socket; connections to endpoints are established when the test decides, so that it
+ * controls the order of concurrent events.
  */
 final class DispatcherFixture implements Closeable {
-    /** A connection on its way to an endpoint; the test opens it or lets it fail. */
+    /** A pending connection to an endpoint, which the test establishes or fails. */
     record ConnectRequest(
             InetSocketAddress address,
             Consumer<RawConnection> onConnected,
             Consumer<String> onFailed) {}
 
-    /** The endpoint's side of a connection. */
+    /** The endpoint's side of a connection; records the frames that it receives. */
     final class EndpointPeer implements RawConnection.EventListener {
         final BlockingQueue<Frame> frames = new LinkedBlockingQueue<>();
         final CountDownLatch closed = new CountDownLatch(1);
@@ -50,7 +51,9 @@
         @Override
         public void onBytes(ByteBuffer input) {
             try {
-                for (Frame frame = decoder.next(input); frame != null; frame = decoder.next(input)) {
+                for (Frame frame = decoder.next(input);
+                        frame != null;
+                        frame = decoder.next(input)) {
                     frames.add(frame);
                 }
             } catch (MalformedMessageException e) {
@@ -97,8 +100,9 @@
     /**
      * Starts a dispatcher.
      *
-     * @param maxConnections connections to all endpoints together
-     * @param decisions makes the decisions; endpoints have the ids of {@link #endpointId}
+     * @param maxConnections maximum number of connections to all endpoints together
+     * @param decisions the router, which adds actions for each event; endpoints have the ids of
+     *     {@link #endpointId}
      */
     DispatcherFixture(int maxConnections, BiConsumer<RouterEvent, List<RouterAction>> decisions)
             throws Exception {
@@ -106,7 +110,8 @@
                 PlatformConfigReader.parse(TestConfigs.config("127.0.0.1:9", List.of()));
         connector =
                 new EndpointConnector(
-                        new DiscoveredEndpointTable(config.zones(), config.kinds(), clock::fromWallMs),
+                        new DiscoveredEndpointTable(
+                                config.zones(), config.kinds(), clock::fromWallMs),
                         ConnectionSettings.of(
                                 loop,
                                 (to, timeoutNs, onConnected, onFailed) -> {
@@ -121,7 +126,7 @@
                         new RoutingStrategy() {
                             @Override
                             public void start(long nowNs, List<RouterAction> actions) {
-                                // Nothing is decided before the first event.
+                                // This router makes no decisions before its first event.
                             }
 
                             @Override
@@ -150,7 +155,7 @@
                         });
     }
 
-    /** Runs work on the I/O thread and returns its result. */
+    /** Runs a task on the I/O thread, waits for it and returns its result. */
     <T> T onIoThread(Callable<T> task) throws Exception {
         CompletableFuture<T> result = new CompletableFuture<>();
         loop.execute(
@@ -165,7 +170,8 @@
     }
 
     /**
-     * Holds the I/O thread until the returned task is run: what peers send meanwhile stays unread.
+     * Blocks the I/O thread until the returned task is run. Input that arrives meanwhile stays
+     * unread.
      */
     Runnable blockIoThread() throws InterruptedException {
         CountDownLatch blocked = new CountDownLatch(1);
@@ -183,7 +189,7 @@
         return released::countDown;
     }
 
-    /** Updates the endpoint list with endpoints of one state. */
+    /** Applies a list update in which all specified endpoints have the same state. */
     void updateList(EndpointState state, String... names) throws Exception {
         List<DiscoveryEvent.Endpoint> entries = new ArrayList<>();
         for (String name : names) {
@@ -199,14 +205,14 @@
                 });
     }
 
-    /** Returns the id that the endpoint table gives an endpoint. */
+    /** Returns the id that the endpoint table assigns to an endpoint. */
     static long endpointId(String name) {
         CRC32 crc = new CRC32();
         crc.update(name.getBytes(StandardCharsets.UTF_8));
         return crc.getValue();
     }
 
-    /** Returns an attempt that allows no fill. */
+    /** Returns an action that starts an attempt without a fill. */
     static RouterAction.StartAttempt startAttemptAction(
             long request, String endpoint, long timeoutMs, long startWithinMs) {
         return new RouterAction.StartAttempt(
@@ -221,7 +227,10 @@
                 startWithinMs * 1_000_000);
     }
 
-    /** Decides one attempt at an endpoint for each request; if it is not served, rejects it. */
+    /**
+     * Returns a router that starts one attempt at an endpoint for each request and rejects the
+     * request if the attempt fails.
+     */
     static BiConsumer<RouterEvent, List<RouterAction>> rejectingUnlessServedBy(String endpoint) {
         return (event, actions) -> {
             if (event instanceof RouterEvent.RequestReceived received) {
@@ -233,12 +242,12 @@
         };
     }
 
-    /** Waits for the next connection that the dispatcher wants. */
+    /** Waits for the next connection that the dispatcher opens to an endpoint. */
     ConnectRequest nextConnectRequest() throws InterruptedException {
         return connectRequests.poll(20, TimeUnit.SECONDS);
     }
 
-    /** Lets a connection come up. */
+    /** Establishes a pending connection and returns the endpoint's side. */
     EndpointPeer connect(ConnectRequest request) throws Exception {
         EndpointPeer peer = new EndpointPeer();
         return onIoThread(
@@ -251,7 +260,7 @@
                 });
     }
 
-    /** Waits for the next event of a kind; events of other kinds are dropped. */
+    /** Waits for the next event of the specified type and drops events of other types. */
     <E extends RouterEvent> E nextEvent(Class<E> kind) throws InterruptedException {
         for (RouterEvent event = events.poll(20, TimeUnit.SECONDS);
                 event != null;
@@ -260,7 +269,7 @@
                 return kind.cast(event);
             }
         }
-        throw new AssertionError("no " + kind.getSimpleName());
+        throw new AssertionError("expected event " + kind.getSimpleName() + " within 20 s");
     }
 
     @Override
--- a/src/test/java/brooklock/platform/DispatcherProcessTest.java
+++ b/src/test/java/brooklock/platform/DispatcherProcessTest.java
@@ -28,7 +28,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** A dispatcher as a process of its own: how it starts, what signals do, how it ends. */
+/** Tests the start of a dispatcher process, its handling of signals and its exit. */
 @Timeout(60)
 class DispatcherProcessTest {
     private static final Pattern SERVING = Pattern.compile("serving /(127\\.0\\.0\\.1):([0-9]+)");
@@ -72,10 +72,10 @@
                 return new InetSocketAddress(serving.group(1), Integer.parseInt(serving.group(2)));
             }
         }
-        throw new AssertionError("it does not serve");
+        throw new AssertionError("expected a line with the serving address before the output ends");
     }
 
-    // The next line that comes neither from the log nor from the virtual machine.
+    // Returns the next line that was written neither by the logger nor by the JVM.
     private String nextLine() throws IOException {
         String line = log.readLine();
         while (line != null && (line.startsWith("{") || line.startsWith("Picked up "))) {
@@ -94,8 +94,8 @@
     }
 
     /**
-     * SIGTERM comes twice, and a client that has its response keeps its connection open. The
-     * dispatcher closes the connection and ends by itself, with status 0.
+     * SIGTERM is sent twice while a client keeps its idle connection open. The dispatcher must
+     * close the connection and exit with status 0.
      */
     @Test
     void aSecondSigtermHasNoEffect() throws Exception {
@@ -117,8 +117,8 @@
     }
 
     /**
-     * SIGHUP and SIGTERM come while the dispatcher is starting. Without handlers they would end the
-     * process with the signal's status; they must wait for the start and then take effect.
+     * SIGHUP and SIGTERM arrive while the dispatcher is starting. Without handlers they would end
+     * the process with the status of the signal; they must be handled after the start.
      */
     @Test
     void signalsDuringTheStartAreHandledAfterIt() throws Exception {
@@ -142,7 +142,8 @@
         assertEquals("starting", nextLine());
         String output = String.join("\n", log.lines().toList());
         assertExitStatus(1);
-        assertEquals("brooklock: the configuration can't be read: " + field + " is missing", output);
+        assertEquals(
+                "brooklock: the configuration can't be read: " + field + " is missing", output);
     }
 
     @ParameterizedTest
@@ -164,7 +165,10 @@
         assertExitStatus(1);
     }
 
-    /** A build makes the class archive from this command; a failure would make every start slow. */
+    /**
+     * The build runs this command to create the class archive. If it failed, every start would be
+     * slow.
+     */
     @ParameterizedTest
     @ValueSource(strings = {"warm-up", "practice"})
     void theWarmUpCommandEndsWithStatusZeroAndWritesNothing(String command) throws Exception {
@@ -174,15 +178,15 @@
     }
 
     /**
-     * The bench steps through every system call of a start. A start script that read the
-     * configuration, or started another program, would stall it.
+     * The platform's test bench steps through every system call of a start. A start script that
+     * read the configuration or started another program would stall it.
      */
     @Test
     void theStartScriptReadsNothingAndStartsNoOtherProgram() throws Exception {
         Path java = dir.resolve("java");
         Files.writeString(java, "#!/bin/sh\necho \"$@\"\necho pid $$\n");
         assertTrue(java.toFile().setExecutable(true));
-        // Whoever opens a FIFO to read waits for ever.
+        // Opening a FIFO for reading blocks until it is opened for writing.
         Path config = dir.resolve("fifo");
         assertEquals(0, new ProcessBuilder("mkfifo", config.toString()).start().waitFor());
         ProcessBuilder builder = new ProcessBuilder("deploy/node").redirectErrorStream(true);
--- a/src/test/java/brooklock/platform/EndpointConnectionPoolTest.java
+++ b/src/test/java/brooklock/platform/EndpointConnectionPoolTest.java
@@ -21,7 +21,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Which connection an attempt uses, and what becomes of connections that are late or idle. */
+/** Tests the choice of a connection for an attempt, and slow, overdue and idle connections. */
 @Timeout(60)
 class EndpointConnectionPoolTest {
     private static final int TIMEOUT_MS = 2400;
@@ -58,8 +58,8 @@
 
     /**
      * An endpoint responds twice to the first attempt of a request, and the second attempt goes to
-     * the same endpoint under the same id. It must use another connection, or the late second
-     * response would be taken for its own.
+     * the same endpoint with the same id. It must use another connection, or the duplicate response
+     * to the first attempt would be mistaken for its own.
      */
     @Test
     void aDuplicateResponseIsNotMistakenForThatOfALaterAttempt() throws Exception {
@@ -90,8 +90,8 @@
     }
 
     /**
-     * An endpoint confirms a copy with an entity tag that is not the client's. Taken at its word,
-     * the client would go on with an outdated copy.
+     * An endpoint confirms a copy with an entity tag other than the client's. If that were passed
+     * on, the client would keep using an outdated copy.
      */
     @Test
     void aCopyIsConfirmedOnlyByItsEntityTag() throws Exception {
@@ -106,8 +106,9 @@
     }
 
     /**
-     * The network is slow to bring up a second connection. The attempt that waits for it shares the
-     * first after an eighth of the connect timeout; the late connection serves the next attempt.
+     * A second connection is slow to be established. After an eighth of the connect timeout the
+     * attempt that waits for it must share the first connection; the slow one serves the next
+     * attempt.
      */
     @Test
     void anAttemptSharesAConnectionIfItsOwnIsSlow() throws Exception {
@@ -124,8 +125,9 @@
     }
 
     /**
-     * A connection is not up by its timeout. Its attempt fails as not connected, and the connection
-     * is still waited for: once it is up, the next attempt uses it without a new one.
+     * A connection is not established within the connect timeout. Its attempt must fail as not
+     * connected, but the connection stays pending; once it is established, the next attempt uses it
+     * without opening another.
      */
     @Test
     void anOverdueConnectionFailsItsAttemptAndServesTheNext() throws Exception {
@@ -141,8 +143,8 @@
     }
 
     /**
-     * An idle connection is chosen for an attempt whose time to start has passed already. It must
-     * go back to the idle ones, or it would be lost to the pool.
+     * An idle connection is selected for an attempt that may no longer start. The connection must
+     * become idle again, or it would be lost to the pool.
      */
     @Test
     void aConnectionOfAnAttemptThatDoesNotStartIsReused() throws Exception {
@@ -173,8 +175,9 @@
     }
 
     /**
-     * All descriptors are in use, one of them by an idle connection to another endpoint. That one
-     * is closed, so that a request to this endpoint need not wait until it is idle for too long.
+     * All descriptors are in use, one of them by an idle connection to another endpoint. That
+     * connection must be closed for the new request; otherwise the request would wait for the idle
+     * timeout.
      */
     @Test
     void anIdleConnectionToAnotherEndpointIsEvicted() throws Exception {
--- a/src/test/java/brooklock/platform/FakeEndpoint.java
+++ b/src/test/java/brooklock/platform/FakeEndpoint.java
@@ -11,13 +11,13 @@
 import java.util.Map;
 import java.util.concurrent.CopyOnWriteArrayList;
 
-/** An endpoint on a loopback socket that does with each request what a test says. */
+/** An endpoint on a loopback socket whose responses are determined by the test. */
 final class FakeEndpoint implements Closeable {
-    /** A frame as it came. */
+    /** A received frame; its checksum is not verified. */
     @SuppressWarnings("ArrayRecordComponent") // Never compared.
     record ReceivedFrame(int code, long id, Map<String, String> fields, byte[] body) {}
 
-    /** What to do with a request. */
+    /** Handles a request. Called on the thread of the connection. */
     interface FrameHandler {
         void handle(ReceivedFrame request, OutputStream out, Socket socket) throws IOException;
     }
@@ -50,7 +50,7 @@
                             try {
                                 task.run();
                             } catch (Exception ended) {
-                                // The connection or the test is over.
+                                // The connection was closed or the test has ended.
                             }
                         },
                         "fake-endpoint");
@@ -88,7 +88,7 @@
         return FrameEncoder.encode(Frame.ENDPOINT_MAGIC, code, id, fields, body).array();
     }
 
-    /** Serves these bytes. */
+    /** Returns a handler that serves the specified body as a cache hit. */
     static FrameHandler serving(byte[] body) {
         return (request, out, socket) ->
                 out.write(
@@ -100,8 +100,8 @@
     }
 
     /**
-     * Stops listening. The operating system may keep the socket open until the thread that accepts
-     * has let go of it, so that thread is waited for.
+     * Stops listening and waits for the accepting thread to end. The operating system may keep the
+     * socket open as long as that thread uses it.
      */
     @Override
     public void close() throws IOException {
--- a/src/test/java/brooklock/platform/FrameDecoderTest.java
+++ b/src/test/java/brooklock/platform/FrameDecoderTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Endpoints' frames at every cut, and bytes that are none. */
+/** Tests the decoding of frames from input split at any byte, and of invalid frames. */
 class FrameDecoderTest {
     private static byte[] response(int code, long id, String fields, byte[] body) {
         return FrameEncoder.encode(Frame.ENDPOINT_MAGIC, code, id, fields, body).array();
@@ -39,8 +39,8 @@
     }
 
     /**
-     * One bit of a frame is wrong, each in its turn. No such frame may be taken for the response
-     * that was sent: it has no valid checksum, waits for more bytes, or has another code or id.
+     * Flips each bit of a frame in turn. The result must not be decoded as the original response:
+     * it is malformed, incomplete, or has another code or id.
      */
     @Test
     void everySingleBitErrorIsDetected() {
@@ -63,14 +63,16 @@
             strings = {
                 "5a 40 0000 c0000000 0000000000000001", // a body of 3 GB
                 "5a 40 ffff 00000000 0000000000000001", // fields of 64 KB
-                "a5 40 0000 00000000 0000000000000001", // the mark of a dispatcher
+                "a5 40 0000 00000000 0000000000000001", // the magic byte of a dispatcher
                 "5a 10 0000 00000000 0000000000000001", // the code of a request
                 "5a 40 0000 00000000 0000000000000001 00000001", // a wrong checksum
             })
     void invalidFramesAreRejectedWithoutMoreInput(String text) {
         assertThrows(
                 MalformedMessageException.class,
-                () -> DecoderTestUtil.decode(new FrameDecoder()::next, DecoderTestUtil.parseHex(text), 0));
+                () ->
+                        DecoderTestUtil.decode(
+                                new FrameDecoder()::next, DecoderTestUtil.parseHex(text), 0));
     }
 
     @ParameterizedTest
--- a/src/test/java/brooklock/platform/GracefulShutdownTest.java
+++ b/src/test/java/brooklock/platform/GracefulShutdownTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.extension.RegisterExtension;
 
-/** A dispatcher that drains while requests are open and others still come. */
+/** Tests a dispatcher that shuts down while requests are open and new ones still arrive. */
 @Timeout(120)
 class GracefulShutdownTest {
     private static final byte[] BODY = LoopbackDispatcher.BODY;
@@ -18,9 +18,9 @@
     @RegisterExtension private final LoopbackDispatcher loopback = new LoopbackDispatcher();
 
     /**
-     * A request is open when the drain begins, and its endpoint is slow. Another client connects
-     * and sends a request after that. Health checks turn false, and both requests get their
-     * responses before the drain returns.
+     * A request to a slow endpoint is open when the drain begins, and another client connects and
+     * sends a request afterwards. Health checks must be answered with false, and both requests must
+     * be answered before the drain ends.
      */
     @Test
     void aDrainAnswersOpenAndNewRequests() throws Exception {
--- a/src/test/java/brooklock/platform/LoopbackDispatcher.java
+++ b/src/test/java/brooklock/platform/LoopbackDispatcher.java
@@ -18,8 +18,8 @@
 import org.junit.jupiter.api.extension.ExtensionContext;
 
 /**
- * A whole dispatcher on loopback sockets for each test; the test plays its client, its endpoints
- * and its discovery service. Everything is closed after the test.
+ * Extension that runs a complete dispatcher on loopback sockets for each test. The test provides
+ * the clients, the endpoints and the discovery service. All sockets are closed after the test.
  */
 final class LoopbackDispatcher implements BeforeEachCallback, AfterEachCallback {
     /** The body that the origin serves. */
@@ -54,7 +54,7 @@
         Files.delete(configFile);
     }
 
-    /** Starts the dispatcher with an origin that serves {@link #BODY} and with these caches. */
+    /** Starts the dispatcher with the specified caches and an origin that serves {@link #BODY}. */
     void start(FakeEndpoint.FrameHandler... cacheHandlers) throws IOException {
         List<JsonObject> list = new ArrayList<>();
         for (FakeEndpoint.FrameHandler handler : cacheHandlers) {
@@ -95,7 +95,7 @@
         return client;
     }
 
-    /** Returns one of the caches, in the order of the start. */
+    /** Returns a cache by its index in the arguments of {@link #start}. */
     FakeEndpoint cache(int index) {
         return caches.get(index);
     }
@@ -109,7 +109,7 @@
         return discoveryService.accept();
     }
 
-    /** Waits until something is the case. */
+    /** Waits until a condition is true. */
     static void await(BooleanSupplier condition) throws InterruptedException {
         while (!condition.getAsBoolean()) {
             TimeUnit.MILLISECONDS.sleep(2);
--- a/src/test/java/brooklock/platform/OperatorPagesTest.java
+++ b/src/test/java/brooklock/platform/OperatorPagesTest.java
@@ -14,8 +14,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * The operators' pages name what exists. An engineer on call searches for a class or a log line by
- * its name on the page; one that was renamed since would not be found.
+ * Checks that the classes and log lines named on the operators' pages exist. An engineer on call
+ * searches the sources for them and would not find a class that has been renamed since.
  */
 class OperatorPagesTest {
     private static final Pattern CLASS_NAME =
@@ -55,7 +55,7 @@
 
     @Test
     void everyLogLineOnTheOnCallPageExists() throws IOException {
-        // Texts that are cut over two lines of source are put together again.
+        // Joins string literals that are split over two lines of source.
         String sources = read("src/main/java").replaceAll("\"\\s*\\+\\s*\"", "");
         sources += readFile(Path.of("deploy/archive"));
         Matcher phrase = LOG_PHRASE.matcher(Files.readString(Path.of("docs/on-call.md")));
--- a/src/test/java/brooklock/platform/PlatformConfigReaderTest.java
+++ b/src/test/java/brooklock/platform/PlatformConfigReaderTest.java
@@ -10,7 +10,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** The platform's configuration, and texts that are none. */
+/** Tests the parsing of the platform's configuration and the rejection of invalid ones. */
 class PlatformConfigReaderTest {
     private static final String VALID = TestConfigs.config("127.0.0.1:1", List.of());
 
@@ -52,7 +52,7 @@
         }
     }
 
-    /** The operators' engineers read this line when a dispatcher does not start. */
+    /** Operators rely on this message when a dispatcher does not start. */
     @Test
     void theMessageNamesTheMissingField() {
         JsonObject config = JsonParser.parseString(VALID).getAsJsonObject();
--- a/src/test/java/brooklock/platform/PlatformEndpointFaultTest.java
+++ b/src/test/java/brooklock/platform/PlatformEndpointFaultTest.java
@@ -10,7 +10,10 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.extension.RegisterExtension;
 
-/** Endpoints that respond with garbage, break off, are silent or are not there. */
+/**
+ * Tests endpoints that send malformed, truncated or unexpected responses, are silent or do not
+ * listen.
+ */
 @Timeout(120)
 class PlatformEndpointFaultTest {
     private static final byte[] BODY = LoopbackDispatcher.BODY;
@@ -18,9 +21,8 @@
     @RegisterExtension private final LoopbackDispatcher loopback = new LoopbackDispatcher();
 
     /**
-     * A cache's response is damaged on its way: one bit of the body is wrong. The checksum shows it
-     * before a byte has gone to the client, so the request is retried at the other cache, and the
-     * client gets the object whole.
+     * One bit in the body of a cache's response is flipped. The checksum must reveal that before
+     * any byte is sent to the client; the request is retried at the other cache.
      */
     @Test
     void aDamagedResponseIsNotForwardedAndTheRequestIsRetried() throws Exception {
@@ -39,8 +41,8 @@
     }
 
     /**
-     * A cache responds with a field that can't be used. The attempt must end at once, as failed,
-     * and not wait for its time-out; the request is retried at the other cache.
+     * A cache responds with a malformed field. The attempt must fail immediately instead of waiting
+     * for its time-out; the request is retried at the other cache.
      */
     @Test
     void aResponseWithAMalformedFieldEndsItsAttemptImmediately() throws Exception {
@@ -61,8 +63,8 @@
     }
 
     /**
-     * A cache responds to requests that nobody made, and twice to those that were made. The
-     * superfluous responses are read and dropped; each client request gets exactly one.
+     * A cache responds to unknown requests and twice to each actual request. The unexpected
+     * responses must be dropped; each client request gets exactly one response.
      */
     @Test
     void unexpectedResponsesAreDropped() throws Exception {
@@ -78,8 +80,8 @@
     }
 
     /**
-     * A cache dies in the middle of a response. The client must not see the part that came; the
-     * request is retried at the other cache.
+     * A cache closes its connection in the middle of a response. The client must not receive the
+     * truncated response; the request is retried at the other cache.
      */
     @Test
     void aRequestIsRetriedAfterATruncatedResponse() throws Exception {
@@ -101,8 +103,8 @@
     }
 
     /**
-     * A machine vanishes without a sign: its connections stay open and silent. The client must get
-     * a final response by its deadline all the same, with the time after which it may retry.
+     * A machine fails without closing its connections. The client must nevertheless get a final
+     * response by its deadline, with the time after which it may retry.
      */
     @Test
     void aRequestToASilentEndpointIsAnsweredByItsDeadline() throws Exception {
@@ -112,7 +114,7 @@
         assertEquals("2000", response.fields().get("w"));
     }
 
-    /** No endpoint of the list listens any more. The client gets an error, not silence. */
+    /** No endpoint of the list listens any more. The client must still get an error response. */
     @Test
     void aRequestIsAnsweredIfNoEndpointListens() throws Exception {
         loopback.start(FakeEndpoint.serving(BODY));
--- a/src/test/java/brooklock/platform/PlatformRequestForwardingTest.java
+++ b/src/test/java/brooklock/platform/PlatformRequestForwardingTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.extension.RegisterExtension;
 
-/** What endpoints get of a request and what the client gets of their responses. */
+/** Tests how requests are forwarded to endpoints and how their responses are sent to clients. */
 @Timeout(120)
 class PlatformRequestForwardingTest {
     @RegisterExtension private final LoopbackDispatcher loopback = new LoopbackDispatcher();
--- a/src/test/java/brooklock/platform/QueuedAttemptTest.java
+++ b/src/test/java/brooklock/platform/QueuedAttemptTest.java
@@ -21,8 +21,8 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * Attempts that wait for a connection. Whatever changes meanwhile, what is written holds at its
- * first byte; else the attempt goes back to the router as not started.
+ * Tests attempts that wait for a connection. An attempt must be sent only if the router's decision
+ * is still valid at that time; otherwise it returns to the router as not started.
  */
 @Timeout(60)
 class QueuedAttemptTest {
@@ -39,11 +39,12 @@
         fixture.close();
     }
 
-    /** Sends each request to one endpoint once; if it is not served, fails it. */
+    /** Starts one attempt at endpoint {@code a} for each request; fails the request if it fails. */
     static void decideOneAttempt(RouterEvent event, List<RouterAction> actions) {
         if (event instanceof RequestReceived received) {
             actions.add(
-                    DispatcherFixture.startAttemptAction(received.id(), "a", TIMEOUT_MS, TIMEOUT_MS));
+                    DispatcherFixture.startAttemptAction(
+                            received.id(), "a", TIMEOUT_MS, TIMEOUT_MS));
         } else if (event instanceof AttemptCompleted completed
                 && completed.outcome() != AttemptOutcome.OK) {
             actions.add(new FailRequest(completed.id()));
@@ -56,7 +57,7 @@
         client = new RpcTestClient(fixture.address);
     }
 
-    // The connection that the request's attempt waits for.
+    // Sends a request and returns the pending connection that its attempt waits for.
     private DispatcherFixture.ConnectRequest sendRequest(long id, int timeoutMs) throws Exception {
         client.send(
                 RpcTestClient.encodeCall(
@@ -72,7 +73,7 @@
         return sendRequest(id, TIMEOUT_MS);
     }
 
-    // The change was made on the I/O thread, and that has been waited for.
+    // Does not wait for the attempt to end: the caller has waited for the change on the I/O thread.
     private void assertAlreadyReturned(DispatcherFixture.ConnectRequest late) throws Exception {
         assertTrue(fixture.allEvents.stream().anyMatch(AttemptCompleted.class::isInstance));
         assertReturned(late);
@@ -99,8 +100,8 @@
     }
 
     /**
-     * A connection comes up 60 ms late. The request frame must promise the endpoint only the time
-     * that is left, or the endpoint would work on after the client has gone.
+     * A connection is established 60 ms late. The time limit in the request frame must be reduced
+     * accordingly, or the endpoint would continue to work after the client's deadline.
      */
     @Test
     void theTimeLimitOfTheRequestFrameExcludesTheQueueTime() throws Exception {
@@ -115,7 +116,7 @@
                 frame.fields().toString());
     }
 
-    /** The endpoint begins to drain while the attempt waits: it must not be sent there any more. */
+    /** The endpoint begins to drain while the attempt is queued. The attempt must not be sent. */
     @Test
     void aDrainOfItsEndpointReturnsTheAttempt() throws Exception {
         DispatcherFixture.ConnectRequest late = startAndSendRequest(0x12);
@@ -124,8 +125,9 @@
     }
 
     /**
-     * The object is purged while the attempt waits: the age of the copies that it accepts is wrong
-     * by now, and it could bring a purged copy. A purge of another object changes nothing.
+     * The object is purged while the attempt is queued. Its maximum age for copies is outdated, and
+     * it could return a purged copy, so it must not be sent. A purge of another object must have no
+     * effect.
      */
     @Test
     void aPurgeOfItsObjectReturnsTheAttempt() throws Exception {
@@ -136,7 +138,7 @@
         assertAlreadyReturned(late);
     }
 
-    /** As a purge of its object; here the whole group is purged. */
+    /** The whole group of the object is purged while the attempt is queued. It must not be sent. */
     @Test
     void aPurgeOfItsGroupReturnsTheAttempt() throws Exception {
         DispatcherFixture.ConnectRequest late = startAndSendRequest(0x14);
@@ -145,9 +147,9 @@
     }
 
     /**
-     * The attempt of a request with an idempotency key may start only while endpoints remember the
-     * key. No connection comes up until then, so the attempt must come back at that time, and not
-     * at the deadline.
+     * An attempt with an idempotency key may start only while endpoints remember the key. If no
+     * connection is established by then, the attempt must return to the router at that time and not
+     * only at the deadline.
      */
     @Test
     void theStartTimeoutReturnsTheAttempt() throws Exception {
@@ -171,8 +173,8 @@
     }
 
     /**
-     * The client cancels while the attempt waits, and the router does not cancel the attempt. It
-     * must not be sent for a client that has gone.
+     * The client cancels its request while the attempt is queued, and the router does not cancel
+     * the attempt. It must not be sent nevertheless.
      */
     @Test
     void nothingIsSentOnceTheClientHasCancelled() throws Exception {
@@ -186,8 +188,8 @@
     }
 
     /**
-     * The deadline passes while the attempt waits. It ends as not started, not as timed out: it
-     * proves that nothing was executed, and says nothing of the endpoint.
+     * The deadline passes while the attempt is queued. It must end as not started and not as timed
+     * out: the request was certainly not executed, and the endpoint is not to blame.
      */
     @Test
     void anAttemptQueuedUntilItsDeadlineEndsAsNotStarted() throws Exception {
@@ -196,8 +198,8 @@
     }
 
     /**
-     * A connection comes up 100 ms late and the endpoint responds at once. The duration that the
-     * router gets must not contain the wait, or it would take the endpoint for slow.
+     * A connection is established 100 ms late and the endpoint responds immediately. The reported
+     * duration must exclude the delay, or the router would consider the endpoint slow.
      */
     @Test
     void theDurationOfAnAttemptExcludesTheQueueTime() throws Exception {
--- a/src/test/java/brooklock/platform/ResponseFrameDecoderTest.java
+++ b/src/test/java/brooklock/platform/ResponseFrameDecoderTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The codes and words of endpoints as the router's outcomes. */
+/** Tests how the codes and fields of response frames map to results of attempts. */
 class ResponseFrameDecoderTest {
     private static final String ETAG = "4be0c1927d55a6f3";
 
@@ -89,8 +89,8 @@
     }
 
     /**
-     * An endpoint confirms a copy that the client does not hold, or holds with another tag. The
-     * client would go on with an outdated copy, or with none.
+     * An endpoint confirms a copy that the client does not have, or with another entity tag. The
+     * client would keep using an outdated copy, or would have none.
      */
     @Test
     void onlyTheClientsOwnCopyCanBeConfirmed() {
--- a/src/test/java/brooklock/platform/RpcDecoderTest.java
+++ b/src/test/java/brooklock/platform/RpcDecoderTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Clients' messages at every cut, and bytes that are none. */
+/** Tests the decoding of clients' messages from input split at any byte, and of invalid ones. */
 class RpcDecoderTest {
     @Test
     void messagesAreDecodedAtEverySplit() throws MalformedMessageException {
@@ -39,26 +39,28 @@
     @ParameterizedTest
     @ValueSource(
             strings = {
-                "c1", // no token
-                "95 00", // a message of five parts
+                "c1", // a byte that starts no token
+                "95 00", // a message of five elements
                 "94 01", // a response
-                "93 00", // a notification that is a call
-                "94 00 ff", // a message id below 0
-                "94 00 cf ffffffffffffffff", // ... or above all numbers
-                "94 00 ca 3f800000", // ... or a floating-point number
-                "94 00 01 c6 03938700", // a name of 60 MB
-                "94 00 01 a1 61 92 df ffffffff", // four thousand million fields
-                "94 00 01 a1 61 92 81 01", // a field without a name
-                "94 00 01 a1 61 92 82 a1 69 a1 31 a1 69 a1 31", // a field twice
-                "94 00 01 a1 61 92 81 a1 69 c4 01 31", // a value that is no text
-                "94 00 01 a1 61 92 80 c6 7fffffff", // a body without end
-                "94 00 01 a1 61 92 80 a1 31", // a body that is a text
-                "94 00 01 a1 ff 92 80", // a name that is not UTF-8
+                "93 00", // a notification with the message type of a call
+                "94 00 ff", // a negative message id
+                "94 00 cf ffffffffffffffff", // a message id above 2^63 - 1
+                "94 00 ca 3f800000", // a floating-point message id
+                "94 00 01 c6 03938700", // a byte string of 60 MB as method
+                "94 00 01 a1 61 92 df ffffffff", // 2^32 - 1 fields
+                "94 00 01 a1 61 92 81 01", // a field name that is not a text
+                "94 00 01 a1 61 92 82 a1 69 a1 31 a1 69 a1 31", // a duplicate field
+                "94 00 01 a1 61 92 81 a1 69 c4 01 31", // a field value that is not a text
+                "94 00 01 a1 61 92 80 c6 7fffffff", // a body of 2 GB
+                "94 00 01 a1 61 92 80 a1 31", // a text as body
+                "94 00 01 a1 ff 92 80", // a method that is not valid UTF-8
                 "93 02 a4 73746f70", // an unknown notification
             })
     void invalidMessagesAreRejectedWithoutMoreInput(String text) {
         assertThrows(
                 MalformedMessageException.class,
-                () -> DecoderTestUtil.decode(new RpcDecoder()::next, DecoderTestUtil.parseHex(text), 0));
+                () ->
+                        DecoderTestUtil.decode(
+                                new RpcDecoder()::next, DecoderTestUtil.parseHex(text), 0));
     }
 }
--- a/src/test/java/brooklock/platform/RpcEncoderTest.java
+++ b/src/test/java/brooklock/platform/RpcEncoderTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The bytes and the words that clients get. */
+/** Tests the encoding of responses to clients. */
 class RpcEncoderTest {
     private static byte[] bytesOf(ByteBuffer... buffers) {
         byte[][] bytes = new byte[buffers.length][];
@@ -24,7 +24,7 @@
         return text.getBytes(StandardCharsets.US_ASCII);
     }
 
-    /** What clients do on an error hangs on its name alone. */
+    /** Clients handle an error by its name alone. */
     @ParameterizedTest
     @CsvSource({"REJECTED, Overloaded", "FAILED, Internal", "INVALID, Invalid"})
     void errorsHaveTheirProtocolNames(RpcError error, String name) {
@@ -58,7 +58,9 @@
         byte[] body = new byte[length];
         assertArrayEquals(
                 RpcTestClient.concat(
-                        DecoderTestUtil.parseHex("94 01 07 c0 92" + head), body, DecoderTestUtil.parseHex("80")),
+                        DecoderTestUtil.parseHex("94 01 07 c0 92" + head),
+                        body,
+                        DecoderTestUtil.parseHex("80")),
                 bytesOf(RpcEncoder.served(7, body)));
     }
 
@@ -72,8 +74,10 @@
     @Test
     void aHealthCheckResponseIsTrueOrFalse() {
         assertArrayEquals(
-                DecoderTestUtil.parseHex("94 01 07 c0 92 c3 80"), bytesOf(RpcEncoder.health(7, true)));
+                DecoderTestUtil.parseHex("94 01 07 c0 92 c3 80"),
+                bytesOf(RpcEncoder.health(7, true)));
         assertArrayEquals(
-                DecoderTestUtil.parseHex("94 01 07 c0 92 c2 80"), bytesOf(RpcEncoder.health(7, false)));
+                DecoderTestUtil.parseHex("94 01 07 c0 92 c2 80"),
+                bytesOf(RpcEncoder.health(7, false)));
     }
 }
--- a/src/test/java/brooklock/platform/RpcTestClient.java
+++ b/src/test/java/brooklock/platform/RpcTestClient.java
@@ -11,13 +11,16 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** A blocking client of the platform. */
+/** A blocking client of the platform's protocol. Not thread-safe. */
 final class RpcTestClient implements Closeable {
     /**
-     * A response as it came.
+     * A received response.
      *
-     * @param error the name of the error, or null
-     * @param healthy what a health check was answered
+     * @param messageId the id of the call
+     * @param error the name of the error; null if the response is not an error
+     * @param body the body; null if the response has none
+     * @param fields the values of the fields by name
+     * @param healthy the answer to a health check; false for other responses
      */
     @SuppressWarnings("ArrayRecordComponent") // Never compared.
     record Response(
@@ -109,7 +112,7 @@
         return response();
     }
 
-    /** Waits for the next response; null at the end of the connection. */
+    /** Waits for the next response. Returns null if the dispatcher has closed the connection. */
     Response response() throws IOException, MalformedMessageException {
         if (!readToken()) {
             return null;
--- a/src/test/java/brooklock/platform/TestConfigs.java
+++ b/src/test/java/brooklock/platform/TestConfigs.java
@@ -5,7 +5,7 @@
 import com.google.gson.JsonParser;
 import java.util.List;
 
-/** Small configurations as the platform writes them. */
+/** Creates small configurations in the platform's format. */
 final class TestConfigs {
     static final String READ_CLASS = "pages";
     static final String WRITE_CLASS = "orders";
@@ -78,7 +78,7 @@
         return config.toString();
     }
 
-    /** Prints a configuration, for a start by hand. */
+    /** Prints a configuration with which a dispatcher can be started manually. */
     public static void main(String[] args) {
         System.out.println(
                 config(
