--- a/src/main/java/brooklock/platform/ByteAccumulator.java
+++ b/src/main/java/brooklock/platform/ByteAccumulator.java
@@ -22,7 +22,7 @@
      * @param length the announced length, bytes
      */
     ByteAccumulator(int length) {
-        this.expectedLength = length;
+        expectedLength = length;
         bytes = new byte[Math.min(length, INITIAL_CAPACITY_BYTES)];
     }
 
--- a/src/main/java/brooklock/platform/ClientListener.java
+++ b/src/main/java/brooklock/platform/ClientListener.java
@@ -103,10 +103,9 @@
         connection.start();
     }
 
-    // Evicts the oldest idle connection that has never sent a message, or else the one that has
-    // been
-    // idle for longest. Otherwise silent clients could lock out clients that have requests. Returns
-    // whether a connection was evicted.
+    // Evicts the oldest idle connection that has never sent a message, or else the connection that
+    // has been idle for longest. Otherwise silent clients could lock out clients that have
+    // requests. Returns whether a connection was evicted.
     private boolean evictIdle() {
         ClientConnection longestIdle = null;
         for (ClientConnection connection : connections) {
@@ -227,8 +226,8 @@
      */
     void shutDown(Runnable onShutDown) {
         rejectingRequests = true;
-        // Delays the close: connections that were accepted before this moment may still be queued
-        // for the I/O thread.
+        // Waits one interval, because connections that were accepted before this moment may still
+        // be queued for the I/O thread.
         loop.schedule(
                 SHUTDOWN_POLL_NS,
                 () -> {
--- a/src/main/java/brooklock/platform/DiscoveredEndpointTable.java
+++ b/src/main/java/brooklock/platform/DiscoveredEndpointTable.java
@@ -191,13 +191,13 @@
 
     /** Returns the number of endpoints that have not left the list. */
     int listedCount() {
-        int present = 0;
+        int count = 0;
         for (Entry entry : byName.values()) {
             if (!entry.isGone()) {
-                present++;
+                count++;
             }
         }
-        return present;
+        return count;
     }
 
     /** Removes the endpoints that have left the list. */
--- a/src/main/java/brooklock/platform/DiscoveryEvent.java
+++ b/src/main/java/brooklock/platform/DiscoveryEvent.java
@@ -58,8 +58,8 @@
     record Heartbeat(long sequence) implements DiscoveryEvent {}
 
     /**
-     * An event of a type that this program does not know. It is ignored, but its sequence number
-     * counts.
+     * An event of a type that this program does not know. It is ignored except for its sequence
+     * number.
      *
      * @param sequence the sequence number of the event
      */
--- a/src/main/java/brooklock/platform/EndpointConnection.java
+++ b/src/main/java/brooklock/platform/EndpointConnection.java
@@ -153,8 +153,7 @@
     }
 
     // Ends all attempts in flight. The attempt whose response is partially received ends as an
-    // error
-    // of the endpoint; the others have only lost their connection and end as reset.
+    // error of the endpoint; the others have only lost their connection and end as reset.
     private void fail(String reason) {
         EndpointAttempt partiallyReceived =
                 decoder.hasPartialFrame() ? attemptsInFlight.get(decoder.frameId()) : null;
--- a/src/main/java/brooklock/platform/EndpointConnectionPool.java
+++ b/src/main/java/brooklock/platform/EndpointConnectionPool.java
@@ -17,8 +17,8 @@
  *
  * <p>A connection carries one attempt at a time while more connections may be opened, so that few
  * attempts are lost when a connection breaks. Attempts share a connection only when no more may be
- * opened or when a new connection is slow to be established. The HTTP dispatcher therefore has a
- * pool of its own: its connections carry one request at a time and are never shared.
+ * opened or when a new connection is slow to be established. The HTTP dispatcher does not use this
+ * class, because its connections carry one request at a time and are never shared.
  *
  * <p>A connection is pending ({@link ConnectionOpener}) at first, then busy or idle, and finally
  * closed. A pool is in use until it is {@linkplain #retire retired}; from then on it starts no
--- a/src/main/java/brooklock/platform/EndpointConnector.java
+++ b/src/main/java/brooklock/platform/EndpointConnector.java
@@ -96,10 +96,10 @@
 
     private boolean isCurrent(EndpointAttempt attempt) {
         DiscoveredEndpointTable.Entry endpoint = table.get(attempt.decision().endpoint());
-        DiscoveredEndpointTable.Entry source = table.get(attempt.decision().fillSource());
+        DiscoveredEndpointTable.Entry fillSource = table.get(attempt.decision().fillSource());
         return endpoint != null
-                && source != null
-                && attempt.matchesDecisionListings(endpoint.listing(), source.listing());
+                && fillSource != null
+                && attempt.matchesDecisionListings(endpoint.listing(), fillSource.listing());
     }
 
     /** Closes idle connections immediately and the others as they become idle. */
@@ -116,14 +116,14 @@
     @Override
     public void send(EndpointAttempt attempt) {
         DiscoveredEndpointTable.Entry endpoint = table.get(attempt.decision().endpoint());
-        DiscoveredEndpointTable.Entry source = table.get(attempt.decision().fillSource());
-        if (endpoint == null || source == null || endpoint.isGone()) {
+        DiscoveredEndpointTable.Entry fillSource = table.get(attempt.decision().fillSource());
+        if (endpoint == null || fillSource == null || endpoint.isGone()) {
             // The endpoint left the list after the router chose it; the router has not processed
             // that update yet.
             onCompleted(attempt, AttemptResult.withoutResponse(AttemptOutcome.CONNECT_FAILED));
             return;
         }
-        attempt.setDecisionListings(endpoint.listing(), source.listing());
+        attempt.setDecisionListings(endpoint.listing(), fillSource.listing());
         pools.getOrCreate(endpoint).send(attempt);
     }
 
--- a/src/main/java/brooklock/platform/FrameDecoder.java
+++ b/src/main/java/brooklock/platform/FrameDecoder.java
@@ -69,7 +69,7 @@
             throw new MalformedMessageException(
                     "the checksum does not match: expected 0x"
                             + Integer.toHexString((int) checksum.getValue())
-                            + " in the frame of code "
+                            + " at the end of a frame with code "
                             + code
                             + " but received 0x"
                             + Integer.toHexString(input.getInt(input.position() - CHECKSUM_BYTES)));
--- a/src/main/java/brooklock/platform/PendingClientRequestTable.java
+++ b/src/main/java/brooklock/platform/PendingClientRequestTable.java
@@ -8,7 +8,8 @@
  * memory. Not thread-safe; owned by the I/O thread.
  */
 final class PendingClientRequestTable {
-    // More requests than one core can serve within a deadline; further ones would only time out.
+    // Maximum number of open requests: more than one core can serve within a deadline. Further
+    // requests would only wait until they time out.
     private static final int MAX_PENDING_REQUESTS = 8192;
     // The bodies of pending requests may occupy the heap size divided by this; more would leave too
     // little memory for responses.
--- a/src/main/java/brooklock/platform/PlatformConfigReader.java
+++ b/src/main/java/brooklock/platform/PlatformConfigReader.java
@@ -53,24 +53,24 @@
         }
     }
 
-    private static PlatformConfig parse(JsonObject top)
+    private static PlatformConfig parse(JsonObject root)
             throws InvalidConfigurationException,
                     MalformedMessageException,
                     InvalidAddressException {
-        JsonObject settings = required(top, "settings").getAsJsonObject();
+        JsonObject settings = required(root, "settings").getAsJsonObject();
         JsonObject limits = required(settings, "limits").getAsJsonObject();
-        JsonObject known = required(top, "known").getAsJsonObject();
+        JsonObject known = required(root, "known").getAsJsonObject();
         List<DiscoveryEvent> events = new ArrayList<>();
         for (JsonElement event : required(known, "cmds").getAsJsonArray()) {
             events.add(DiscoveryEventDecoder.parse(event.getAsJsonObject()));
         }
         RouterSettings routerSettings = SettingsDecoder.decode(settings);
         return new PlatformConfig(
-                text(top, "name"),
-                address(top, "listen"),
-                address(top, "channel"),
-                top.has("seed") ? text(top, "seed").hashCode() : 0,
-                maxDescriptors(top),
+                text(root, "name"),
+                address(root, "listen"),
+                address(root, "channel"),
+                root.has("seed") ? text(root, "seed").hashCode() : 0,
+                maxDescriptors(root),
                 required(known, "cursor").getAsLong(),
                 List.copyOf(events),
                 routerSettings,
@@ -98,8 +98,8 @@
         return SocketAddressParser.parse(text(object, key));
     }
 
-    private static int maxDescriptors(JsonObject top) {
-        JsonObject limits = top.getAsJsonObject("limits");
+    private static int maxDescriptors(JsonObject root) {
+        JsonObject limits = root.getAsJsonObject("limits");
         return limits != null && limits.has("sockets")
                 ? limits.get("sockets").getAsInt()
                 : DEFAULT_MAX_DESCRIPTORS;
--- a/src/main/java/brooklock/platform/PlatformDispatcher.java
+++ b/src/main/java/brooklock/platform/PlatformDispatcher.java
@@ -34,9 +34,7 @@
     // clients continue to send requests, and shorter than the 0.7 s that the platform grants beyond
     // the longest deadline before it kills the process.
     private static final long ACCEPT_AFTER_SHUTDOWN_NS = 650_000_000L;
-    // A configuration that cannot be read may be partially written; it is read again up to this
-    // many
-    // times.
+    // A configuration that cannot be read may be partially written, so reading it is retried.
     private static final int MAX_RELOAD_RETRIES = 20;
     private static final long RELOAD_RETRY_DELAY_NS = 100_000_000L;
     private static final long STATS_INTERVAL_NS = 1_000_000_000L;
--- a/src/main/java/brooklock/platform/RequestExecutor.java
+++ b/src/main/java/brooklock/platform/RequestExecutor.java
@@ -183,8 +183,9 @@
         try {
             routingStrategy.onEvent(clock.nowNs(), event, actions);
         } catch (RuntimeException fault) {
-            // Without this handler an exception in one decision would leave the events of all other
-            // requests unprocessed, and the client of the failed request would get no response.
+            // Without this handler an exception in one decision would stop the I/O thread's work
+            // for all other requests, and the failed request would stay unanswered until its
+            // deadline.
             LOG.error("routing failed: {}", event, fault);
             actions.clear();
             if (event instanceof RouterEvent.RequestReceived received) {
--- a/src/main/java/brooklock/platform/StartupWarmup.java
+++ b/src/main/java/brooklock/platform/StartupWarmup.java
@@ -86,7 +86,8 @@
             loop.execute(warmup::start);
             if (!warmup.done.await(2 * MAX_DURATION_NS, TimeUnit.NANOSECONDS)) {
                 LOG.warn(
-                        "start-up warm-up failed: not finished within {} ms; the dispatcher starts nevertheless",
+                        "start-up warm-up failed: not finished within {} ms; the dispatcher starts"
+                                + " nevertheless",
                         2 * MAX_DURATION_NS / 1_000_000);
             }
         } catch (IOException e) {
--- a/src/test/java/brooklock/platform/ConnectionCloseTest.java
+++ b/src/test/java/brooklock/platform/ConnectionCloseTest.java
@@ -108,12 +108,13 @@
     @Test
     void aConnectionInTheAcceptQueueIsServedBeforeTheListenerCloses() throws Exception {
         Runnable release = fixture.blockIoThread();
-        try (Socket late = new Socket(fixture.address.getAddress(), fixture.address.getPort())) {
-            late.setSoTimeout(20_000);
-            late.getOutputStream().write(read(1, 0x22));
+        try (Socket lateClient =
+                new Socket(fixture.address.getAddress(), fixture.address.getPort())) {
+            lateClient.setSoTimeout(20_000);
+            lateClient.getOutputStream().write(read(1, 0x22));
             shutDownOnIoThread();
             release.run();
-            assertRejected(late);
+            assertRejected(lateClient);
         }
     }
 
@@ -171,7 +172,7 @@
                     pair[0].start(
                             new RawConnection.EventListener() {
                                 @Override
-                                public void onBytes(ByteBuffer in) {
+                                public void onBytes(ByteBuffer input) {
                                     calls.incrementAndGet();
                                     throw new IllegalStateException("thrown by the test");
                                 }
--- a/src/test/java/brooklock/platform/EndpointConnectionPoolTest.java
+++ b/src/test/java/brooklock/platform/EndpointConnectionPoolTest.java
@@ -116,9 +116,9 @@
         DispatcherFixture.EndpointPeer first = fixture.connect(sendFirst(0x1d));
         assertEquals(0x1d, first.nextFrame().id());
         send(2, 0x1e, 0x7f);
-        DispatcherFixture.ConnectRequest late = fixture.nextConnectRequest();
+        DispatcherFixture.ConnectRequest connectRequest = fixture.nextConnectRequest();
         assertEquals(0x1e, first.nextFrame().id());
-        DispatcherFixture.EndpointPeer second = fixture.connect(late);
+        DispatcherFixture.EndpointPeer second = fixture.connect(connectRequest);
         send(3, 0x1f, 0x7f);
         assertEquals(0x1f, second.nextFrame().id());
         assertNull(fixture.connectRequests.peek());
@@ -132,11 +132,11 @@
     @Test
     void anOverdueConnectionFailsItsAttemptAndServesTheNext() throws Exception {
         start(64, QueuedAttemptTest::decideOneAttempt);
-        DispatcherFixture.ConnectRequest late = sendFirst(0x20);
+        DispatcherFixture.ConnectRequest connectRequest = sendFirst(0x20);
         AttemptCompleted completed = fixture.nextEvent(AttemptCompleted.class);
         assertEquals(AttemptOutcome.CONNECT_FAILED, completed.outcome());
         assertEquals("Internal", client.response().error());
-        DispatcherFixture.EndpointPeer endpoint = fixture.connect(late);
+        DispatcherFixture.EndpointPeer endpoint = fixture.connect(connectRequest);
         send(2, 0x2a, 0x7f);
         assertEquals(0x2a, endpoint.nextFrame().id());
         assertNull(fixture.connectRequests.peek());
@@ -191,20 +191,20 @@
                         actions.add(new RejectRequest(completed.id(), 0));
                     }
                 });
-        DispatcherFixture.ConnectRequest toA = sendFirst(0x1a);
+        DispatcherFixture.ConnectRequest requestToA = sendFirst(0x1a);
         fixture.updateList(EndpointState.READY, "b");
-        DispatcherFixture.EndpointPeer a = fixture.connect(toA);
-        a.nextFrame();
+        DispatcherFixture.EndpointPeer endpointA = fixture.connect(requestToA);
+        endpointA.nextFrame();
         send(2, 0x1b, 0x80);
         fixture.nextEvent(RequestReceived.class);
         fixture.nextEvent(RequestReceived.class);
         assertNull(fixture.connectRequests.peek());
-        a.respond(Frame.OK, 0x1a, "rev=1");
+        endpointA.respond(Frame.OK, 0x1a, "rev=1");
         assertNull(client.response().error());
         send(3, 0x1c, 0x80);
-        DispatcherFixture.EndpointPeer b = fixture.connect(fixture.nextConnectRequest());
-        assertTrue(a.closed.await(20, TimeUnit.SECONDS));
-        assertEquals(0x1b, b.nextFrame().id());
+        DispatcherFixture.EndpointPeer endpointB = fixture.connect(fixture.nextConnectRequest());
+        assertTrue(endpointA.closed.await(20, TimeUnit.SECONDS));
+        assertEquals(0x1b, endpointB.nextFrame().id());
     }
 
     private static RouterAction.StartAttempt attempt(long requestId, String endpoint) {
--- a/src/test/java/brooklock/platform/QueuedAttemptTest.java
+++ b/src/test/java/brooklock/platform/QueuedAttemptTest.java
@@ -74,20 +74,22 @@
     }
 
     // Does not wait for the attempt to end: the caller has waited for the change on the I/O thread.
-    private void assertAlreadyReturned(DispatcherFixture.ConnectRequest late) throws Exception {
+    private void assertAlreadyReturned(DispatcherFixture.ConnectRequest connectRequest)
+            throws Exception {
         assertTrue(fixture.allEvents.stream().anyMatch(AttemptCompleted.class::isInstance));
-        assertReturned(late);
+        assertReturned(connectRequest);
     }
 
-    private void assertReturned(DispatcherFixture.ConnectRequest late) throws Exception {
+    private void assertReturned(DispatcherFixture.ConnectRequest connectRequest) throws Exception {
         assertEquals(
                 AttemptOutcome.NOT_STARTED, fixture.nextEvent(AttemptCompleted.class).outcome());
         assertEquals("Internal", client.response().error());
-        assertNothingIsSent(late);
+        assertNothingIsSent(connectRequest);
     }
 
-    private void assertNothingIsSent(DispatcherFixture.ConnectRequest late) throws Exception {
-        DispatcherFixture.EndpointPeer endpoint = fixture.connect(late);
+    private void assertNothingIsSent(DispatcherFixture.ConnectRequest connectRequest)
+            throws Exception {
+        DispatcherFixture.EndpointPeer endpoint = fixture.connect(connectRequest);
         assertNull(endpoint.frames.poll(50, TimeUnit.MILLISECONDS));
     }
 
@@ -105,12 +107,12 @@
      */
     @Test
     void theTimeLimitOfTheRequestFrameExcludesTheQueueTime() throws Exception {
-        DispatcherFixture.ConnectRequest late = startAndSendRequest(0x11);
+        DispatcherFixture.ConnectRequest connectRequest = startAndSendRequest(0x11);
         long startNs = System.nanoTime();
         while (System.nanoTime() - startNs < 60_000_000) {
             Thread.onSpinWait();
         }
-        Frame frame = fixture.connect(late).nextFrame();
+        Frame frame = fixture.connect(connectRequest).nextFrame();
         assertTrue(
                 Integer.parseInt(frame.fields().get("limit")) <= TIMEOUT_MS - 60,
                 frame.fields().toString());
@@ -119,9 +121,9 @@
     /** The endpoint begins to drain while the attempt is queued. The attempt must not be sent. */
     @Test
     void aDrainOfItsEndpointReturnsTheAttempt() throws Exception {
-        DispatcherFixture.ConnectRequest late = startAndSendRequest(0x12);
+        DispatcherFixture.ConnectRequest connectRequest = startAndSendRequest(0x12);
         fixture.updateList(EndpointState.DRAINING, "a");
-        assertAlreadyReturned(late);
+        assertAlreadyReturned(connectRequest);
     }
 
     /**
@@ -131,19 +133,19 @@
      */
     @Test
     void aPurgeOfItsObjectReturnsTheAttempt() throws Exception {
-        DispatcherFixture.ConnectRequest late = startAndSendRequest(0x13);
+        DispatcherFixture.ConnectRequest connectRequest = startAndSendRequest(0x13);
         purge(0x80, 0);
         assertTrue(fixture.events.stream().noneMatch(AttemptCompleted.class::isInstance));
         purge(0x7f, 0);
-        assertAlreadyReturned(late);
+        assertAlreadyReturned(connectRequest);
     }
 
     /** The whole group of the object is purged while the attempt is queued. It must not be sent. */
     @Test
     void aPurgeOfItsGroupReturnsTheAttempt() throws Exception {
-        DispatcherFixture.ConnectRequest late = startAndSendRequest(0x14);
+        DispatcherFixture.ConnectRequest connectRequest = startAndSendRequest(0x14);
         purge(0, 1);
-        assertAlreadyReturned(late);
+        assertAlreadyReturned(connectRequest);
     }
 
     /**
@@ -178,10 +180,10 @@
      */
     @Test
     void nothingIsSentOnceTheClientHasCancelled() throws Exception {
-        DispatcherFixture.ConnectRequest late = startAndSendRequest(0x16);
+        DispatcherFixture.ConnectRequest connectRequest = startAndSendRequest(0x16);
         client.send(RpcTestClient.encodeCancel(1));
         fixture.nextEvent(RouterEvent.ClientDisconnected.class);
-        DispatcherFixture.EndpointPeer endpoint = fixture.connect(late);
+        DispatcherFixture.EndpointPeer endpoint = fixture.connect(connectRequest);
         assertEquals(
                 AttemptOutcome.NOT_STARTED, fixture.nextEvent(AttemptCompleted.class).outcome());
         assertNull(endpoint.frames.poll(50, TimeUnit.MILLISECONDS));
@@ -203,13 +205,13 @@
      */
     @Test
     void theDurationOfAnAttemptExcludesTheQueueTime() throws Exception {
-        DispatcherFixture.ConnectRequest late = startAndSendRequest(0x2b);
+        DispatcherFixture.ConnectRequest connectRequest = startAndSendRequest(0x2b);
         long startNs = System.nanoTime();
         while (System.nanoTime() - startNs < 100_000_000) {
             Thread.onSpinWait();
         }
         long connectNs = System.nanoTime();
-        DispatcherFixture.EndpointPeer endpoint = fixture.connect(late);
+        DispatcherFixture.EndpointPeer endpoint = fixture.connect(connectRequest);
         endpoint.nextFrame();
         endpoint.respond(Frame.OK, 0x2b, "rev=1");
         long durationNs = fixture.nextEvent(AttemptCompleted.class).durationNs();
