--- a/src/main/java/brooklock/authorization/FairShares.java
+++ b/src/main/java/brooklock/authorization/FairShares.java
@@ -3,18 +3,19 @@
 import java.util.Collection;
 
 /**
- * Divides a capacity among tenants by weighted max-min fairness: a tenant with less demand than its
- * share leaves the rest to the others.
+ * Divides a capacity among tenants by weighted max-min fairness: the part of its share that a
+ * tenant does not demand is divided among the others.
  */
 final class FairShares {
     /**
-     * Growth per interval that is left open, so that demand and capacity that come back are found.
+     * The factor by which shares may exceed the measured demand or capacity, so that both can grow
+     * again from one interval to the next.
      */
     static final double GROWTH_FACTOR = 1.1;
 
-    // Shares are only enforced while the demand of a tenant, by its weight, exceeds this multiple
-    // of the others' demand. Where all demands are alike the router's own rejections are fair, and
-    // shares would only cost service, cache hits among it.
+    // Shares are enforced only while the demand per weight of some tenant exceeds this multiple of
+    // the demand per weight of the others. Where demands are similar, the router's own rejections
+    // are fair, and shares would only reject requests that could be served, such as cache hits.
     private static final double EXCESS_DEMAND_RATIO = 1.5;
     private static final double UNDECIDED = -1;
     private static final double MIN_WEIGHT_SUM = 1e-9;
@@ -22,9 +23,9 @@
     private FairShares() {}
 
     /**
-     * Sets the fair share of each tenant.
+     * Sets the fair share of each tenant; infinite for all if no tenant has excess demand.
      *
-     * @param capacity what is shared, in requests per interval
+     * @param capacity the capacity to divide, in requests per interval
      */
     static void allocate(Collection<TenantUsage> tenants, double capacity) {
         double remaining = capacity;
--- a/src/main/java/brooklock/authorization/NameKind.java
+++ b/src/main/java/brooklock/authorization/NameKind.java
@@ -4,7 +4,7 @@
 
 /** The kinds of names by which a credential identifies its holder. */
 public enum NameKind {
-    /** A claim of a token. */
+    /** The name and value of a claim of a token. */
     CLAIM("claim"),
     /** A subject alternative name of a certificate. */
     SAN("san"),
@@ -17,7 +17,7 @@
         this.word = word;
     }
 
-    /** The kind's word in policy files and in the output of {@code keys explain}. */
+    /** Returns the word for this kind in policy files and in the output of {@code keys explain}. */
     public String word() {
         return word;
     }
--- a/src/main/java/brooklock/authorization/OverloadControl.java
+++ b/src/main/java/brooklock/authorization/OverloadControl.java
@@ -4,27 +4,29 @@
 import java.util.Collection;
 
 /**
- * Decides when tenants are held to fair shares, and how much there is to share. Inputs: the
- * router's rejections and what is served, per interval. Without this, one tenant's burst would have
- * the requests of all others rejected with its own.
+ * Detects overload from the requests that the router serves and rejects in each interval, and while
+ * it lasts computes the capacity that tenants share. Without this, a burst of one tenant would
+ * cause the router to reject requests of all tenants. Not thread-safe; owned by a {@link
+ * TenantLimiter}.
  */
 final class OverloadControl {
-    /** The interval over which demand, service and rejections are measured, in ns. */
+    /** The interval over which demand, served and rejected requests are counted, in ns. */
     static final long INTERVAL_NS = 500_000_000L;
 
-    // Share rejected by the router above which the dispatcher is overloaded; rejections by chance
-    // stay below it.
+    // The fraction of requests rejected by the router above which the dispatcher is overloaded;
+    // occasional rejections stay below it.
     private static final double OVERLOAD_REJECTED_SHARE = 0.05;
-    // Under overload tenants share what was served recently and a little more, so that rejections
-    // by chance do not shrink it.
+    // Under overload the shared capacity is the recently served rate times this factor, so that
+    // occasional rejections do not shrink it step by step.
     private static final double OVERLOAD_HEADROOM = 1.05;
     private static final int RECENT_INTERVALS = 4;
-    // After so many intervals, fair shares must have lowered the rejected share to this part of
-    // what it was. Otherwise the rejections have another cause, such as a failing endpoint, and
-    // fair shares rest for as many intervals.
+    // After MAX_INEFFECTIVE_INTERVALS, fair shares must have reduced the rejected fraction to
+    // EFFECTIVE_REDUCTION of its initial value. Otherwise the rejections have another cause, such
+    // as
+    // a failing endpoint, and fair shares are suspended for the same number of intervals.
     private static final int MAX_INEFFECTIVE_INTERVALS = 20;
     private static final double EFFECTIVE_REDUCTION = 0.8;
-    // Weight of the newest interval in smoothed figures.
+    // The weight of the newest interval in exponential moving averages.
     private static final double SMOOTHING_FACTOR = 0.5;
 
     private long intervalEndNs = Long.MIN_VALUE;
@@ -39,7 +41,7 @@
     private int inactiveUntil;
     private boolean overloaded;
 
-    /** Counts a request that has ended. */
+    /** Counts a request that has completed. */
     void recordOutcome(boolean rejectedByRouter) {
         if (rejectedByRouter) {
             rejected++;
@@ -52,17 +54,17 @@
         return overloaded;
     }
 
-    /** Time until the next interval begins, in ns, at least 1. */
+    /** Returns the time until the next interval begins, in ns; at least 1. */
     long nanosUntilNextInterval(long nowNs) {
         return Math.max(1, intervalEndNs - nowNs);
     }
 
-    /** Evaluates the interval that has ended, if one has. */
+    /** Evaluates the current interval if it has ended, and starts the next one. */
     void advance(Collection<TenantUsage> tenants, long nowNs) {
         if (nowNs < intervalEndNs) {
             return;
         }
-        // After a pause the smoothed figures say nothing any more.
+        // After a gap without requests the averages no longer describe the load.
         boolean stale = intervalEndNs == Long.MIN_VALUE || nowNs - intervalEndNs > INTERVAL_NS;
         intervalEndNs = nowNs + INTERVAL_NS;
         double heldBack = 0;
@@ -94,10 +96,10 @@
     }
 
     /**
-     * Enters and leaves the overloaded state. While requests are held back it stays, until all
-     * demand fits.
+     * Enters or leaves the overloaded state. The state is kept while requests are not admitted, and
+     * left once all demand is admitted and served, or when fair shares prove ineffective.
      *
-     * @param heldBack requests of the interval that were not admitted
+     * @param heldBack the number of requests of the interval that were not admitted
      */
     private void updateOverload(double heldBack) {
         if (!overloaded) {
@@ -115,7 +117,7 @@
         }
     }
 
-    // While little is rejected the capacity grows, to find what has come back.
+    // While few requests are rejected the capacity grows, to discover recovered capacity.
     private void updateSharedCapacity() {
         double mean = Arrays.stream(recentServed).sum() / RECENT_INTERVALS;
         sharedCapacity =
--- a/src/main/java/brooklock/authorization/PathValidator.java
+++ b/src/main/java/brooklock/authorization/PathValidator.java
@@ -10,23 +10,24 @@
 import java.util.Set;
 
 /**
- * Accepts a request target only in one canonical form. Readers of a path differ in escapes, dots,
- * empty segments and semicolons; if a cache or an origin read another path than the one that was
- * authorized, a tenant would get another tenant's object. A target in another form is therefore
- * rejected and never repaired: what is authorized is fetched, byte for byte.
+ * Accepts request targets only in one canonical form. Servers interpret percent-encoding, dot
+ * segments, empty segments and semicolons differently; if a cache or an origin resolved another
+ * path than the one that was authorized, a tenant would get an object of another tenant. Targets in
+ * any other form are therefore rejected and never normalized: the target that is authorized is the
+ * one that is fetched, byte for byte.
  */
 public final class PathValidator {
-    // RFC 3986, section 3.3: allowed in a segment without escape, except ';', at which some readers
-    // cut a segment.
+    // The characters other than letters and digits that RFC 3986, section 3.3 allows in a segment
+    // without percent-encoding, except ';', at which some servers truncate a segment.
     private static final String UNESCAPED = "-._~!$&'()*+,=:@";
-    // Escaped they could be read as delimiters of a path.
+    // Decoded, these could be taken for delimiters, dot segments or further percent-encoding.
     private static final String NEVER_ESCAPED = "%/\\;.";
 
     private PathValidator() {}
 
     /**
-     * Returns what is wrong with a request target, path and query; empty if it is in canonical
-     * form.
+     * Validates a request target, that is path and query. Returns the first violation, or empty if
+     * the target is in canonical form.
      */
     public static Optional<PathViolation> validate(String target) {
         int queryMark = target.indexOf('?');
--- a/src/main/java/brooklock/authorization/PathViolation.java
+++ b/src/main/java/brooklock/authorization/PathViolation.java
@@ -1,29 +1,29 @@
 package brooklock.authorization;
 
 /**
- * Why a request target is rejected by {@link PathValidator}.
+ * The reason for which {@link PathValidator} rejects a request target.
  *
- * @param kind the rule that it breaks
- * @param message the reason, for the client; part of the protocol
+ * @param kind the rule that the target violates
+ * @param message the reason for the client; it is sent in the response body
  */
 public record PathViolation(Kind kind, String message) {
-    /** The rules, with the words that clients and operators get. */
+    /** The rules, with their messages for clients and operators. */
     public enum Kind {
         /** The path is not absolute. */
         NOT_ABSOLUTE("the path does not begin with /"),
-        /** Two slashes in a row. */
+        /** The path contains two consecutive slashes. */
         EMPTY_SEGMENT("an empty segment"),
-        /** A segment "." or "..". */
+        /** A segment is "." or "..". */
         DOT_SEGMENT("a segment of dots"),
-        /** A percent sign without two upper-case hexadecimal digits. */
+        /** A percent sign is not followed by two upper-case hexadecimal digits. */
         MALFORMED_ESCAPE("a percent sign without two upper-case hexadecimal digits"),
-        /** An escaped character that has to stand by itself, or that is not allowed at all. */
+        /** A percent-encoded character must not be encoded, or is not allowed at all. */
         NEEDLESS_ESCAPE("a character in percent form that must stand by itself or not at all"),
-        /** A character that is not allowed in a segment; the words name it. */
+        /** A segment contains a forbidden character; the message names it. */
         FORBIDDEN_CHARACTER("the character '%s' in a segment"),
-        /** Escapes that are no shortest-form UTF-8. */
+        /** The percent-encoded octets are not UTF-8 in its shortest form. */
         NOT_UTF8("percent form that is not UTF-8 in its shortest form"),
-        /** Two values for one key. */
+        /** The query contains a key more than once. */
         REPEATED_QUERY_KEY("a query that repeats a key");
 
         private final String words;
--- a/src/main/java/brooklock/authorization/Policy.java
+++ b/src/main/java/brooklock/authorization/Policy.java
@@ -5,8 +5,9 @@
 import java.util.Optional;
 
 /**
- * All that is allowed and denied, compiled. Immutable: a request that holds a policy sees it whole,
- * whatever is loaded meanwhile. Denial wins over allowance, and what no line applies to is denied.
+ * A compiled access policy. A request is allowed if a line allows it and no line denies it;
+ * otherwise it is denied. Instances are immutable, so that a request is evaluated by one policy
+ * even if a new one is loaded meanwhile.
  */
 public final class Policy {
     /** A policy without tenants, which denies everything. */
@@ -14,13 +15,13 @@
             new Policy(List.of(), Map.of(), RuleTree.EMPTY, List.of());
 
     /**
-     * How a name in a credential leads to a tenant.
+     * A mapping of a name in a credential to a tenant.
      *
-     * @param line its line in the policy file
+     * @param line the number of its line in the policy file
      * @param kind the kind of name
-     * @param key name of the claim, or the name in the certificate
-     * @param value value of the claim; null for certificates
-     * @param tenant index of the tenant
+     * @param key the name of the claim, or the name in the certificate
+     * @param value the value of the claim; null for certificates
+     * @param tenant the index of the tenant
      */
     public record Mapping(int line, NameKind kind, String key, String value, int tenant) {}
 
@@ -40,22 +41,22 @@
         this.mappings = List.copyOf(mappings);
     }
 
-    /** The tenants, by index. */
+    /** Returns the tenants in the order of their indexes. */
     public List<Tenant> tenants() {
         return tenants;
     }
 
-    /** Returns a tenant by its name. */
+    /** Returns the tenant with the given name, or empty if the policy has none. */
     public Optional<Tenant> tenant(String name) {
         return Optional.ofNullable(tenantByName.get(name));
     }
 
-    /** How credentials lead to tenants, in the order of the lines. */
+    /** Returns the mappings of credentials to tenants, in the order of their lines. */
     public List<Mapping> mappings() {
         return mappings;
     }
 
-    /** Returns the tenant that a claim of a token leads to. */
+    /** Returns the tenant that a claim of a token is mapped to. */
     public Optional<Tenant> tenantByClaim(String key, String value) {
         for (Mapping mapping : mappings) {
             if (mapping.kind() == NameKind.CLAIM
@@ -67,7 +68,7 @@
         return Optional.empty();
     }
 
-    /** Returns the tenant that a name in a certificate leads to. */
+    /** Returns the tenant that a name in a certificate is mapped to. */
     public Optional<Tenant> tenantByCertificate(NameKind kind, String name) {
         for (Mapping mapping : mappings) {
             if (mapping.kind() == kind && mapping.key().equals(name)) {
@@ -80,10 +81,10 @@
     /**
      * Decides whether a tenant may send a request.
      *
-     * @param tenantName name of the caller's tenant; one that the policy does not know may do
-     *     nothing
-     * @param path the path in the form of {@link PathValidator}, without query
-     * @param routeClass class of the route
+     * @param tenantName the name of the caller's tenant; a tenant that the policy does not contain
+     *     is denied everything
+     * @param path the path without query, as accepted by {@link PathValidator}
+     * @param routeClass the request class of the route
      * @param nowMs wall time, in ms since 1970
      */
     public AccessDecision decide(
@@ -98,8 +99,8 @@
     }
 
     /**
-     * One decision in the making. Of several lines with the same effect, the first in the file is
-     * named.
+     * The evaluation of one request. Of several lines that allow it, or that deny it, the first in
+     * the file is reported.
      */
     private static final class Evaluation {
         private final int tenant;
--- a/src/main/java/brooklock/authorization/PolicyReader.java
+++ b/src/main/java/brooklock/authorization/PolicyReader.java
@@ -18,13 +18,14 @@
 import java.util.Set;
 
 /**
- * Compiles a policy file: all of it is valid, or none of it is used and every mistake is reported.
+ * Compiles a policy file. A file with any mistake is rejected as a whole, and every mistake is
+ * reported.
  */
 public final class PolicyReader {
-    /** Tenants of a policy at most; each rule holds a bit for each. */
+    /** The maximum number of tenants in a policy; each rule has a bit for each tenant. */
     public static final int MAX_TENANTS = 4096;
 
-    /** Lines that allow or deny at most. */
+    /** The maximum number of allow and deny statements in a policy. */
     public static final int MAX_RULES = 100_000;
 
     private static final String ALL_TENANTS = "all";
@@ -45,9 +46,11 @@
     /**
      * Compiles a policy.
      *
-     * @param file name of the file, for messages
-     * @throws SettingsException with every mistake; also for a text without tenant or rule, because
-     *     an emptied file is more likely an accident than the wish to deny everything
+     * @param file the name of the file in messages
+     * @param text the content of the file
+     * @throws SettingsException if the policy has mistakes, all of which it reports. A text without
+     *     a tenant or without a rule is also rejected, because an emptied file is more likely an
+     *     accident than intended to deny everything
      */
     public static Policy parse(String file, String text) throws SettingsException {
         return new PolicyReader(file).parseAll(text);
@@ -67,14 +70,17 @@
         }
         if (tenants.isEmpty() || ruleCount == 0) {
             problems.add(
-                    new Problem(file, 0, "there is no tenant, or no line that allows or denies"));
+                    new Problem(
+                            file,
+                            0,
+                            "expected at least one tenant and one allow or deny statement"));
         }
         if (!text.isEmpty() && !text.endsWith("\n")) {
             problems.add(
                     new Problem(
                             file,
                             lines.length,
-                            "the last line has no end: the file may be half-written"));
+                            "expected a line end after the last line; the file may be half-written"));
         }
         if (!problems.isEmpty()) {
             throw new SettingsException(problems);
@@ -91,10 +97,10 @@
             case "allow", "deny" -> parseRule(line, number, verb.equals("allow"));
             default ->
                     throw new InvalidStatementException(
-                            "'"
+                            "expected a policy statement (tenant, group, map, allow, deny) but"
+                                    + " received '"
                                     + verb
-                                    + "' is not a statement of a policy "
-                                    + "(tenant, group, map, allow, deny)");
+                                    + "'");
         }
         line.expectEnd();
     }
@@ -113,21 +119,25 @@
                 case "concurrent" -> maxInFlight = line.nextPositiveInt(option);
                 case "bytes" ->
                         bytesPerSecond =
-                                Units.parseBytesPerSecond(line.nextWord("a pace, as in 20MB/s"));
+                                Units.parseBytesPerSecond(
+                                        line.nextWord("a byte rate, as in 20MB/s"));
                 default ->
                         throw new InvalidStatementException(
-                                "'"
+                                "expected a tenant option (weight, rate, concurrent, bytes) but"
+                                        + " received '"
                                         + option
-                                        + "' is not an option of a tenant "
-                                        + "(weight, rate, concurrent, bytes)");
+                                        + "'");
             }
         }
         if (weight <= 0) {
-            throw new InvalidStatementException("a weight is above 0");
+            throw new InvalidStatementException("expected a weight above 0 but received " + weight);
         }
         requireUnusedName(name);
         if (tenants.size() == MAX_TENANTS) {
-            throw new InvalidStatementException("a policy has " + MAX_TENANTS + " tenants at most");
+            throw new InvalidStatementException(
+                    "expected at most "
+                            + MAX_TENANTS
+                            + " tenants in a policy but received one more");
         }
         Tenant tenant =
                 new Tenant(
@@ -144,7 +154,7 @@
     private static double parseRate(String rate) {
         if (!rate.endsWith("/s")) {
             throw new InvalidStatementException(
-                    "'" + rate + "': a rate needs its unit, as in 50/s");
+                    "expected a rate per second, as in 50/s, but received '" + rate + "'");
         }
         return Units.parseNumber(rate.substring(0, rate.length() - 2));
     }
@@ -153,7 +163,10 @@
         if (name.equals(ALL_TENANTS)
                 || groups.containsKey(name)
                 || tenantByName.containsKey(name)) {
-            throw new InvalidStatementException("the name '" + name + "' is taken already");
+            throw new InvalidStatementException(
+                    "expected an unused name but '"
+                            + name
+                            + "' is reserved or names a tenant or group already");
         }
     }
 
@@ -167,7 +180,7 @@
         groups.put(name, members);
     }
 
-    /** Returns the tenants that a tenant's or a group's name stands for. */
+    /** Returns the indexes of the tenants that the name of a tenant or of a group denotes. */
     private BitSet tenantsNamed(String name) {
         BitSet named = new BitSet();
         if (groups.containsKey(name)) {
@@ -176,7 +189,9 @@
             named.set(tenantByName.get(name).index());
         } else {
             throw new InvalidStatementException(
-                    "there is no tenant or group '" + name + "' above this line");
+                    "expected a tenant or group defined above this line but received '"
+                            + name
+                            + "'");
         }
         return named;
     }
@@ -186,7 +201,9 @@
         Optional<NameKind> kind = NameKind.ofWord(kindWord);
         if (kind.isEmpty()) {
             throw new InvalidStatementException(
-                    "'" + kindWord + "' is not a kind of name (claim, san, subject)");
+                    "expected a kind of name (claim, san, subject) but received '"
+                            + kindWord
+                            + "'");
         }
         String key = line.nextWord("a name");
         String value = kind.get() == NameKind.CLAIM ? line.nextWord("the claim's value") : null;
@@ -194,21 +211,23 @@
         Tenant tenant = tenantByName.get(tenantName);
         if (tenant == null) {
             throw new InvalidStatementException(
-                    "there is no tenant '" + tenantName + "' above this line");
+                    "expected a tenant defined above this line but received '" + tenantName + "'");
         }
         for (Policy.Mapping mapping : mappings) {
             if (mapping.kind() == kind.get()
                     && mapping.key().equals(key)
                     && Objects.equals(mapping.value(), value)) {
                 throw new InvalidStatementException(
-                        "line " + mapping.line() + " maps this name already");
+                        "expected a name that is not mapped yet, but line "
+                                + mapping.line()
+                                + " maps it already");
             }
         }
         mappings.add(new Policy.Mapping(number, kind.get(), key, value, tenant.index()));
     }
 
     private void parseRule(Statement line, int number, boolean allows) {
-        String name = line.nextWord("whom");
+        String name = line.nextWord("a tenant, a group or all");
         BitSet applicable = new BitSet();
         if (name.equals(ALL_TENANTS)) {
             applicable.set(0, MAX_TENANTS);
@@ -225,19 +244,24 @@
             String option = line.nextWord("an option");
             switch (option) {
                 case "class" -> routeClass = line.nextWord("a class");
-                case "from" -> fromMs = parseInstantMs(line.nextWord("a moment"));
-                case "until" -> untilMs = parseInstantMs(line.nextWord("a moment"));
+                case "from" -> fromMs = parseInstantMs(line.nextWord("an instant"));
+                case "until" -> untilMs = parseInstantMs(line.nextWord("an instant"));
                 default ->
                         throw new InvalidStatementException(
-                                "'" + option + "' is not an option here (class, from, until)");
+                                "expected a rule option (class, from, until) but received '"
+                                        + option
+                                        + "'");
             }
         }
         if (untilMs <= fromMs) {
-            throw new InvalidStatementException("this holds at no time: it ends before it begins");
+            throw new InvalidStatementException(
+                    "expected 'until' to be later than 'from'; this rule would never be active");
         }
         if (++ruleCount > MAX_RULES) {
             throw new InvalidStatementException(
-                    "a policy has " + MAX_RULES + " lines that allow or deny at most");
+                    "expected at most "
+                            + MAX_RULES
+                            + " allow and deny statements in a policy but received one more");
         }
         Set<String> methodSet = methods.equals("*") ? Set.of() : Set.of(methods.split(","));
         rules =
@@ -253,15 +277,15 @@
                                 untilMs));
     }
 
-    // Constructing the pattern checks its braces; its literal segments have to be as strict as the
-    // paths they match.
+    // The constructor of the pattern checks the braces. The literal segments must be in canonical
+    // form as well, because only paths in canonical form are compared with them.
     private static void requireValidPattern(String path) {
         new PathPattern(path);
         Optional<PathViolation> violation =
                 PathValidator.validate(path.replaceAll("\\{[^}]*\\}", "x"));
         if (violation.isPresent()) {
             throw new InvalidStatementException(
-                    "the path is not in form: " + violation.get().message());
+                    "expected a path in canonical form but received " + violation.get().message());
         }
     }
 
@@ -270,7 +294,8 @@
             return Instant.parse(text).toEpochMilli();
         } catch (DateTimeException e) {
             throw new InvalidStatementException(
-                    "'" + text + "' is not a moment, as in 2027-01-31T08:00:00Z", e);
+                    "expected an instant, as in 2027-01-31T08:00:00Z, but received '" + text + "'",
+                    e);
         }
     }
 }
--- a/src/main/java/brooklock/authorization/Rule.java
+++ b/src/main/java/brooklock/authorization/Rule.java
@@ -4,15 +4,16 @@
 import java.util.Set;
 
 /**
- * A line of a policy that allows or denies something.
+ * A rule of a policy: a line that allows or denies requests. Its path pattern is not part of it but
+ * of the {@link RuleTree}.
  *
- * @param line its number in the file, from 1
- * @param allows whether it allows; otherwise it denies
- * @param tenants the tenants it applies to, by index
- * @param methods the methods it applies to; empty means all
- * @param routeClass the class of routes it applies to; null means all
- * @param fromMs when it begins to be active, in ms since 1970
- * @param untilMs when it ceases to be active, in ms since 1970
+ * @param line the number of its line in the policy file, from 1
+ * @param allows whether the rule allows requests; otherwise it denies them
+ * @param tenants the indexes of the tenants that the rule applies to
+ * @param methods the methods that the rule applies to; empty means all
+ * @param routeClass the request class of the routes that the rule applies to; null means all
+ * @param fromMs the time from which the rule is active, in ms since 1970, inclusive
+ * @param untilMs the time until which the rule is active, in ms since 1970, exclusive
  */
 record Rule(
         int line,
@@ -32,7 +33,10 @@
         return nowMs >= fromMs && nowMs < untilMs;
     }
 
-    /** When {@link #isActive} changes next, in ms since 1970; {@link Long#MAX_VALUE} if never. */
+    /**
+     * Returns the next time at which the result of {@link #isActive} changes, in ms since 1970;
+     * {@link Long#MAX_VALUE} if it never does.
+     */
     long nextChangeMs(long nowMs) {
         if (nowMs < fromMs) {
             return fromMs;
--- a/src/main/java/brooklock/authorization/RuleTree.java
+++ b/src/main/java/brooklock/authorization/RuleTree.java
@@ -7,13 +7,13 @@
 import org.pcollections.TreePVector;
 
 /**
- * Rules by path, a level for each segment. Immutable; a tree with one more rule shares all but one
- * branch with the tree before, so that thousands of rules are added without copying.
+ * A prefix tree of rules by path pattern, with a level for each path segment. Immutable; adding a
+ * rule copies only the nodes on its path, so that thousands of rules can be added one by one.
  *
- * @param literals subtrees by the next segment
- * @param wildcard subtree for any next segment; null if there is none
- * @param exactRules rules whose pattern ends here
- * @param subtreeRules rules for everything below
+ * @param literals the subtrees for literal segments, by segment
+ * @param wildcard the subtree for a placeholder, which matches any segment; null if there is none
+ * @param exactRules the rules whose pattern ends at this node
+ * @param subtreeRules the rules whose pattern ends with {@code {rest}} at this node
  */
 record RuleTree(
         PMap<String, RuleTree> literals,
@@ -25,7 +25,7 @@
 
     private static final String REST = "{rest}";
 
-    /** Returns the tree with one more rule, for a pattern such as {@code /a/{x}/{rest}}. */
+    /** Returns a tree with an additional rule for a pattern such as {@code /a/{x}/{rest}}. */
     RuleTree plus(String pattern, Rule rule) {
         return plus(pattern.substring(1).split("/", -1), 0, rule);
     }
@@ -46,7 +46,7 @@
         return new RuleTree(literals.plus(segment, child), wildcard, exactRules, subtreeRules);
     }
 
-    /** Passes on every rule whose pattern matches a path. */
+    /** Passes every rule whose pattern matches a path to a consumer. */
     void forEachMatching(String path, Consumer<Rule> consumer) {
         forEachMatching(path, 1, consumer);
     }
--- a/src/main/java/brooklock/authorization/Tenant.java
+++ b/src/main/java/brooklock/authorization/Tenant.java
@@ -3,12 +3,12 @@
 /**
  * A tenant with its limits.
  *
- * @param index its place in the policy, from 0
- * @param name its name, unique in the policy
- * @param weight its fair share under overload, relative to the others; above 0
- * @param requestsPerSecond its request rate at most; 0 means unlimited
- * @param maxInFlight its requests in flight at most; 0 means unlimited
- * @param bytesPerSecond its response bytes per second at most; 0 means unlimited
+ * @param index the position of the tenant in the policy, from 0
+ * @param name the name of the tenant, unique in the policy
+ * @param weight the weight of the tenant's fair share under overload; above 0
+ * @param requestsPerSecond the maximum request rate; 0 means unlimited
+ * @param maxInFlight the maximum number of requests in flight; 0 means unlimited
+ * @param bytesPerSecond the maximum rate of response bytes; 0 means unlimited
  */
 public record Tenant(
         int index,
--- a/src/main/java/brooklock/authorization/TenantLimiter.java
+++ b/src/main/java/brooklock/authorization/TenantLimiter.java
@@ -5,38 +5,38 @@
 import java.util.Map;
 
 /**
- * Admits tenants' requests by their own limits and, under overload, by their fair shares. What is
- * rejected here never reaches the router. Not thread-safe: the routing thread owns it.
+ * Admits requests of tenants within their own limits and, under overload, within their fair shares.
+ * Rejected requests never reach the router. Not thread-safe: the routing thread owns it.
  */
 public final class TenantLimiter {
-    // Below this rate a tenant is never held back: a share of next to nothing is not fair to
-    // anybody.
+    // The minimum of a fair share, without which a tenant could be starved under overload.
     private static final double MIN_FAIR_RATE_PER_SECOND = 4;
 
     /**
-     * Whether a request is admitted.
+     * The result of an admission attempt.
      *
-     * @param reason why, or why not
-     * @param retryAfterNs when a rejected request may be sent again, in ns from now; 0 if admitted
+     * @param reason {@link Reason#ADMITTED}, or the reason for the rejection
+     * @param retryAfterNs the time after which a rejected request may be retried, in ns; 0 if the
+     *     request is admitted
      */
     public record Admission(Reason reason, long retryAfterNs) {
-        /** Whether the request may go on. */
+        /** Returns whether the request is admitted. */
         public boolean admitted() {
             return reason == Reason.ADMITTED;
         }
     }
 
-    /** Why a request is admitted or rejected. The names are part of the Proxy-Status field. */
+    /** The results of an admission attempt; their names are part of the Proxy-Status field. */
     public enum Reason {
-        /** It is admitted. */
+        /** The request is admitted. */
         ADMITTED(200),
-        /** Over the tenant's own request rate. */
+        /** The tenant exceeds its own request rate. */
         RATE(429),
-        /** Over the tenant's own number of requests in flight. */
+        /** The tenant exceeds its own number of requests in flight. */
         CONCURRENT(429),
-        /** Over the tenant's own byte rate. */
+        /** The tenant exceeds its own rate of response bytes. */
         BYTES(429),
-        /** The dispatcher is overloaded, and the tenant's fair share is used up. */
+        /** The dispatcher is overloaded, and the tenant exceeds its fair share. */
         SHARE(503);
 
         private final int httpStatus;
@@ -45,7 +45,7 @@
             this.httpStatus = httpStatus;
         }
 
-        /** The HTTP status of the response. */
+        /** Returns the HTTP status of the response. */
         public int httpStatus() {
             return httpStatus;
         }
@@ -56,7 +56,10 @@
     private final Map<String, TenantUsage> usageByTenant = new HashMap<>();
     private final OverloadControl overload = new OverloadControl();
 
-    /** Replaces the tenants by those of a new policy; the usage of those that stay is kept. */
+    /**
+     * Replaces the tenants by those of a new policy. The usage of tenants in both policies is kept,
+     * and so is that of removed tenants while they have requests in flight.
+     */
     public void setTenants(List<Tenant> tenants) {
         Map<String, Tenant> current = new HashMap<>();
         tenants.forEach(tenant -> current.put(tenant.name(), tenant));
@@ -70,22 +73,23 @@
                                 tenant);
     }
 
-    /** Whether a tenant is in the newest policy, or still has requests in flight. */
+    /** Returns whether a tenant is in the newest policy or still has requests in flight. */
     public boolean isKnown(String tenant) {
         return usageByTenant.containsKey(tenant);
     }
 
     /**
-     * Asks for the admission of a request. If it is admitted, it is in flight until {@link
-     * #release}.
+     * Tries to admit a request. An admitted request is in flight until {@link #release} is called.
      *
-     * @throws IllegalArgumentException if the tenant is not known
+     * @param nowNs monotonic time, in ns
+     * @throws IllegalArgumentException if the tenant is not known; see {@link #isKnown}
      */
     public Admission tryAcquire(String tenantName, long nowNs) {
         overload.advance(usageByTenant.values(), nowNs);
         TenantUsage usage = usageByTenant.get(tenantName);
         if (usage == null) {
-            throw new IllegalArgumentException("no tenant " + tenantName);
+            throw new IllegalArgumentException(
+                    "expected a known tenant but received '" + tenantName + "'");
         }
         usage.requested++;
         Tenant tenant = usage.tenant;
@@ -117,9 +121,9 @@
     }
 
     /**
-     * Releases an admitted request that has ended.
+     * Releases an admitted request that has completed. Must be called exactly once for each.
      *
-     * @param bytes bytes of its response
+     * @param bytes the size of its response, in bytes
      * @param rejectedByRouter whether the router rejected it for lack of capacity
      */
     public void release(String tenant, long bytes, boolean rejectedByRouter) {
@@ -129,13 +133,13 @@
         overload.recordOutcome(rejectedByRouter);
     }
 
-    /** Requests of a tenant in flight. */
+    /** Returns the number of requests of a tenant in flight; 0 for an unknown tenant. */
     public int inFlight(String tenant) {
         TenantUsage usage = usageByTenant.get(tenant);
         return usage == null ? 0 : usage.inFlight;
     }
 
-    /** Whether tenants are held to their fair shares now. */
+    /** Returns whether the dispatcher is overloaded, so that fair shares apply. */
     public boolean isOverloaded() {
         return overload.isOverloaded();
     }
--- a/src/main/java/brooklock/authorization/TenantUsage.java
+++ b/src/main/java/brooklock/authorization/TenantUsage.java
@@ -1,12 +1,16 @@
 package brooklock.authorization;
 
-/** Usage and demand of one tenant. Mutable; owned by its {@link TenantLimiter}. */
+/**
+ * The usage and demand of one tenant. Mutable and not thread-safe; owned by a {@link
+ * TenantLimiter}.
+ */
 final class TenantUsage {
-    // Bursts of up to a second's worth of the tenant's own limits pass.
+    // The tenant's own limits admit bursts of up to one second of the configured rate.
     private static final double TENANT_BURST_SECONDS = 1;
-    // Much less of its fair share: spent in one burst at the start of an interval most of it would
-    // be rejected behind, and the measured capacity, which fair shares are derived from, would
-    // shrink to nothing.
+    // Bursts within the fair share are much shorter. If a tenant spent its share in one burst at
+    // the
+    // start of an interval, the router would reject most of it, and the measured capacity, from
+    // which the fair shares are derived, would shrink towards zero.
     private static final double FAIR_SHARE_BURST_SECONDS = 0.05;
 
     final TokenBucket requestBucket = new TokenBucket(TENANT_BURST_SECONDS);
@@ -16,19 +20,19 @@
     /** The tenant as the newest policy describes it. */
     Tenant tenant;
 
-    /** Requests in flight. */
+    /** The number of requests in flight. */
     int inFlight;
 
-    /** Requests of the current interval. */
+    /** The number of requests in the current interval, admitted or not. */
     double requested;
 
-    /** Requests of the current interval that were admitted. */
+    /** The number of admitted requests in the current interval. */
     double admitted;
 
-    /** Requests per interval, smoothed. */
+    /** The moving average of requests per interval. */
     double demand;
 
-    /** Fair share in requests per interval; infinite while the tenant is not held to it. */
+    /** The fair share in requests per interval; infinite while it is not enforced. */
     double fairShare = Double.POSITIVE_INFINITY;
 
     TenantUsage(Tenant tenant) {
--- a/src/main/java/brooklock/authorization/TokenBucket.java
+++ b/src/main/java/brooklock/authorization/TokenBucket.java
@@ -2,31 +2,31 @@
 
 /**
  * A token bucket that may be overdrawn by a cost that is known only afterwards, such as the bytes
- * of a response. It begins full. Not thread-safe.
+ * of a response. A new bucket is full. Not thread-safe.
  */
 final class TokenBucket {
     private final double capacitySeconds;
-    // NaN until the first refill, because the capacity depends on the rate.
+    // NaN until the first refill, which sets the capacity from the rate.
     private double tokens = Double.NaN;
     private long refilledAtNs;
 
     /**
-     * Creates a bucket.
+     * Creates a new, full bucket.
      *
-     * @param capacitySeconds how long, in seconds, it fills until it is full; it always holds at
-     *     least one token
+     * @param capacitySeconds the capacity as the time in which an empty bucket is filled, in
+     *     seconds; the capacity is at least one token at any rate
      */
     TokenBucket(double capacitySeconds) {
         this.capacitySeconds = capacitySeconds;
     }
 
-    /** Refills up to now and returns whether the bucket is not overdrawn. */
+    /** Refills the bucket up to now, and returns whether it is neither empty nor overdrawn. */
     boolean hasTokens(double ratePerSecond, long nowNs) {
         refill(ratePerSecond, nowNs);
         return tokens > 0;
     }
 
-    /** Refills up to now and returns whether there is a whole token. */
+    /** Refills the bucket up to now, and returns whether it contains at least one token. */
     boolean hasWholeToken(double ratePerSecond, long nowNs) {
         refill(ratePerSecond, nowNs);
         return tokens >= 1;
@@ -34,7 +34,7 @@
 
     private void refill(double ratePerSecond, long nowNs) {
         double capacity = Math.max(1, ratePerSecond * capacitySeconds);
-        // A clock that stands still or goes back adds nothing.
+        // A clock that goes back adds no tokens.
         double added = Math.max(0, nowNs - refilledAtNs) / 1e9 * ratePerSecond;
         tokens = Double.isNaN(tokens) ? capacity : Math.min(capacity, tokens + added);
         refilledAtNs = Math.max(refilledAtNs, nowNs);
@@ -44,7 +44,7 @@
         tokens -= count;
     }
 
-    /** Time until the bucket is no longer overdrawn, in ns. */
+    /** Returns the time until {@link #hasTokens} returns true again, in ns; 0 if it does now. */
     long nanosUntilAvailable(double ratePerSecond) {
         return tokens > 0 ? 0 : (long) (-tokens / ratePerSecond * 1e9) + 1;
     }
--- a/src/main/java/brooklock/authorization/package-info.java
+++ b/src/main/java/brooklock/authorization/package-info.java
@@ -1,10 +1,9 @@
 /**
- * What tenants may do, and how much at once: access policies, rate limits, quotas and fair shares
- * under overload. Pure: no I/O, and time is an argument. Who a caller is, is decided in {@code
- * brooklock.credentials}.
+ * Access policies of tenants, and the limits of their load: request rates, concurrency, byte rates
+ * and fair shares under overload. The package performs no I/O, and the time is passed as an
+ * argument. Callers are authenticated in {@code brooklock.credentials}.
  *
- * <p>{@link brooklock.authorization.Policy} is immutable and read by any thread. {@link
- * brooklock.authorization.TenantLimiter} belongs to the routing thread, the one writer of its
- * counts.
+ * <p>{@link brooklock.authorization.Policy} is immutable and may be read by any thread. {@link
+ * brooklock.authorization.TenantLimiter} is owned by the routing thread, the only one that uses it.
  */
 package brooklock.authorization;
--- a/src/main/java/brooklock/credentials/CertificateFiles.java
+++ b/src/main/java/brooklock/credentials/CertificateFiles.java
@@ -18,7 +18,7 @@
 import java.util.Locale;
 import java.util.Set;
 
-/** Reads files with certificates, revocation lists (RFC 5280) and fingerprints. */
+/** Reads files of certificates, revocation lists (RFC 5280) and certificate fingerprints. */
 final class CertificateFiles {
     private static final String FINGERPRINT_PATTERN = "[0-9a-f]{64}";
     private static final String PEM_BEGIN = "-----BEGIN";
@@ -27,9 +27,9 @@
     private CertificateFiles() {}
 
     /**
-     * Reads the certificates of a file, PEM or DER; there may be none.
+     * Reads the certificates of a file in PEM or DER, which may be none.
      *
-     * @throws IOException if the file cannot be read
+     * @throws IOException if the file cannot be read or parsed
      */
     static List<X509Certificate> readCertificates(Path file) throws IOException {
         List<X509Certificate> certificates = new ArrayList<>();
@@ -46,9 +46,10 @@
     }
 
     /**
-     * Reads the revocation lists of a file, PEM or DER.
+     * Reads the revocation lists of a file in PEM or DER.
      *
-     * @throws IOException if the file cannot be read, or holds no whole list
+     * @throws IOException if the file cannot be read or parsed, contains no list, or ends within
+     *     one
      */
     static List<X509CRL> readCrls(Path file) throws IOException {
         byte[] bytes = Files.readAllBytes(file);
@@ -58,7 +59,10 @@
             factory.generateCRLs(new ByteArrayInputStream(bytes))
                     .forEach(crl -> crls.add((X509CRL) crl));
             if (crls.isEmpty() || isCutShort(new String(bytes, StandardCharsets.ISO_8859_1))) {
-                throw new CredentialFileException(file, "no whole list in it (half-written?)");
+                throw new CredentialFileException(
+                        file,
+                        "expected complete revocation lists but the file contains none or ends"
+                                + " within one; it may be half-written");
             }
             return crls;
         } catch (GeneralSecurityException e) {
@@ -66,18 +70,19 @@
         }
     }
 
-    // The factory silently leaves out a PEM block without end. Half a file would so revoke fewer
-    // certificates.
+    // The factory silently skips a PEM block without an end, so a truncated file would revoke fewer
+    // certificates than the complete one.
     private static boolean isCutShort(String text) {
         return text.contains(PEM_BEGIN)
                 && text.split(PEM_BEGIN).length != text.split(PEM_END).length;
     }
 
     /**
-     * Reads SHA-256 fingerprints, one a line; colons, case, and comments after {@code #} do not
-     * matter.
+     * Reads SHA-256 fingerprints, one per line. Colons, letter case and comments after {@code #}
+     * are ignored.
      *
-     * @throws IOException if the file cannot be read, or holds something else
+     * @throws IOException if the file cannot be read, or a line is not a fingerprint; the message
+     *     names the line
      */
     static Set<String> readFingerprints(Path file) throws IOException {
         Set<String> fingerprints = new HashSet<>();
@@ -94,7 +99,10 @@
                         file
                                 + ":"
                                 + number
-                                + ": not the SHA-256 print of a certificate, 64 hexadecimal digits");
+                                + ": expected the SHA-256 fingerprint of a certificate (64 hexadecimal"
+                                + " digits) but received "
+                                + word.length()
+                                + " characters");
             }
             fingerprints.add(word);
         }
--- a/src/main/java/brooklock/credentials/CertificateRejection.java
+++ b/src/main/java/brooklock/credentials/CertificateRejection.java
@@ -3,34 +3,39 @@
 import java.util.Optional;
 
 /**
- * Why a certificate chain is rejected.
+ * The reason for which a certificate chain is rejected.
  *
- * @param reason the rule that it breaks
- * @param message the reason in words, for the audit log
+ * @param reason the kind of reason
+ * @param message the message for the audit log
  */
 public record CertificateRejection(Reason reason, String message) {
-    /** The rules, with the words of the audit log. */
+    /** The kinds of reasons, with their messages for the audit log. */
     public enum Reason {
-        /** This listener accepts no client certificates. */
-        NOT_ACCEPTED("no certificates are taken here"),
-        /** The chain is not one certificate more than an authority. */
-        AUTHORITY_ITSELF("an authority's own certificate"),
-        /** The chain leads to no authority, or is not valid at this time; the cause is added. */
-        NO_PATH("no way to an authority: "),
+        /** The listener accepts no client certificates. */
+        NOT_ACCEPTED("this listener accepts no client certificates"),
+        /** The chain consists only of certificates of the authorities themselves. */
+        AUTHORITY_ITSELF("the chain contains no certificate except those of authorities"),
+        /**
+         * No certification path leads from the chain to an authority, or the path is not valid at
+         * this time; the cause is appended to the message.
+         */
+        NO_PATH("no valid certification path to a trusted authority: "),
         /** The extended key usage is malformed. */
-        MALFORMED_USAGE("its use cannot be read"),
-        /** The extended key usage does not include clients. */
-        NOT_FOR_CLIENTS("not a certificate for clients"),
+        MALFORMED_USAGE("the extended key usage of the certificate is malformed"),
+        /** The extended key usage does not include client authentication. */
+        NOT_FOR_CLIENTS(
+                "the extended key usage of the certificate does not include client authentication"),
         /** A certificate of the chain has expired. */
-        EXPIRED("a certificate has ended"),
+        EXPIRED("a certificate of the chain has expired"),
         /** A certificate of the chain is revoked. */
-        REVOKED("a certificate is on its authority's list of revoked ones"),
+        REVOKED("a certificate of the chain is revoked"),
         /** The authority's revocation list is past its next update. */
-        STALE_REVOCATION_LIST("the list of revoked certificates of its authority is past its time"),
-        /** The operators deny the certificate by its fingerprint. */
-        DENIED("the certificate is denied by hand"),
-        /** The authority is no longer trusted. */
-        UNKNOWN_AUTHORITY("its authority is none any more");
+        STALE_REVOCATION_LIST("the revocation list of the authority is past its next update"),
+        /** The fingerprint of the certificate is in the file of denied certificates. */
+        DENIED("the fingerprint of the certificate is in the file of denied certificates"),
+        /** The authority of the chain is not trusted, or is no longer trusted. */
+        UNKNOWN_AUTHORITY(
+                "the authority of the certificate is not trusted, or is no longer trusted");
 
         private final String words;
 
--- a/src/main/java/brooklock/credentials/CertificateTrust.java
+++ b/src/main/java/brooklock/credentials/CertificateTrust.java
@@ -25,11 +25,12 @@
 import javax.security.auth.x500.X500Principal;
 
 /**
- * Which certificates are accepted: the authorities, their revocation lists (RFC 5280), and the
- * certificates that operators deny. Immutable. Times are wall times in ms since 1970.
+ * Decides which certificates are accepted, by the trusted authorities, their revocation lists (RFC
+ * 5280) and the fingerprints of certificates that operators deny. Immutable. Times are wall times
+ * in ms since 1970.
  */
 public final class CertificateTrust {
-    // Extended key usages, RFC 5280, section 4.2.1.12.
+    // Object identifiers of extended key usages, RFC 5280, section 4.2.1.12.
     private static final String CLIENT_AUTH_USAGE = "1.3.6.1.5.5.7.3.2";
     private static final String ANY_USAGE = "2.5.29.37.0";
 
@@ -50,16 +51,16 @@
     }
 
     /**
-     * Loads everything from files.
+     * Loads a trust from its files.
      *
-     * @param authorityFile certificates of the authorities
-     * @param crlFiles revocation lists
-     * @param deniedFile fingerprints of denied certificates, or null
-     * @param acceptStaleCrls whether a list past its next update is still used; otherwise its
-     *     authority's certificates are rejected
-     * @param previous what was in force before, or null; a list must not be older than the one
-     *     there, because that would bring revoked certificates back
-     * @throws IOException naming the file that cannot be used, and why
+     * @param authorityFile the certificates of the trusted authorities
+     * @param crlFiles the revocation lists of the authorities
+     * @param deniedFile the fingerprints of denied certificates, or null for none
+     * @param acceptStaleCrls whether a revocation list past its next update is still used;
+     *     otherwise the certificates of its authority are rejected
+     * @param previous the trust in force, or null; no revocation list may be missing or older than
+     *     in it, because revoked certificates would be accepted again
+     * @throws IOException if a file cannot be used; the message states the reason
      */
     public static CertificateTrust load(
             Path authorityFile,
@@ -71,7 +72,8 @@
         Set<X509Certificate> authorities =
                 new HashSet<>(CertificateFiles.readCertificates(authorityFile));
         if (authorities.isEmpty()) {
-            throw new CredentialFileException(authorityFile, "there is no certificate in it");
+            throw new CredentialFileException(
+                    authorityFile, "expected at least one certificate but the file contains none");
         }
         Map<X500Principal, X509CRL> crls = loadCrls(crlFiles, authorities);
         if (previous != null) {
@@ -109,11 +111,14 @@
                     crl.verify(authority.getPublicKey());
                     return;
                 } catch (GeneralSecurityException ignored) {
-                    // Another authority may have the same name.
+                    // Another authority with the same name may have signed the list.
                 }
             }
         }
-        throw new CredentialFileException(file, "the list is signed by none of the authorities");
+        throw new CredentialFileException(
+                file,
+                "expected a revocation list signed by a trusted authority but received one of "
+                        + crl.getIssuerX500Principal());
     }
 
     private static void requireNoOlderCrls(
@@ -123,31 +128,32 @@
             X509CRL crl = current.get(entry.getKey());
             if (crl == null || isOlder(crl, entry.getValue())) {
                 throw new CredentialFileException(
-                        "the list of revoked certificates of "
+                        "the revocation list of "
                                 + entry.getKey()
-                                + " has gone or is older than the one in force");
+                                + " is missing or older than the one in force");
             }
         }
     }
 
-    /** Returns a certificate's SHA-256 fingerprint in lower-case hexadecimal. */
+    /** Returns the SHA-256 fingerprint of a certificate in lower-case hexadecimal. */
     public static String fingerprint(X509Certificate certificate) {
         try {
             MessageDigest digest = MessageDigest.getInstance("SHA-256");
             return HexFormat.of().formatHex(digest.digest(certificate.getEncoded()));
         } catch (GeneralSecurityException e) {
-            throw new IllegalStateException("SHA-256 over a certificate", e);
+            throw new IllegalStateException(
+                    "cannot compute the SHA-256 fingerprint of a certificate", e);
         }
     }
 
-    /** The authorities, as a handshake names them to clients. */
+    /** Returns the certificates of the authorities, which a handshake announces to clients. */
     X509Certificate[] authorities() {
         return authorities.toArray(new X509Certificate[0]);
     }
 
     /**
-     * Validates a client's chain in a handshake. Checks signatures, so it is too slow for every
-     * request.
+     * Validates the chain of a client at its handshake, and returns the reason for rejecting it, or
+     * empty if it is valid. Verifies signatures, which is too slow for every request.
      */
     public Optional<CertificateRejection> validateClient(X509Certificate[] chain, long nowMs) {
         return validatePath(chain, nowMs)
@@ -155,7 +161,7 @@
                 .or(() -> recheck(chain, nowMs));
     }
 
-    /** Validates a server's chain in a handshake. */
+    /** Validates the chain of a server at its handshake. */
     Optional<CertificateRejection> validateServer(X509Certificate[] chain, long nowMs) {
         return validatePath(chain, nowMs).or(() -> recheck(chain, nowMs));
     }
@@ -165,7 +171,7 @@
             Set<TrustAnchor> anchors = new HashSet<>();
             authorities.forEach(authority -> anchors.add(new TrustAnchor(authority, null)));
             PKIXParameters parameters = new PKIXParameters(anchors);
-            // The validator knows nothing of our lists; recheck() looks at them.
+            // The validator does not have the revocation lists; recheck() applies them.
             parameters.setRevocationEnabled(false);
             parameters.setDate(Date.from(Instant.ofEpochMilli(nowMs)));
             List<X509Certificate> certificates = new ArrayList<>(List.of(chain));
@@ -194,9 +200,9 @@
     }
 
     /**
-     * Checks again a chain that was valid at its handshake: whether it has expired, was revoked or
-     * denied since, or lost its authority. Checks no signature, so it is cheap enough for every
-     * request.
+     * Checks a chain that was valid at its handshake again, and returns the reason for rejecting it
+     * if it has since expired, been revoked or denied, or if its authority is no longer trusted.
+     * Verifies no signature, so that it is cheap enough for every request.
      */
     public Optional<CertificateRejection> recheck(X509Certificate[] chain, long nowMs) {
         for (X509Certificate certificate : chain) {
@@ -238,7 +244,7 @@
         return false;
     }
 
-    /** Names of the authorities whose revocation list is past its next update, for operators. */
+    /** Returns the names of the authorities whose revocation list is past its next update. */
     public List<String> staleCrlIssuers(long nowMs) {
         return crlByIssuer.values().stream()
                 .filter(crl -> isStale(crl, nowMs))
--- a/src/main/java/brooklock/credentials/Certificates.java
+++ b/src/main/java/brooklock/credentials/Certificates.java
@@ -8,20 +8,20 @@
 import java.util.List;
 
 /**
- * The identity that a client certificate states: its alternative names (DNS, URI, e-mail) first,
- * then its subject.
+ * Extracts the identity of a client from its certificate: the alternative names (DNS, URI, e-mail)
+ * first, then the subject.
  */
 public final class Certificates {
-    // Types of general names that hold a text, RFC 5280, section 4.2.1.6.
+    // The types of general names that are text, RFC 5280, section 4.2.1.6.
     private static final int SAN_EMAIL = 1;
     private static final int SAN_DNS = 2;
     private static final int SAN_URI = 6;
-    // Digits of the fingerprint that name a certificate in logs.
+    // The length of the fingerprint's prefix that identifies a certificate in logs.
     private static final int LABEL_DIGITS = 12;
 
     private Certificates() {}
 
-    /** Returns the identity that a validated chain states. */
+    /** Returns the identity that the first certificate of a validated chain states. */
     public static Identity identityOf(X509Certificate[] chain) {
         X509Certificate leaf = chain[0];
         List<Identity.Attribute> attributes = new ArrayList<>(alternativeNames(leaf));
@@ -40,7 +40,7 @@
         try {
             alternatives = certificate.getSubjectAlternativeNames();
         } catch (CertificateParsingException ignored) {
-            // Names that cannot be read lead to no tenant; the subject still may.
+            // Malformed names are ignored; a policy may still map the subject to a tenant.
             return names;
         }
         if (alternatives != null) {
--- a/src/main/java/brooklock/credentials/CredentialFileException.java
+++ b/src/main/java/brooklock/credentials/CredentialFileException.java
@@ -4,8 +4,8 @@
 import java.nio.file.Path;
 
 /**
- * A file with keys or certificates cannot be used. The message names the file and the reason, for
- * operators.
+ * Thrown when a file with keys or certificates cannot be used. The message states the reason and,
+ * where it is known, the file; it is meant for operators.
  */
 public final class CredentialFileException extends IOException {
     private static final long serialVersionUID = 1L;
--- a/src/main/java/brooklock/credentials/Ed25519Verifier.java
+++ b/src/main/java/brooklock/credentials/Ed25519Verifier.java
@@ -18,8 +18,8 @@
 import java.util.Set;
 
 /**
- * Ed25519 signatures (RFC 8037) by the JDK's own implementation; the library's would need a second
- * provider.
+ * Verifies Ed25519 signatures (RFC 8037) with the JDK's implementation; that of the JOSE library
+ * would need an additional crypto provider. Thread-safe.
  */
 final class Ed25519Verifier implements JWSVerifier {
     private static final int KEY_BYTES = 32;
@@ -30,15 +30,21 @@
     Ed25519Verifier(OctetKeyPair jwk) {
         if (!Curve.Ed25519.equals(jwk.getCurve())) {
             throw new InvalidKeySetException(
-                    "the curve " + jwk.getCurve() + " is not taken here (Ed25519)");
+                    "expected the curve Ed25519 but received " + jwk.getCurve());
         }
         key = publicKey(jwk.getX().decode());
     }
 
-    // RFC 8032, section 5.1.2: y in little-endian order, whose highest bit is the sign of x.
+    // RFC 8032, section 5.1.2: the encoding is y in little-endian order; its highest bit is the
+    // sign of x.
     private static PublicKey publicKey(byte[] encoded) {
         if (encoded.length != KEY_BYTES) {
-            throw new InvalidKeySetException("an Ed25519 key has 32 bytes");
+            throw new InvalidKeySetException(
+                    "expected an Ed25519 public key of "
+                            + KEY_BYTES
+                            + " bytes but received "
+                            + encoded.length
+                            + " bytes");
         }
         byte[] y = new byte[KEY_BYTES];
         for (int i = 0; i < KEY_BYTES; i++) {
@@ -51,7 +57,7 @@
             return KeyFactory.getInstance("Ed25519")
                     .generatePublic(new EdECPublicKeySpec(NamedParameterSpec.ED25519, point));
         } catch (GeneralSecurityException e) {
-            throw new InvalidKeySetException("not an Ed25519 key", e);
+            throw new InvalidKeySetException("the bytes are not a valid Ed25519 public key", e);
         }
     }
 
--- a/src/main/java/brooklock/credentials/Identity.java
+++ b/src/main/java/brooklock/credentials/Identity.java
@@ -7,24 +7,27 @@
 import java.util.Optional;
 
 /**
- * A caller whose credential is valid.
+ * The identity that a valid credential states.
  *
- * @param attributes what the credential states of its holder, in the order in which a policy is
- *     searched for them
- * @param expiresAtMs when the credential expires, in ms since 1970
- * @param label identifies the credential in logs without giving it away
+ * @param attributes the attributes of the credential's holder, in the order in which they are
+ *     looked up in a policy
+ * @param expiresAtMs the time at which the credential expires, in ms since 1970
+ * @param label identifies the credential in logs without revealing it
  */
 public record Identity(List<Attribute> attributes, long expiresAtMs, String label) {
     /**
-     * One statement of a credential.
+     * An attribute of the holder: a claim of a token or a name in a certificate.
      *
      * @param kind the kind of name
-     * @param key name of a claim, or the name in a certificate
-     * @param value value of a claim; null for certificates
+     * @param key the name of the claim, or the name in the certificate
+     * @param value the value of the claim; null for certificates
      */
     public record Attribute(NameKind kind, String key, String value) {}
 
-    /** Returns the tenant that a policy maps this caller to. */
+    /**
+     * Returns the tenant that a policy maps this identity to, by the first attribute that it maps;
+     * empty if it maps none.
+     */
     public Optional<Tenant> resolveTenant(Policy policy) {
         for (Attribute attribute : attributes) {
             Optional<Tenant> tenant =
--- a/src/main/java/brooklock/credentials/InvalidCredentialException.java
+++ b/src/main/java/brooklock/credentials/InvalidCredentialException.java
@@ -1,14 +1,14 @@
 package brooklock.credentials;
 
 /**
- * A credential is invalid. The message is the reason for the audit log; nothing of the credential
- * is in it. It has no stack trace, because invalid credentials are no defect and may come in
- * floods.
+ * Thrown when a credential is invalid. The message is the reason for the audit log and never
+ * includes any part of the credential. The exception has no stack trace, because invalid
+ * credentials are expected and may arrive at a high rate.
  */
 public final class InvalidCredentialException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    /** Creates an exception with a reason in words. */
+    /** Creates a new exception with the reason for the audit log. */
     public InvalidCredentialException(String reason) {
         this(reason, null);
     }
--- a/src/main/java/brooklock/credentials/KeyPairs.java
+++ b/src/main/java/brooklock/credentials/KeyPairs.java
@@ -5,11 +5,11 @@
 import java.security.PublicKey;
 import java.security.Signature;
 
-/** Checks of key pairs. */
+/** Checks whether keys belong together. */
 final class KeyPairs {
     private KeyPairs() {}
 
-    /** Whether two keys are a pair: what the private one signs, the public one verifies. */
+    /** Returns whether the public key verifies what the private key signs. */
     static boolean isPair(PrivateKey privateKey, PublicKey publicKey) {
         String algorithm =
                 switch (privateKey.getAlgorithm()) {
--- a/src/main/java/brooklock/credentials/KeySet.java
+++ b/src/main/java/brooklock/credentials/KeySet.java
@@ -21,42 +21,44 @@
 import org.pcollections.PMap;
 
 /**
- * The keys that tokens may be signed with: a JWK Set (RFC 7517) whose keys have a {@code state}
- * and, if they expire, an {@code until} in ms since 1970. Immutable. Each key is bound to the one
- * algorithm that its {@code alg} names, so that a token cannot choose another one.
+ * The keys that verify tokens: a JWK Set (RFC 7517) whose keys have the additional members {@code
+ * state} and, if they expire, {@code until} in ms since 1970. Each key is bound to the one
+ * algorithm that its {@code alg} names, so that a token cannot choose another one. Immutable.
  */
 public final class KeySet {
-    /** Keys of a set at most. */
+    /** The maximum number of keys in a set. */
     public static final int MAX_KEYS = 256;
 
-    // NIST SP 800-131A.
+    // The minimum of NIST SP 800-131A.
     private static final int MIN_RSA_BITS = 2048;
 
     /**
-     * The states of a key; the names are words of key files. Tokens are accepted in all states but
-     * the last, because a signer may switch to a key before this set has noticed.
+     * The states of a key; their names in lower case are the values of {@code state} in key files.
+     * Tokens are accepted in every state except {@link #RETIRED}: a signer may start to use an
+     * announced key before the updated set has been loaded here.
      */
     public enum State {
-        /** Published, not signing yet. */
+        /** The key is published but does not sign tokens yet. */
         ANNOUNCED,
-        /** Signs new tokens. */
+        /** The key signs new tokens. */
         SIGNING,
-        /** No longer signs; its tokens may still be in use. */
+        /** The key no longer signs, but its tokens may still be in use. */
         ACCEPTED,
-        /** Its tokens are rejected. */
+        /** Tokens of the key are rejected. */
         RETIRED
     }
 
     /**
-     * One key. Two keys are equal only if they come from one parse of a set, because each parse
-     * makes its own verifier.
+     * A key of the set. Keys of two parses are never equal, even for the same text, because each
+     * parse creates its own verifiers.
      *
-     * @param kid its id, unique in the set
-     * @param algorithm the algorithm that it is bound to
-     * @param state its state
-     * @param validUntilMs when it expires, in ms since 1970; {@link Long#MAX_VALUE} if never
-     * @param verifier checks signatures; thread-safe
-     * @param thumbprint identifies the key material (RFC 7638)
+     * @param kid the key id, unique in the set
+     * @param algorithm the only algorithm that the key may be used with
+     * @param state the state of the key
+     * @param validUntilMs the time at which the key expires, in ms since 1970; {@link
+     *     Long#MAX_VALUE} if never
+     * @param verifier the thread-safe verifier of the key's signatures
+     * @param thumbprint the digest of the key material (RFC 7638)
      */
     public record Key(
             String kid,
@@ -65,7 +67,11 @@
             long validUntilMs,
             JWSVerifier verifier,
             String thumbprint) {
-        /** Whether tokens of this key are accepted at a time, in ms since 1970. */
+        /**
+         * Returns whether tokens of this key are accepted at the given time.
+         *
+         * @param nowMs wall time, in ms since 1970
+         */
         public boolean accepts(long nowMs) {
             return state != State.RETIRED && nowMs < validUntilMs;
         }
@@ -77,20 +83,21 @@
         this.keyById = keyById;
     }
 
-    /** Returns a key by its id, or null. */
+    /** Returns the key with the given id, or null if the set has none. */
     public Key get(String kid) {
         return keyById.get(kid);
     }
 
-    /** All keys. */
+    /** Returns all keys, in no particular order. */
     public List<Key> keys() {
         return List.copyOf(keyById.values());
     }
 
     /**
-     * Parses a set.
+     * Parses a JWK Set.
      *
-     * @throws InvalidKeySetException with the reason
+     * @throws InvalidKeySetException if the text is not a JWK Set of 1 to {@link #MAX_KEYS} keys,
+     *     or if any key is invalid
      */
     public static KeySet parse(String text) {
         Map<String, Object> object;
@@ -98,23 +105,28 @@
             object = JSONObjectUtils.parse(text);
         } catch (ParseException e) {
             throw new InvalidKeySetException(
-                    "not a JWK Set: the JSON cannot be read (half-written?)", e);
+                    "expected a JWK Set but the text is not valid JSON; it may be half-written", e);
         }
         if (!(object.get("keys") instanceof List<?> list)
                 || list.isEmpty()
                 || list.size() > MAX_KEYS) {
-            throw new InvalidKeySetException("not a JWK Set of 1 to " + MAX_KEYS + " keys");
+            throw new InvalidKeySetException(
+                    "expected a JWK Set whose member 'keys' is an array of 1 to "
+                            + MAX_KEYS
+                            + " keys");
         }
         PMap<String, Key> keys = HashTreePMap.empty();
         for (Object element : list) {
             if (!(element instanceof Map<?, ?> map)) {
-                throw new InvalidKeySetException("a key is not an object");
+                throw new InvalidKeySetException(
+                        "expected a JSON object as element " + keys.size() + " of 'keys'");
             }
-            // The parser makes objects with string keys only.
+            // The JSON parser creates only maps with string keys.
             @SuppressWarnings("unchecked")
             Key key = parseKey((Map<String, Object>) map);
             if (keys.containsKey(key.kid())) {
-                throw new InvalidKeySetException("two keys of the id '" + key.kid() + "'");
+                throw new InvalidKeySetException(
+                        "expected a unique id for each key but received '" + key.kid() + "' twice");
             }
             keys = keys.plus(key.kid(), key);
         }
@@ -126,11 +138,14 @@
         try {
             JWK jwk = JWK.parse(map);
             if (jwk.getKeyID() == null || jwk.getAlgorithm() == null) {
-                throw new InvalidKeySetException("a key has no kid, or no alg to bind it to");
+                throw new InvalidKeySetException(
+                        "expected a key with 'kid' and 'alg' but at least one is missing");
             }
             if (jwk.isPrivate() && !(jwk instanceof OctetSequenceKey)) {
                 throw new InvalidKeySetException(
-                        "the key '" + kid + "' holds its private part: this is no place for it");
+                        "expected a public key but the key '"
+                                + kid
+                                + "' includes its private part");
             }
             State state = parseState(String.valueOf(map.getOrDefault("state", "accepted")));
             long validUntilMs =
@@ -145,7 +160,7 @@
                     jwk.computeThumbprint().toString());
         } catch (ParseException | JOSEException e) {
             throw new InvalidKeySetException(
-                    "the key '" + kid + "' cannot be used: " + e.getMessage(), e);
+                    "the key '" + kid + "' cannot be parsed: " + e.getMessage(), e);
         } catch (IllegalArgumentException e) {
             throw new InvalidKeySetException("the key '" + kid + "': " + e.getMessage(), e);
         }
@@ -158,14 +173,21 @@
             }
         }
         throw new InvalidKeySetException(
-                "'" + word + "' is not one of announced, signing, accepted, retired");
+                "expected the state announced, signing, accepted or retired but received '"
+                        + word
+                        + "'");
     }
 
     private static JWSVerifier createVerifier(
             JWK jwk, JWSAlgorithm algorithm, Map<String, Object> map) throws JOSEException {
         if (jwk instanceof RSAKey rsa && algorithm.equals(JWSAlgorithm.RS256)) {
             if (rsa.size() < MIN_RSA_BITS) {
-                throw new InvalidKeySetException("RSA of under " + MIN_RSA_BITS + " bits");
+                throw new InvalidKeySetException(
+                        "expected an RSA key of at least "
+                                + MIN_RSA_BITS
+                                + " bits but received "
+                                + rsa.size()
+                                + " bits");
             }
             return new RSASSAVerifier(rsa);
         }
@@ -178,24 +200,27 @@
         if (jwk instanceof OctetSequenceKey oct && algorithm.equals(JWSAlgorithm.HS256)) {
             if (!Boolean.TRUE.equals(map.get("shared"))) {
                 throw new InvalidKeySetException(
-                        "a shared secret needs \"shared\": true beside it, so that it is meant");
+                        "expected \"shared\": true in the entry of a shared secret,"
+                                + " which confirms that it is shared on purpose");
             }
             return new MACVerifier(oct);
         }
         throw new InvalidKeySetException(
-                "the algorithm "
-                        + algorithm
-                        + " does not go with this key, or is not taken here "
-                        + "(EdDSA, ES256, RS256, HS256)");
+                "expected EdDSA, ES256, RS256 or HS256, matching the key type "
+                        + jwk.getKeyType()
+                        + ", but received the algorithm "
+                        + algorithm);
     }
 
     /**
-     * Checks that a newer set may replace this one. A key may leave only after it was retired: a
-     * set that has lost one by accident would reject every token of that key.
+     * Checks that a newer set may replace this one. A key may be removed only after it was retired
+     * or has expired: a set that lost a key by accident would reject every token of that key.
      *
+     * @param next the newer set
      * @param nowMs wall time, in ms since 1970
      * @return the newer set
-     * @throws InvalidKeySetException naming the keys that are missing or replaced
+     * @throws InvalidKeySetException if an accepted key is missing or an id names another key; the
+     *     message lists them
      */
     public KeySet validateReplacement(KeySet next, long nowMs) {
         List<String> errors = new ArrayList<>();
@@ -204,7 +229,7 @@
             if (nextKey == null && key.accepts(nowMs)) {
                 errors.add("the key '" + key.kid() + "' has gone without having been retired");
             } else if (nextKey != null && !nextKey.thumbprint().equals(key.thumbprint())) {
-                errors.add("the id '" + key.kid() + "' now names another key");
+                errors.add("the id '" + key.kid() + "' names a different key than before");
             }
         }
         if (!errors.isEmpty()) {
--- a/src/main/java/brooklock/credentials/KeySetFile.java
+++ b/src/main/java/brooklock/credentials/KeySetFile.java
@@ -28,8 +28,8 @@
 import java.util.Map;
 
 /**
- * Changes the file of a key set step by step. Each change is validated as a dispatcher would, and
- * replaces the file whole. Not for use by several processes at once.
+ * Edits the file of a key set. Each change is validated as a dispatcher validates it on reload, and
+ * replaces the file atomically. Must not be used by several processes at the same time.
  */
 public final class KeySetFile {
     private static final int RSA_BITS = 3072;
@@ -38,16 +38,16 @@
 
     private final Path path;
 
-    /** Creates an accessor for the file at a path; it need not exist. */
+    /** Creates an editor for the file at the given path, which need not exist. */
     public KeySetFile(Path path) {
         this.path = path;
     }
 
     /**
-     * Generates a key pair.
+     * Generates a new key pair.
      *
      * @param algorithm EdDSA, ES256 or RS256
-     * @throws IllegalArgumentException for another algorithm
+     * @throws InvalidKeySetException if the algorithm is not one of these
      */
     public static KeyPair generate(String algorithm) {
         String keyAlgorithm =
@@ -57,7 +57,9 @@
                     case "RS256" -> "RSA";
                     default ->
                             throw new InvalidKeySetException(
-                                    "'" + algorithm + "' is not one of EdDSA, ES256, RS256");
+                                    "expected the algorithm EdDSA, ES256 or RS256 but received '"
+                                            + algorithm
+                                            + "'");
                 };
         try {
             KeyPairGenerator generator = KeyPairGenerator.getInstance(keyAlgorithm);
@@ -68,11 +70,15 @@
             }
             return generator.generateKeyPair();
         } catch (GeneralSecurityException e) {
-            throw new IllegalStateException("the JDK lacks " + keyAlgorithm, e);
+            throw new IllegalStateException("the JDK does not provide " + keyAlgorithm, e);
         }
     }
 
-    /** Returns a public key as an entry of a set. */
+    /**
+     * Returns the public key of a pair as an entry of a JWK Set.
+     *
+     * @param algorithm EdDSA, ES256 or RS256, as the pair was generated
+     */
     public static Map<String, Object> toJwk(
             String kid, String algorithm, KeyPair pair, KeySet.State state) {
         Map<String, Object> jwk =
@@ -95,7 +101,7 @@
         return jwk;
     }
 
-    // The key's bytes are the last ones of its X.509 encoding.
+    // The X.509 encoding ends with the bytes of the public key.
     private static Map<String, Object> ed25519Jwk(KeyPair pair) {
         byte[] x509 = pair.getPublic().getEncoded();
         byte[] key = Arrays.copyOfRange(x509, x509.length - ED25519_KEY_BYTES, x509.length);
@@ -109,9 +115,9 @@
     }
 
     /**
-     * Writes a private key in PEM (PKCS #8), readable by its owner only.
+     * Writes a private key in PEM (PKCS #8) to a new file that only its owner may read.
      *
-     * @throws IOException if it cannot be written, or the file exists
+     * @throws IOException if the file exists already or cannot be written
      */
     public static void writePrivateKey(Path file, KeyPair pair) throws IOException {
         Files.createFile(
@@ -142,7 +148,10 @@
             }
             return keys;
         } catch (ParseException e) {
-            throw new CredentialFileException(path, "not a key set", e);
+            throw new CredentialFileException(
+                    path,
+                    "expected a JWK Set but the file is not a JSON object with an array 'keys'",
+                    e);
         }
     }
 
@@ -159,10 +168,11 @@
     }
 
     /**
-     * Adds a key.
+     * Adds a key to the set.
      *
+     * @param jwk the key, as returned by {@link #toJwk}
      * @throws IOException if the file cannot be read or written
-     * @throws InvalidKeySetException if the set would be invalid
+     * @throws InvalidKeySetException if the resulting set would be invalid
      */
     public void addKey(Map<String, Object> jwk) throws IOException {
         List<Map<String, Object>> keys = readKeys();
@@ -171,11 +181,13 @@
     }
 
     /**
-     * Sets a key's state. If it is the signing key now, the one before becomes accepted.
+     * Sets the state of a key. When the new state is {@link KeySet.State#SIGNING}, the previous
+     * signing key becomes {@link KeySet.State#ACCEPTED}.
      *
-     * @param untilMs when it expires, in ms since 1970; 0 leaves that as it is
+     * @param kid the id of the key
+     * @param untilMs the time at which the key expires, in ms since 1970; 0 leaves it unchanged
      * @throws IOException if the file cannot be read or written
-     * @throws InvalidKeySetException if there is no such key
+     * @throws InvalidKeySetException if the set has no key with this id
      */
     public void setState(String kid, KeySet.State state, long untilMs) throws IOException {
         List<Map<String, Object>> keys = readKeys();
@@ -199,10 +211,12 @@
     }
 
     /**
-     * Removes a retired key.
+     * Removes a key that is retired or has expired.
      *
+     * @param kid the id of the key
      * @throws IOException if the file cannot be read or written
-     * @throws InvalidKeySetException if there is no such key, or it is not retired
+     * @throws InvalidKeySetException if the set has no key with this id, or still accepts its
+     *     tokens
      */
     public void removeKey(String kid) throws IOException {
         List<Map<String, Object>> keys = readKeys();
@@ -213,6 +227,7 @@
     }
 
     private static InvalidKeySetException unknownKey(String kid) {
-        return new InvalidKeySetException("there is no key '" + kid + "'");
+        return new InvalidKeySetException(
+                "expected the id of a key in the set but received '" + kid + "'");
     }
 }
--- a/src/main/java/brooklock/credentials/LocalCertificateAuthority.java
+++ b/src/main/java/brooklock/credentials/LocalCertificateAuthority.java
@@ -27,12 +27,12 @@
 import org.bouncycastle.operator.jcajce.JcaContentSignerBuilder;
 
 /**
- * A certificate authority in memory and what it issues, to try out TLS on one machine and for
- * tests. Its private key is never written. Durations are in ms.
+ * A certificate authority in memory that issues certificates and revocation lists for tests and for
+ * trying out TLS on one machine. Its private key is never written to a file.
  */
 public final class LocalCertificateAuthority {
     private static final long VALIDITY_MS = 3_600_000;
-    // Certificates are valid from before now, so that clocks may differ.
+    // Certificates become valid before the current time, to tolerate differences between clocks.
     private static final long BACKDATING_MS = 3_600_000;
     private static final String SIGNATURE_ALGORITHM = "SHA256withECDSA";
     private static final int PEM_LINE_CHARS = 64;
@@ -43,9 +43,9 @@
     private final X509Certificate certificate;
 
     /**
-     * Creates an authority with a key of its own.
+     * Creates a new authority with a new key.
      *
-     * @param commonName its name
+     * @param commonName the common name of the authority
      * @throws GeneralSecurityException if the JDK cannot sign
      */
     public LocalCertificateAuthority(String commonName)
@@ -97,11 +97,11 @@
     }
 
     /**
-     * Issues a certificate with a key of its own.
+     * Issues a certificate for a new key.
      *
-     * @param commonName its subject's name
-     * @param dnsName its alternative name, or null
-     * @param validityMs how long it is valid from now; negative for an expired one
+     * @param commonName the common name of the subject
+     * @param dnsName the alternative DNS name, or null for none
+     * @param validityMs the time until the certificate expires, in ms; negative for an expired one
      */
     public TlsContexts.TlsIdentity issue(String commonName, String dnsName, long validityMs)
             throws GeneralSecurityException, IOException {
@@ -116,7 +116,7 @@
     /**
      * Returns a revocation list in PEM.
      *
-     * @param nextUpdateMs time until its next update; negative for a stale list
+     * @param nextUpdateMs the time until the list's next update, in ms; negative for a stale list
      * @param revoked the revoked certificates
      */
     public String createCrl(long nextUpdateMs, X509Certificate... revoked)
@@ -143,9 +143,9 @@
     }
 
     /**
-     * Writes the first certificate of a chain and its key, in PEM.
+     * Writes the first certificate of a chain and its private key, in PEM.
      *
-     * @param keyFile where the key goes; null to leave it out
+     * @param keyFile the file for the private key, or null to write only the certificate
      */
     public static void writeCertificate(
             Path certificateFile, Path keyFile, TlsContexts.TlsIdentity identity)
@@ -156,15 +156,15 @@
         }
     }
 
-    /** Writes the authority's own certificate, in PEM. */
+    /** Writes the certificate of the authority, in PEM. */
     public void writeCaCertificate(Path file) throws GeneralSecurityException, IOException {
         Files.writeString(file, toPem("CERTIFICATE", certificate.getEncoded()));
     }
 
     /**
-     * Returns the trust of a client that knows this authority.
+     * Returns a trust that accepts certificates of this authority only.
      *
-     * @param dir a directory for the authority's certificate
+     * @param dir the directory to which the authority's certificate is written
      */
     public CertificateTrust createTrust(Path dir) throws GeneralSecurityException, IOException {
         Path file = dir.resolve("trust" + allocateSerial() + ".pem");
--- a/src/main/java/brooklock/credentials/MonotonicWallClock.java
+++ b/src/main/java/brooklock/credentials/MonotonicWallClock.java
@@ -1,14 +1,14 @@
 package brooklock.credentials;
 
 /**
- * Wall time that never goes back. If the system's clock were set back and believed, expired
- * credentials would be valid again. Meanwhile the time goes on by the monotonic clock, until the
- * system's clock is ahead again. Not thread-safe.
+ * A wall clock that never goes back. If it followed a system clock that is set back, expired
+ * credentials would be valid again. After such a change it advances with the monotonic clock until
+ * the system clock is ahead again. Not thread-safe.
  */
 public final class MonotonicWallClock {
-    /** A clock. */
+    /** A source of time in ms. */
     public interface MillisClock {
-        /** The time, in ms. */
+        /** Returns the current time, in ms. */
         long nowMs();
     }
 
@@ -17,16 +17,16 @@
     private long anchorWallMs;
     private long anchorMonotonicMs;
 
-    /** Creates a clock from the system's clocks. */
+    /** Creates a new clock based on the system's clocks. */
     public MonotonicWallClock() {
         this(System::currentTimeMillis, () -> System.nanoTime() / 1_000_000);
     }
 
     /**
-     * Creates a clock from others.
+     * Creates a new clock based on the given clocks.
      *
-     * @param wall wall time, since 1970
-     * @param monotonic a time that never goes back, from any origin
+     * @param wall the wall time since 1970, which may go back
+     * @param monotonic a time that never goes back, from an arbitrary origin
      */
     public MonotonicWallClock(MillisClock wall, MillisClock monotonic) {
         this.wall = wall;
@@ -35,7 +35,7 @@
         anchorMonotonicMs = monotonic.nowMs();
     }
 
-    /** The time, in ms since 1970. */
+    /** Returns the current time, in ms since 1970; never less than an earlier result. */
     public long nowMs() {
         long monotonicMs = monotonic.nowMs();
         long expectedMs = anchorWallMs + monotonicMs - anchorMonotonicMs;
--- a/src/main/java/brooklock/credentials/ReloadingKeyManager.java
+++ b/src/main/java/brooklock/credentials/ReloadingKeyManager.java
@@ -16,12 +16,12 @@
 import javax.net.ssl.X509ExtendedKeyManager;
 
 /**
- * Presents the identities that are in force at the time of each handshake. An alias is the
- * fingerprint of a certificate, so that a reload between choosing and presenting yields the chosen
- * identity or none, never another one's key.
+ * Presents the identities that are in force at each handshake. The alias of an identity is the
+ * fingerprint of its certificate, so that a reload between the choice of an alias and the look-up
+ * of its key yields the chosen identity or none, but never the key of another one. Thread-safe.
  */
 final class ReloadingKeyManager extends X509ExtendedKeyManager {
-    // The key type of the JDK's TLS 1.3 for "any".
+    // The key type that the JDK passes in TLS 1.3 to accept any.
     private static final String ANY_KEY_TYPE = "UNKNOWN";
 
     private final Supplier<List<TlsIdentity>> identities;
@@ -31,7 +31,9 @@
     }
 
     /**
-     * Returns the identity for the requested server name, otherwise the first one of the key type.
+     * Returns the alias of the first identity of the key type that matches the requested server
+     * name, or of the first one of the key type if none matches; null if there is none of the key
+     * type.
      */
     private String chooseAlias(String keyType, SSLSession session) {
         String serverName = requestedServerName(session);
--- a/src/main/java/brooklock/credentials/ReloadingTrustManager.java
+++ b/src/main/java/brooklock/credentials/ReloadingTrustManager.java
@@ -10,16 +10,16 @@
 import javax.net.ssl.SSLEngine;
 import javax.net.ssl.X509ExtendedTrustManager;
 
-/** Validates chains by the trust that is in force at the time of each handshake. */
+/** Validates certificate chains by the trust that is in force at each handshake. Thread-safe. */
 final class ReloadingTrustManager extends X509ExtendedTrustManager {
     private final Supplier<CertificateTrust> trust;
     private final LongSupplier wallMs;
 
     /**
-     * Creates a manager.
+     * Creates a new manager.
      *
-     * @param trust gives null where no certificates are accepted
-     * @param wallMs wall time, in ms since 1970
+     * @param trust supplies the trust in force, or null where no certificates are accepted
+     * @param wallMs supplies the wall time, in ms since 1970
      */
     ReloadingTrustManager(Supplier<CertificateTrust> trust, LongSupplier wallMs) {
         this.trust = trust;
--- a/src/main/java/brooklock/credentials/TokenCache.java
+++ b/src/main/java/brooklock/credentials/TokenCache.java
@@ -12,56 +12,63 @@
 import javax.crypto.spec.SecretKeySpec;
 
 /**
- * Authenticates tokens and remembers the valid ones by a keyed digest, so that a token costs the
- * check of its signature once. Limits what invalid signatures of one address may cost. Not
- * thread-safe: each I/O thread owns one.
+ * Authenticates tokens and caches the valid ones by a keyed digest, so that the signature of a
+ * token is verified only once. Limits the number of invalid signatures that are verified for one
+ * client address, so that forged tokens cannot take the verification threads from other clients.
+ *
+ * <p>Not thread-safe: each I/O thread owns an instance, and all methods and listeners are called on
+ * that thread.
  */
 public final class TokenCache {
-    // The one unused longest is forgotten first, of tokens and of addresses.
+    // Tokens and addresses beyond these limits are evicted in LRU order.
     private static final int MAX_TOKENS = 10_000;
     private static final int MAX_ADDRESSES = 4_096;
-    // Invalid signatures of one address that are checked per second, and saved up at most. A client
-    // with a stale token sends one or two; one that guesses sends more.
+    // The refill rate and the capacity of an address's budget of invalid signatures. A client with
+    // a
+    // stale token sends one or two invalid tokens; one that guesses tokens sends many more.
     private static final double MAX_INVALID_PER_SECOND = 10;
     private static final int MAX_PENDING_PER_ADDRESS = 64;
     private static final int LABEL_CHARS = 12;
     private static final String MAC_ALGORITHM = "HmacSHA256";
 
-    /** Runs verifications on other threads. */
+    /** Runs verifications on other threads than the one that owns the cache. */
     public interface VerificationScheduler {
         /**
          * Schedules a verification.
          *
-         * @param verification runs on any thread
-         * @param completion runs afterwards, on the thread that owns the cache
-         * @return false if too many wait; then neither runs
+         * @param verification the task to run on any thread
+         * @param completion the task to run after it, on the thread that owns the cache
+         * @return false if the queue is full; then neither task runs
          */
         boolean trySchedule(Runnable verification, Runnable completion);
     }
 
-    /** Receives the result for one token, exactly once, on the thread that owns the cache. */
+    /**
+     * Receives the result of one authentication. Exactly one of the methods is called, once, on the
+     * thread that owns the cache.
+     */
     public interface ResultListener {
-        /** The token is valid. */
+        /** Called when the token is valid. */
         void onValid(Identity caller);
 
-        /** The token is invalid. */
+        /** Called when the token is invalid. */
         void onInvalid(InvalidCredentialException reason);
 
-        /** Too many verifications wait; the request may be repeated without harm. */
+        /** Called when too many verifications are pending; the request may be retried later. */
         void onOverload();
     }
 
     /**
-     * Identifies a verification. The key is part of it: a token that was parsed with a set that has
-     * been replaced since needs a verification of its own.
+     * Identifies a pending verification. The key is included because a token that arrives after the
+     * key set was replaced has to be verified with the key of the new set.
      */
     private record PendingId(String digest, KeySet.Key key) {}
 
-    /** A verification under way and all that wait for its result. */
+    /** A pending verification with the listeners that wait for its result. */
     private static final class PendingVerification {
         private final List<ResultListener> listeners = new ArrayList<>();
-        // Written on the verifying thread, read in the completion, which the scheduler runs after
-        // it.
+        // Both are written by the verifying thread and read by the completion, which the scheduler
+        // runs after the verification.
         private TokenVerifier.VerifiedToken verified;
         private InvalidCredentialException error;
 
@@ -76,7 +83,7 @@
         }
     }
 
-    /** What an address may still cost by invalid signatures. */
+    /** The budget of an address for invalid signatures, refilled over time. */
     private static final class InvalidTokenBudget {
         private double remaining = MAX_INVALID_PER_SECOND;
         private long updatedAtNs;
@@ -101,15 +108,16 @@
             boundedLruMap(MAX_TOKENS);
     private final Map<String, InvalidTokenBudget> invalidBudgetByAddress =
             boundedLruMap(MAX_ADDRESSES);
-    // Both are bounded by the scheduler's queue.
+    // The scheduler's queue bounds the size of both maps.
     private final Map<PendingId, PendingVerification> pending = new HashMap<>();
     private final Map<String, Integer> pendingCountByAddress = new HashMap<>();
 
     /**
-     * Creates an empty cache.
+     * Creates a new, empty cache.
      *
-     * @param verifier what tokens must state
-     * @param secret the key of the digests; with it, a dump of the cache gives away no token
+     * @param verifier the verifier of tokens that are not cached
+     * @param secret the key of the digests, without which a dump of the cache does not reveal
+     *     tokens
      */
     public TokenCache(TokenVerifier verifier, byte[] secret) {
         this.verifier = verifier;
@@ -117,7 +125,7 @@
             mac = Mac.getInstance(MAC_ALGORITHM);
             mac.init(new SecretKeySpec(secret, MAC_ALGORITHM));
         } catch (GeneralSecurityException e) {
-            throw new IllegalStateException("the JDK lacks " + MAC_ALGORITHM, e);
+            throw new IllegalStateException("the JDK does not provide " + MAC_ALGORITHM, e);
         }
     }
 
@@ -133,13 +141,13 @@
     }
 
     /**
-     * Finds the caller that a token identifies. The listener is called at once if the token is
-     * cached or obviously invalid, otherwise once its signature was checked. Requests with the same
-     * new token share one check.
+     * Authenticates the caller that presents a token. The listener is called before this method
+     * returns if the result needs no verification of a signature, otherwise after that
+     * verification. Concurrent requests with the same new token share one verification.
      *
-     * @param address the sender, who pays for an invalid signature
+     * @param address the address of the client, whose budget an invalid signature is charged to
      * @param nowMs wall time, in ms since 1970
-     * @param nowNs monotonic time
+     * @param nowNs monotonic time, in ns
      */
     public void authenticate(
             String token,
@@ -181,7 +189,7 @@
                 .encodeToString(mac.doFinal(text.getBytes(StandardCharsets.UTF_8)));
     }
 
-    // The very same key object: when the set was read anew, its tokens are verified anew.
+    // Compares by reference: after a reload of the key set, its tokens are verified again.
     @SuppressWarnings("ReferenceEquality")
     private static boolean isStillValid(
             TokenVerifier.VerifiedToken cached, KeySet keys, long nowMs) {
@@ -244,7 +252,8 @@
     }
 
     /**
-     * Returns a name for a credential in logs: it shows whether two are the same, and nothing else.
+     * Returns a label that identifies a credential in logs: it is equal for equal credentials and
+     * reveals nothing else.
      */
     public String logLabel(String credential) {
         return digest(credential).substring(0, LABEL_CHARS);
--- a/src/main/java/brooklock/credentials/TokenError.java
+++ b/src/main/java/brooklock/credentials/TokenError.java
@@ -1,43 +1,44 @@
 package brooklock.credentials;
 
 /**
- * Why a token is invalid, with the words of the audit log. Nothing of the token itself is in them.
+ * The reasons for which a token is rejected, with their messages for the audit log. A message never
+ * includes any part of the token.
  */
 public enum TokenError {
-    /** It exceeds {@link TokenVerifier#MAX_TOKEN_CHARS}. */
+    /** The token exceeds {@link TokenVerifier#MAX_TOKEN_CHARS}. */
     TOO_LONG("the token is longer than " + TokenVerifier.MAX_TOKEN_CHARS + " characters"),
-    /** It does not have the form of a signed token. */
-    MALFORMED("the token is not three parts in base64url"),
-    /** Its header is no JSON object, or names no signature algorithm. */
-    MALFORMED_HEADER("the token's header cannot be read, or says that it is not signed"),
-    /** Its header names critical extensions. */
-    UNKNOWN_EXTENSION("the token asks for an extension that is not known here"),
-    /** Its content type says that its payload is a token. */
-    NESTED("the token holds another token"),
-    /** Its key is not in the key set. */
-    UNKNOWN_KEY("the token names no key that is known here"),
-    /** Its header names another algorithm than the key is bound to. */
-    WRONG_ALGORITHM("the token's algorithm is not its key's"),
-    /** Its key is no longer accepted. */
-    RETIRED_KEY("the token's key has been retired"),
-    /** Its payload is no JSON object. */
-    MALFORMED_CLAIMS("the token's claims cannot be read"),
-    /** It has no expiry. */
-    NO_EXPIRY("the token never ends"),
-    /** It has expired. */
-    EXPIRED("the token has ended"),
-    /** It is not valid yet. */
-    NOT_YET_VALID("the token does not hold yet"),
-    /** Its issuer is not the configured one. */
-    WRONG_ISSUER("the token is of another issuer"),
-    /** Its audience does not include the configured one. */
-    WRONG_AUDIENCE("the token is for another audience"),
-    /** Its signature does not match. */
-    WRONG_SIGNATURE("the token's signature is wrong"),
-    /** Its signature cannot be checked. */
-    UNVERIFIABLE_SIGNATURE("the token's signature cannot be checked"),
-    /** Its sender's address has sent too many tokens with wrong signatures. */
-    TOO_MANY_INVALID("too many bad tokens from this address");
+    /** The token does not have the syntax of a signed token. */
+    MALFORMED("the token does not consist of three base64url parts separated by dots"),
+    /** The header is not a JSON object, or does not name a signature algorithm. */
+    MALFORMED_HEADER("the token's header is not a JSON object that names a signature algorithm"),
+    /** The header lists critical extensions, none of which is supported. */
+    UNKNOWN_EXTENSION("the token requires a critical extension, which is not supported"),
+    /** The content type declares that the payload is itself a token. */
+    NESTED("the token contains a nested token, which is not supported"),
+    /** The header names no key, or one that is not in the key set. */
+    UNKNOWN_KEY("the token's key id is missing or not in the key set"),
+    /** The header names another algorithm than the one that the key is bound to. */
+    WRONG_ALGORITHM("the token's algorithm is not the one that its key is bound to"),
+    /** The key is retired or has expired. */
+    RETIRED_KEY("the token's key is retired or has expired"),
+    /** The payload is not a JSON object. */
+    MALFORMED_CLAIMS("the token's payload is not a JSON object with claims"),
+    /** The claim {@code exp} is missing or not a number. */
+    NO_EXPIRY("the token has no numeric expiry time"),
+    /** The token has expired. */
+    EXPIRED("the token has expired"),
+    /** The claim {@code nbf} is in the future or not a number. */
+    NOT_YET_VALID("the token is not valid yet, or its start of validity is not a number"),
+    /** The issuer is not the configured one. */
+    WRONG_ISSUER("the token's issuer is not the configured one"),
+    /** The audience does not include the configured one. */
+    WRONG_AUDIENCE("the token's audience does not include the configured one"),
+    /** The signature does not match. */
+    WRONG_SIGNATURE("the token's signature does not match"),
+    /** The signature could not be verified because of an error. */
+    UNVERIFIABLE_SIGNATURE("the token's signature could not be verified"),
+    /** The client's address has sent too many tokens with invalid signatures. */
+    TOO_MANY_INVALID("too many tokens with invalid signatures from this address");
 
     private final String words;
 
@@ -45,7 +46,7 @@
         this.words = words;
     }
 
-    /** The reason in words. */
+    /** Returns the message for the audit log. */
     public String words() {
         return words;
     }
--- a/src/main/java/brooklock/credentials/TokenSigner.java
+++ b/src/main/java/brooklock/credentials/TokenSigner.java
@@ -9,11 +9,15 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** Signs tokens, to try out a policy and for tests; in production the issuer does this. */
+/** Signs tokens for trying out a policy and for tests; in production the issuer signs tokens. */
 public final class TokenSigner {
     private TokenSigner() {}
 
-    /** Returns a token with the given claims. */
+    /**
+     * Returns a token with the given claims, whose header names the key and its algorithm.
+     *
+     * @throws IllegalArgumentException if the key cannot sign
+     */
     public static String sign(PrivateKey key, String kid, Map<String, Object> claims) {
         Map<String, Object> header = new LinkedHashMap<>();
         header.put("alg", algorithmOf(key));
@@ -22,7 +26,7 @@
     }
 
     /**
-     * Returns a token with any header, valid or not.
+     * Returns a token with the given header, which need not be valid.
      *
      * @throws IllegalArgumentException if the key cannot sign
      */
@@ -44,7 +48,8 @@
             signature.update(signingInput.getBytes(StandardCharsets.US_ASCII));
             return signingInput + "." + Base64URL.encode(signature.sign());
         } catch (GeneralSecurityException e) {
-            throw new IllegalArgumentException(e.getMessage(), e);
+            throw new IllegalArgumentException(
+                    "signing with " + signatureAlgorithm + " failed: " + e.getMessage(), e);
         }
     }
 
--- a/src/main/java/brooklock/credentials/TokenVerifier.java
+++ b/src/main/java/brooklock/credentials/TokenVerifier.java
@@ -12,15 +12,18 @@
 import java.util.Map;
 
 /**
- * Verifies signed tokens (RFC 7519, RFC 8725). What is cheap is checked first: size, form, header,
- * key, times, issuer and audience. Only a token that passes all of this costs a check of its
- * signature, so a flood of invalid tokens is cheap to reject. Immutable.
+ * Verifies signed tokens (JWT, RFC 7519 and RFC 8725). The cheap checks come first: length, syntax,
+ * header, key, validity period, issuer and audience. The signature is verified only for a token
+ * that passes all of them, so that a flood of invalid tokens is cheap to reject.
+ *
+ * <p>Instances are immutable and may be used by any thread.
  */
 public final class TokenVerifier {
-    /** Characters of a token at most. */
+    /** The maximum length of a token, in characters. */
     public static final int MAX_TOKEN_CHARS = 8192;
 
     private static final int MAX_HEADER_CHARS = 1024;
+    // Bounds the times of a token, so that adding the clock skew cannot overflow.
     private static final long MAX_TIME_MS = (long) 1e17;
 
     private final String issuer;
@@ -28,11 +31,11 @@
     private final long clockSkewMs;
 
     /**
-     * Creates a verifier.
+     * Creates a new verifier.
      *
-     * @param issuer the issuer that tokens must have; null for any
-     * @param audience a member that their audience must have; null for any
-     * @param clockSkewMs how far a signer's clock may differ, in ms
+     * @param issuer the required issuer ({@code iss}), or null to accept any
+     * @param audience the value that the audience ({@code aud}) must contain, or null to accept any
+     * @param clockSkewMs the tolerated difference between a signer's clock and this one, in ms
      */
     public TokenVerifier(String issuer, String audience, long clockSkewMs) {
         this.issuer = issuer;
@@ -41,14 +44,14 @@
     }
 
     /**
-     * A valid token.
+     * The result of verifying a token.
      *
-     * @param identity what it states
-     * @param key the key that it was signed with
+     * @param identity the identity that the token states
+     * @param key the key that verifies the token's signature
      */
     public record VerifiedToken(Identity identity, KeySet.Key key) {}
 
-    /** A token that is valid but for its signature, which is still to be checked. */
+    /** A token that has passed every check except that of its signature. */
     public static final class ParsedToken {
         private final JWSHeader header;
         private final byte[] signingInput;
@@ -68,9 +71,9 @@
         }
 
         /**
-         * Checks the signature. Takes up to milliseconds; may run on any thread.
+         * Verifies the signature. This may take milliseconds and may be called on any thread.
          *
-         * @throws InvalidCredentialException if it does not match
+         * @throws InvalidCredentialException if the signature does not match or cannot be verified
          */
         public VerifiedToken verify() throws InvalidCredentialException {
             try {
@@ -85,11 +88,11 @@
     }
 
     /**
-     * Verifies a token.
+     * Verifies a token including its signature.
      *
      * @param nowMs wall time, in ms since 1970
-     * @param label identifies the token in logs
-     * @throws InvalidCredentialException with the reason
+     * @param label identifies the token in logs; must not reveal it
+     * @throws InvalidCredentialException if the token is invalid; its message is the reason
      */
     public VerifiedToken verify(String token, KeySet keys, long nowMs, String label)
             throws InvalidCredentialException {
@@ -97,11 +100,11 @@
     }
 
     /**
-     * Checks everything but the signature.
+     * Parses a token and checks everything except its signature.
      *
      * @param nowMs wall time, in ms since 1970
-     * @param label identifies the token in logs
-     * @throws InvalidCredentialException with the reason
+     * @param label identifies the token in logs; must not reveal it
+     * @throws InvalidCredentialException if the token is invalid; its message is the reason
      */
     public ParsedToken parse(String token, KeySet keys, long nowMs, String label)
             throws InvalidCredentialException {
@@ -166,8 +169,8 @@
         if (key == null) {
             throw new InvalidCredentialException(TokenError.UNKNOWN_KEY);
         }
-        // The key decides on the algorithm, not the token: else a public key could be used as a
-        // shared secret.
+        // The algorithm is taken from the key, never from the token: otherwise an attacker could
+        // sign a token with a public key as if it were a shared secret.
         if (!key.algorithm().equals(header.getAlgorithm())) {
             throw new InvalidCredentialException(TokenError.WRONG_ALGORITHM);
         }
@@ -185,7 +188,10 @@
         }
     }
 
-    /** Returns when the token expires, with the allowed clock skew, in ms since 1970. */
+    /**
+     * Checks the expiry and the start of validity, and returns the expiry extended by the tolerated
+     * clock skew, in ms since 1970.
+     */
     private long checkValidityPeriod(Map<String, Object> claims, long nowMs)
             throws InvalidCredentialException {
         if (!(claims.get("exp") instanceof Number expiry)) {
@@ -204,7 +210,7 @@
         return expiresAtMs;
     }
 
-    // Seconds since 1970, possibly with a fraction; bounded so that later sums do not overflow.
+    // The argument may have a fraction; the result is clamped to MAX_TIME_MS.
     private static long secondsToMs(Number seconds) {
         double ms = seconds.doubleValue() * 1000;
         if (ms > MAX_TIME_MS) {
--- a/src/main/java/brooklock/credentials/VerificationExecutor.java
+++ b/src/main/java/brooklock/credentials/VerificationExecutor.java
@@ -6,12 +6,12 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Threads that check signatures. A check takes up to milliseconds; on an I/O thread a burst of new
- * tokens would hold up every connection of that thread. The queue is bounded: what it cannot hold
- * is rejected at once.
+ * Runs signature verifications on threads of its own. A verification may take milliseconds; on an
+ * I/O thread a burst of new tokens would delay every connection of that thread. The queue is
+ * bounded, and tasks that do not fit are rejected at once. Thread-safe.
  */
 public final class VerificationExecutor {
-    /** Checks in the queue at most: so few that the last one waits for about a second. */
+    /** The maximum number of queued tasks, which keeps the longest wait to about one second. */
     public static final int MAX_QUEUED = 512;
 
     private static final long IDLE_SECONDS = 10;
@@ -19,10 +19,10 @@
     private final ThreadPoolExecutor executor;
 
     /**
-     * Creates an executor; its threads are started when they are needed and end when they are idle.
+     * Creates a new executor, whose threads start on demand and end when they are idle.
      *
-     * @param name first part of the threads' names
-     * @param threads threads at most
+     * @param name the prefix of the threads' names
+     * @param threads the maximum number of threads
      */
     public VerificationExecutor(String name, int threads) {
         executor =
@@ -42,7 +42,7 @@
         return thread;
     }
 
-    /** Queues a check; returns false if the queue is full. */
+    /** Queues a verification, and returns false if the queue is full or the executor shut down. */
     public boolean trySubmit(Runnable check) {
         try {
             executor.execute(check);
@@ -52,12 +52,12 @@
         }
     }
 
-    /** Checks in the queue now. */
+    /** Returns the number of tasks in the queue. */
     public int queued() {
         return executor.getQueue().size();
     }
 
-    /** Stops the threads; what is queued is dropped. */
+    /** Interrupts the threads and discards the queued tasks. */
     public void shutdown() {
         executor.shutdownNow();
     }
--- a/src/main/java/brooklock/credentials/WatchedFile.java
+++ b/src/main/java/brooklock/credentials/WatchedFile.java
@@ -9,22 +9,23 @@
 import java.util.function.Consumer;
 
 /**
- * A value that is loaded from files and replaced when they change. New content is loaded once the
- * files have not changed between two polls, so that a half-written file is not read; if it cannot
- * be used, the value before stays and the reason is reported once.
+ * A value that is loaded from files and replaced when they change. New content is loaded only after
+ * the files have stayed unchanged between two polls, so that half-written files are not read. If
+ * new content is invalid, the previous value stays in force and the reason is reported once.
  *
- * <p>One thread polls; any thread may call {@link #get} and {@link #lastError}.
+ * <p>{@link #poll} must always be called by the same thread; any thread may call {@link #get} and
+ * {@link #lastError}.
  *
  * @param <T> an immutable value
  */
 public final class WatchedFile<T> {
-    /** Loads the value from the files. */
+    /** Loads a value from files; called by the constructor and by {@link WatchedFile#poll}. */
     public interface Loader<T> {
         /**
-         * Returns the value of the files as they are now.
+         * Returns the value that the files contain now.
          *
-         * @param previous the value now; null at the first load
-         * @throws Exception with the reason for operators, if the files cannot be used
+         * @param previous the value in force; null at the first load
+         * @throws Exception if the files cannot be used; its message is the reason for operators
          */
         T load(T previous) throws Exception;
     }
@@ -39,11 +40,12 @@
     private volatile String lastError;
 
     /**
-     * Loads the value for the first time.
+     * Creates a new watched file and loads its value for the first time.
      *
-     * @param name names the value in messages
-     * @param changeListener receives a message for each change, accepted or rejected
-     * @throws IOException with the reason, if the files cannot be used
+     * @param name the name of the value in messages
+     * @param files the files to watch; a change of any of them reloads the value
+     * @param changeListener receives a message for each change, whether accepted or rejected
+     * @throws IOException if the files cannot be used; its message is the reason
      */
     public WatchedFile(
             String name, List<Path> files, Loader<T> loader, Consumer<String> changeListener)
@@ -61,17 +63,17 @@
         }
     }
 
-    /** The value in force. */
+    /** Returns the value in force. */
     public T get() {
         return value;
     }
 
-    /** Why the files as they are now could not be used, or null if they could. */
+    /** Returns why the last load failed, or null if it succeeded. */
     public String lastError() {
         return lastError;
     }
 
-    /** Looks for changes; returns whether a new value is in force. */
+    /** Checks the files for changes, and returns whether a new value was loaded. */
     public boolean poll() {
         String current = fingerprint();
         boolean unchangedSincePoll = current.equals(seenFingerprint);
@@ -93,7 +95,7 @@
         }
     }
 
-    /** Changes whenever a file is written or replaced. */
+    /** Returns a text that changes whenever one of the files is written, replaced or removed. */
     private String fingerprint() {
         StringBuilder text = new StringBuilder();
         for (Path file : files) {
