--- a/src/main/java/brooklock/credentials/VerificationExecutor.java
+++ b/src/main/java/brooklock/credentials/VerificationExecutor.java
@@ -53,7 +53,7 @@
     }
 
     /** Returns the number of tasks in the queue. */
-    public int queued() {
+    public int queueSize() {
         return executor.getQueue().size();
     }
 
