--- a/src/main/java/brooklock/platform/EndpointConnectionPools.java
+++ b/src/main/java/brooklock/platform/EndpointConnectionPools.java
@@ -22,7 +22,9 @@
     private final Map<Long, EndpointConnectionPool> poolsById = new HashMap<>();
 
     EndpointConnectionPools(
-            ConnectionSettings settings, DiscoveredEndpointTable table, AttemptHandler attemptHandler) {
+            ConnectionSettings settings,
+            DiscoveredEndpointTable table,
+            AttemptHandler attemptHandler) {
         this.settings = settings;
         this.table = table;
         this.attemptHandler = attemptHandler;
