--- a/src/main/java/brooklock/authorization/FairShares.java
+++ b/src/main/java/brooklock/authorization/FairShares.java
@@ -17,7 +17,7 @@
     // the demand per weight of the others. Where demands are similar, the router's own rejections
     // are fair, and shares would only reject requests that could be served, such as cache hits.
     private static final double EXCESS_DEMAND_RATIO = 1.5;
-    private static final double UNDECIDED = -1;
+    private static final double UNASSIGNED = -1;
     private static final double MIN_WEIGHT_SUM = 1e-9;
 
     private FairShares() {}
@@ -29,22 +29,22 @@
      */
     static void allocate(Collection<TenantUsage> tenants, double capacity) {
         double remaining = capacity;
-        double weights = 0;
+        double weightSum = 0;
         for (TenantUsage usage : tenants) {
-            usage.fairShare = UNDECIDED;
-            weights += usage.demand > 0 ? usage.tenant.weight() : 0;
+            usage.fairShare = UNASSIGNED;
+            weightSum += usage.demand > 0 ? usage.tenant.weight() : 0;
         }
         boolean changed = true;
-        while (changed && weights > 0) {
+        while (changed && weightSum > 0) {
             changed = false;
-            double perWeight = remaining / weights;
+            double sharePerWeight = remaining / weightSum;
             for (TenantUsage usage : tenants) {
                 if (usage.fairShare < 0
                         && usage.demand > 0
-                        && usage.demand <= perWeight * usage.tenant.weight()) {
+                        && usage.demand <= sharePerWeight * usage.tenant.weight()) {
                     usage.fairShare = usage.demand * GROWTH_FACTOR + 1;
                     remaining -= usage.demand;
-                    weights -= usage.tenant.weight();
+                    weightSum -= usage.tenant.weight();
                     changed = true;
                 }
             }
@@ -52,7 +52,7 @@
         for (TenantUsage usage : tenants) {
             if (usage.fairShare < 0) {
                 usage.fairShare =
-                        remaining / Math.max(MIN_WEIGHT_SUM, weights) * usage.tenant.weight();
+                        remaining / Math.max(MIN_WEIGHT_SUM, weightSum) * usage.tenant.weight();
             }
         }
         if (tenants.stream().noneMatch(usage -> hasExcessDemand(usage, tenants))) {
--- a/src/main/java/brooklock/authorization/OverloadControl.java
+++ b/src/main/java/brooklock/authorization/OverloadControl.java
@@ -15,7 +15,7 @@
 
     // The fraction of requests rejected by the router above which the dispatcher is overloaded;
     // occasional rejections stay below it.
-    private static final double OVERLOAD_REJECTED_SHARE = 0.05;
+    private static final double OVERLOAD_REJECTED_FRACTION = 0.05;
     // Under overload the shared capacity is the recently served rate times this factor, so that
     // occasional rejections do not shrink it step by step.
     private static final double OVERLOAD_HEADROOM = 1.05;
@@ -35,10 +35,10 @@
     private double rejected;
     private final double[] recentServed = new double[RECENT_INTERVALS];
     private double sharedCapacity;
-    private double rejectedShare;
-    private double rejectedShareAtStart;
-    private int overloadedSince;
-    private int inactiveUntil;
+    private double rejectedFraction;
+    private double rejectedFractionAtStart;
+    private int overloadStartInterval;
+    private int suspendedUntilInterval;
     private boolean overloaded;
 
     /** Counts a request that has completed. */
@@ -67,13 +67,13 @@
         // After a gap without requests the averages no longer describe the load.
         boolean stale = intervalEndNs == Long.MIN_VALUE || nowNs - intervalEndNs > INTERVAL_NS;
         intervalEndNs = nowNs + INTERVAL_NS;
-        double heldBack = 0;
+        double notAdmitted = 0;
         for (TenantUsage usage : tenants) {
             usage.demand =
                     stale
                             ? usage.requested
                             : usage.demand + SMOOTHING_FACTOR * (usage.requested - usage.demand);
-            heldBack += Math.max(0, usage.requested - usage.admitted);
+            notAdmitted += Math.max(0, usage.requested - usage.admitted);
             usage.requested = 0;
             usage.admitted = 0;
         }
@@ -82,9 +82,9 @@
             overloaded = false;
         }
         recentServed[intervalCount++ % RECENT_INTERVALS] = served;
-        double share = served + rejected == 0 ? 0 : rejected / (served + rejected);
-        rejectedShare += SMOOTHING_FACTOR * (share - rejectedShare);
-        updateOverload(heldBack);
+        double currentFraction = served + rejected == 0 ? 0 : rejected / (served + rejected);
+        rejectedFraction += SMOOTHING_FACTOR * (currentFraction - rejectedFraction);
+        updateOverload(notAdmitted);
         served = 0;
         rejected = 0;
         if (overloaded) {
@@ -99,21 +99,22 @@
      * Enters or leaves the overloaded state. The state is kept while requests are not admitted, and
      * left once all demand is admitted and served, or when fair shares prove ineffective.
      *
-     * @param heldBack the number of requests of the interval that were not admitted
+     * @param notAdmitted the number of requests of the interval that were not admitted
      */
-    private void updateOverload(double heldBack) {
+    private void updateOverload(double notAdmitted) {
         if (!overloaded) {
-            if (rejectedShare > OVERLOAD_REJECTED_SHARE && intervalCount >= inactiveUntil) {
+            if (rejectedFraction > OVERLOAD_REJECTED_FRACTION
+                    && intervalCount >= suspendedUntilInterval) {
                 overloaded = true;
-                overloadedSince = intervalCount;
-                rejectedShareAtStart = rejectedShare;
+                overloadStartInterval = intervalCount;
+                rejectedFractionAtStart = rejectedFraction;
             }
-        } else if (heldBack == 0 && rejectedShare <= OVERLOAD_REJECTED_SHARE) {
+        } else if (notAdmitted == 0 && rejectedFraction <= OVERLOAD_REJECTED_FRACTION) {
             overloaded = false;
-        } else if (intervalCount - overloadedSince >= MAX_INEFFECTIVE_INTERVALS
-                && rejectedShare > EFFECTIVE_REDUCTION * rejectedShareAtStart) {
+        } else if (intervalCount - overloadStartInterval >= MAX_INEFFECTIVE_INTERVALS
+                && rejectedFraction > EFFECTIVE_REDUCTION * rejectedFractionAtStart) {
             overloaded = false;
-            inactiveUntil = intervalCount + MAX_INEFFECTIVE_INTERVALS;
+            suspendedUntilInterval = intervalCount + MAX_INEFFECTIVE_INTERVALS;
         }
     }
 
@@ -121,7 +122,7 @@
     private void updateSharedCapacity() {
         double mean = Arrays.stream(recentServed).sum() / RECENT_INTERVALS;
         sharedCapacity =
-                rejectedShare > OVERLOAD_REJECTED_SHARE || sharedCapacity == 0
+                rejectedFraction > OVERLOAD_REJECTED_FRACTION || sharedCapacity == 0
                         ? OVERLOAD_HEADROOM * mean
                         : FairShares.GROWTH_FACTOR * Math.max(sharedCapacity, mean);
     }
--- a/src/main/java/brooklock/authorization/PathValidator.java
+++ b/src/main/java/brooklock/authorization/PathValidator.java
@@ -44,9 +44,9 @@
             if (segment.equals(".") || segment.equals("..")) {
                 return violation(Kind.DOT_SEGMENT);
             }
-            Optional<PathViolation> inSegment = validateSegment(segment);
-            if (inSegment.isPresent()) {
-                return inSegment;
+            Optional<PathViolation> segmentViolation = validateSegment(segment);
+            if (segmentViolation.isPresent()) {
+                return segmentViolation;
             }
         }
         return queryMark < 0 ? Optional.empty() : validateQuery(target.substring(queryMark + 1));
--- a/src/main/java/brooklock/authorization/PathViolation.java
+++ b/src/main/java/brooklock/authorization/PathViolation.java
@@ -26,19 +26,19 @@
         /** The query contains a key more than once. */
         REPEATED_QUERY_KEY("a query that repeats a key");
 
-        private final String words;
+        private final String message;
 
-        Kind(String words) {
-            this.words = words;
+        Kind(String message) {
+            this.message = message;
         }
     }
 
     static PathViolation of(Kind kind) {
-        return new PathViolation(kind, kind.words);
+        return new PathViolation(kind, kind.message);
     }
 
     static PathViolation ofCharacter(char forbidden) {
         Kind kind = Kind.FORBIDDEN_CHARACTER;
-        return new PathViolation(kind, kind.words.replace("%s", String.valueOf(forbidden)));
+        return new PathViolation(kind, kind.message.replace("%s", String.valueOf(forbidden)));
     }
 }
--- a/src/main/java/brooklock/authorization/Policy.java
+++ b/src/main/java/brooklock/authorization/Policy.java
@@ -21,9 +21,9 @@
      * @param kind the kind of name
      * @param key the name of the claim, or the name in the certificate
      * @param value the value of the claim; null for certificates
-     * @param tenant the index of the tenant
+     * @param tenantIndex the index of the tenant
      */
-    public record Mapping(int line, NameKind kind, String key, String value, int tenant) {}
+    public record Mapping(int line, NameKind kind, String key, String value, int tenantIndex) {}
 
     private final List<Tenant> tenants;
     private final Map<String, Tenant> tenantByName;
@@ -62,7 +62,7 @@
             if (mapping.kind() == NameKind.CLAIM
                     && mapping.key().equals(key)
                     && mapping.value().equals(value)) {
-                return Optional.of(tenants.get(mapping.tenant()));
+                return Optional.of(tenants.get(mapping.tenantIndex()));
             }
         }
         return Optional.empty();
@@ -72,7 +72,7 @@
     public Optional<Tenant> tenantByCertificate(NameKind kind, String name) {
         for (Mapping mapping : mappings) {
             if (mapping.kind() == kind && mapping.key().equals(name)) {
-                return Optional.of(tenants.get(mapping.tenant()));
+                return Optional.of(tenants.get(mapping.tenantIndex()));
             }
         }
         return Optional.empty();
@@ -127,14 +127,14 @@
                 return;
             }
             if (rule.allows()) {
-                allowRule = first(allowRule, rule);
+                allowRule = earlierOf(allowRule, rule);
             } else {
-                denyRule = first(denyRule, rule);
+                denyRule = earlierOf(denyRule, rule);
             }
         }
 
-        private static Rule first(Rule known, Rule rule) {
-            return known == null || rule.line() < known.line() ? rule : known;
+        private static Rule earlierOf(Rule current, Rule rule) {
+            return current == null || rule.line() < current.line() ? rule : current;
         }
 
         AccessDecision decision() {
--- a/src/main/java/brooklock/authorization/PolicyReader.java
+++ b/src/main/java/brooklock/authorization/PolicyReader.java
@@ -60,9 +60,9 @@
         String[] lines = text.split("\r?\n", -1);
         for (int i = 0; i < lines.length; i++) {
             try {
-                Statement line = Statement.parse(i + 1, lines[i]);
-                if (line != null) {
-                    parseStatement(line, i + 1);
+                Statement statement = Statement.parse(i + 1, lines[i]);
+                if (statement != null) {
+                    parseStatement(statement, i + 1);
                 }
             } catch (IllegalArgumentException e) {
                 problems.add(new Problem(file, i + 1, e.getMessage()));
@@ -88,13 +88,13 @@
         return new Policy(tenants, tenantByName, rules, mappings);
     }
 
-    private void parseStatement(Statement line, int number) {
-        String verb = line.nextWord("a statement");
+    private void parseStatement(Statement statement, int lineNumber) {
+        String verb = statement.nextWord("a statement");
         switch (verb) {
-            case "tenant" -> parseTenant(line);
-            case "group" -> parseGroup(line);
-            case "map" -> parseMapping(line, number);
-            case "allow", "deny" -> parseRule(line, number, verb.equals("allow"));
+            case "tenant" -> parseTenant(statement);
+            case "group" -> parseGroup(statement);
+            case "map" -> parseMapping(statement, lineNumber);
+            case "allow", "deny" -> parseRule(statement, lineNumber, verb.equals("allow"));
             default ->
                     throw new InvalidStatementException(
                             "expected a policy statement (tenant, group, map, allow, deny) but"
@@ -102,25 +102,26 @@
                                     + verb
                                     + "'");
         }
-        line.expectEnd();
+        statement.expectEnd();
     }
 
-    private void parseTenant(Statement line) {
-        String name = line.nextWord("a name");
+    private void parseTenant(Statement statement) {
+        String name = statement.nextWord("a name");
         double weight = 1;
         double requestsPerSecond = 0;
         int maxInFlight = 0;
         double bytesPerSecond = 0;
-        while (line.hasMore()) {
-            String option = line.nextWord("an option");
+        while (statement.hasMore()) {
+            String option = statement.nextWord("an option");
             switch (option) {
-                case "weight" -> weight = line.nextNumber(option);
-                case "rate" -> requestsPerSecond = parseRate(line.nextWord("a rate, as in 50/s"));
-                case "concurrent" -> maxInFlight = line.nextPositiveInt(option);
+                case "weight" -> weight = statement.nextNumber(option);
+                case "rate" ->
+                        requestsPerSecond = parseRate(statement.nextWord("a rate, as in 50/s"));
+                case "concurrent" -> maxInFlight = statement.nextPositiveInt(option);
                 case "bytes" ->
                         bytesPerSecond =
                                 Units.parseBytesPerSecond(
-                                        line.nextWord("a byte rate, as in 20MB/s"));
+                                        statement.nextWord("a byte rate, as in 20MB/s"));
                 default ->
                         throw new InvalidStatementException(
                                 "expected a tenant option (weight, rate, concurrent, bytes) but"
@@ -170,34 +171,34 @@
         }
     }
 
-    private void parseGroup(Statement line) {
-        String name = line.nextWord("a name");
+    private void parseGroup(Statement statement) {
+        String name = statement.nextWord("a name");
         requireUnusedName(name);
         BitSet members = new BitSet();
         do {
-            members.or(tenantsNamed(line.nextWord("a tenant")));
-        } while (line.hasMore());
+            members.or(resolveTenants(statement.nextWord("a tenant")));
+        } while (statement.hasMore());
         groups.put(name, members);
     }
 
     /** Returns the indexes of the tenants that the name of a tenant or of a group denotes. */
-    private BitSet tenantsNamed(String name) {
-        BitSet named = new BitSet();
+    private BitSet resolveTenants(String name) {
+        BitSet indexes = new BitSet();
         if (groups.containsKey(name)) {
-            named.or(groups.get(name));
+            indexes.or(groups.get(name));
         } else if (tenantByName.containsKey(name)) {
-            named.set(tenantByName.get(name).index());
+            indexes.set(tenantByName.get(name).index());
         } else {
             throw new InvalidStatementException(
                     "expected a tenant or group defined above this line but received '"
                             + name
                             + "'");
         }
-        return named;
+        return indexes;
     }
 
-    private void parseMapping(Statement line, int number) {
-        String kindWord = line.nextWord("claim, san or subject");
+    private void parseMapping(Statement statement, int lineNumber) {
+        String kindWord = statement.nextWord("claim, san or subject");
         Optional<NameKind> kind = NameKind.ofWord(kindWord);
         if (kind.isEmpty()) {
             throw new InvalidStatementException(
@@ -205,9 +206,10 @@
                             + kindWord
                             + "'");
         }
-        String key = line.nextWord("a name");
-        String value = kind.get() == NameKind.CLAIM ? line.nextWord("the claim's value") : null;
-        String tenantName = line.nextWord("a tenant");
+        String key = statement.nextWord("a name");
+        String value =
+                kind.get() == NameKind.CLAIM ? statement.nextWord("the claim's value") : null;
+        String tenantName = statement.nextWord("a tenant");
         Tenant tenant = tenantByName.get(tenantName);
         if (tenant == null) {
             throw new InvalidStatementException(
@@ -223,29 +225,29 @@
                                 + " maps it already");
             }
         }
-        mappings.add(new Policy.Mapping(number, kind.get(), key, value, tenant.index()));
+        mappings.add(new Policy.Mapping(lineNumber, kind.get(), key, value, tenant.index()));
     }
 
-    private void parseRule(Statement line, int number, boolean allows) {
-        String name = line.nextWord("a tenant, a group or all");
-        BitSet applicable = new BitSet();
+    private void parseRule(Statement statement, int lineNumber, boolean allows) {
+        String name = statement.nextWord("a tenant, a group or all");
+        BitSet ruleTenants = new BitSet();
         if (name.equals(ALL_TENANTS)) {
-            applicable.set(0, MAX_TENANTS);
+            ruleTenants.set(0, MAX_TENANTS);
         } else {
-            applicable = tenantsNamed(name);
+            ruleTenants = resolveTenants(name);
         }
-        String methods = line.nextWord("methods, as in GET,HEAD or *");
-        String path = line.nextWord("a path");
+        String methods = statement.nextWord("methods, as in GET,HEAD or *");
+        String path = statement.nextWord("a path");
         requireValidPattern(path);
         String routeClass = null;
         long fromMs = Long.MIN_VALUE;
         long untilMs = Long.MAX_VALUE;
-        while (line.hasMore()) {
-            String option = line.nextWord("an option");
+        while (statement.hasMore()) {
+            String option = statement.nextWord("an option");
             switch (option) {
-                case "class" -> routeClass = line.nextWord("a class");
-                case "from" -> fromMs = parseInstantMs(line.nextWord("an instant"));
-                case "until" -> untilMs = parseInstantMs(line.nextWord("an instant"));
+                case "class" -> routeClass = statement.nextWord("a class");
+                case "from" -> fromMs = parseInstantMs(statement.nextWord("an instant"));
+                case "until" -> untilMs = parseInstantMs(statement.nextWord("an instant"));
                 default ->
                         throw new InvalidStatementException(
                                 "expected a rule option (class, from, until) but received '"
@@ -268,9 +270,9 @@
                 rules.plus(
                         path,
                         new Rule(
-                                number,
+                                lineNumber,
                                 allows,
-                                applicable,
+                                ruleTenants,
                                 methodSet,
                                 routeClass,
                                 fromMs,
--- a/src/main/java/brooklock/credentials/CertificateFiles.java
+++ b/src/main/java/brooklock/credentials/CertificateFiles.java
@@ -58,7 +58,7 @@
             CertificateFactory factory = CertificateFactory.getInstance("X.509");
             factory.generateCRLs(new ByteArrayInputStream(bytes))
                     .forEach(crl -> crls.add((X509CRL) crl));
-            if (crls.isEmpty() || isCutShort(new String(bytes, StandardCharsets.ISO_8859_1))) {
+            if (crls.isEmpty() || isTruncated(new String(bytes, StandardCharsets.ISO_8859_1))) {
                 throw new CredentialFileException(
                         file,
                         "expected complete revocation lists but the file contains none or ends"
@@ -72,7 +72,7 @@
 
     // The factory silently skips a PEM block without an end, so a truncated file would revoke fewer
     // certificates than the complete one.
-    private static boolean isCutShort(String text) {
+    private static boolean isTruncated(String text) {
         return text.contains(PEM_BEGIN)
                 && text.split(PEM_BEGIN).length != text.split(PEM_END).length;
     }
@@ -86,25 +86,25 @@
      */
     static Set<String> readFingerprints(Path file) throws IOException {
         Set<String> fingerprints = new HashSet<>();
-        int number = 0;
+        int lineNumber = 0;
         for (String line : Files.readAllLines(file, StandardCharsets.UTF_8)) {
-            number++;
-            String word =
+            lineNumber++;
+            String fingerprint =
                     line.replaceAll("#.*", "").replace(":", "").trim().toLowerCase(Locale.ROOT);
-            if (word.isEmpty()) {
+            if (fingerprint.isEmpty()) {
                 continue;
             }
-            if (!word.matches(FINGERPRINT_PATTERN)) {
+            if (!fingerprint.matches(FINGERPRINT_PATTERN)) {
                 throw new CredentialFileException(
                         file
                                 + ":"
-                                + number
+                                + lineNumber
                                 + ": expected the SHA-256 fingerprint of a certificate (64 hexadecimal"
                                 + " digits) but received "
-                                + word.length()
+                                + fingerprint.length()
                                 + " characters");
             }
-            fingerprints.add(word);
+            fingerprints.add(fingerprint);
         }
         return fingerprints;
     }
--- a/src/main/java/brooklock/credentials/CertificateRejection.java
+++ b/src/main/java/brooklock/credentials/CertificateRejection.java
@@ -33,22 +33,21 @@
         STALE_REVOCATION_LIST("the revocation list of the authority is past its next update"),
         /** The fingerprint of the certificate is in the file of denied certificates. */
         DENIED("the fingerprint of the certificate is in the file of denied certificates"),
-        /** The authority of the chain is not trusted, or is no longer trusted. */
-        UNKNOWN_AUTHORITY(
-                "the authority of the certificate is not trusted, or is no longer trusted");
+        /** The authority of the chain is no longer trusted. */
+        UNKNOWN_AUTHORITY("the authority of the certificate is no longer trusted");
 
-        private final String words;
+        private final String message;
 
-        Reason(String words) {
-            this.words = words;
+        Reason(String message) {
+            this.message = message;
         }
     }
 
     static Optional<CertificateRejection> of(Reason reason) {
-        return Optional.of(new CertificateRejection(reason, reason.words));
+        return Optional.of(new CertificateRejection(reason, reason.message));
     }
 
     static Optional<CertificateRejection> of(Reason reason, Exception cause) {
-        return Optional.of(new CertificateRejection(reason, reason.words + cause.getMessage()));
+        return Optional.of(new CertificateRejection(reason, reason.message + cause.getMessage()));
     }
 }
--- a/src/main/java/brooklock/credentials/CertificateTrust.java
+++ b/src/main/java/brooklock/credentials/CertificateTrust.java
@@ -99,8 +99,8 @@
         return crls;
     }
 
-    private static boolean isOlder(X509CRL crl, X509CRL than) {
-        return crl.getThisUpdate().toInstant().isBefore(than.getThisUpdate().toInstant());
+    private static boolean isOlder(X509CRL crl, X509CRL other) {
+        return crl.getThisUpdate().toInstant().isBefore(other.getThisUpdate().toInstant());
     }
 
     private static void requireSignedByAuthority(
@@ -220,7 +220,7 @@
         if (!deniedFingerprints.isEmpty() && deniedFingerprints.contains(fingerprint(chain[0]))) {
             return CertificateRejection.of(Reason.DENIED);
         }
-        return hasAuthority(chain)
+        return hasTrustedIssuer(chain)
                 ? Optional.empty()
                 : CertificateRejection.of(Reason.UNKNOWN_AUTHORITY);
     }
@@ -230,7 +230,7 @@
                 && nowMs >= crl.getNextUpdate().toInstant().toEpochMilli();
     }
 
-    private boolean hasAuthority(X509Certificate[] chain) {
+    private boolean hasTrustedIssuer(X509Certificate[] chain) {
         for (X509Certificate certificate : chain) {
             for (X509Certificate authority : authorities) {
                 if (authority.equals(certificate)
--- a/src/main/java/brooklock/credentials/InvalidCredentialException.java
+++ b/src/main/java/brooklock/credentials/InvalidCredentialException.java
@@ -14,11 +14,11 @@
     }
 
     InvalidCredentialException(TokenError error) {
-        this(error.words(), null);
+        this(error.message(), null);
     }
 
     InvalidCredentialException(TokenError error, Throwable cause) {
-        this(error.words(), cause);
+        this(error.message(), cause);
     }
 
     private InvalidCredentialException(String reason, Throwable cause) {
--- a/src/main/java/brooklock/credentials/KeySet.java
+++ b/src/main/java/brooklock/credentials/KeySet.java
@@ -72,7 +72,7 @@
          *
          * @param nowMs wall time, in ms since 1970
          */
-        public boolean accepts(long nowMs) {
+        public boolean isAcceptedAt(long nowMs) {
             return state != State.RETIRED && nowMs < validUntilMs;
         }
     }
@@ -226,7 +226,7 @@
         List<String> errors = new ArrayList<>();
         for (Key key : keyById.values()) {
             Key nextKey = next.get(key.kid());
-            if (nextKey == null && key.accepts(nowMs)) {
+            if (nextKey == null && key.isAcceptedAt(nowMs)) {
                 errors.add("the key '" + key.kid() + "' has gone without having been retired");
             } else if (nextKey != null && !nextKey.thumbprint().equals(key.thumbprint())) {
                 errors.add("the id '" + key.kid() + "' names a different key than before");
--- a/src/main/java/brooklock/credentials/KeySetFile.java
+++ b/src/main/java/brooklock/credentials/KeySetFile.java
@@ -97,7 +97,7 @@
         jwk.put("kid", kid);
         jwk.put("alg", algorithm);
         jwk.put("use", "sig");
-        jwk.put("state", stateWord(state));
+        jwk.put("state", stateName(state));
         return jwk;
     }
 
@@ -110,7 +110,7 @@
                 .toJSONObject();
     }
 
-    private static String stateWord(KeySet.State state) {
+    private static String stateName(KeySet.State state) {
         return state.name().toLowerCase(Locale.ROOT);
     }
 
@@ -198,12 +198,12 @@
                         .orElseThrow(() -> unknownKey(kid));
         if (state == KeySet.State.SIGNING) {
             for (Map<String, Object> other : keys) {
-                if (stateWord(KeySet.State.SIGNING).equals(other.get("state"))) {
-                    other.put("state", stateWord(KeySet.State.ACCEPTED));
+                if (stateName(KeySet.State.SIGNING).equals(other.get("state"))) {
+                    other.put("state", stateName(KeySet.State.ACCEPTED));
                 }
             }
         }
-        key.put("state", stateWord(state));
+        key.put("state", stateName(state));
         if (untilMs > 0) {
             key.put("until", untilMs);
         }
--- a/src/main/java/brooklock/credentials/LocalCertificateAuthority.java
+++ b/src/main/java/brooklock/credentials/LocalCertificateAuthority.java
@@ -66,7 +66,7 @@
             X500Name subject,
             KeyPair subjectKeys,
             String dnsName,
-            boolean authority,
+            boolean certificateAuthority,
             long validityMs)
             throws GeneralSecurityException, IOException {
         long now = System.currentTimeMillis();
@@ -78,7 +78,8 @@
                         dateOf(now + validityMs),
                         subject,
                         subjectKeys.getPublic());
-        builder.addExtension(Extension.basicConstraints, true, new BasicConstraints(authority));
+        builder.addExtension(
+                Extension.basicConstraints, true, new BasicConstraints(certificateAuthority));
         if (dnsName != null) {
             builder.addExtension(
                     Extension.subjectAlternativeName,
--- a/src/main/java/brooklock/credentials/MonotonicWallClock.java
+++ b/src/main/java/brooklock/credentials/MonotonicWallClock.java
@@ -12,8 +12,8 @@
         long nowMs();
     }
 
-    private final MillisClock wall;
-    private final MillisClock monotonic;
+    private final MillisClock wallClock;
+    private final MillisClock monotonicClock;
     private long anchorWallMs;
     private long anchorMonotonicMs;
 
@@ -25,21 +25,21 @@
     /**
      * Creates a new clock based on the given clocks.
      *
-     * @param wall the wall time since 1970, which may go back
-     * @param monotonic a time that never goes back, from an arbitrary origin
+     * @param wallClock the wall time since 1970, which may go back
+     * @param monotonicClock a time that never goes back, from an arbitrary origin
      */
-    public MonotonicWallClock(MillisClock wall, MillisClock monotonic) {
-        this.wall = wall;
-        this.monotonic = monotonic;
-        anchorWallMs = wall.nowMs();
-        anchorMonotonicMs = monotonic.nowMs();
+    public MonotonicWallClock(MillisClock wallClock, MillisClock monotonicClock) {
+        this.wallClock = wallClock;
+        this.monotonicClock = monotonicClock;
+        anchorWallMs = wallClock.nowMs();
+        anchorMonotonicMs = monotonicClock.nowMs();
     }
 
     /** Returns the current time, in ms since 1970; never less than an earlier result. */
     public long nowMs() {
-        long monotonicMs = monotonic.nowMs();
+        long monotonicMs = monotonicClock.nowMs();
         long expectedMs = anchorWallMs + monotonicMs - anchorMonotonicMs;
-        long wallMs = wall.nowMs();
+        long wallMs = wallClock.nowMs();
         if (wallMs > expectedMs) {
             anchorWallMs = wallMs;
             anchorMonotonicMs = monotonicMs;
--- a/src/main/java/brooklock/credentials/ReloadingKeyManager.java
+++ b/src/main/java/brooklock/credentials/ReloadingKeyManager.java
@@ -37,18 +37,18 @@
      */
     private String chooseAlias(String keyType, SSLSession session) {
         String serverName = requestedServerName(session);
-        TlsIdentity first = null;
+        TlsIdentity firstOfKeyType = null;
         for (TlsIdentity identity : identities.get()) {
             if (!keyType.startsWith(identity.key().getAlgorithm())
                     && !keyType.equals(ANY_KEY_TYPE)) {
                 continue;
             }
-            first = first == null ? identity : first;
+            firstOfKeyType = firstOfKeyType == null ? identity : firstOfKeyType;
             if (serverName != null && identity.matchesHost(serverName)) {
                 return alias(identity);
             }
         }
-        return first == null ? null : alias(first);
+        return firstOfKeyType == null ? null : alias(firstOfKeyType);
     }
 
     private static String requestedServerName(SSLSession session) {
--- a/src/main/java/brooklock/credentials/ReloadingTrustManager.java
+++ b/src/main/java/brooklock/credentials/ReloadingTrustManager.java
@@ -26,19 +26,20 @@
         this.wallMs = wallMs;
     }
 
-    private void checkTrusted(X509Certificate[] chain, boolean client) throws CertificateException {
-        Optional<CertificateRejection> rejection = validate(chain, client);
+    private void checkTrusted(X509Certificate[] chain, boolean clientChain)
+            throws CertificateException {
+        Optional<CertificateRejection> rejection = validate(chain, clientChain);
         if (rejection.isPresent()) {
             throw new CertificateException(rejection.get().message());
         }
     }
 
-    private Optional<CertificateRejection> validate(X509Certificate[] chain, boolean client) {
+    private Optional<CertificateRejection> validate(X509Certificate[] chain, boolean clientChain) {
         CertificateTrust current = trust.get();
         if (current == null) {
             return CertificateRejection.of(Reason.NOT_ACCEPTED);
         }
-        return client
+        return clientChain
                 ? current.validateClient(chain, wallMs.getAsLong())
                 : current.validateServer(chain, wallMs.getAsLong());
     }
--- a/src/main/java/brooklock/credentials/TokenCache.java
+++ b/src/main/java/brooklock/credentials/TokenCache.java
@@ -88,7 +88,7 @@
         private double remaining = MAX_INVALID_PER_SECOND;
         private long updatedAtNs;
 
-        boolean isSpent(long nowNs) {
+        boolean isExhausted(long nowNs) {
             double seconds = Math.max(0, nowNs - updatedAtNs) / 1e9;
             remaining =
                     Math.min(MAX_INVALID_PER_SECOND, remaining + seconds * MAX_INVALID_PER_SECOND);
@@ -171,7 +171,7 @@
             verifiedByDigest.remove(digest);
         }
         InvalidTokenBudget budget = invalidBudgetByAddress.get(address);
-        if (budget != null && budget.isSpent(nowNs)) {
+        if (budget != null && budget.isExhausted(nowNs)) {
             listener.onInvalid(new InvalidCredentialException(TokenError.TOO_MANY_INVALID));
             return;
         }
@@ -194,7 +194,7 @@
     private static boolean isStillValid(
             TokenVerifier.VerifiedToken cached, KeySet keys, long nowMs) {
         return keys.get(cached.key().kid()) == cached.key()
-                && cached.key().accepts(nowMs)
+                && cached.key().isAcceptedAt(nowMs)
                 && nowMs < cached.identity().expiresAtMs();
     }
 
@@ -206,9 +206,9 @@
             VerificationScheduler scheduler,
             ResultListener listener) {
         PendingId id = new PendingId(digest, parsed.key());
-        PendingVerification same = pending.get(id);
-        if (same != null) {
-            same.listeners.add(listener);
+        PendingVerification existing = pending.get(id);
+        if (existing != null) {
+            existing.listeners.add(listener);
             return;
         }
         int pendingOfAddress = pendingCountByAddress.getOrDefault(address, 0);
@@ -223,7 +223,7 @@
         boolean scheduled =
                 scheduler.trySchedule(
                         () -> verification.run(parsed),
-                        () -> onVerified(id, verification, address, nowNs));
+                        () -> onVerificationCompleted(id, verification, address, nowNs));
         if (!scheduled) {
             releasePending(id, address);
             listener.onOverload();
@@ -236,7 +236,7 @@
                 address, (key, count) -> count == 1 ? null : count - 1);
     }
 
-    private void onVerified(
+    private void onVerificationCompleted(
             PendingId id, PendingVerification verification, String address, long nowNs) {
         releasePending(id, address);
         if (verification.error != null) {
--- a/src/main/java/brooklock/credentials/TokenError.java
+++ b/src/main/java/brooklock/credentials/TokenError.java
@@ -40,14 +40,14 @@
     /** The client's address has sent too many tokens with invalid signatures. */
     TOO_MANY_INVALID("too many tokens with invalid signatures from this address");
 
-    private final String words;
+    private final String message;
 
-    TokenError(String words) {
-        this.words = words;
+    TokenError(String message) {
+        this.message = message;
     }
 
     /** Returns the message for the audit log. */
-    public String words() {
-        return words;
+    public String message() {
+        return message;
     }
 }
--- a/src/main/java/brooklock/credentials/TokenVerifier.java
+++ b/src/main/java/brooklock/credentials/TokenVerifier.java
@@ -56,18 +56,21 @@
         private final JWSHeader header;
         private final byte[] signingInput;
         private final Base64URL signature;
-        private final VerifiedToken claimed;
+        private final VerifiedToken resultIfValid;
 
         private ParsedToken(
-                JWSHeader header, byte[] signingInput, Base64URL signature, VerifiedToken claimed) {
+                JWSHeader header,
+                byte[] signingInput,
+                Base64URL signature,
+                VerifiedToken resultIfValid) {
             this.header = header;
             this.signingInput = signingInput;
             this.signature = signature;
-            this.claimed = claimed;
+            this.resultIfValid = resultIfValid;
         }
 
         KeySet.Key key() {
-            return claimed.key();
+            return resultIfValid.key();
         }
 
         /**
@@ -77,13 +80,13 @@
          */
         public VerifiedToken verify() throws InvalidCredentialException {
             try {
-                if (!claimed.key().verifier().verify(header, signingInput, signature)) {
+                if (!resultIfValid.key().verifier().verify(header, signingInput, signature)) {
                     throw new InvalidCredentialException(TokenError.WRONG_SIGNATURE);
                 }
             } catch (JOSEException e) {
                 throw new InvalidCredentialException(TokenError.UNVERIFIABLE_SIGNATURE, e);
             }
-            return claimed;
+            return resultIfValid;
         }
     }
 
@@ -113,7 +116,7 @@
         }
         int firstDot = token.indexOf('.');
         int secondDot = token.indexOf('.', firstDot + 1);
-        if (!hasTokenForm(token, firstDot, secondDot)) {
+        if (!isWellFormed(token, firstDot, secondDot)) {
             throw new InvalidCredentialException(TokenError.MALFORMED);
         }
         JWSHeader header = parseHeader(token.substring(0, firstDot));
@@ -121,7 +124,7 @@
         Map<String, Object> claims = parseClaims(token.substring(firstDot + 1, secondDot));
         long expiresAtMs = checkValidityPeriod(claims, nowMs);
         checkIssuerAndAudience(claims);
-        Identity identity = new Identity(attributes(claims), expiresAtMs, label);
+        Identity identity = new Identity(extractAttributes(claims), expiresAtMs, label);
         return new ParsedToken(
                 header,
                 token.substring(0, secondDot).getBytes(StandardCharsets.US_ASCII),
@@ -129,16 +132,16 @@
                 new VerifiedToken(identity, key));
     }
 
-    private static boolean hasTokenForm(String token, int firstDot, int secondDot) {
+    private static boolean isWellFormed(String token, int firstDot, int secondDot) {
         return firstDot > 0
                 && secondDot > firstDot + 1
                 && secondDot < token.length() - 1
                 && token.indexOf('.', secondDot + 1) < 0
                 && firstDot <= MAX_HEADER_CHARS
-                && token.chars().allMatch(TokenVerifier::isTokenChar);
+                && token.chars().allMatch(TokenVerifier::isBase64UrlOrDot);
     }
 
-    private static boolean isTokenChar(int c) {
+    private static boolean isBase64UrlOrDot(int c) {
         return (c >= 'a' && c <= 'z')
                 || (c >= 'A' && c <= 'Z')
                 || (c >= '0' && c <= '9')
@@ -147,10 +150,10 @@
                 || c == '.';
     }
 
-    private static JWSHeader parseHeader(String part) throws InvalidCredentialException {
+    private static JWSHeader parseHeader(String encodedHeader) throws InvalidCredentialException {
         JWSHeader header;
         try {
-            header = JWSHeader.parse(new Base64URL(part));
+            header = JWSHeader.parse(new Base64URL(encodedHeader));
         } catch (ParseException | IllegalArgumentException e) {
             throw new InvalidCredentialException(TokenError.MALFORMED_HEADER, e);
         }
@@ -174,15 +177,16 @@
         if (!key.algorithm().equals(header.getAlgorithm())) {
             throw new InvalidCredentialException(TokenError.WRONG_ALGORITHM);
         }
-        if (!key.accepts(nowMs)) {
+        if (!key.isAcceptedAt(nowMs)) {
             throw new InvalidCredentialException(TokenError.RETIRED_KEY);
         }
         return key;
     }
 
-    private static Map<String, Object> parseClaims(String part) throws InvalidCredentialException {
+    private static Map<String, Object> parseClaims(String encodedClaims)
+            throws InvalidCredentialException {
         try {
-            return JSONObjectUtils.parse(new Base64URL(part).decodeToString());
+            return JSONObjectUtils.parse(new Base64URL(encodedClaims).decodeToString());
         } catch (ParseException | IllegalArgumentException e) {
             throw new InvalidCredentialException(TokenError.MALFORMED_CLAIMS, e);
         }
@@ -232,7 +236,7 @@
         }
     }
 
-    private static List<Identity.Attribute> attributes(Map<String, Object> claims) {
+    private static List<Identity.Attribute> extractAttributes(Map<String, Object> claims) {
         List<Identity.Attribute> attributes = new ArrayList<>();
         claims.forEach(
                 (name, value) -> {
--- a/src/main/java/brooklock/credentials/WatchedFile.java
+++ b/src/main/java/brooklock/credentials/WatchedFile.java
@@ -35,7 +35,7 @@
     private final Loader<T> loader;
     private final Consumer<String> changeListener;
     private String loadedFingerprint;
-    private String seenFingerprint;
+    private String polledFingerprint;
     private volatile T value;
     private volatile String lastError;
 
@@ -54,8 +54,8 @@
         this.files = files;
         this.loader = loader;
         this.changeListener = changeListener;
-        seenFingerprint = fingerprint();
-        loadedFingerprint = seenFingerprint;
+        polledFingerprint = fingerprint();
+        loadedFingerprint = polledFingerprint;
         try {
             value = loader.load(null);
         } catch (Exception e) {
@@ -76,8 +76,8 @@
     /** Checks the files for changes, and returns whether a new value was loaded. */
     public boolean poll() {
         String current = fingerprint();
-        boolean unchangedSincePoll = current.equals(seenFingerprint);
-        seenFingerprint = current;
+        boolean unchangedSincePoll = current.equals(polledFingerprint);
+        polledFingerprint = current;
         if (!unchangedSincePoll || current.equals(loadedFingerprint)) {
             return false;
         }
--- a/src/test/java/brooklock/authorization/PathValidatorTest.java
+++ b/src/test/java/brooklock/authorization/PathValidatorTest.java
@@ -10,8 +10,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * The canonical form of paths. A path that a cache or an origin may read as another one than was
- * authorized would give a tenant the object of another.
+ * Tests the canonical form of request targets. If a cache or an origin resolved another path than
+ * the one that was authorized, a tenant would get an object of another tenant.
  */
 class PathValidatorTest {
     @ParameterizedTest
@@ -74,7 +74,7 @@
         "/%FF, percent form that is not UTF-8 in its shortest form",
         "/a?b&b, a query that repeats a key"
     })
-    @DisplayName("the reasons that clients and operators get")
+    @DisplayName("each violation has its message for clients and operators")
     void messages(String target, String message) {
         assertEquals(message, PathValidator.validate(target).orElseThrow().message());
     }
--- a/src/test/java/brooklock/authorization/PolicyReloadPropertyTest.java
+++ b/src/test/java/brooklock/authorization/PolicyReloadPropertyTest.java
@@ -23,9 +23,9 @@
 import net.jqwik.api.constraints.Size;
 
 /**
- * Keys are retired and policies are reloaded between requests. A token or a decision that were
- * remembered from before would let in what has been denied since; so the newest key set and policy
- * decide on each request.
+ * Tests that the newest key set and policy decide on each request while keys are retired and
+ * policies are reloaded between requests. A cached token or decision from before a reload would
+ * admit requests that are denied since.
  */
 class PolicyReloadPropertyTest {
     private static final int KEYS = 3;
--- a/src/test/java/brooklock/authorization/PolicyTest.java
+++ b/src/test/java/brooklock/authorization/PolicyTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Policies: what their files say and what they decide. */
+/** Tests parsing policy files and the decisions of policies. */
 class PolicyTest {
     private static final String POLICY =
             """
@@ -59,7 +59,7 @@
         "acme, GET, /Open, scans, 2027-01-01T00:00:00Z, false, 0",
         "nobody, GET, /open, scans, 2027-01-01T00:00:00Z, false, 0",
     })
-    @DisplayName("a decision names its line")
+    @DisplayName("a decision reports the deciding line")
     void decisions(
             String tenant,
             String method,
@@ -80,13 +80,13 @@
         "false, 10, denied by line 10",
         "false, 0, no line allows it"
     })
-    @DisplayName("the words of the audit log and of keys explain")
-    void explanations(boolean allowed, int line, String words) {
-        assertEquals(words, new AccessDecision(allowed, line, 0).explain());
+    @DisplayName("each decision has its explanation for the audit log and keys explain")
+    void explanations(boolean allowed, int line, String explanation) {
+        assertEquals(explanation, new AccessDecision(allowed, line, 0).explain());
     }
 
     @Test
-    @DisplayName("a decision states how long it is valid")
+    @DisplayName("a decision reports how long it is valid")
     void validity() {
         AccessDecision decision =
                 policy().decide("beta", "GET", "/scans/shared/secret/a", "scans", 0);
@@ -94,7 +94,7 @@
     }
 
     @Test
-    @DisplayName("names in credentials lead to tenants")
+    @DisplayName("names in credentials are mapped to tenants")
     void mappings() {
         Policy policy = policy();
         assertEquals(Optional.of("acme"), policy.tenantByClaim("tenant", "acme").map(Tenant::name));
@@ -110,20 +110,25 @@
     @CsvSource(
             delimiter = '|',
             value = {
-                "tenant beta | tenant acme | p:2: the name 'acme' is taken already",
+                "tenant beta | tenant acme | p:2: expected an unused name but 'acme' is reserved or"
+                        + " names a tenant or group already",
                 "group partners acme beta | group partners acme gamma"
-                        + " | p:4: there is no tenant or group 'gamma'",
+                        + " | p:4: expected a tenant or group defined above this line but"
+                        + " received 'gamma'",
                 "map claim tenant acme acme | map name acme acme"
-                        + " | p:5: 'name' is not a kind of name",
+                        + " | p:5: expected a kind of name (claim, san, subject) but received"
+                        + " 'name'",
                 "allow acme GET,HEAD | allow acme | p:7: ",
-                "until 2027-01-31T08:00:00Z | until soon | p:10: 'soon' is not a moment",
+                "until 2027-01-31T08:00:00Z | until soon | p:10: expected an instant, as in"
+                        + " 2027-01-31T08:00:00Z, but received 'soon'",
                 "until 2027-01-31T08:00:00Z"
                         + " | from 2027-01-31T08:00:00Z until 2026-01-31T08:00:00Z"
-                        + " | p:10: this holds at no time",
-                "/open | /o%70en | p:12: the path is not in form",
-                "rate 50/s | rate 50 | p:1: '50': a rate needs its unit",
+                        + " | p:10: expected 'until' to be later than 'from'",
+                "/open | /o%70en | p:12: expected a path in canonical form but received",
+                "rate 50/s | rate 50 | p:1: expected a rate per second, as in 50/s, but received"
+                        + " '50'",
             })
-    @DisplayName("a mistake is reported with its line")
+    @DisplayName("a mistake is reported with its line number")
     void mistakes(String valid, String invalid, String report) {
         assertTrue(POLICY.contains(valid));
         String message =
@@ -134,11 +139,11 @@
         assertTrue(message.lines().anyMatch(line -> line.startsWith(report)), message);
     }
 
-    // A deployment script has failed half-way. Read as a policy, what is left would deny
-    // everything, or allow what later lines deny.
+    // A deployment script fails while it writes the file. The incomplete policy would deny all
+    // requests, or allow requests that missing lines deny.
     @ParameterizedTest
     @CsvSource({"0", "9", "-1"})
-    @DisplayName("a file that was emptied or half-written is rejected")
+    @DisplayName("an empty or truncated file is rejected")
     void halfWritten(int length) {
         String text =
                 switch (length) {
@@ -150,7 +155,8 @@
     }
 
     @Test
-    @DisplayName("a compiled policy of thousands of lines decides as a search line by line would")
+    @DisplayName(
+            "a compiled policy of thousands of lines decides like a linear search of the lines")
     void thousandsOfLines() throws SettingsException {
         Random random = new Random(5);
         StringBuilder text = new StringBuilder();
@@ -178,8 +184,8 @@
                             + "/b"
                             + random.nextInt(9)
                             + (random.nextBoolean() ? "/c" + random.nextInt(3) : "");
-            int allow = firstLine(lines, "allow", tenant, path);
-            int deny = firstLine(lines, "deny", tenant, path);
+            int allow = firstApplicableLine(lines, "allow", tenant, path);
+            int deny = firstApplicableLine(lines, "deny", tenant, path);
             AccessDecision decision = policy.decide(tenant, "GET", path, "c", 0);
             String request = tenant + " " + path;
             assertEquals(deny == 0 && allow > 0, decision.allowed(), request);
@@ -201,10 +207,11 @@
     }
 
     /**
-     * The number of the first line of a kind that applies, in a file with 20 lines before it; 0 if
-     * none does.
+     * Returns the number of the first line with the given verb that applies to a request, or 0 if
+     * none does. The file begins with 20 other lines, one for each tenant.
      */
-    private static int firstLine(List<String[]> lines, String verb, String tenant, String path) {
+    private static int firstApplicableLine(
+            List<String[]> lines, String verb, String tenant, String path) {
         for (int i = 0; i < lines.size(); i++) {
             String[] line = lines.get(i);
             String regex =
--- a/src/test/java/brooklock/authorization/TenantLimiterTest.java
+++ b/src/test/java/brooklock/authorization/TenantLimiterTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Admission of tenants' requests. */
+/** Tests the admission of requests by tenants' own limits and by fair shares. */
 class TenantLimiterTest {
     private static final long MS = 1_000_000L;
 
@@ -34,7 +34,7 @@
 
     @ParameterizedTest
     @CsvSource({"ADMITTED, 200", "RATE, 429", "CONCURRENT, 429", "BYTES, 429", "SHARE, 503"})
-    @DisplayName("each reason has its name, which is part of Proxy-Status, and its HTTP status")
+    @DisplayName("each reason has its HTTP status and its name, which is part of Proxy-Status")
     void reasons(Reason reason, int httpStatus) {
         assertEquals(httpStatus, reason.httpStatus());
         assertEquals(reason == Reason.ADMITTED, new Admission(reason, 1).admitted());
@@ -44,7 +44,7 @@
     @DisplayName("A tenant's own limits")
     class OwnLimits {
         @Test
-        @DisplayName("hold for its request rate")
+        @DisplayName("apply to its request rate")
         void rate() {
             TenantLimiter limiter = limiter(tenPerSecond(0, "r"));
             int admitted = 0;
@@ -60,11 +60,11 @@
             assertEquals(10, admitted);
             assertTrue(
                     limiter.tryAcquire("r", 105 * MS).admitted(),
-                    "a tenth of a second later there is one more");
+                    "one request is admitted after a tenth of a second");
         }
 
         @Test
-        @DisplayName("hold for its requests in flight")
+        @DisplayName("apply to its requests in flight")
         void inFlight() {
             TenantLimiter limiter = limiter(new Tenant(0, "c", 1, 0, 2, 0));
             assertTrue(limiter.tryAcquire("c", 5).admitted());
@@ -75,17 +75,19 @@
         }
 
         @Test
-        @DisplayName("hold for its bytes, which are known only afterwards")
+        @DisplayName("apply to its response bytes, which are known only afterwards")
         void bytes() {
             TenantLimiter limiter = limiter(new Tenant(0, "b", 1, 0, 0, 1000));
             assertTrue(limiter.tryAcquire("b", 5).admitted());
             limiter.release("b", 3000, false);
             assertEquals(Reason.BYTES, limiter.tryAcquire("b", 6).reason());
-            assertTrue(limiter.tryAcquire("b", 2_100 * MS).admitted(), "the debt is paid");
+            assertTrue(
+                    limiter.tryAcquire("b", 2_100 * MS).admitted(),
+                    "the overdraft of the byte bucket is refilled");
         }
 
         @Test
-        @DisplayName("are not widened by a clock that goes back")
+        @DisplayName("are not exceeded when the clock goes back")
         void clockGoesBack() {
             TenantLimiter limiter = limiter(tenPerSecond(0, "r"));
             for (int i = 0; i < 10; i++) {
@@ -97,9 +99,12 @@
     }
 
     /**
-     * Simulates a router with a capacity in requests per second, which rejects the rest at random,
-     * and returns what it serves of each tenant in the second half of the time, in requests per
-     * second.
+     * Simulates a router with a limited capacity, which rejects excess requests at random, and
+     * returns the rate served for each tenant in the second half of the simulated time, in requests
+     * per second.
+     *
+     * @param capacity the capacity of the router, in requests per second
+     * @param demand the demand of each tenant, in requests per second
      */
     private static double[] simulate(
             TenantLimiter limiter,
@@ -111,15 +116,15 @@
         Random random = new Random(3);
         double[] served = new double[names.length];
         double[] due = new double[names.length];
-        double room = 0;
+        double availableCapacity = 0;
         for (int ms = 0; ms < seconds * 1000; ms++) {
-            room = Math.min(capacity / 20, room + capacity / 1000);
+            availableCapacity = Math.min(capacity / 20, availableCapacity + capacity / 1000);
             for (int i = 0; i < names.length; i++) {
                 due[i] += demand[i] / 1000;
             }
-            boolean more = true;
-            while (more) {
-                more = false;
+            boolean anyDue = true;
+            while (anyDue) {
+                anyDue = false;
                 int first = random.nextInt(names.length);
                 for (int k = 0; k < names.length; k++) {
                     int i = (first + k) % names.length;
@@ -127,10 +132,10 @@
                         continue;
                     }
                     due[i]--;
-                    more = true;
+                    anyDue = true;
                     if (limiter.tryAcquire(names[i], (startMs + ms) * MS).admitted()) {
-                        boolean accepted = room >= 1;
-                        room -= accepted ? 1 : 0;
+                        boolean accepted = availableCapacity >= 1;
+                        availableCapacity -= accepted ? 1 : 0;
                         limiter.release(names[i], 0, !accepted);
                         served[i] += accepted && ms >= seconds * 500 ? 1 : 0;
                     }
@@ -146,10 +151,11 @@
     @Nested
     @DisplayName("Fair shares")
     class FairSharing {
-        // One firm's script runs wild. Without shares the router rejects at random, so most of the
-        // other firms' requests would be rejected with the script's.
+        // A script of one tenant sends far more requests than the router can serve. The router
+        // rejects at random, so without fair shares most requests of other tenants would be
+        // rejected.
         @Test
-        @DisplayName("protect a tenant from the burst of another")
+        @DisplayName("protect a tenant from a burst of another tenant")
         void burst() {
             TenantLimiter limiter = limiter(unlimited(0, "calm", 1), unlimited(1, "burst", 1));
             double[] served =
@@ -161,11 +167,12 @@
                             new String[] {"calm", "burst"},
                             new double[] {60, 1200});
             assertTrue(served[0] > 0.8 * 60, "calm is served " + served[0] + " of 60");
-            assertTrue(served[1] > 0.8 * 110, "burst gets what is left: " + served[1]);
+            assertTrue(
+                    served[1] > 0.8 * 110, "burst is served the remaining capacity: " + served[1]);
         }
 
         @Test
-        @DisplayName("follow the weights where all ask for more")
+        @DisplayName("follow the weights when every tenant demands more than its share")
         void weights() {
             TenantLimiter limiter = limiter(unlimited(0, "a", 1), unlimited(1, "b", 3));
             double[] served =
@@ -174,7 +181,7 @@
         }
 
         @Test
-        @DisplayName("hold nobody back once all demand fits")
+        @DisplayName("are not enforced once all demand can be served")
         void recovery() {
             TenantLimiter limiter = limiter(unlimited(0, "a", 1), unlimited(1, "b", 1));
             String[] names = {"a", "b"};
@@ -185,10 +192,11 @@
             assertFalse(limiter.isOverloaded());
         }
 
-        // An endpoint fails three requests in ten, however few are sent. Each cut of the shares
-        // would lower what is served, and so the shares again, down to nothing.
+        // An endpoint fails three in ten requests at any load. Each reduction of the shares lowers
+        // the served rate, from which the next shares are derived, so they would shrink towards
+        // zero.
         @Test
-        @DisplayName("do not shrink for ever when rejections have another cause")
+        @DisplayName("do not shrink indefinitely when rejections have another cause")
         void otherCause() {
             TenantLimiter limiter = limiter(unlimited(0, "a", 1), unlimited(1, "b", 1));
             Random random = new Random(9);
@@ -201,11 +209,11 @@
                     served += rejected || ms < 30_000 ? 0 : 1;
                 }
             }
-            assertTrue(served / 30 > 100, "served " + served / 30 + " of 140 a second");
+            assertTrue(served / 30 > 100, "served " + served / 30 + " of 140 requests per second");
         }
 
         @Test
-        @DisplayName("hold nobody back where all ask alike, however much is rejected")
+        @DisplayName("are not enforced between equal demands, even when most requests are rejected")
         void equalDemand() {
             TenantLimiter limiter = limiter(unlimited(0, "a", 1), unlimited(1, "b", 1));
             for (int ms = 0; ms < 10_000; ms++) {
@@ -216,10 +224,10 @@
         }
     }
 
-    // A policy is loaded that no longer has a tenant, while a request of this tenant is in flight.
-    // Its end must find the tenant's usage.
+    // A reloaded policy no longer contains a tenant that has a request in flight. Releasing the
+    // request still needs the usage of that tenant.
     @Test
-    @DisplayName("a tenant that a new policy drops is known until its last request has ended")
+    @DisplayName("a tenant removed by a new policy is known until its last request is released")
     void droppedTenant() {
         TenantLimiter limiter = limiter(unlimited(0, "a", 1), unlimited(1, "b", 1));
         assertTrue(limiter.tryAcquire("b", 1).admitted());
--- a/src/test/java/brooklock/credentials/CertificateTrustTest.java
+++ b/src/test/java/brooklock/credentials/CertificateTrustTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Which certificates are accepted, at a handshake and at each request after it. */
+/** Tests which certificates are accepted at a handshake and at each later request. */
 class CertificateTrustTest {
     @TempDir Path dir;
     private LocalCertificateAuthority authority;
@@ -35,13 +35,13 @@
         nowMs = System.currentTimeMillis();
     }
 
-    private CertificateTrust trust(String crl, boolean acceptStale, CertificateTrust previous)
+    private CertificateTrust loadTrust(String crl, boolean acceptStale, CertificateTrust previous)
             throws Exception {
         Path file = Files.writeString(dir.resolve("crl.pem"), crl);
         return CertificateTrust.load(authorityFile, List.of(file), null, acceptStale, previous);
     }
 
-    private CertificateTrust trust() throws Exception {
+    private CertificateTrust loadTrust() throws Exception {
         return CertificateTrust.load(authorityFile, List.of(), null, false, null);
     }
 
@@ -51,64 +51,72 @@
 
     @ParameterizedTest
     @CsvSource({
-        "NOT_ACCEPTED, no certificates are taken here",
-        "AUTHORITY_ITSELF, an authority's own certificate",
-        "NO_PATH, 'no way to an authority: '",
-        "MALFORMED_USAGE, its use cannot be read",
-        "NOT_FOR_CLIENTS, not a certificate for clients",
-        "EXPIRED, a certificate has ended",
-        "REVOKED, a certificate is on its authority's list of revoked ones",
-        "STALE_REVOCATION_LIST,"
-                + " the list of revoked certificates of its authority is past its time",
-        "DENIED, the certificate is denied by hand",
-        "UNKNOWN_AUTHORITY, its authority is none any more"
+        "NOT_ACCEPTED, this listener accepts no client certificates",
+        "AUTHORITY_ITSELF, the chain contains no certificate except those of authorities",
+        "NO_PATH, 'no valid certification path to a trusted authority: '",
+        "MALFORMED_USAGE, the extended key usage of the certificate is malformed",
+        "NOT_FOR_CLIENTS,"
+                + " the extended key usage of the certificate does not include client"
+                + " authentication",
+        "EXPIRED, a certificate of the chain has expired",
+        "REVOKED, a certificate of the chain is revoked",
+        "STALE_REVOCATION_LIST," + " the revocation list of the authority is past its next update",
+        "DENIED, the fingerprint of the certificate is in the file of denied certificates",
+        "UNKNOWN_AUTHORITY, the authority of the certificate is no longer trusted"
     })
-    @DisplayName("the words of the audit log")
-    void words(Reason reason, String words) {
-        assertEquals(words, CertificateRejection.of(reason).orElseThrow().message());
+    @DisplayName("each reason has its message in the audit log")
+    void messages(Reason reason, String message) {
+        assertEquals(message, CertificateRejection.of(reason).orElseThrow().message());
     }
 
     @Test
     void valid() throws Exception {
-        assertEquals(Optional.empty(), trust().validateClient(client.chain(), nowMs));
-        assertEquals(Optional.empty(), trust().recheck(client.chain(), nowMs));
+        assertEquals(Optional.empty(), loadTrust().validateClient(client.chain(), nowMs));
+        assertEquals(Optional.empty(), loadTrust().recheck(client.chain(), nowMs));
     }
 
     @Test
     @DisplayName(
-            "a chain that is expired, of another authority, or the authority's own is rejected")
+            "a chain is rejected if expired, of another authority or the authority's own certificate")
     void invalidPaths() throws Exception {
         TlsIdentity expired = authority.issue("client", "acme.example", -1000);
         assertEquals(
                 Optional.of(Reason.NO_PATH),
-                reason(trust().validateClient(expired.chain(), nowMs)));
-        assertEquals(Optional.of(Reason.EXPIRED), reason(trust().recheck(expired.chain(), nowMs)));
+                reason(loadTrust().validateClient(expired.chain(), nowMs)));
+        assertEquals(
+                Optional.of(Reason.EXPIRED), reason(loadTrust().recheck(expired.chain(), nowMs)));
         TlsIdentity foreign =
                 new LocalCertificateAuthority("other").issue("client", "acme.example", 60_000);
         CertificateRejection rejection =
-                trust().validateClient(foreign.chain(), nowMs).orElseThrow();
+                loadTrust().validateClient(foreign.chain(), nowMs).orElseThrow();
         assertEquals(Reason.NO_PATH, rejection.reason());
-        assertTrue(rejection.message().startsWith("no way to an authority: "), rejection.message());
+        assertTrue(
+                rejection
+                        .message()
+                        .startsWith("no valid certification path to a trusted authority: "),
+                rejection.message());
         assertEquals(
                 Optional.of(Reason.UNKNOWN_AUTHORITY),
-                reason(trust().recheck(foreign.chain(), nowMs)));
+                reason(loadTrust().recheck(foreign.chain(), nowMs)));
         X509Certificate[] own =
                 CertificateFiles.readCertificates(authorityFile).toArray(new X509Certificate[0]);
         assertEquals(
-                Optional.of(Reason.AUTHORITY_ITSELF), reason(trust().validateClient(own, nowMs)));
+                Optional.of(Reason.AUTHORITY_ITSELF),
+                reason(loadTrust().validateClient(own, nowMs)));
     }
 
     @Test
     @DisplayName("a revoked certificate is rejected at each request")
     void revoked() throws Exception {
-        CertificateTrust trust = trust(authority.createCrl(60_000, client.chain()[0]), false, null);
+        CertificateTrust trust =
+                loadTrust(authority.createCrl(60_000, client.chain()[0]), false, null);
         assertEquals(Optional.of(Reason.REVOKED), reason(trust.recheck(client.chain(), nowMs)));
         assertEquals(
                 Optional.of(Reason.REVOKED), reason(trust.validateClient(client.chain(), nowMs)));
     }
 
     @Test
-    @DisplayName("a denied fingerprint is rejected, whatever its spelling")
+    @DisplayName("a denied fingerprint is rejected regardless of letter case and colons")
     void denied() throws Exception {
         String fingerprint = CertificateTrust.fingerprint(client.chain()[0]);
         String spelled = fingerprint.toUpperCase(java.util.Locale.ROOT).replaceAll("..", "$0:");
@@ -124,33 +132,37 @@
                 () -> CertificateTrust.load(authorityFile, List.of(), file, false, null));
     }
 
-    // The authority has stopped publishing lists. A certificate that was revoked since would be
-    // accepted, unless the operators prefer that to an outage.
+    // An authority stops publishing revocation lists. Certificates that are revoked after its last
+    // list would be accepted, which operators may choose over an outage.
     @Test
-    @DisplayName("a stale revocation list closes its authority, unless that is configured")
-    void staleList() throws Exception {
+    @DisplayName(
+            "certificates of an authority with a stale revocation list are rejected unless configured")
+    void staleRevocationList() throws Exception {
         String stale = authority.createCrl(-500);
-        CertificateTrust strict = trust(stale, false, null);
+        CertificateTrust strict = loadTrust(stale, false, null);
         assertEquals(
                 Optional.of(Reason.STALE_REVOCATION_LIST),
                 reason(strict.recheck(client.chain(), nowMs)));
         assertEquals(List.of("CN=authority"), strict.staleCrlIssuers(nowMs));
-        assertEquals(Optional.empty(), trust(stale, true, null).recheck(client.chain(), nowMs));
+        assertEquals(Optional.empty(), loadTrust(stale, true, null).recheck(client.chain(), nowMs));
     }
 
-    // An old file is copied back. The certificates that were revoked since would be accepted again.
+    // An old revocation list is restored or a file is truncated. Certificates that were revoked in
+    // the list in force would be accepted again.
     @Test
-    @DisplayName("a revocation list is not replaced by none, by half of one, or by a foreign one")
-    void listReplacement() throws Exception {
+    @DisplayName(
+            "a revocation list is not replaced by none, by a truncated one or by one of another"
+                    + " authority")
+    void revocationListReplacement() throws Exception {
         String crl = authority.createCrl(60_000);
-        CertificateTrust previous = trust(crl, false, null);
+        CertificateTrust previous = loadTrust(crl, false, null);
         assertThrows(
                 CredentialFileException.class,
                 () -> CertificateTrust.load(authorityFile, List.of(), null, false, previous));
         assertThrows(
                 CredentialFileException.class,
-                () -> trust(crl.substring(0, crl.length() / 2), false, null));
+                () -> loadTrust(crl.substring(0, crl.length() / 2), false, null));
         String foreign = new LocalCertificateAuthority("authority").createCrl(60_000);
-        assertThrows(CredentialFileException.class, () -> trust(foreign, false, null));
+        assertThrows(CredentialFileException.class, () -> loadTrust(foreign, false, null));
     }
 }
--- a/src/test/java/brooklock/credentials/CredentialFuzzTest.java
+++ b/src/test/java/brooklock/credentials/CredentialFuzzTest.java
@@ -9,7 +9,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Assertions;
 
-/** Whatever is sent as a token is rejected with a reason: only the holder of the key gets in. */
+/** Tests that arbitrary input is rejected as a token with a reason and no other exception. */
 class CredentialFuzzTest {
     private static final KeySet KEYS =
             KeySet.parse(
--- a/src/test/java/brooklock/credentials/KeySetSampleTest.java
+++ b/src/test/java/brooklock/credentials/KeySetSampleTest.java
@@ -20,8 +20,8 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Key files that an earlier version has written. Operators have such files in use; a version that
- * could not read them would reject every token after an update.
+ * Tests that key files written by an earlier version can still be read and edited. Operators have
+ * such files in use; a version that could not read them would reject every token after an update.
  */
 class KeySetSampleTest {
     private static final long NOW_MS = 1_800_000_000_000L;
@@ -36,7 +36,7 @@
     }
 
     @Test
-    @DisplayName("a key set is read with states and expiry")
+    @DisplayName("a key set is parsed with states and expiry times")
     void read() throws IOException {
         KeySet keys = KeySet.parse(resource("keys.json"));
         assertEquals(2, keys.keys().size());
@@ -47,7 +47,7 @@
     }
 
     @Test
-    @DisplayName("a key set that is changed back is written with the same bytes")
+    @DisplayName("a change that is undone leaves the file byte for byte the same")
     void rewrite() throws IOException {
         Path path = Files.writeString(dir.resolve("keys.json"), resource("keys.json"));
         KeySetFile file = new KeySetFile(path);
@@ -58,7 +58,7 @@
 
     @ParameterizedTest
     @CsvSource({"k1, Ed25519", "k2, EC"})
-    @DisplayName("a token of a stored private key is verified with the stored set")
+    @DisplayName("a token signed with a stored private key is verified with the stored key set")
     void privateKeys(String kid, String algorithm) throws Exception {
         String pem = resource(kid + ".key").replaceAll("-----[A-Z ]+-----", "");
         PrivateKey key =
--- a/src/test/java/brooklock/credentials/KeySetTest.java
+++ b/src/test/java/brooklock/credentials/KeySetTest.java
@@ -1,9 +1,9 @@
 package brooklock.credentials;
 
-import static brooklock.credentials.TestTokens.EC;
-import static brooklock.credentials.TestTokens.ED;
+import static brooklock.credentials.TestTokens.EC_PAIR;
+import static brooklock.credentials.TestTokens.ED25519_PAIR;
 import static brooklock.credentials.TestTokens.NOW_MS;
-import static brooklock.credentials.TestTokens.setOf;
+import static brooklock.credentials.TestTokens.keySetJson;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 
@@ -20,12 +20,13 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** Key sets and the life of their keys. */
+/** Tests parsing key sets and rotating their keys. */
 class KeySetTest {
     @TempDir Path dir;
 
     static Stream<String> invalidSets() {
-        Map<String, Object> valid = KeySetFile.toJwk("a", "EdDSA", ED, KeySet.State.SIGNING);
+        Map<String, Object> valid =
+                KeySetFile.toJwk("a", "EdDSA", ED25519_PAIR, KeySet.State.SIGNING);
         Map<String, Object> noAlgorithm = new LinkedHashMap<>(valid);
         noAlgorithm.remove("alg");
         Map<String, Object> wrongAlgorithm = new LinkedHashMap<>(valid);
@@ -35,15 +36,15 @@
         Map<String, Object> unknownState = new LinkedHashMap<>(valid);
         unknownState.put("state", "lost");
         return Stream.of(
-                setOf(valid, valid),
-                setOf(noAlgorithm),
-                setOf(wrongAlgorithm),
-                setOf(withPrivatePart),
-                setOf(unknownState),
-                setOf(),
+                keySetJson(valid, valid),
+                keySetJson(noAlgorithm),
+                keySetJson(wrongAlgorithm),
+                keySetJson(withPrivatePart),
+                keySetJson(unknownState),
+                keySetJson(),
                 "{}",
                 "[",
-                setOf(valid).substring(0, 80));
+                keySetJson(valid).substring(0, 80));
     }
 
     @ParameterizedTest
@@ -53,7 +54,7 @@
     }
 
     @Test
-    @DisplayName("a shared secret is accepted only if the set says that it is meant")
+    @DisplayName("a shared secret is accepted only if the set marks it as shared on purpose")
     void sharedSecret() {
         Map<String, Object> secret =
                 new LinkedHashMap<>(
@@ -66,20 +67,20 @@
                                 "s",
                                 "alg",
                                 "HS256"));
-        assertThrows(InvalidKeySetException.class, () -> KeySet.parse(setOf(secret)));
+        assertThrows(InvalidKeySetException.class, () -> KeySet.parse(keySetJson(secret)));
         secret.put("shared", true);
-        assertEquals(1, KeySet.parse(setOf(secret)).keys().size());
+        assertEquals(1, KeySet.parse(keySetJson(secret)).keys().size());
     }
 
-    // A file is edited by hand, and a key that still signs is lost. Every token of that key would
-    // be rejected.
+    // An operator edits the file by hand and accidentally removes a key that still signs tokens.
+    // Every token of that key would be rejected.
     @Test
-    @DisplayName("a key may leave only once it is retired, and its id never names another key")
+    @DisplayName("a key can be removed only after it is retired, and its id is never reused")
     void rotation() throws IOException {
         Path path = dir.resolve("set");
         KeySetFile file = new KeySetFile(path);
-        file.addKey(KeySetFile.toJwk("a", "EdDSA", ED, KeySet.State.SIGNING));
-        file.addKey(KeySetFile.toJwk("b", "ES256", EC, KeySet.State.ANNOUNCED));
+        file.addKey(KeySetFile.toJwk("a", "EdDSA", ED25519_PAIR, KeySet.State.SIGNING));
+        file.addKey(KeySetFile.toJwk("b", "ES256", EC_PAIR, KeySet.State.ANNOUNCED));
         assertThrows(InvalidKeySetException.class, () -> file.removeKey("a"));
         file.setState("b", KeySet.State.SIGNING, 0);
         KeySet rotated = KeySet.parse(Files.readString(path));
@@ -90,7 +91,10 @@
         KeySet current = KeySet.parse(Files.readString(path));
         assertEquals(1, current.keys().size());
         KeySet other =
-                KeySet.parse(setOf(KeySetFile.toJwk("b", "EdDSA", ED, KeySet.State.SIGNING)));
+                KeySet.parse(
+                        keySetJson(
+                                KeySetFile.toJwk(
+                                        "b", "EdDSA", ED25519_PAIR, KeySet.State.SIGNING)));
         assertThrows(
                 InvalidKeySetException.class, () -> current.validateReplacement(other, NOW_MS));
         assertThrows(InvalidKeySetException.class, () -> file.removeKey("c"));
--- a/src/test/java/brooklock/credentials/MonotonicWallClockTest.java
+++ b/src/test/java/brooklock/credentials/MonotonicWallClockTest.java
@@ -6,15 +6,15 @@
 import org.junit.jupiter.api.DisplayName;
 import org.junit.jupiter.api.Test;
 
-/** Wall time for credentials. */
+/** Tests the clock that the expiry of credentials is checked against. */
 class MonotonicWallClockTest {
     private static final long NOW_MS = 1_800_000_000_000L;
 
-    // The system's clock is set back by ten minutes. Tokens that have expired meanwhile must not be
-    // valid again.
+    // The system's clock is set back by ten minutes. Tokens that expired in that period must not
+    // become valid again.
     @Test
-    @DisplayName("time does not go back though the system's clock is set back")
-    void setBack() {
+    @DisplayName("the clock does not go back when the system's clock is set back")
+    void systemClockSetBack() {
         AtomicLong wall = new AtomicLong(NOW_MS);
         AtomicLong monotonic = new AtomicLong(5);
         MonotonicWallClock clock = new MonotonicWallClock(wall::get, monotonic::get);
--- a/src/test/java/brooklock/credentials/RecordingListener.java
+++ b/src/test/java/brooklock/credentials/RecordingListener.java
@@ -1,27 +1,27 @@
 package brooklock.credentials;
 
-/** Records what a {@link TokenCache} reports, and how often. */
+/** Records the results that a {@link TokenCache} reports and counts the calls. */
 final class RecordingListener implements TokenCache.ResultListener {
     Identity caller;
     InvalidCredentialException error;
-    int overloads;
-    int calls;
+    int overloadCount;
+    int callCount;
 
     @Override
     public void onValid(Identity valid) {
         caller = valid;
-        calls++;
+        callCount++;
     }
 
     @Override
     public void onInvalid(InvalidCredentialException reason) {
         error = reason;
-        calls++;
+        callCount++;
     }
 
     @Override
     public void onOverload() {
-        overloads++;
-        calls++;
+        overloadCount++;
+        callCount++;
     }
 }
--- a/src/test/java/brooklock/credentials/SynchronousAuthenticator.java
+++ b/src/test/java/brooklock/credentials/SynchronousAuthenticator.java
@@ -1,13 +1,13 @@
 package brooklock.credentials;
 
-/** Authenticates tokens with verifications that run at once, on the calling thread. */
+/** Authenticates tokens with verifications that run synchronously on the calling thread. */
 public final class SynchronousAuthenticator {
     private SynchronousAuthenticator() {}
 
     /**
-     * Returns the caller that a token identifies.
+     * Returns the identity that a token proves.
      *
-     * @throws InvalidCredentialException if it identifies none
+     * @throws InvalidCredentialException if the token is invalid
      */
     public static Identity authenticate(
             TokenCache cache, String token, KeySet keys, String address, long nowMs, long nowNs)
@@ -28,8 +28,9 @@
         if (listener.error != null) {
             throw listener.error;
         }
-        if (listener.overloads > 0) {
-            throw new AssertionError("a verification that runs at once is never overloaded");
+        if (listener.overloadCount > 0) {
+            throw new AssertionError(
+                    "expected a result from a synchronous verification but received an overload");
         }
         return listener.caller;
     }
--- a/src/test/java/brooklock/credentials/TestTokens.java
+++ b/src/test/java/brooklock/credentials/TestTokens.java
@@ -8,20 +8,20 @@
 import java.util.Map;
 
 /**
- * Keys, and tokens that the verifier of these tests accepts unless a claim or a header is changed.
+ * Creates keys, and tokens that {@link #VERIFIER} accepts unless a claim or a header is changed.
  */
 final class TestTokens {
     static final long NOW_MS = 1_800_000_000_000L;
     static final long CLOCK_SKEW_MS = 30_000;
-    static final KeyPair ED = KeySetFile.generate("EdDSA");
-    static final KeyPair EC = KeySetFile.generate("ES256");
-    static final KeyPair RSA = KeySetFile.generate("RS256");
+    static final KeyPair ED25519_PAIR = KeySetFile.generate("EdDSA");
+    static final KeyPair EC_PAIR = KeySetFile.generate("ES256");
+    static final KeyPair RSA_PAIR = KeySetFile.generate("RS256");
     static final KeySet KEYS =
             KeySet.parse(
-                    setOf(
-                            KeySetFile.toJwk("ed", "EdDSA", ED, KeySet.State.SIGNING),
-                            KeySetFile.toJwk("ec", "ES256", EC, KeySet.State.ACCEPTED),
-                            KeySetFile.toJwk("rsa", "RS256", RSA, KeySet.State.ANNOUNCED),
+                    keySetJson(
+                            KeySetFile.toJwk("ed", "EdDSA", ED25519_PAIR, KeySet.State.SIGNING),
+                            KeySetFile.toJwk("ec", "ES256", EC_PAIR, KeySet.State.ACCEPTED),
+                            KeySetFile.toJwk("rsa", "RS256", RSA_PAIR, KeySet.State.ANNOUNCED),
                             KeySetFile.toJwk(
                                     "old",
                                     "EdDSA",
@@ -31,9 +31,9 @@
 
     private TestTokens() {}
 
-    /** The text of a key set. */
+    /** Returns a JWK Set in JSON with the given keys. */
     @SafeVarargs
-    static String setOf(Map<String, Object>... keys) {
+    static String keySetJson(Map<String, Object>... keys) {
         List<Object> list = new ArrayList<>();
         for (Map<String, Object> key : keys) {
             list.add(key);
@@ -41,7 +41,11 @@
         return JSONObjectUtils.toJSONString(Map.of("keys", list));
     }
 
-    /** Valid claims with changes, given as names and values; null removes a claim. */
+    /**
+     * Returns valid claims with changes.
+     *
+     * @param changes alternating names and values of claims; a value of null removes the claim
+     */
     static Map<String, Object> claims(Object... changes) {
         Map<String, Object> claims =
                 new LinkedHashMap<>(
@@ -64,17 +68,19 @@
         return claims;
     }
 
-    /** A token of the key "ed" with changed claims. */
+    /** Returns a token signed with the key "ed", with changes to {@link #claims}. */
     static String token(Object... changes) {
-        return TokenSigner.sign(ED.getPrivate(), "ed", claims(changes));
+        return TokenSigner.sign(ED25519_PAIR.getPrivate(), "ed", claims(changes));
     }
 
-    /** A token of the key "ed" with a changed header. */
+    /**
+     * Returns a token signed with the key "ed", with alternating names and values in its header.
+     */
     static String tokenWithHeader(Object... changes) {
         Map<String, Object> header = new LinkedHashMap<>(Map.of("alg", "EdDSA", "kid", "ed"));
         for (int i = 0; i < changes.length; i += 2) {
             header.put((String) changes[i], changes[i + 1]);
         }
-        return TokenSigner.sign(ED.getPrivate(), header, claims());
+        return TokenSigner.sign(ED25519_PAIR.getPrivate(), header, claims());
     }
 }
--- a/src/test/java/brooklock/credentials/TokenVerifierTest.java
+++ b/src/test/java/brooklock/credentials/TokenVerifierTest.java
@@ -1,10 +1,10 @@
 package brooklock.credentials;
 
-import static brooklock.credentials.TestTokens.EC;
-import static brooklock.credentials.TestTokens.ED;
+import static brooklock.credentials.TestTokens.EC_PAIR;
+import static brooklock.credentials.TestTokens.ED25519_PAIR;
 import static brooklock.credentials.TestTokens.KEYS;
 import static brooklock.credentials.TestTokens.NOW_MS;
-import static brooklock.credentials.TestTokens.RSA;
+import static brooklock.credentials.TestTokens.RSA_PAIR;
 import static brooklock.credentials.TestTokens.VERIFIER;
 import static brooklock.credentials.TestTokens.claims;
 import static brooklock.credentials.TestTokens.token;
@@ -26,7 +26,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** Valid and invalid tokens. */
+/** Tests the verification of valid and invalid tokens. */
 class TokenVerifierTest {
     private static String reasonFor(String token) {
         return assertThrows(
@@ -39,8 +39,8 @@
         long nowSeconds = NOW_MS / 1000;
         return Stream.of(
                 token(),
-                TokenSigner.sign(EC.getPrivate(), "ec", claims()),
-                TokenSigner.sign(RSA.getPrivate(), "rsa", claims()),
+                TokenSigner.sign(EC_PAIR.getPrivate(), "ec", claims()),
+                TokenSigner.sign(RSA_PAIR.getPrivate(), "rsa", claims()),
                 token("exp", nowSeconds - 29),
                 token("nbf", nowSeconds + 29),
                 token("aud", "edge"));
@@ -48,7 +48,7 @@
 
     @ParameterizedTest
     @MethodSource("validTokens")
-    @DisplayName("a valid token of each algorithm identifies its holder")
+    @DisplayName("a valid token of each asymmetric algorithm identifies its holder")
     void valid(String token) throws InvalidCredentialException {
         Identity caller = VERIFIER.verify(token, KEYS, NOW_MS, "label").identity();
         Identity.Attribute tenant = new Identity.Attribute(NameKind.CLAIM, "tenant", "acme");
@@ -63,44 +63,55 @@
         Base64URL otherTenant =
                 Base64URL.encode(JSONObjectUtils.toJSONString(claims("tenant", "beta")));
         Base64URL noJson = Base64URL.encode("not json");
-        String form = "the token is not three parts in base64url";
-        String signature = "the token's signature is wrong";
+        String malformed = "the token does not consist of three base64url parts separated by dots";
+        String wrongSignature = "the token's signature does not match";
         return Stream.of(
-                Arguments.of("the token has ended", token("exp", nowSeconds - 31)),
-                Arguments.of("the token never ends", token("exp", null)),
-                Arguments.of("the token never ends", token("exp", "soon")),
-                Arguments.of("the token does not hold yet", token("nbf", nowSeconds + 31)),
-                Arguments.of("the token does not hold yet", token("nbf", "x")),
-                Arguments.of("the token is of another issuer", token("iss", "else")),
-                Arguments.of("the token is of another issuer", token("iss", null)),
-                Arguments.of("the token is for another audience", token("aud", List.of("other"))),
+                Arguments.of("the token has expired", token("exp", nowSeconds - 31)),
+                Arguments.of("the token has no numeric expiry time", token("exp", null)),
+                Arguments.of("the token has no numeric expiry time", token("exp", "soon")),
                 Arguments.of(
-                        "the token names no key that is known here",
+                        "the token is not valid yet, or its start of validity is not a number",
+                        token("nbf", nowSeconds + 31)),
+                Arguments.of(
+                        "the token is not valid yet, or its start of validity is not a number",
+                        token("nbf", "x")),
+                Arguments.of("the token's issuer is not the configured one", token("iss", "else")),
+                Arguments.of("the token's issuer is not the configured one", token("iss", null)),
+                Arguments.of(
+                        "the token's audience does not include the configured one",
+                        token("aud", List.of("other"))),
+                Arguments.of(
+                        "the token's key id is missing or not in the key set",
                         tokenWithHeader("kid", "nobody")),
-                Arguments.of("the token's key has been retired", tokenWithHeader("kid", "old")),
                 Arguments.of(
-                        "the token's algorithm is not its key's", tokenWithHeader("alg", "ES256")),
+                        "the token's key is retired or has expired", tokenWithHeader("kid", "old")),
                 Arguments.of(
-                        "the token's algorithm is not its key's", tokenWithHeader("alg", "HS256")),
+                        "the token's algorithm is not the one that its key is bound to",
+                        tokenWithHeader("alg", "ES256")),
                 Arguments.of(
-                        "the token asks for an extension that is not known here",
+                        "the token's algorithm is not the one that its key is bound to",
+                        tokenWithHeader("alg", "HS256")),
+                Arguments.of(
+                        "the token requires a critical extension, which is not supported",
                         tokenWithHeader("crit", List.of("exp"))),
-                Arguments.of("the token holds another token", tokenWithHeader("cty", "JWT")),
                 Arguments.of(
-                        "the token's header cannot be read, or says that it is not signed",
+                        "the token contains a nested token, which is not supported",
+                        tokenWithHeader("cty", "JWT")),
+                Arguments.of(
+                        "the token's header is not a JSON object that names a signature algorithm",
                         noAlgorithm + "." + parts[1] + "." + parts[2]),
-                Arguments.of(form, parts[0] + "." + parts[1] + "."),
-                Arguments.of(form, valid + ".x"),
-                Arguments.of(form, parts[0] + "." + parts[1] + "=." + parts[2]),
-                Arguments.of(form, "{}{}{}"),
+                Arguments.of(malformed, parts[0] + "." + parts[1] + "."),
+                Arguments.of(malformed, valid + ".x"),
+                Arguments.of(malformed, parts[0] + "." + parts[1] + "=." + parts[2]),
+                Arguments.of(malformed, "{}{}{}"),
                 Arguments.of(
-                        "the token's claims cannot be read",
+                        "the token's payload is not a JSON object with claims",
                         parts[0] + "." + noJson + "." + parts[2]),
                 Arguments.of(
-                        signature,
+                        wrongSignature,
                         TokenSigner.sign(
                                 KeySetFile.generate("EdDSA").getPrivate(), "ed", claims())),
-                Arguments.of(signature, parts[0] + "." + otherTenant + "." + parts[2]),
+                Arguments.of(wrongSignature, parts[0] + "." + otherTenant + "." + parts[2]),
                 Arguments.of("the token is longer than 8192 characters", "a".repeat(9000)));
     }
 
@@ -113,27 +124,29 @@
 
     @ParameterizedTest
     @CsvSource({
-        "UNVERIFIABLE_SIGNATURE, the token's signature cannot be checked",
-        "TOO_MANY_INVALID, too many bad tokens from this address"
+        "UNVERIFIABLE_SIGNATURE, the token's signature could not be verified",
+        "TOO_MANY_INVALID, too many tokens with invalid signatures from this address"
     })
-    @DisplayName("the words of the audit log for errors that no token alone causes")
-    void words(TokenError error, String words) {
-        assertEquals(words, new InvalidCredentialException(error).getMessage());
+    @DisplayName("errors that no token causes by itself have their messages in the audit log")
+    void messages(TokenError error, String message) {
+        assertEquals(message, new InvalidCredentialException(error).getMessage());
     }
 
-    // The attacker signs with the public RSA key as if it were a shared secret (RFC 8725, section
-    // 2.1). A verifier that took the algorithm from the token would accept it.
+    // An attacker signs a token with a public RSA key as if it were a shared secret (RFC 8725,
+    // section 2.1). A verifier that took the algorithm from the token would accept it.
     @Test
     @DisplayName("a public key is never used as a shared secret")
     void publicKeyAsSecret() {
         Map<String, Object> header = Map.of("alg", "HS256", "kid", "rsa");
         assertEquals(
-                "the token's algorithm is not its key's",
-                reasonFor(TokenSigner.sign(RSA.getPrivate(), header, claims())));
+                "the token's algorithm is not the one that its key is bound to",
+                reasonFor(TokenSigner.sign(RSA_PAIR.getPrivate(), header, claims())));
         assertEquals(
-                "the token's algorithm is not its key's",
+                "the token's algorithm is not the one that its key is bound to",
                 reasonFor(
                         TokenSigner.sign(
-                                ED.getPrivate(), Map.of("alg", "HS256", "kid", "ed"), claims())));
+                                ED25519_PAIR.getPrivate(),
+                                Map.of("alg", "HS256", "kid", "ed"),
+                                claims())));
     }
 }
--- a/src/test/java/brooklock/credentials/WatchedFileTest.java
+++ b/src/test/java/brooklock/credentials/WatchedFileTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Values that are loaded from files while the program runs. */
+/** Tests reloading a value when its files change. */
 class WatchedFileTest {
     @TempDir Path dir;
     private final List<String> changes = new ArrayList<>();
@@ -29,16 +29,16 @@
                 changes::add);
     }
 
-    // A key file is copied onto a running dispatcher: it is read half-written, then it is wrong,
-    // then it is gone for a moment. At no time may the dispatcher be without keys.
+    // While a key file of a running dispatcher is replaced, it may be half-written, invalid or
+    // temporarily missing. The dispatcher must always have keys in force.
     @Test
-    @DisplayName("new content is loaded whole, or the value before stays")
+    @DisplayName("valid new content is loaded, otherwise the previous value stays in force")
     void reload() throws IOException {
         Path path = dir.resolve("f");
         Files.writeString(path, "1");
         WatchedFile<Integer> watched = watch(path);
         Files.writeString(path, "22");
-        assertFalse(watched.poll(), "seen for the first time: it may be half-written");
+        assertFalse(watched.poll(), "content that has just changed may be half-written");
         assertTrue(watched.poll());
         assertEquals(22, watched.get());
         assertEquals(List.of("file: taken anew"), changes);
@@ -51,7 +51,7 @@
                 changes.get(1).startsWith("file: refused, the one before stays in force: "),
                 changes.get(1));
         watched.poll();
-        assertEquals(2, changes.size(), "reported once");
+        assertEquals(2, changes.size(), "a failure is reported once");
         Files.delete(path);
         watched.poll();
         watched.poll();
@@ -63,7 +63,7 @@
     }
 
     @Test
-    @DisplayName("a file that cannot be used at the start is an error")
+    @DisplayName("a file that cannot be used at the first load is an error")
     void unusableAtStart() throws IOException {
         Path path = dir.resolve("f");
         Files.writeString(path, "x");
