--- a/src/main/java/brooklock/authorization/OverloadControl.java
+++ b/src/main/java/brooklock/authorization/OverloadControl.java
@@ -21,9 +21,8 @@
     private static final double OVERLOAD_HEADROOM = 1.05;
     private static final int RECENT_INTERVALS = 4;
     // After MAX_INEFFECTIVE_INTERVALS, fair shares must have reduced the rejected fraction to
-    // EFFECTIVE_REDUCTION of its initial value. Otherwise the rejections have another cause, such
-    // as
-    // a failing endpoint, and fair shares are suspended for the same number of intervals.
+    // EFFECTIVE_REDUCTION times its initial value. Otherwise the rejections have another cause,
+    // such as a failing endpoint, and fair shares are suspended for the same number of intervals.
     private static final int MAX_INEFFECTIVE_INTERVALS = 20;
     private static final double EFFECTIVE_REDUCTION = 0.8;
     // The weight of the newest interval in exponential moving averages.
--- a/src/main/java/brooklock/authorization/PathValidator.java
+++ b/src/main/java/brooklock/authorization/PathValidator.java
@@ -19,7 +19,7 @@
 public final class PathValidator {
     // The characters other than letters and digits that RFC 3986, section 3.3 allows in a segment
     // without percent-encoding, except ';', at which some servers truncate a segment.
-    private static final String UNESCAPED = "-._~!$&'()*+,=:@";
+    private static final String UNESCAPED_PUNCTUATION = "-._~!$&'()*+,=:@";
     // Decoded, these could be taken for delimiters, dot segments or further percent-encoding.
     private static final String NEVER_ESCAPED = "%/\\;.";
 
@@ -99,7 +99,7 @@
     }
 
     private static boolean isUnescaped(char c) {
-        return c < 128 && (Character.isLetterOrDigit(c) || UNESCAPED.indexOf(c) >= 0);
+        return c < 128 && (Character.isLetterOrDigit(c) || UNESCAPED_PUNCTUATION.indexOf(c) >= 0);
     }
 
     private static int upperHexDigit(char c) {
--- a/src/main/java/brooklock/authorization/Policy.java
+++ b/src/main/java/brooklock/authorization/Policy.java
@@ -103,7 +103,7 @@
      * the file is reported.
      */
     private static final class Evaluation {
-        private final int tenant;
+        private final int tenantIndex;
         private final String method;
         private final String routeClass;
         private final long nowMs;
@@ -111,15 +111,15 @@
         private Rule denyRule;
         private long nextChangeMs = Long.MAX_VALUE;
 
-        Evaluation(int tenant, String method, String routeClass, long nowMs) {
-            this.tenant = tenant;
+        Evaluation(int tenantIndex, String method, String routeClass, long nowMs) {
+            this.tenantIndex = tenantIndex;
             this.method = method;
             this.routeClass = routeClass;
             this.nowMs = nowMs;
         }
 
         void consider(Rule rule) {
-            if (!rule.appliesTo(tenant, method, routeClass)) {
+            if (!rule.appliesTo(tenantIndex, method, routeClass)) {
                 return;
             }
             nextChangeMs = Math.min(nextChangeMs, rule.nextChangeMs(nowMs));
@@ -138,10 +138,10 @@
         }
 
         AccessDecision decision() {
-            Rule deciding = denyRule != null ? denyRule : allowRule;
+            Rule decidingRule = denyRule != null ? denyRule : allowRule;
             return new AccessDecision(
                     denyRule == null && allowRule != null,
-                    deciding == null ? 0 : deciding.line(),
+                    decidingRule == null ? 0 : decidingRule.line(),
                     nextChangeMs);
         }
     }
--- a/src/main/java/brooklock/authorization/PolicyReader.java
+++ b/src/main/java/brooklock/authorization/PolicyReader.java
@@ -136,9 +136,7 @@
         requireUnusedName(name);
         if (tenants.size() == MAX_TENANTS) {
             throw new InvalidStatementException(
-                    "expected at most "
-                            + MAX_TENANTS
-                            + " tenants in a policy but received one more");
+                    "expected at most " + MAX_TENANTS + " tenants in a policy but received more");
         }
         Tenant tenant =
                 new Tenant(
@@ -263,7 +261,7 @@
             throw new InvalidStatementException(
                     "expected at most "
                             + MAX_RULES
-                            + " allow and deny statements in a policy but received one more");
+                            + " allow and deny statements in a policy but received more");
         }
         Set<String> methodSet = methods.equals("*") ? Set.of() : Set.of(methods.split(","));
         rules =
--- a/src/main/java/brooklock/authorization/Rule.java
+++ b/src/main/java/brooklock/authorization/Rule.java
@@ -23,8 +23,8 @@
         String routeClass,
         long fromMs,
         long untilMs) {
-    boolean appliesTo(int tenant, String method, String requestClass) {
-        return tenants.get(tenant)
+    boolean appliesTo(int tenantIndex, String method, String requestClass) {
+        return tenants.get(tenantIndex)
                 && (methods.isEmpty() || methods.contains(method))
                 && (routeClass == null || routeClass.equals(requestClass));
     }
--- a/src/main/java/brooklock/authorization/TenantUsage.java
+++ b/src/main/java/brooklock/authorization/TenantUsage.java
@@ -8,8 +8,7 @@
     // The tenant's own limits admit bursts of up to one second of the configured rate.
     private static final double TENANT_BURST_SECONDS = 1;
     // Bursts within the fair share are much shorter. If a tenant spent its share in one burst at
-    // the
-    // start of an interval, the router would reject most of it, and the measured capacity, from
+    // the start of an interval, the router would reject most of it, and the measured capacity, from
     // which the fair shares are derived, would shrink towards zero.
     private static final double FAIR_SHARE_BURST_SECONDS = 0.05;
 
--- a/src/main/java/brooklock/credentials/MonotonicWallClock.java
+++ b/src/main/java/brooklock/credentials/MonotonicWallClock.java
@@ -14,8 +14,8 @@
 
     private final MillisClock wallClock;
     private final MillisClock monotonicClock;
-    private long anchorWallMs;
-    private long anchorMonotonicMs;
+    private long referenceWallMs;
+    private long referenceMonotonicMs;
 
     /** Creates a new clock based on the system's clocks. */
     public MonotonicWallClock() {
@@ -31,18 +31,18 @@
     public MonotonicWallClock(MillisClock wallClock, MillisClock monotonicClock) {
         this.wallClock = wallClock;
         this.monotonicClock = monotonicClock;
-        anchorWallMs = wallClock.nowMs();
-        anchorMonotonicMs = monotonicClock.nowMs();
+        referenceWallMs = wallClock.nowMs();
+        referenceMonotonicMs = monotonicClock.nowMs();
     }
 
     /** Returns the current time, in ms since 1970; never less than an earlier result. */
     public long nowMs() {
         long monotonicMs = monotonicClock.nowMs();
-        long expectedMs = anchorWallMs + monotonicMs - anchorMonotonicMs;
+        long expectedMs = referenceWallMs + monotonicMs - referenceMonotonicMs;
         long wallMs = wallClock.nowMs();
         if (wallMs > expectedMs) {
-            anchorWallMs = wallMs;
-            anchorMonotonicMs = monotonicMs;
+            referenceWallMs = wallMs;
+            referenceMonotonicMs = monotonicMs;
             return wallMs;
         }
         return expectedMs;
--- a/src/main/java/brooklock/credentials/TokenCache.java
+++ b/src/main/java/brooklock/credentials/TokenCache.java
@@ -23,9 +23,8 @@
     // Tokens and addresses beyond these limits are evicted in LRU order.
     private static final int MAX_TOKENS = 10_000;
     private static final int MAX_ADDRESSES = 4_096;
-    // The refill rate and the capacity of an address's budget of invalid signatures. A client with
-    // a
-    // stale token sends one or two invalid tokens; one that guesses tokens sends many more.
+    // The refill rate and the capacity of an address's budget of invalid signatures. A client whose
+    // token is stale sends one or two invalid tokens; one that guesses tokens sends many more.
     private static final double MAX_INVALID_PER_SECOND = 10;
     private static final int MAX_PENDING_PER_ADDRESS = 64;
     private static final int LABEL_CHARS = 12;
--- a/src/test/java/brooklock/authorization/TenantLimiterTest.java
+++ b/src/test/java/brooklock/authorization/TenantLimiterTest.java
@@ -16,7 +16,7 @@
 
 /** Tests the admission of requests by tenants' own limits and by fair shares. */
 class TenantLimiterTest {
-    private static final long MS = 1_000_000L;
+    private static final long NS_PER_MS = 1_000_000L;
 
     private static TenantLimiter limiter(Tenant... tenants) {
         TenantLimiter limiter = new TenantLimiter();
@@ -55,11 +55,11 @@
                         admission.admitted()
                                 || (admission.reason() == Reason.RATE
                                         && admission.retryAfterNs() > 0
-                                        && admission.retryAfterNs() < 200 * MS));
+                                        && admission.retryAfterNs() < 200 * NS_PER_MS));
             }
             assertEquals(10, admitted);
             assertTrue(
-                    limiter.tryAcquire("r", 105 * MS).admitted(),
+                    limiter.tryAcquire("r", 105 * NS_PER_MS).admitted(),
                     "one request is admitted after a tenth of a second");
         }
 
@@ -82,7 +82,7 @@
             limiter.release("b", 3000, false);
             assertEquals(Reason.BYTES, limiter.tryAcquire("b", 6).reason());
             assertTrue(
-                    limiter.tryAcquire("b", 2_100 * MS).admitted(),
+                    limiter.tryAcquire("b", 2_100 * NS_PER_MS).admitted(),
                     "the overdraft of the byte bucket is refilled");
         }
 
@@ -91,10 +91,10 @@
         void clockGoesBack() {
             TenantLimiter limiter = limiter(tenPerSecond(0, "r"));
             for (int i = 0; i < 10; i++) {
-                limiter.tryAcquire("r", 1_000 * MS);
+                limiter.tryAcquire("r", 1_000 * NS_PER_MS);
             }
-            assertFalse(limiter.tryAcquire("r", 10 * MS).admitted());
-            assertFalse(limiter.tryAcquire("r", 1_000 * MS).admitted());
+            assertFalse(limiter.tryAcquire("r", 10 * NS_PER_MS).admitted());
+            assertFalse(limiter.tryAcquire("r", 1_000 * NS_PER_MS).admitted());
         }
     }
 
@@ -133,7 +133,7 @@
                     }
                     due[i]--;
                     anyDue = true;
-                    if (limiter.tryAcquire(names[i], (startMs + ms) * MS).admitted()) {
+                    if (limiter.tryAcquire(names[i], (startMs + ms) * NS_PER_MS).admitted()) {
                         boolean accepted = availableCapacity >= 1;
                         availableCapacity -= accepted ? 1 : 0;
                         limiter.release(names[i], 0, !accepted);
@@ -203,7 +203,7 @@
             double served = 0;
             for (int ms = 0; ms < 60_000; ms++) {
                 String name = ms % 10 == 0 ? "a" : "b";
-                if (ms % 5 == 0 && limiter.tryAcquire(name, ms * MS).admitted()) {
+                if (ms % 5 == 0 && limiter.tryAcquire(name, ms * NS_PER_MS).admitted()) {
                     boolean rejected = random.nextDouble() < 0.3;
                     limiter.release(name, 0, rejected);
                     served += rejected || ms < 30_000 ? 0 : 1;
@@ -218,7 +218,7 @@
             TenantLimiter limiter = limiter(unlimited(0, "a", 1), unlimited(1, "b", 1));
             for (int ms = 0; ms < 10_000; ms++) {
                 String name = ms % 2 == 0 ? "a" : "b";
-                assertTrue(limiter.tryAcquire(name, ms * MS).admitted(), "at " + ms);
+                assertTrue(limiter.tryAcquire(name, ms * NS_PER_MS).admitted(), "at " + ms);
                 limiter.release(name, 0, ms % 10 < 7);
             }
         }
