--- a/src/main/java/brooklock/credentials/CertificateTrust.java
+++ b/src/main/java/brooklock/credentials/CertificateTrust.java
@@ -90,8 +90,8 @@
         for (Path file : files) {
             for (X509CRL crl : CertificateFiles.readCrls(file)) {
                 requireSignedByAuthority(file, crl, authorities);
-                X509CRL other = crls.get(crl.getIssuerX500Principal());
-                if (other == null || isOlder(other, crl)) {
+                X509CRL known = crls.get(crl.getIssuerX500Principal());
+                if (known == null || isOlder(known, crl)) {
                     crls.put(crl.getIssuerX500Principal(), crl);
                 }
             }
@@ -99,8 +99,8 @@
         return crls;
     }
 
-    private static boolean isOlder(X509CRL crl, X509CRL other) {
-        return crl.getThisUpdate().toInstant().isBefore(other.getThisUpdate().toInstant());
+    private static boolean isOlder(X509CRL crl, X509CRL reference) {
+        return crl.getThisUpdate().toInstant().isBefore(reference.getThisUpdate().toInstant());
     }
 
     private static void requireSignedByAuthority(
