--- a/src/main/java/brooklock/authorization/PolicyReader.java
+++ b/src/main/java/brooklock/authorization/PolicyReader.java
@@ -243,7 +243,7 @@
         while (statement.hasMore()) {
             String option = statement.nextWord("an option");
             switch (option) {
-                case "class" -> routeClass = statement.nextWord("a class");
+                case "class" -> routeClass = statement.nextWord("a request class");
                 case "from" -> fromMs = parseInstantMs(statement.nextWord("an instant"));
                 case "until" -> untilMs = parseInstantMs(statement.nextWord("an instant"));
                 default ->
--- a/src/test/java/brooklock/credentials/KeySetTest.java
+++ b/src/test/java/brooklock/credentials/KeySetTest.java
@@ -75,7 +75,7 @@
     // An operator edits the file by hand and accidentally removes a key that still signs tokens.
     // Every token of that key would be rejected.
     @Test
-    @DisplayName("a key can be removed only after it is retired, and its id is never reused")
+    @DisplayName("a key can be removed only after it is retired, and an id never names another key")
     void rotation() throws IOException {
         Path path = dir.resolve("set");
         KeySetFile file = new KeySetFile(path);
