--- a/src/main/java/brooklock/authorization/PolicyReader.java
+++ b/src/main/java/brooklock/authorization/PolicyReader.java
@@ -73,7 +73,8 @@
                     new Problem(
                             file,
                             0,
-                            "expected at least one tenant and one allow or deny statement"));
+                            "expected at least one tenant and one allow or deny statement but"
+                                    + " received no tenant or no such statement"));
         }
         if (!text.isEmpty() && !text.endsWith("\n")) {
             problems.add(
