--- a/src/main/java/brooklock/routing/Attempt.java
+++ b/src/main/java/brooklock/routing/Attempt.java
@@ -1,30 +1,33 @@
 package brooklock.routing;
 
-/** One attempt of a request, from its start until its outcome. State only. */
+/** An attempt of a request, from its start until its outcome. State only. */
 final class Attempt {
     final RoutedEndpoint endpoint;
 
-    /** Where the endpoint fills a miss from; the endpoint itself if it shall not fill. */
+    /** Where the endpoint fills a cache miss from; the endpoint itself if it may not fill. */
     final RoutedEndpoint fillSource;
 
     final FillReach reach;
 
-    /** When the router decided it; the endpoint gets it later if it waits for a connection. */
+    /**
+     * The time at which the router started the attempt, in nanoseconds. It is sent later if it
+     * waits for a connection.
+     */
     final long decidedAtNs;
 
-    /** Work reserved on the endpoint's link, ns; 0 once released. */
+    /** The work reserved on the endpoint's link, in nanoseconds; 0 once released. */
     double endpointWorkNs;
 
-    /** Work reserved on the fill link of the zone, ns; 0 once released. */
+    /** The work reserved on the zone's fill link, in nanoseconds; 0 once released. */
     double fillWorkNs;
 
-    /** Work reserved at the origin, ns; 0 once released. */
+    /** The work reserved at the origin, in nanoseconds; 0 once released. */
     double originWorkNs;
 
-    /** Whether its outcome is known. */
+    /** Whether the outcome is known. */
     boolean completed;
 
-    /** Whether its response has begun to go to the client. */
+    /** Whether the first bytes of the response have been sent to the client. */
     boolean responseStarted;
 
     Attempt(RoutedEndpoint endpoint, RoutedEndpoint fillSource, FillReach reach, long decidedAtNs) {
@@ -34,14 +37,15 @@
         this.decidedAtNs = decidedAtNs;
     }
 
-    /** Whether a cache miss at its endpoint is filled. */
+    /** Returns whether the endpoint fills a cache miss. */
     boolean fills() {
         return fillSource != endpoint;
     }
 
     /**
-     * Whether an outcome of its endpoint has been counted since it was decided: the response is
-     * taken to be missing, not the endpoint. The reset or timeout of another attempt counts too.
+     * Returns whether this attempt is open although an outcome of its endpoint has been recorded
+     * since its start. The endpoint is then taken to be alive and the response to be missing. A
+     * reset or timeout of another attempt counts as such an outcome, too.
      */
     boolean isOvertaken() {
         return !completed && endpoint.health.silentSinceNs > decidedAtNs;
--- a/src/main/java/brooklock/routing/AttemptOutcome.java
+++ b/src/main/java/brooklock/routing/AttemptOutcome.java
@@ -4,24 +4,24 @@
 public enum AttemptOutcome {
     /** The endpoint served the request. */
     OK(false),
-    /** The endpoint answered with an error, or with something that is no response. */
+    /** The endpoint responded with an error, or its response was malformed. */
     ERROR(false),
     /** The endpoint rejected the attempt because it is overloaded. */
     OVERLOADED(true),
     /** No response came within the attempt's timeout. */
     TIMEOUT(false),
-    /** No connection to the endpoint came up. */
+    /** No connection to the endpoint was established. */
     CONNECT_FAILED(true),
     /** The connection was reset after the request had been written. */
     RESET(false),
     /** The router cancelled the attempt. */
     CANCELLED(false),
-    /** The attempt was not sent in time and never reached its endpoint. */
+    /** The attempt was not sent in time and did not reach its endpoint. */
     NOT_STARTED(true),
-    /** The endpoint has no copy and the attempt allowed no fill. */
+    /** The endpoint has no copy and the attempt did not allow a fill. */
     CACHE_MISS(true);
 
-    /** True if this outcome proves that the request had no effect. */
+    /** Whether this outcome proves that the request was not executed. */
     public final boolean provesNotExecuted;
 
     AttemptOutcome(boolean provesNotExecuted) {
@@ -29,8 +29,8 @@
     }
 
     /**
-     * Returns true if the attempt never reached its endpoint, so that it says nothing about
-     * latency.
+     * Returns whether the attempt never reached its endpoint, in which case its duration says
+     * nothing about the endpoint's latency.
      */
     public boolean neverStarted() {
         return this == NOT_STARTED || this == CONNECT_FAILED;
--- a/src/main/java/brooklock/routing/CacheSelector.java
+++ b/src/main/java/brooklock/routing/CacheSelector.java
@@ -4,34 +4,46 @@
 import java.util.List;
 
 /**
- * Bounded-load rendezvous selection of the edge cache of a request.
+ * Selects the edge cache of a request by rendezvous hashing with bounded loads.
  *
- * <p>Inputs: the caches of the own zone, the work in flight at each, {@link OutlierDetector},
- * {@link SlowStart} and how often the object is requested.
+ * <p>Inputs: the caches of the router's own zone, the work in flight at each, {@link
+ * OutlierDetector}, {@link SlowStart} and how often the object is requested.
  *
- * <p>The caches are tried in the order of {@link RendezvousHash}. One is passed over that the
- * request has tried, that is ejected, that carries more than its share, or whose slow-start budget
- * does not cover the request. The bound on the share prevents that one popular copy fills a cache's
- * link while its peers idle, which shows as late hits at one cache. It holds because what a cache
- * may not take goes on to the next in the order.
+ * <p>The caches are tried in the order of {@link RendezvousHash}. A cache is passed over if the
+ * request has tried it, if it is ejected, if its load exceeds the bound, or if its slow-start
+ * budget does not cover the request. Without the bound on the load, one popular copy could fill a
+ * cache's link and make its hits late while its peers are idle. Requests that a cache may not
+ * accept go to the next one in the order.
  *
- * <p>Where all are passed over, only slow start still binds: of the caches that it allows the least
- * loaded is chosen, an ejected one after the others and one that the request has tried last.
+ * <p>If all caches are passed over, only slow start still applies: the least loaded of the caches
+ * that it allows is selected, ejected ones after the others and those that the request has tried
+ * last.
  */
 final class CacheSelector {
-    /** A cache is passed over above this multiple of its peers' mean work in flight ... */
+    /**
+     * A cache is passed over if its load is above this multiple of its peers' mean work in flight
+     * ...
+     */
     private static final double LOAD_BOUND = 1.1;
 
-    /** ... and this many mean requests more, so that small numbers move nothing. */
+    /** ... plus this many mean requests, so that small loads do not move requests. */
     private static final double LOAD_SLACK_REQUESTS = 2;
 
-    /** Caches picked one by one before the rest is sorted, which costs about as many passes. */
+    /**
+     * Number of caches that are selected one by one before the rest is sorted: sorting costs about
+     * as many passes.
+     */
     private static final int SELECTION_PASSES = 8;
 
-    /** Added to the load, ns, of a cache that the request has tried: far above any load. */
+    /**
+     * Added to the load in nanoseconds of a cache that the request has tried: far above any load.
+     */
     private static final double TRIED_PENALTY_NS = 1e15;
 
-    /** Added to the load, ns, of an ejected cache: above any load, below the other penalty. */
+    /**
+     * Added to the load in nanoseconds of an ejected cache: above any load, below the other
+     * penalty.
+     */
     private static final double EJECTED_PENALTY_NS = 1e12;
 
     private static final Comparator<RoutedEndpoint> BY_SCORE =
@@ -57,8 +69,8 @@
     }
 
     /**
-     * The cache for the request; where all are passed over, the least loaded that slow start
-     * allows, even an ejected one. Null only where slow start allows none.
+     * Returns the cache for the request. If all caches are passed over, returns the least loaded
+     * one that slow start allows, or null if it allows none.
      */
     RoutedEndpoint select(PendingRequest request, long now) {
         double bound = scoreAll(RendezvousHash.copy(request.event.object(), request.event.part()));
@@ -82,7 +94,10 @@
     }
 
     /**
-     * Scores all caches for a copy; returns the work in flight by weight that none should exceed.
+     * Scores all caches for a copy.
+     *
+     * @return the bound of the load, which is work in flight divided by weight, that no selected
+     *     cache should exceed
      */
     private double scoreAll(long copy) {
         double load = 0;
@@ -101,8 +116,9 @@
     }
 
     /**
-     * Puts the best of the caches from a place on at that place. Few are looked at, so only those
-     * are ordered, in the list itself: its order is the next request's start.
+     * Moves the cache with the highest score among those from the given index on to that index and
+     * returns it. Usually only the first few are needed, so the list is ordered only as far as they
+     * go, and in place: its order is the starting point for the next request.
      */
     private RoutedEndpoint bringNearest(int place) {
         if (place == SELECTION_PASSES) {
@@ -117,7 +133,10 @@
         return caches.get(place);
     }
 
-    /** Where all are passed over: the least loaded that the slow start allows, tried ones last. */
+    /**
+     * Returns the least loaded cache that slow start allows, ejected ones after the others and
+     * those that the request has tried last, or null if slow start allows none.
+     */
     private RoutedEndpoint leastLoaded(PendingRequest request, long now) {
         RoutedEndpoint best = null;
         for (int i = 0; i < caches.size(); i++) {
--- a/src/main/java/brooklock/routing/CacheStatus.java
+++ b/src/main/java/brooklock/routing/CacheStatus.java
@@ -1,12 +1,12 @@
 package brooklock.routing;
 
 /**
- * What a response says of the cached copy, or of the fill that failed.
+ * What a response says about the cached copy, or about a fill that failed.
  *
- * <p>The order is that of the simulator's wire: append only.
+ * <p>The simulator's wire format uses the ordinals: constants may only be appended.
  */
 public enum CacheStatus {
-    /** Nothing is said. */
+    /** The response has no cache status. */
     NONE,
     /** The endpoint served its own copy. */
     HIT,
@@ -14,7 +14,10 @@
     FILLED_BY_PARENT,
     /** The copy came from the origin, directly or through a parent. */
     FILLED_BY_ORIGIN,
-    /** The copy came from elsewhere than the named fill source: a fill in flight, or a peer. */
+    /**
+     * The copy did not come from the named fill source but from a fill already in flight or from a
+     * peer.
+     */
     COLLAPSED,
     /** The endpoint served a stale copy. */
     STALE,
@@ -29,13 +32,14 @@
     /** The origin failed behind the fill source. */
     ORIGIN_FAILED;
 
-    /** Returns true if the copy was filled for this response. */
+    /** Returns whether the copy was filled for this response. */
     public boolean isFilled() {
         return this == FILLED_BY_PARENT || this == FILLED_BY_ORIGIN;
     }
 
     /**
-     * Returns true if the fill failed behind the endpoint, so that the endpoint is not to blame.
+     * Returns whether the fill failed beyond the endpoint, so that the failure is not attributed to
+     * the endpoint.
      */
     public boolean isFillSourceFailure() {
         return this == FILL_SOURCE_REJECTED
--- a/src/main/java/brooklock/routing/ConcurrencyLimit.java
+++ b/src/main/java/brooklock/routing/ConcurrencyLimit.java
@@ -1,20 +1,21 @@
 package brooklock.routing;
 
 /**
- * Adaptive limit on the work in flight on one shared link, by additive increase and multiplicative
- * decrease.
+ * An adaptive limit on the work in flight on one shared link, with additive increase and
+ * multiplicative decrease.
  *
  * <p>Inputs: work in nanoseconds of transfer, as attempts start and end, and whether responses met
- * their objective.
+ * their latency objective.
  *
- * <p>There is no limit until responses come late. Then, with a tolerated share {@code s} of late
- * responses, one in time adds {@code s} times its work to the limit and a late one takes {@code 1 -
- * s} times its work from it: the limit rests where the share of late responses is {@code s}. That
- * share is higher where responses are late for other reasons too.
+ * <p>There is no limit until the link is congested, that is, until the share of late responses is
+ * too high. From then on, with a tolerated share {@code s} of late responses, a response in time
+ * raises the limit by {@code s} times its work and a late one lowers it by {@code 1 - s} times its
+ * work. The limit settles where the share of late responses is {@code s}. The tolerated share is
+ * higher on links where responses are also late for other reasons.
  *
- * <p>This prevents a jam: on a full link more work makes all of it late, which shows as latencies
- * that grow together while throughput stands still. It holds because work over the limit is sent
- * elsewhere or rejected at once.
+ * <p>Without a limit, additional work on a full link makes all of its responses late: all latencies
+ * grow while the throughput stays the same. Work above the limit is sent elsewhere or rejected at
+ * once.
  */
 final class ConcurrencyLimit {
     /** Tolerated share of late responses on a cache's own link. */
@@ -26,22 +27,25 @@
     /** Tolerated share of late responses at the origin. */
     private static final double ORIGIN_LATE_SHARE = 0.3;
 
-    /** Mean requests for which a limit of the own zone always stays open. */
+    /** Minimum of a limit in the router's own zone, in mean requests. */
     private static final double MIN_REQUESTS = 2;
 
-    /** Mean requests for which the limits of all dispatchers together stay open at the origin. */
+    /** Minimum of the limits of all dispatchers together at the origin, in mean requests. */
     private static final double MIN_ORIGIN_REQUESTS = 4;
 
-    /** Part of a limit that one late response may take: a large one must not shut it for all. */
+    /**
+     * Maximum share of a limit that one late response may take away: a single large one must not
+     * block the link for all.
+     */
     private static final double MAX_DECREASE = 0.25;
 
-    /** Running share of late responses from which on a link is late and gets a limit. */
+    /** Share of late responses from which on a link is congested and gets a limit. */
     private static final double LATE_SHARE_TO_LIMIT = 0.15;
 
-    /** Weight of one response in the running share. */
+    /** Weight of one response in the running share of late responses. */
     private static final double LATE_WEIGHT = 0.1;
 
-    /** Weight of one of unknown size, which may be late for its size alone. */
+    /** Weight of a response of unknown size, which may be late only because it is large. */
     private static final double UNSIZED_LATE_WEIGHT = 0.05;
 
     private final double toleratedLateShare;
@@ -64,34 +68,41 @@
         return new ConcurrencyLimit(FILL_LATE_SHARE, MIN_REQUESTS);
     }
 
-    /** This dispatcher's part of the origin: their floors add up at the one origin. */
+    /**
+     * Creates this dispatcher's share of the limit at the origin. The minimum is divided by the
+     * number of dispatchers, because the minima of all add up at the one origin.
+     */
     static ConcurrencyLimit forOrigin(int dispatchers) {
         return new ConcurrencyLimit(
                 ORIGIN_LATE_SHARE, MIN_ORIGIN_REQUESTS / Math.max(1, dispatchers));
     }
 
-    /** Work in flight. */
+    /** Returns the work in flight, in nanoseconds. */
     double inFlightNs() {
         return inFlightNs;
     }
 
-    /** Whether responses come late lately, so that the link had better be spared. */
+    /**
+     * Returns whether the running share of late responses is so high that the link should get no
+     * avoidable work.
+     */
     boolean isLate() {
         return lateShare >= LATE_SHARE_TO_LIMIT;
     }
 
     /**
-     * Whether the limit is at least this work, so that it lets such a request pass on an idle link
-     * without a pause after it.
+     * Returns whether the limit is at least the given work, so that a request of this size needs no
+     * pause after it.
      */
     boolean admitsAlone(double workNs) {
         return limitNs >= workNs;
     }
 
     /**
-     * Whether work may start. A limit narrower than one request admits one on an idle link, as
-     * nothing would pass otherwise, and then nothing for a pause. The pause is so long that the
-     * mean work in flight over both is the limit.
+     * Returns whether work may start. If the limit is smaller than one request, a single request is
+     * admitted on an idle link, because nothing would be served otherwise. No other is admitted for
+     * a pause after it, which is so long that the mean work in flight over the request and the
+     * pause equals the limit.
      */
     boolean admits(double workNs, long now) {
         return inFlightNs + workNs <= limitNs || (inFlightNs <= 0 && now >= pausedUntilNs);
@@ -108,12 +119,15 @@
         }
     }
 
-    /** Learns from a response of unknown size, which moves no limit. */
+    /** Records a response of unknown size, which does not change the limit. */
     void onUnsizedResponse(boolean onTime) {
         updateLateShare(onTime, UNSIZED_LATE_WEIGHT);
     }
 
-    /** Adapts to one response. A limit moves only while at least half of it is used. */
+    /**
+     * Records a response and adapts the limit. The limit changes only while more than half of it is
+     * used.
+     */
     void onResponse(boolean onTime, double workNs, double meanWorkNs) {
         updateLateShare(onTime, LATE_WEIGHT);
         double min = minRequests * meanWorkNs;
--- a/src/main/java/brooklock/routing/DecayingRate.java
+++ b/src/main/java/brooklock/routing/DecayingRate.java
@@ -1,33 +1,41 @@
 package brooklock.routing;
 
-/** A running rate: what was added lately, forgotten exponentially over a span. State only. */
+/** A sum that decays exponentially, from which a rate is derived. State only. Not thread-safe. */
 public final class DecayingRate {
     private final double spanNs;
     private double sum;
     private long updatedAtNs;
 
-    /** Begins at 0; {@code spanNs} is the time in which all but a third is forgotten. */
+    /**
+     * Creates a new rate, which starts at 0.
+     *
+     * @param spanNs the time constant of the decay in nanoseconds, in which the sum falls to 1/e
+     *     (about a third)
+     */
     public DecayingRate(double spanNs) {
         this.spanNs = spanNs;
     }
 
-    /** Adds an amount at a time. */
+    /** Adds an amount at the given time, in nanoseconds. */
     public void add(double amount, long now) {
         sum = sum(now) + amount;
         updatedAtNs = now;
     }
 
-    /** What is left of all that was added. */
+    /** Returns the decayed sum at the given time, in nanoseconds. */
     public double sum(long now) {
         return sum * Math.exp((updatedAtNs - now) / spanNs);
     }
 
-    /** Mean amount per nanosecond over the span. */
+    /**
+     * Returns the mean amount per nanosecond, taken over the time constant, at the given time in
+     * nanoseconds.
+     */
     public double perNs(long now) {
         return sum(now) / spanNs;
     }
 
-    /** When something was added last, or 0. */
+    /** Returns the time of the last addition, in nanoseconds, or 0 if there was none. */
     public long updatedAtNs() {
         return updatedAtNs;
     }
--- a/src/main/java/brooklock/routing/Endpoint.java
+++ b/src/main/java/brooklock/routing/Endpoint.java
@@ -1,14 +1,16 @@
 package brooklock.routing;
 
 /**
- * One endpoint as the endpoint list describes it.
+ * An entry of the endpoint list.
  *
- * @param id its identifier, unique in the deployment
- * @param zone index of its zone
- * @param kind its role: cache, parent or origin, by the numbers in {@link RouterSettings}
- * @param state whether it may get attempts
- * @param weight its capacity relative to its peers; 0 or less counts as 1
- * @param startedAtNs when it started, in nanoseconds of the router's clock; 0 means long ago
+ * @param id the endpoint's identifier, unique in the deployment
+ * @param zone index of the endpoint's zone
+ * @param kind the endpoint's role: cache, parent or origin, by the numbers in {@link
+ *     RouterSettings}
+ * @param state whether the endpoint may get attempts
+ * @param weight the endpoint's capacity relative to its peers; 0 or less counts as 1
+ * @param startedAtNs time at which the endpoint started, in nanoseconds of the router's clock; 0
+ *     means long ago
  */
 public record Endpoint(
         long id, int zone, int kind, EndpointState state, double weight, long startedAtNs) {}
--- a/src/main/java/brooklock/routing/EndpointHealth.java
+++ b/src/main/java/brooklock/routing/EndpointHealth.java
@@ -1,30 +1,33 @@
 package brooklock.routing;
 
-/** What the {@link OutlierDetector} knows of one endpoint. State only. */
+/** The health of one endpoint as the {@link OutlierDetector} sees it. State only. */
 final class EndpointHealth {
-    /** Attempts whose outcome is not known yet. */
+    /** The number of attempts whose outcome is not known yet. */
     int openAttempts;
 
-    /** Running share of failures among its outcomes. */
+    /** The exponentially weighted share of failures among the endpoint's outcomes. */
     double errorRate;
 
     /**
-     * Since when no outcome has been counted for it while attempts are open: the latest of an
-     * outcome of any kind, also a timeout, a reset or one as fill source, the first attempt after
-     * an idle time, and a new start on the endpoint list.
+     * The time since which no outcome has been recorded, in nanoseconds. It is the latest of: an
+     * outcome of any kind, including a timeout, a reset or an outcome as fill source; the first
+     * attempt after a time without open attempts; a new start time in the endpoint list.
      */
     long silentSinceNs;
 
-    /** Connections lost or refused without another outcome between. */
+    /** The number of connections lost or refused in succession. */
     int connectionFailures;
 
     /**
-     * Failures in a row that left it ejected, up to the bound of the backoff: the one that ejects
-     * it is the first, and late failures of attempts sent before its ejection count like health
-     * checks.
+     * The number of successive failures that left the endpoint ejected, up to the bound of the
+     * backoff. The failure that ejects it is the first. Late failures of attempts sent before its
+     * ejection count like failed health checks.
      */
     int failuresWhileEjected;
 
-    /** When an ejected endpoint gets its next health-check request. */
+    /**
+     * The time from which an ejected endpoint may get a request as its next health check, in
+     * nanoseconds.
+     */
     long nextHealthCheckNs;
 }
--- a/src/main/java/brooklock/routing/EndpointListKind.java
+++ b/src/main/java/brooklock/routing/EndpointListKind.java
@@ -1,17 +1,17 @@
 package brooklock.routing;
 
 /**
- * How an endpoint list is to be applied.
+ * How an endpoint list is applied.
  *
- * <p>The order is that of the simulator's wire: append only.
+ * <p>The simulator's wire format uses the ordinals: constants may only be appended.
  */
 public enum EndpointListKind {
-    /** Only the endpoints that changed. */
+    /** The list has only the endpoints that changed. */
     DELTA,
-    /** All endpoints; one that is missing is gone. */
+    /** The list is complete: endpoints that it does not contain are gone. */
     FULL,
-    /** All endpoints as they were last known, possibly stale. */
+    /** The list has all endpoints as they were last known, which may be outdated. */
     CACHED,
-    /** The subscription failed; no endpoints come with it. */
+    /** The subscription to the list failed; the event has no endpoints. */
     FAILED
 }
--- a/src/main/java/brooklock/routing/EndpointState.java
+++ b/src/main/java/brooklock/routing/EndpointState.java
@@ -1,15 +1,15 @@
 package brooklock.routing;
 
 /**
- * What the endpoint list says of an endpoint.
+ * The state of an endpoint in the endpoint list.
  *
- * <p>The order is that of the simulator's wire: append only.
+ * <p>The simulator's wire format uses the ordinals: constants may only be appended.
  */
 public enum EndpointState {
-    /** Removed from the list: it gets no attempt. */
+    /** The endpoint has been removed from the list and gets no attempts. */
     GONE,
-    /** It may get attempts. */
+    /** The endpoint may get attempts. */
     READY,
-    /** It finishes its attempts in flight and gets no new one. */
+    /** The endpoint finishes its attempts in flight and gets no new ones. */
     DRAINING
 }
--- a/src/main/java/brooklock/routing/EndpointTable.java
+++ b/src/main/java/brooklock/routing/EndpointTable.java
@@ -7,14 +7,15 @@
 import java.util.TreeMap;
 
 /**
- * The endpoint list and each endpoint's state, sorted by what this dispatcher uses them for.
+ * The endpoint list with the state of each endpoint, grouped by the endpoints' use for this
+ * dispatcher.
  *
  * <p>Inputs: endpoint lists and changes of them, in the order of their events.
  *
- * <p>Only endpoints that are ready stand in the lists that selection reads, so one that drains or
- * is gone gets neither requests nor fills from the event on that says so. This prevents errors from
- * endpoints that shut down, which show during each deployment. The state of an endpoint is kept
- * until its last attempt has ended, so that its load is still known if it returns before.
+ * <p>The lists that selection reads contain only ready endpoints, so an endpoint that is draining
+ * or gone gets neither requests nor fills from the event that reports it. Otherwise endpoints that
+ * shut down would cause errors during each deployment. The state of an endpoint is kept until its
+ * last attempt has ended, so that its load is still known if it returns before that.
  */
 final class EndpointTable {
     private final RouterSettings settings;
@@ -31,27 +32,30 @@
         nearParentZone = settings.zone() < zones.size() ? zones.get(settings.zone()) : -1;
     }
 
-    /** The ready caches of the own zone; {@link CacheSelector} puts them in order in place. */
+    /**
+     * Returns the ready caches of the router's own zone. {@link CacheSelector} reorders the list in
+     * place.
+     */
     List<RoutedEndpoint> localCaches() {
         return localCaches;
     }
 
-    /** The ready parents of the own hub. */
+    /** Returns the ready parents of the zone whose parents are near. */
     List<RoutedEndpoint> nearParents() {
         return nearParents;
     }
 
-    /** The ready parents of other hubs. */
+    /** Returns the ready parents of all other zones. */
     List<RoutedEndpoint> farParents() {
         return farParents;
     }
 
-    /** The origin, or null. */
+    /** Returns the origin, or null if there is no ready one. */
     RoutedEndpoint origin() {
         return origin;
     }
 
-    /** Applies a list or a change of it. */
+    /** Applies an endpoint list or a change of it. */
     void update(EndpointListReceived list, long now) {
         if (list.kind() != EndpointListKind.DELTA) {
             for (RoutedEndpoint endpoint : endpoints.values()) {
--- a/src/main/java/brooklock/routing/FillAdmission.java
+++ b/src/main/java/brooklock/routing/FillAdmission.java
@@ -3,22 +3,23 @@
 import brooklock.routing.RouterEvent.AttemptCompleted;
 
 /**
- * How far a request may reach by the load: to its cache's copy only, to a parent, to the origin, or
- * not at all.
+ * Decides under the present load which tiers a request may use: the cached copy of its cache, a
+ * parent, the origin, or none.
  *
  * <p>Inputs: the work of the request, the limits of the links, the hot list, and the miss ratios
  * learned from outcomes.
  *
- * <p>Each attempt reserves work on its endpoint's link, on the zone's fill link and at the origin,
- * on the latter two by the share of requests that get so far. Where a link has no capacity left the
- * request goes only as far as there is, and further on a miss if there is by then. Where it would
- * reach nothing new, the load is shed: the {@link Router} rejects the request or fails it at once.
+ * <p>Each attempt reserves work on the link of its endpoint, on the zone's fill link and at the
+ * origin. On the fill link and at the origin it reserves only the share that is expected to miss
+ * before them. If a link has no capacity left, the request is admitted only to the tiers before
+ * that link; after a miss it may go further if there is capacity by then. If no tier is left that
+ * could serve it, the load is shed: the {@link Router} rejects or fails the request at once.
  *
- * <p>This prevents that misses which cannot be filled hold up hits, which shows as late responses
- * from caches that have the object. It holds because a cached copy needs only the cache's own link.
+ * <p>Without this, misses that cannot be filled would hold up hits, and caches would respond late
+ * although they have the object. A cached copy needs only the cache's own link.
  */
 final class FillAdmission {
-    /** Miss ratio of caches and of parents until they are measured. */
+    /** Initial miss ratio of caches and of parents, until it is measured. */
     private static final double INITIAL_MISS_RATIO = 0.3;
 
     /** Weight of a new sample in a miss ratio. */
@@ -35,12 +36,15 @@
         this.outliers = outliers;
     }
 
-    /** Whether fills come late lately. */
+    /** Returns whether the zone's fill link is congested. */
     boolean isFillLate() {
         return fillLimit.isLate();
     }
 
-    /** How far the request may reach now; objects off the hot list wait for a narrow origin. */
+    /**
+     * Returns the furthest tier that the request may use. While the origin's limit is smaller than
+     * the request, only hot objects are admitted to the origin.
+     */
     FillReach reach(PendingRequest request, RoutedEndpoint target, long now) {
         double work = request.workNs;
         if (!target.isCache) {
@@ -58,7 +62,10 @@
         return !fill ? FillReach.CACHE : origin ? FillReach.ORIGIN : FillReach.PARENT;
     }
 
-    /** Share of the request's work that is expected at the origin, by the misses known so far. */
+    /**
+     * Returns the share of the request's work that is expected at the origin, given the misses
+     * known so far.
+     */
     private double originShare(PendingRequest request) {
         if (request.parentMissed) {
             return 1;
@@ -66,7 +73,7 @@
         return request.missed ? parentMissRatio : missRatio * parentMissRatio;
     }
 
-    /** Reserves an attempt's work on the three links. */
+    /** Reserves an attempt's work on the endpoint's link, on the fill link and at the origin. */
     void acquire(PendingRequest request, Attempt attempt) {
         attempt.endpointWorkNs = request.workNs;
         attempt.endpoint.limit.acquire(attempt.endpointWorkNs);
@@ -83,7 +90,7 @@
         originLimit.acquire(attempt.originWorkNs);
     }
 
-    /** Releases an attempt's work; a second call releases nothing. */
+    /** Releases an attempt's work. A second call has no effect. */
     void release(Attempt attempt, long now) {
         attempt.endpoint.limit.release(attempt.endpointWorkNs, now);
         fillLimit.release(attempt.fillWorkNs, now);
@@ -94,8 +101,9 @@
     }
 
     /**
-     * Learns from an outcome. What never started, or was cancelled before its objective, says
-     * nothing of a link: its client left, or its connection came up late.
+     * Updates the limits and miss ratios with an outcome. An attempt that never started, or that
+     * was cancelled before its latency objective, says nothing about a link: its connection was
+     * established late, or its client disconnected.
      */
     void onCompleted(
             PendingRequest request,
@@ -125,8 +133,11 @@
     }
 
     /**
-     * A hit judges the cache's own link, a parent's copy the fill link, what the origin had to give
-     * the origin.
+     * Returns the limit that an outcome updates, or null if it updates none: the limit of the
+     * cache's own link for a hit, of the fill link for a copy from a parent or a response from an
+     * endpoint that is not a cache, and of the origin for a copy from the origin or a failed fill
+     * that reached its fill source. Any other failure, unless it is excused, updates the limit of
+     * the cache's link if only the cached copy was allowed, else that of the fill link.
      */
     private ConcurrencyLimit limitJudgedBy(
             Attempt attempt, AttemptCompleted completed, boolean excused) {
--- a/src/main/java/brooklock/routing/FillReach.java
+++ b/src/main/java/brooklock/routing/FillReach.java
@@ -1,13 +1,15 @@
 package brooklock.routing;
 
-/** How far behind its endpoint an attempt may reach for the object. */
+/**
+ * The furthest tier (cache, parent or origin) that {@link FillAdmission} allows an attempt to use.
+ */
 enum FillReach {
-    /** Not at all: the request is not admitted now. */
+    /** No tier: the request is not admitted at present. */
     NONE,
-    /** Only the cached copy of the endpoint. */
+    /** The endpoint may serve its cached copy but may not fill. */
     CACHE,
-    /** The copies that the endpoint and its parent hold. */
+    /** The endpoint may fill from a copy that the parent has cached. */
     PARENT,
-    /** As far as the origin. */
+    /** The endpoint may fill, and its parent may fetch from the origin. */
     ORIGIN
 }
--- a/src/main/java/brooklock/routing/FillSourceSelector.java
+++ b/src/main/java/brooklock/routing/FillSourceSelector.java
@@ -3,21 +3,25 @@
 import java.util.List;
 
 /**
- * Parent or origin as the fill source of a miss.
+ * Selects the parent, or the origin, from which a cache miss is filled.
  *
- * <p>Inputs: the parents in the order of {@link RendezvousHash}, those of the own hub first, {@link
- * OutlierDetector}, {@link SlowStart}, and the fill sources that the request has named before.
+ * <p>Inputs: the parents in the order of {@link RendezvousHash}, those of the near zone first,
+ * {@link OutlierDetector}, {@link SlowStart}, and the fill sources that the request has used
+ * before.
  *
- * <p>Parents that are ejected or were named before come last, yet before the origin: when all
- * parents fail, the origin behind them is the cause, and direct fills would push it further, which
- * shows as an origin that does not recover while its parents are rejected. The origin is named only
- * where no parent may be used, as when those left have lost their connections and are warming up.
+ * <p>Parents that are ejected or were used before come last, yet before the origin. When all
+ * parents fail, the origin behind them is the cause; direct fills would increase its load, so that
+ * it could not recover while its parents are rejected. The origin is selected only if slow start
+ * allows no parent, for example when those left have lost their connections and are warming up.
  */
 final class FillSourceSelector {
-    /** Far above any score, so that scores decide only between parents with the same penalty. */
+    /**
+     * Weight of the penalties, far above any score: scores decide only between parents of equal
+     * penalty.
+     */
     private static final double PENALTY_WEIGHT = 1e6;
 
-    /** Penalty of a parent that the request has named before. */
+    /** Penalty of a parent that the request has used before as its fill source. */
     private static final int ALREADY_USED = 2;
 
     /** Penalty of an ejected parent. */
@@ -33,7 +37,10 @@
         this.slowStart = slowStart;
     }
 
-    /** The fill source; null where there is neither parent nor origin. */
+    /**
+     * Returns the fill source for a request, or null if there is neither a parent that slow start
+     * allows nor an origin.
+     */
     RoutedEndpoint select(PendingRequest request, long now) {
         RoutedEndpoint near = bestOf(endpoints.nearParents(), request, now);
         RoutedEndpoint far =
--- a/src/main/java/brooklock/routing/HedgingPolicy.java
+++ b/src/main/java/brooklock/routing/HedgingPolicy.java
@@ -3,19 +3,22 @@
 import brooklock.routing.RouterEvent.AttemptCompleted;
 
 /**
- * Hedged requests: a second attempt beside the first, where the first response was lost.
+ * Hedged requests: decides when a second attempt is started beside the first, whose response was
+ * lost.
  *
- * <p>Inputs: outcomes, whether their endpoints have had other outcomes since, and whether links are
- * late.
+ * <p>Inputs: outcomes, whether the endpoint of an open attempt has had other outcomes since, and
+ * whether links are congested.
  *
- * <p>This prevents that requests wait for their deadline when responses get lost, which shows as
- * timeouts at endpoints that respond to others. Until its deadline a large response looks like a
- * lost one, so the rate of lost responses is learned first, from deadlines and from hedged requests
- * that win. What is merely late is not hedged: that would load a jammed link twice.
+ * <p>Without hedging, requests whose responses are lost would wait for their deadline and time out
+ * at endpoints that respond to other requests. Until its deadline a large response looks like a
+ * lost one, so hedging starts only once enough responses are known to be lost, from requests that
+ * reached their deadline and from hedged requests that succeeded. A response that is merely late is
+ * not hedged, because that would load a congested link twice.
  */
 final class HedgingPolicy {
     /**
-     * Share of the time to its latency objective after which an open request is looked at again.
+     * Share of the time to its latency objective after which an open request is considered for
+     * hedging.
      */
     private static final double HEDGE_AT_OBJECTIVE_SHARE = 0.6;
 
@@ -36,14 +39,15 @@
         return allowed && request.requestClass.idempotency() == Idempotency.IDEMPOTENT;
     }
 
-    /** When the request is looked at again. */
+    /** Returns the time at which the request is considered for hedging, in nanoseconds. */
     static long hedgeAtNs(PendingRequest request, long now) {
         return now + (long) ((request.objectiveAtNs - now) * HEDGE_AT_OBJECTIVE_SHARE);
     }
 
     /**
-     * Whether an attempt's response is taken to be lost, and neither its endpoint nor the fills are
-     * late.
+     * Returns whether an attempt's response is taken to be lost: many responses are lost at
+     * present, and neither the endpoint's link nor the fill link is congested, which would explain
+     * a late one.
      */
     boolean isResponseLost(Attempt attempt, FillAdmission admission) {
         return lostRate > MIN_LOST_RATE
@@ -53,8 +57,10 @@
     }
 
     /**
-     * Learns the rate of lost responses from an attempt that ends now; call it while the attempt is
-     * still open. Returns whether this one counts as lost, so that it judges no limit.
+     * Updates the rate of lost responses with an attempt that ends. Must be called while the
+     * attempt still counts as open.
+     *
+     * @return whether the response is taken to be lost, so that it updates no concurrency limit
      */
     boolean onCompleted(
             PendingRequest request, Attempt attempt, AttemptCompleted completed, long now) {
--- a/src/main/java/brooklock/routing/HotList.java
+++ b/src/main/java/brooklock/routing/HotList.java
@@ -6,22 +6,28 @@
 import java.util.Map;
 
 /**
- * Which objects are requested often enough to be cached at the edge, with which priority, and on
- * how many caches.
+ * Determines which objects are requested often enough to be cached at the edge, with which
+ * priority, and on how many caches.
  *
- * <p>Inputs: requests and the time. No response is used, so none that is late or lost can empty the
+ * <p>Inputs: requests and the time. Responses are not used, so late or lost ones cannot empty the
  * list.
  *
- * <p>An object is hot if it was requested in the previous interval, or twice in this one. After the
- * first interval only hot objects are cached at the edge. This prevents that objects requested once
- * push out those requested again, which shows as a falling hit ratio at an even load. It holds
- * because one request never makes an object hot, nor does the retry of one that was rejected.
+ * <p>An object is hot if it was requested in the previous interval or at least twice in this one.
+ * After the first interval only hot objects are cached at the edge. Otherwise objects requested
+ * only once would evict those requested again, and the hit ratio would fall at an even load.
+ * Neither a single request nor the retry of a rejected one makes an object hot.
  */
 final class HotList {
-    /** Length of an interval, ns: about as long as edge caches keep what is not requested again. */
+    /**
+     * Length of an interval in nanoseconds: about as long as an edge cache keeps a copy that is not
+     * requested again.
+     */
     private static final long INTERVAL_NS = 10_000_000_000L;
 
-    /** Objects counted in one interval; the oldest is dropped first, which bounds the memory. */
+    /**
+     * Maximum number of objects counted in one interval, to bound the memory; the oldest is dropped
+     * first.
+     */
     private static final int MAX_COUNTED_OBJECTS = 50_000;
 
     /** Requests in this interval above which an object is spread over two caches. */
@@ -30,10 +36,16 @@
     /** Requests in this interval above which an object is spread over three caches. */
     private static final int REQUESTS_FOR_THREE_CACHES = 60;
 
-    /** Priority of a hot copy: the middle one, it replaces unused copies and none above it. */
+    /**
+     * Priority of a hot object's copy: the middle one, which replaces unused copies but none of
+     * higher priority.
+     */
     private static final int HOT_PRIORITY = 2;
 
-    /** Priority of other copies in the first interval, while there is no list: the lowest. */
+    /**
+     * Priority of other copies in the first interval, in which no hot list exists yet: the lowest
+     * one.
+     */
     private static final int UNKNOWN_PRIORITY = 1;
 
     /** Priority of a copy that is not cached. */
@@ -44,13 +56,16 @@
     private long intervalEndNs;
     private long firstIntervalEndNs;
 
-    /** Begins the first interval. */
+    /** Starts the first interval. */
     void start(long now) {
         intervalEndNs = now + INTERVAL_NS;
         firstIntervalEndNs = intervalEndNs;
     }
 
-    /** Turns to the interval of this time; one without events leaves the list empty. */
+    /**
+     * Advances to the interval of the given time. If a whole interval has passed without events,
+     * the list is empty.
+     */
     void advance(long now) {
         if (now < intervalEndNs) {
             return;
@@ -61,7 +76,8 @@
     }
 
     /**
-     * Counts a request. Parts requested in their order are one; a part requested again is another.
+     * Counts a request and returns the demand for its object. Parts requested in ascending order
+     * count as one request; a part that is requested again counts as another.
      */
     ObjectDemand count(RequestReceived request) {
         ObjectDemand demand = current.get(request.object());
@@ -81,7 +97,9 @@
         return demand;
     }
 
-    /** Takes a rejected request out of the count: its retry must not make its object hot. */
+    /**
+     * Removes a rejected request from the count, because its retry must not make the object hot.
+     */
     static void uncount(ObjectDemand demand) {
         demand.requests = Math.max(0, demand.requests - 1);
     }
@@ -90,7 +108,10 @@
         return previous.containsKey(object) || demand.requests > 1;
     }
 
-    /** Priority with which an endpoint caches the response; 0 means that it does not. */
+    /**
+     * Returns the priority with which an endpoint caches the response; 0 means that it is not
+     * cached.
+     */
     int cachePriority(PendingRequest request, RoutedEndpoint endpoint, long now) {
         if (!request.isCacheableAt(endpoint)) {
             return NOT_CACHED;
@@ -101,7 +122,10 @@
         return now < firstIntervalEndNs ? UNKNOWN_PRIORITY : NOT_CACHED;
     }
 
-    /** Over how many caches an object is spread, so that no single link carries a very hot one. */
+    /**
+     * Returns the number of caches over which an object is spread, so that no single link carries
+     * all requests for a very hot object.
+     */
     static int cacheCount(ObjectDemand demand) {
         return demand.requests > REQUESTS_FOR_THREE_CACHES
                 ? 3
--- a/src/main/java/brooklock/routing/Idempotency.java
+++ b/src/main/java/brooklock/routing/Idempotency.java
@@ -2,13 +2,13 @@
 
 /** Whether a request may be executed more than once. */
 public enum Idempotency {
-    /** Repeating the request is harmless. */
+    /** Executing the request again is harmless. */
     IDEMPOTENT,
     /**
      * The request carries an idempotency key: endpoints that share its {@link IdempotencyScope}
-     * drop repeats within the class's key window.
+     * drop repeats within the class's idempotency window.
      */
     IDEMPOTENCY_KEY,
-    /** The request may be executed once at most. */
+    /** The request may be executed at most once. */
     NOT_IDEMPOTENT
 }
--- a/src/main/java/brooklock/routing/IdempotencyScope.java
+++ b/src/main/java/brooklock/routing/IdempotencyScope.java
@@ -1,6 +1,6 @@
 package brooklock.routing;
 
-/** The endpoints that recognise each other's idempotency keys. */
+/** The endpoints that share idempotency keys. */
 public enum IdempotencyScope {
     /** Every endpoint of the deployment. */
     ALL,
--- a/src/main/java/brooklock/routing/ObjectDemand.java
+++ b/src/main/java/brooklock/routing/ObjectDemand.java
@@ -1,13 +1,13 @@
 package brooklock.routing;
 
-/** What is known of one object in one interval of the {@link HotList}. State only. */
+/** The demand for one object in one interval of the {@link HotList}. State only. */
 final class ObjectDemand {
-    /** Requests for it; its parts requested in their order count as one. */
+    /** The number of requests; parts requested in ascending order count as one. */
     int requests;
 
-    /** The part requested last, -1 before the first. */
+    /** The part requested last; -1 before the first request. */
     int lastPart = -1;
 
-    /** The least time in which a copy of it was sent, ns; 0 while none is known. */
+    /** The shortest time in which a copy was sent, in nanoseconds; 0 while none is known. */
     double workNs;
 }
--- a/src/main/java/brooklock/routing/OutlierDetector.java
+++ b/src/main/java/brooklock/routing/OutlierDetector.java
@@ -3,26 +3,27 @@
 import brooklock.routing.RouterEvent.AttemptCompleted;
 
 /**
- * Outlier detection: when an endpoint is ejected and let back, and whom an error is attributed to.
+ * Outlier detection: decides when endpoints are ejected and readmitted, and to which endpoint an
+ * error is attributed.
  *
- * <p>Inputs: outcomes of attempts and the cache statuses that name a fill source; nothing from the
- * endpoint list.
+ * <p>Inputs: outcomes of attempts and the cache statuses that name a fill source. The endpoint list
+ * is not used.
  *
  * <p>An endpoint is ejected while its error rate is above {@link #MAX_ERROR_RATE}, or while it is
- * silent, which finds a dead endpoint before the list says so: several attempts are open and no
- * outcome of any kind has been counted for some time. An ejected endpoint gets one real request as
- * its health check, after a pause that doubles with each failure, beginning with the one that
- * ejects it. A good response ends the pause; with each one the error rate falls, and the endpoint
- * is let back once it is not above the bound. This prevents that a failing endpoint takes its share
- * of all requests, which shows as a steady share of errors or timeouts.
+ * unresponsive: several attempts are open and no outcome of any kind has been recorded for some
+ * time. This detects a dead endpoint before the endpoint list does. An ejected endpoint gets one
+ * real request as its health check after a pause. The pause doubles with each failure, beginning
+ * with the one that ejects the endpoint, and a successful response ends it. Each success lowers the
+ * error rate, and the endpoint is readmitted once the rate is not above the bound. Without
+ * ejection, a failing endpoint would keep its share of all requests and turn it into errors or
+ * timeouts.
  *
- * <p>An ejected endpoint is the last choice, not an excluded one: the selectors name it where all
- * others are passed over. The origin is used without a look at its health.
+ * <p>An ejected endpoint is not excluded but is the last choice: the selectors use it if all others
+ * are passed over. The origin is used regardless of its health.
  *
- * <p>An error is attributed to its endpoint only once a later attempt has served the request, or
- * where the request is given up and that error was its only one. This prevents that requests which
- * no endpoint can serve eject healthy ones, which shows as endpoints ejected one after the other by
- * a single client. It holds because such a request is served by none.
+ * <p>An error is attributed to its endpoint only if a later attempt served the request, or if the
+ * request ends with this as its only unattributed error. Otherwise requests that no endpoint can
+ * serve would eject healthy endpoints one after the other, which a single client could cause.
  */
 final class OutlierDetector {
     /** Weight of one failure in the error rate. */
@@ -34,22 +35,30 @@
     /** Error rate above which an endpoint is ejected. */
     private static final double MAX_ERROR_RATE = 0.4;
 
-    /** Pause before a health check, ns, doubled once for each failure that left it ejected. */
+    /**
+     * Pause before a health check in nanoseconds, doubled with each failure while the endpoint is
+     * ejected.
+     */
     private static final long BASE_PAUSE_NS = 1_000_000_000L;
 
-    /** How often the pause is doubled at most. */
+    /** Maximum number of times that the pause is doubled. */
     private static final int MAX_PAUSE_DOUBLINGS = 4;
 
-    /** Open attempts from which on an endpoint can be silent. */
+    /** Number of open attempts from which on an endpoint can be unresponsive. */
     private static final int MIN_SILENT_ATTEMPTS = 3;
 
-    /** Multiple of the longest latency objective without an outcome after which it is silent. */
+    /**
+     * Multiple of the longest latency objective after which an endpoint without any outcome is
+     * unresponsive.
+     */
     private static final double SILENT_OBJECTIVES = 2;
 
-    /** Connections lost one after the other that mean a restart. */
+    /** Number of connections lost in succession from which a restart is inferred. */
     private static final int CONNECTION_FAILURES_OF_RESTART = 3;
 
-    /** A fill that fails within this multiple of the connect timeout did not reach its source. */
+    /**
+     * A fill that fails within this multiple of the connect timeout did not reach its fill source.
+     */
     private static final double UNREACHED_CONNECT_TIMEOUTS = 1.25;
 
     private final double silentAfterNs;
@@ -68,7 +77,8 @@
     }
 
     /**
-     * Whether an endpoint may get the next request: it is not ejected, or its health check is due.
+     * Returns whether an endpoint may get the next request: it is not ejected, or its health check
+     * is due.
      */
     boolean isUsable(RoutedEndpoint endpoint, long now) {
         return !isEjected(endpoint, now) || now >= endpoint.health.nextHealthCheckNs;
@@ -81,19 +91,22 @@
                         && now - health.silentSinceNs > silentAfterNs);
     }
 
-    /** An attempt goes out to the endpoint. */
+    /** Records the start of an attempt at the endpoint. */
     void onAttemptStarted(RoutedEndpoint endpoint, long now) {
         if (endpoint.health.openAttempts++ == 0) {
             endpoint.health.silentSinceNs = now;
         }
     }
 
-    /** The outcome of one of the endpoint's attempts is known. */
+    /** Records the end of an attempt at the endpoint. */
     void onAttemptEnded(RoutedEndpoint endpoint) {
         endpoint.health.openAttempts--;
     }
 
-    /** An endpoint is used as target or fill source: if it is ejected, that is its health check. */
+    /**
+     * Records the use of an endpoint as target or fill source, which is the health check of an
+     * ejected one.
+     */
     void onUsed(RoutedEndpoint endpoint, long now) {
         if (isEjected(endpoint, now)) {
             endpoint.health.nextHealthCheckNs = now + pauseNs(endpoint.health);
@@ -101,8 +114,10 @@
     }
 
     /**
-     * Counts connections that are lost or refused one after the other. Returns whether the endpoint
-     * is taken for restarted: it may be back, with an empty cache, before the list says so.
+     * Counts connections that are lost or refused in succession.
+     *
+     * @return whether the endpoint is assumed to have restarted: it may be back with an empty cache
+     *     before the endpoint list reports it
      */
     boolean onConnectionOutcome(RoutedEndpoint endpoint, boolean failed) {
         EndpointHealth health = endpoint.health;
@@ -110,7 +125,9 @@
         return health.connectionFailures >= CONNECTION_FAILURES_OF_RESTART;
     }
 
-    /** Attributes an outcome to the endpoint, or to the fill source that the cache status names. */
+    /**
+     * Attributes an outcome to the endpoint, or to the fill source if the cache status names it.
+     */
     void onCompleted(
             PendingRequest request, Attempt attempt, AttemptCompleted completed, long now) {
         RoutedEndpoint endpoint = attempt.endpoint;
@@ -140,7 +157,7 @@
         }
     }
 
-    /** Counts the errors of a request against the endpoints that gave them. */
+    /** Attributes the errors of a request to the endpoints that responded with them. */
     void blameFailedEndpoints(PendingRequest request, long now) {
         for (int i = 0; i < request.failedEndpoints.size(); i++) {
             recordOutcome(request.failedEndpoints.get(i), false, now);
@@ -148,7 +165,10 @@
         request.failedEndpoints.clear();
     }
 
-    /** Whether a fill failed so soon that its source was not there; a slow one fails later. */
+    /**
+     * Returns whether a fill failed so soon that its fill source cannot have been reached. A slow
+     * fill source fails later.
+     */
     boolean isFillSourceUnreached(AttemptCompleted completed) {
         return completed.cacheStatus() == CacheStatus.FILL_SOURCE_CONNECTION_LOST
                 && completed.fillDurationNs() < unreachedWithinNs;
--- a/src/main/java/brooklock/routing/PendingRequest.java
+++ b/src/main/java/brooklock/routing/PendingRequest.java
@@ -6,58 +6,71 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** One request, from its acceptance until its final response and its last outcome. State only. */
+/**
+ * A request, from its acceptance until its final response and the outcome of its last attempt.
+ * State only.
+ */
 final class PendingRequest {
-    /** The event that brought it. */
+    /** The event with which the request was received. */
     final RequestReceived event;
 
     final RequestClass requestClass;
 
-    /** The count of its object. */
+    /** The demand for the requested object in the present interval. */
     final ObjectDemand demand;
 
-    /** Whether its object is on the hot list. */
+    /** Whether the object was on the hot list when the request was accepted. */
     final boolean hot;
 
-    /** Estimated time that its bytes need at the rate of one transfer, ns. */
+    /**
+     * The request's work: the estimated time that a single transfer of the response takes, in
+     * nanoseconds.
+     */
     final double workNs;
 
-    /** Whether that estimate is of this very object; else it is its class's mean. */
+    /**
+     * Whether the work is that of the requested object; otherwise it is the mean of the request's
+     * class.
+     */
     final boolean sizeKnown;
 
     final long acceptedAtNs;
 
-    /** Until when a response meets the latency objective. */
+    /** The time until which a response meets the latency objective, in nanoseconds. */
     final long objectiveAtNs;
 
-    /** When it gets its final response at the latest. */
+    /** The time by which the request gets its final response, in nanoseconds. */
     final long finalResponseAtNs;
 
-    /** Endpoints that responded with an error and are not yet blamed for it. */
+    /** The endpoints that responded with an error which is not attributed to them yet. */
     final List<RoutedEndpoint> failedEndpoints = new ArrayList<>(1);
 
-    /** All its attempts, by their number. */
+    /** All attempts, by their index. */
     final List<Attempt> attempts = new ArrayList<>();
 
-    /** Attempts whose outcome is not known yet. */
+    /** The number of attempts whose outcome is not known yet. */
     int openAttempts;
 
     /**
-     * When the router decided its first attempt, which may be sent later: the window of its
-     * idempotency key is counted from here, so that it ends no later than at the endpoints.
+     * The time at which the router started the first attempt, in nanoseconds. The attempt may be
+     * sent later. The window of the idempotency key is counted from here, so that it ends no later
+     * than at the endpoints.
      */
     long firstDecidedAtNs;
 
-    /** Whether it has its final response, or its client has left. */
+    /** Whether the request has had its final response or its client has disconnected. */
     boolean finished;
 
     /** Whether an attempt may have been executed. */
     boolean mayHaveExecuted;
 
-    /** Whether its cache is known to lack the object, so that a fill is certain. */
+    /** Whether a cache is known not to have the object, so that a fill is certain. */
     boolean missed;
 
-    /** Whether a parent is known to lack it too, so that the origin is certain. */
+    /**
+     * Whether a parent is known not to have the object either, so that a fetch from the origin is
+     * certain.
+     */
     boolean parentMissed;
 
     PendingRequest(
@@ -90,14 +103,14 @@
         return attempts.get(attempts.size() - 1);
     }
 
-    /** Whether an outcome met the latency objective. */
+    /** Returns whether the duration of an attempt met the latency objective. */
     boolean isOnTime(AttemptCompleted completed) {
         return completed.durationNs() < objectiveAtNs - acceptedAtNs;
     }
 
     /**
-     * Whether an attempt with full reach went to the endpoint and was not merely lost on its way
-     * back.
+     * Returns whether an attempt that was admitted to the origin has been sent to the endpoint. An
+     * attempt whose response is missing does not count, because the endpoint may be tried again.
      */
     boolean hasTried(RoutedEndpoint endpoint) {
         for (int i = 0; i < attempts.size(); i++) {
@@ -111,7 +124,7 @@
         return false;
     }
 
-    /** Whether an attempt named the endpoint as its fill source. */
+    /** Returns whether an attempt named the endpoint as its fill source. */
     boolean hasUsedFillSource(RoutedEndpoint endpoint) {
         for (int i = 0; i < attempts.size(); i++) {
             if (attempts.get(i).fillSource == endpoint) {
@@ -121,7 +134,10 @@
         return false;
     }
 
-    /** Whether the endpoint may cache the response: the origin runs what passes through. */
+    /**
+     * Returns whether the endpoint may cache the response. Responses of the origin and pass-through
+     * responses are not cached.
+     */
     boolean isCacheableAt(RoutedEndpoint endpoint) {
         return endpoint.isCache && !requestClass.passThrough();
     }
--- a/src/main/java/brooklock/routing/PurgeLog.java
+++ b/src/main/java/brooklock/routing/PurgeLog.java
@@ -5,18 +5,21 @@
 import java.util.Map;
 
 /**
- * The oldest copy that may be served.
+ * Determines the maximum age of a copy that may be served.
  *
- * <p>Inputs: purges of objects and groups, the time within which caches have applied them, and the
- * freshness lifetime of the request's class.
+ * <p>Inputs: purges of objects and groups, the time within which every cache has applied them, and
+ * the freshness lifetime of the request's class.
  *
- * <p>Caches apply a purge in their own time. Until the last one has, each attempt for a purged
- * object demands a copy that is younger than the purge. This prevents that a purged copy is served,
- * which shows as old content after a purge. It holds because every attempt that starts after the
- * purge event demands it, and a copy's age only grows on its way.
+ * <p>Caches apply a purge at different times. Until all of them have, each attempt for a purged
+ * object requires a copy that is younger than the purge; otherwise old content could be served
+ * after a purge. This covers every attempt that starts after the purge event, and a copy only grows
+ * older in transit.
  */
 final class PurgeLog {
-    /** How much longer purges are kept, and how much younger copies are demanded, ns. */
+    /**
+     * Time in nanoseconds by which purges are kept longer and required copies are younger than
+     * necessary.
+     */
     private static final long MARGIN_NS = 1_000_000L;
 
     private final long purgeWindowNs;
@@ -39,7 +42,8 @@
     }
 
     /**
-     * Greatest age of a copy that may be served, ns; 0 leaves it to the class's freshness lifetime.
+     * Returns the maximum age of a copy that may be served, in nanoseconds; 0 leaves it to the
+     * freshness lifetime of the class.
      */
     long maxAgeNs(PendingRequest request, long now) {
         Long object = purgedObjects.get(request.event.object());
--- a/src/main/java/brooklock/routing/RendezvousHash.java
+++ b/src/main/java/brooklock/routing/RendezvousHash.java
@@ -1,17 +1,18 @@
 package brooklock.routing;
 
 /**
- * Rendezvous hashing: the order of the endpoints for one copy, which is a part of an object.
+ * Rendezvous hashing: ranks the endpoints for one copy, that is, for one part of an object.
  *
- * <p>All dispatchers find the same order without a message, and an endpoint that leaves moves its
- * own copies only. A hash by position would move nearly all of them, which shows as a burst of
- * fills after each change of the list.
+ * <p>All dispatchers compute the same ranking without exchanging messages, and an endpoint that
+ * leaves moves only its own copies. A hash modulo the number of endpoints would move nearly all
+ * copies and cause a burst of fills after each change of the endpoint list.
  */
 public final class RendezvousHash {
     private RendezvousHash() {}
 
     /**
-     * Score of an endpoint for a copy; the highest holds it. Endpoints win in proportion to their
+     * Returns the score of an endpoint for a copy. The endpoint with the highest score is the first
+     * choice; each endpoint is the first choice for a share of the copies in proportion to its
      * weight.
      */
     public static double score(long copy, long endpoint, double weight) {
@@ -19,14 +20,14 @@
     }
 
     /**
-     * The same order as {@link #score} where all weights are equal, without the logarithm; in (0,
-     * 1).
+     * Returns a score between 0 and 1, both exclusive, that ranks endpoints of equal weight like
+     * {@link #score} but needs no logarithm.
      */
     static double uniform(long copy, long endpoint) {
         return ((mix(copy ^ mix(endpoint)) >>> 11) + 0.5) / (1L << 53);
     }
 
-    /** The hash of one part of an object. */
+    /** Returns the hash of one part of an object. */
     public static long copy(long object, int part) {
         return mix(object * 31 + part);
     }
--- a/src/main/java/brooklock/routing/RequestTimers.java
+++ b/src/main/java/brooklock/routing/RequestTimers.java
@@ -5,12 +5,12 @@
 import java.util.List;
 import java.util.Map;
 
-/** The timers that a router has set, by token. State only. */
+/** The timers that a router has set, by their tokens. State only. */
 final class RequestTimers {
-    /** Tokens are unsigned numbers of 32 bits. */
+    /** Tokens are unsigned 32-bit numbers. */
     private static final long TOKEN_MASK = 0xffffffffL;
 
-    /** What a timer is for. */
+    /** The action that a timer triggers. */
     enum Purpose {
         FINAL_RESPONSE,
         HEDGE
@@ -22,7 +22,7 @@
     private final Map<Long, RequestTimer> timers = new HashMap<>();
     private long lastToken;
 
-    /** Sets a timer, not before the next nanosecond. */
+    /** Sets a timer for {@code atNs}, or for the next nanosecond if that time has passed. */
     void set(
             long atNs,
             PendingRequest request,
@@ -34,7 +34,7 @@
         actions.add(new SetTimer(lastToken, Math.max(atNs, now + 1)));
     }
 
-    /** Takes out a timer that has fired; null if it is not known. */
+    /** Removes a timer that has fired and returns it, or null if the token is not known. */
     RequestTimer remove(long token) {
         return timers.remove(token);
     }
--- a/src/main/java/brooklock/routing/RetryBudget.java
+++ b/src/main/java/brooklock/routing/RetryBudget.java
@@ -1,21 +1,23 @@
 package brooklock.routing;
 
 /**
- * The budget of extra attempts, for retries and for hedges of lost responses.
+ * Limits extra attempts, for retries and for hedged requests whose response was lost, to a share of
+ * the requests.
  *
- * <p>Each request earns a part of an extra attempt. This prevents that failures multiply the load
- * on the endpoints that are left, which shows as attempts that rise while responses fall. It holds
- * because these attempts can never be more than the earned share of requests, and the few saved
- * before.
+ * <p>Each request earns a fraction of an extra attempt. Without this limit, failures would multiply
+ * the load on the remaining endpoints: the number of attempts would rise while that of responses
+ * falls. Extra attempts can never exceed the earned share of the requests plus the few that have
+ * been saved.
  *
- * <p>Two kinds are not counted and bounded by the attempts of a request alone: the hedge of a
- * request whose endpoint is ejected, and the attempt that reaches further after a miss.
+ * <p>Two kinds of attempts are not counted, because the maximum number of attempts of a request
+ * bounds them: the hedged request to replace an attempt at an ejected endpoint, and the attempt
+ * that uses a further tier after a cache miss.
  */
 final class RetryBudget {
-    /** Extra attempts that one request earns. */
+    /** Extra attempts earned by each request. */
     private static final double EARNED_PER_REQUEST = 0.2;
 
-    /** Extra attempts saved at most, and at the start. */
+    /** Maximum number of saved extra attempts, and their number at the start. */
     private static final double MAX_SAVED = 20;
 
     private double saved = MAX_SAVED;
--- a/src/main/java/brooklock/routing/RetryPolicy.java
+++ b/src/main/java/brooklock/routing/RetryPolicy.java
@@ -3,20 +3,23 @@
 import brooklock.routing.RouterSettings.RequestClass;
 
 /**
- * Retries: whether a request may be sent again, and whether it may be rejected.
+ * Decides whether a request may be sent again and whether it may be rejected.
  *
- * <p>Inputs: the idempotency of the request's class, what its attempts prove of their execution,
- * and the time.
+ * <p>Inputs: the idempotency of the request's class, whether the outcomes of its attempts prove
+ * that it was not executed, and the time.
  *
- * <p>An idempotent request may always be sent again. One with an idempotency key may, once an
- * attempt may have been executed, only within the key's window from its first attempt on, and only
- * if all endpoints share keys. Any other only if each attempt is proved not to have been executed.
- * This prevents that a request is executed twice, which shows as a doubled effect behind the
- * origin. It holds because the endpoints drop repeats of a key within its window, and a repeat that
- * waits for its connection may not start after it.
+ * <p>An idempotent request may always be sent again. Once an attempt of a request with an
+ * idempotency key may have been executed, the request may be sent again only within the key's
+ * window, which is counted from the first attempt, and only if all endpoints share keys. Any other
+ * request may be sent again only if each attempt is proved not to have been executed. Otherwise a
+ * request could be executed twice and double its effect behind the origin. Endpoints drop repeats
+ * of a key within its window, and a repeat that waits for its connection may not start after it.
  */
 final class RetryPolicy {
-    /** Endpoints that respond with an error before the request itself is taken to be at fault. */
+    /**
+     * Number of endpoints that respond with an error before the request itself is assumed to be at
+     * fault.
+     */
     private static final int MAX_ERRORS = 3;
 
     private final int maxAttempts;
@@ -30,7 +33,8 @@
     }
 
     /**
-     * Whether a request without open attempts may be sent again; a late response is not worth one.
+     * Returns whether a request without open attempts may be sent again. A request past its latency
+     * objective is not, because its response would be late.
      */
     boolean mayRetry(PendingRequest request, long now) {
         return now < request.objectiveAtNs
@@ -49,7 +53,10 @@
         };
     }
 
-    /** How long an attempt may wait to start: a repeat with a key only until its window ends. */
+    /**
+     * Returns the time within which an attempt must start, in nanoseconds: a repeat with an
+     * idempotency key only within the key's window.
+     */
     static long startWithinNs(PendingRequest request, long timeoutNs, long now) {
         return request.mayHaveExecuted
                         && request.requestClass.idempotency() == Idempotency.IDEMPOTENCY_KEY
@@ -58,10 +65,11 @@
     }
 
     /**
-     * Whether the request may be rejected, as the client's retry would be harmless; else it fails.
-     * What is idempotent, or has a key that all endpoints share, may be rejected even if an attempt
-     * has run or is open. The key's window is not looked at: the retry is harmless only in a window
-     * that outlasts the deadline and the time in which the client retries.
+     * Returns whether the request may be rejected, that is, whether a retry by the client would be
+     * harmless; otherwise it fails. A request that is idempotent, or has a key that all endpoints
+     * share, may be rejected even if an attempt has been executed or is open. The key's window is
+     * not checked here: a retry is harmless only if the configured window outlasts the deadline and
+     * the time within which the client retries.
      */
     static boolean mayReject(PendingRequest request) {
         RequestClass requestClass = request.requestClass;
--- a/src/main/java/brooklock/routing/RoutedEndpoint.java
+++ b/src/main/java/brooklock/routing/RoutedEndpoint.java
@@ -1,44 +1,56 @@
 package brooklock.routing;
 
-/** One endpoint of the list with what this dispatcher has learned of it. State only. */
+/** An endpoint of the endpoint list with what this dispatcher has learned about it. State only. */
 final class RoutedEndpoint {
-    /** Load and limit of its link. */
+    /** The work in flight on the endpoint's link, and its limit. */
     final ConcurrencyLimit limit = ConcurrencyLimit.forCache();
 
     final EndpointHealth health = new EndpointHealth();
 
-    /** Its entry in the endpoint list. */
+    /** The endpoint's latest entry in the endpoint list. */
     Endpoint entry;
 
-    /** What the list says of it now; an entry missing from a full list is gone. */
+    /**
+     * The state in the endpoint list; an endpoint that a complete list does not contain is gone.
+     */
     EndpointState state;
 
-    /** Whether it is a parent. */
+    /** Whether the endpoint is a parent. */
     boolean isParent;
 
-    /** Whether it is a cache; what is neither cache nor parent is the origin. */
+    /**
+     * Whether the endpoint is a cache. An endpoint that is neither a cache nor a parent is the
+     * origin.
+     */
     boolean isCache;
 
-    /** Its size relative to others, 1 where weights are not used. */
+    /** The capacity relative to other endpoints; 1 if weights are not used. */
     double weight;
 
-    /** Its score for the copy that is being placed; see {@link RendezvousHash}. */
+    /** The score for the copy for which a cache is being selected; see {@link RendezvousHash}. */
     double rendezvousScore;
 
-    /** When it started, by the list or by its lost connections; 0 means long ago. */
+    /**
+     * The time of the latest start in nanoseconds, from the endpoint list or inferred from lost
+     * connections; 0 means long ago.
+     */
     long startedAtNs;
 
-    /** Work that it may still get while it warms up, ns; see {@link SlowStart}. */
+    /**
+     * The work that the endpoint may still get while it is warming up, in nanoseconds; see {@link
+     * SlowStart}.
+     */
     double slowStartBudgetNs;
 
-    /** When that budget was updated last. */
+    /** The time at which the slow-start budget was last updated, in nanoseconds. */
     long slowStartUpdatedAtNs;
 
     /**
-     * Takes over a new entry. A new start forgets the error rate, the silence and the budget of the
-     * one before; lost connections and the pause of the health checks stay. A restart that is only
-     * inferred from lost connections ({@link SlowStart#restart}) empties the budget alone: the
-     * error rate that it has earned must keep it ejected.
+     * Applies a new entry of the endpoint list. A new start time resets the error rate, the time
+     * without outcomes and the slow-start budget; the count of lost connections and the pause
+     * between health checks stay. A restart that is only inferred from lost connections ({@link
+     * SlowStart#restart}) empties the budget alone, because the present error rate must keep the
+     * endpoint ejected.
      */
     void update(Endpoint newEntry, RouterSettings settings, long now) {
         if (entry == null || entry.startedAtNs() != newEntry.startedAtNs()) {
@@ -55,7 +67,7 @@
         weight = settings.weighted() && newEntry.weight() > 0 ? newEntry.weight() : 1;
     }
 
-    /** Its identifier on the endpoint list. */
+    /** Returns the endpoint's identifier in the endpoint list. */
     long id() {
         return entry.id();
     }
--- a/src/main/java/brooklock/routing/Router.java
+++ b/src/main/java/brooklock/routing/Router.java
@@ -19,19 +19,23 @@
 import java.util.Map;
 
 /**
- * The entry point of all routing decisions of one dispatcher: dispatches events to the policies and
- * owns the open requests.
+ * Routes the requests of one dispatcher: handles each {@link RouterEvent}, keeps the open requests
+ * and updates the routing policies.
  *
- * <p>A request is counted by {@link HotList}; {@link CacheSelector} and {@link FillSourceSelector}
- * choose where it goes, {@link FillAdmission} how far. When its attempt ends, the policies learn in
- * the order of {@link #settle}; then it is finished, retried ({@link RetryPolicy}) or given up.
- * Events and actions are {@link RouterEvent} and {@link RouterAction}. Times are nanoseconds of the
- * event's clock; the same events give the same actions. Not thread-safe.
+ * <p>{@link HotList} counts each request. {@link CacheSelector} and {@link FillSourceSelector}
+ * select its endpoint and its fill source, and {@link FillAdmission} decides which tiers it may use
+ * under the present load. When an attempt ends, the policies are updated in the order documented at
+ * {@link #settle}; then the request is finished, retried (see {@link RetryPolicy}), rejected or
+ * failed.
+ *
+ * <p>Times are nanoseconds of the caller's clock. The router reads no clock and draws no random
+ * numbers, so the same events always produce the same actions. {@link #start} is called before the
+ * first event. Not thread-safe.
  */
 public final class Router {
     /**
-     * Timer ticks before the client's deadline at which the final response goes out: timers may be
-     * late.
+     * Timer ticks by which the final response precedes the client's deadline, because timers may
+     * fire late.
      */
     private static final int FINAL_RESPONSE_TICKS = 2;
 
@@ -53,7 +57,7 @@
     private long now;
     private List<RouterAction> actions;
 
-    /** Creates the router of one dispatcher; its state is empty. */
+    /** Creates a new router that has no endpoints and no requests yet. */
     public Router(RouterSettings settings) {
         this.settings = settings;
         endpoints = new EndpointTable(settings);
@@ -68,7 +72,12 @@
         purges = new PurgeLog(settings);
     }
 
-    /** Starts at a time, ns, and appends what is to be done first. */
+    /**
+     * Starts the router.
+     *
+     * @param now the current time, in nanoseconds
+     * @param actions the list to which the first actions are appended
+     */
     public void start(long now, List<RouterAction> actions) {
         begin(now, actions);
         hotList.start(now);
@@ -77,7 +86,14 @@
         }
     }
 
-    /** Decides about one event at a time, ns, and appends what is to be done, in order. */
+    /**
+     * Handles one event.
+     *
+     * @param now the current time, in nanoseconds
+     * @param event the event to handle
+     * @param actions the list to which the resulting actions are appended, in the order in which
+     *     they are to be carried out
+     */
     public void onEvent(long now, RouterEvent event, List<RouterAction> actions) {
         begin(now, actions);
         hotList.advance(now);
@@ -112,7 +128,7 @@
         slowStart.onListChanged();
     }
 
-    // ---- A request is received
+    // ---- Requests
 
     private void onRequest(RequestReceived event) {
         PendingRequest request = accept(event);
@@ -139,11 +155,13 @@
                 event.deadlineNs() - FINAL_RESPONSE_TICKS * settings.timerTickNs());
     }
 
-    // ---- An attempt starts
+    // ---- Start of attempts
 
     /**
-     * Starts an attempt, or gives the request up where it may reach nothing and no attempt is open.
-     * Returns whether one was started; one that has no attempt left is left as it is.
+     * Starts an attempt. If no attempt is admitted and none is open, the request is rejected or
+     * failed. A request that has used up its attempts is left unchanged.
+     *
+     * @return whether an attempt was started
      */
     private boolean startAttempt(PendingRequest request) {
         if (!retryPolicy.hasAttemptLeft(request)) {
@@ -205,14 +223,15 @@
     }
 
     /**
-     * Counts a use as target or fill source against the endpoint's budget and as its health check.
+     * Charges the use of an endpoint as target or fill source to its slow-start budget and records
+     * it as a health check.
      */
     private void charge(RoutedEndpoint endpoint, PendingRequest request) {
         slowStart.spend(endpoint, request);
         outliers.onUsed(endpoint, now);
     }
 
-    // ---- An attempt ends
+    // ---- End of attempts
 
     private void onAttemptCompleted(AttemptCompleted completed) {
         PendingRequest request = requests.get(completed.id());
@@ -234,19 +253,23 @@
     }
 
     /**
-     * The one order in which the policies learn from an attempt that ends. Each step reads what
-     * those before have written:
+     * Updates the policies with the outcome of an attempt. The order is fixed because each step
+     * reads what the steps before it have written:
      *
      * <ol>
      *   <li>the rate of lost responses, while the attempt still counts as open;
-     *   <li>the attempt is no longer open, at its request and at its endpoint;
-     *   <li>its work leaves the limits of its endpoint, of the fills and of the origin;
-     *   <li>connections lost at the endpoint, then at the fill source, may start a slow start;
-     *   <li>error rates, of the endpoint first, then of those blamed, then of the fill source;
-     *   <li>the rate that a warm cache served, by the class's mean work of before;
-     *   <li>the mean work of class and object;
-     *   <li>the rate that a warm parent filled, or its refund, by the new mean work;
-     *   <li>the limits and the miss ratios.
+     *   <li>the open attempts of the request and of the endpoint;
+     *   <li>the limits of the endpoint, the fill link and the origin, from which the attempt's work
+     *       is released;
+     *   <li>lost connections, of the endpoint and then of the fill source, which may restart a slow
+     *       start;
+     *   <li>the error rate of the endpoint, then of the endpoints to which earlier errors are
+     *       attributed, then of the fill source;
+     *   <li>the rate at which a warm cache serves, with the class's mean work before this response;
+     *   <li>the mean work of the class and of the object;
+     *   <li>the rate at which a warm parent fills, or the refund of its budget, with the updated
+     *       mean work;
+     *   <li>the concurrency limits and the miss ratios.
      * </ol>
      */
     private void settle(PendingRequest request, Attempt attempt, AttemptCompleted completed) {
@@ -289,8 +312,9 @@
     }
 
     /**
-     * One more attempt: further on after a miss, elsewhere where the retry rules allow it; else the
-     * end.
+     * Starts another attempt or ends the request. After a cache miss of an attempt that was not
+     * admitted to the origin, the next attempt may use a further tier and needs no retry budget.
+     * Any other attempt needs the consent of the retry policy and of the retry budget.
      */
     private void retryOrGiveUp(PendingRequest request, AttemptOutcome outcome) {
         if (request.openAttempts > 0) {
@@ -313,7 +337,7 @@
         giveUp(request);
     }
 
-    // ---- A timer fires
+    // ---- Timers
 
     private void onTimer(RequestTimer timer) {
         PendingRequest request = timer == null ? null : requests.get(timer.requestId());
@@ -328,14 +352,14 @@
     }
 
     /**
-     * Hedges a request whose endpoint is ejected by now, or, if the retry budget has an attempt
-     * left, one whose response was lost.
+     * Hedges a request whose endpoint has been ejected, or one whose response was lost if the retry
+     * budget allows an attempt.
      */
     private void hedge(PendingRequest request) {
         Attempt attempt = request.lastAttempt();
         boolean responseLost = hedging.isResponseLost(attempt, admission);
         if (responseLost) {
-            // Its work is done and loads no link any more; its later outcome releases nothing.
+            // A lost response no longer loads a link. Its later outcome releases nothing more.
             admission.release(attempt, now);
         }
         if (outliers.isEjected(attempt.endpoint, now)) {
@@ -345,9 +369,12 @@
         }
     }
 
-    // ---- A request ends
+    // ---- End of requests
 
-    /** Gives the final response at once: rejected where a retry is harmless, else failed. */
+    /**
+     * Sends the final response: the request is rejected if a retry by the client is harmless, else
+     * it fails.
+     */
     private void giveUp(PendingRequest request) {
         if (request.failedEndpoints.size() == 1) {
             outliers.blameFailedEndpoints(request, now);
@@ -363,7 +390,10 @@
         finish(request);
     }
 
-    /** A response that has begun is the final one; its attempt is not cancelled. */
+    /**
+     * Finishes the request: a response that has started is the final one, and its attempt is not
+     * cancelled.
+     */
     private void onResponseStarted(ResponseStarted event) {
         PendingRequest request = requests.get(event.id());
         if (request != null && event.attempt() < request.attempts.size()) {
--- a/src/main/java/brooklock/routing/RouterAction.java
+++ b/src/main/java/brooklock/routing/RouterAction.java
@@ -1,24 +1,26 @@
 package brooklock.routing;
 
 /**
- * What a {@link Router} wants done. Actions are carried out in their order. Durations are in
- * nanoseconds.
+ * An action that a {@link Router} requests. The caller carries out the actions in their order.
+ * Durations and times are in nanoseconds.
  */
 public sealed interface RouterAction {
 
     /**
-     * Start an attempt.
+     * Starts an attempt.
      *
      * @param id the request
-     * @param endpoint the endpoint that gets it
-     * @param timeoutNs the attempt ends as {@link AttemptOutcome#TIMEOUT} after this time
-     * @param fillSource where a cache miss is filled from; the endpoint itself means no fill
-     * @param cachePriority priority of the copy in the cache; 0 means it is not cached
-     * @param maxAgeNs oldest copy that may be served; 0 means the class's freshness lifetime
+     * @param endpoint the endpoint to which the request is sent
+     * @param timeoutNs time after which the attempt ends as {@link AttemptOutcome#TIMEOUT}
+     * @param fillSource where the endpoint fills a cache miss from; the endpoint itself means no
+     *     fill
+     * @param cachePriority priority of the copy in the cache; 0 means that it is not cached
+     * @param maxAgeNs maximum age of a copy that may be served; 0 means the class's freshness
+     *     lifetime
      * @param collapse whether the fill may be collapsed with others
-     * @param onlyIfCached whether the fill source may serve only what it has cached
-     * @param startWithinNs an attempt whose first byte has not been written in this time is not
-     *     started and ends as {@link AttemptOutcome#NOT_STARTED}
+     * @param onlyIfCached whether the fill source may serve only a cached copy
+     * @param startWithinNs time within which the first byte must be written; otherwise the attempt
+     *     is not started and ends as {@link AttemptOutcome#NOT_STARTED}
      */
     record StartAttempt(
             long id,
@@ -32,44 +34,45 @@
             long startWithinNs)
             implements RouterAction {
 
-        /** Returns whether a cache miss is filled. */
+        /** Returns whether the endpoint fills a cache miss. */
         public boolean fills() {
             return fillSource != endpoint;
         }
     }
 
     /**
-     * Final response: rejected. A retry by the client is harmless, though attempts of an idempotent
-     * request or of one with an idempotency key may have been executed.
+     * Rejects a request as its final response. A retry by the client is harmless, although attempts
+     * of an idempotent request or of one with an idempotency key may have been executed.
      *
      * @param id the request
-     * @param retryAfterNs when the client may retry; 0 if nothing is said
+     * @param retryAfterNs delay after which the client may retry; 0 if the response states none
      */
     record RejectRequest(long id, long retryAfterNs) implements RouterAction {}
 
     /**
-     * Final response: failed, and the request may have been executed.
+     * Fails a request as its final response. The request may have been executed.
      *
      * @param id the request
      */
     record FailRequest(long id) implements RouterAction {}
 
     /**
-     * Stop waiting for an attempt.
+     * Cancels an attempt in flight.
      *
      * @param id the request
-     * @param attempt index of the attempt
+     * @param attempt index of the attempt, in the order of the request's {@link StartAttempt}
+     *     actions
      */
     record CancelAttempt(long id, int attempt) implements RouterAction {}
 
     /**
-     * Fire a timer.
+     * Sets a timer.
      *
-     * @param token names the timer in {@link RouterEvent.TimerFired}
-     * @param atNs when, on the router's clock
+     * @param token the token that identifies the timer in {@link RouterEvent.TimerFired}
+     * @param atNs time at which the timer fires, on the router's clock
      */
     record SetTimer(long token, long atNs) implements RouterAction {}
 
-    /** Subscribe to changes of the endpoint list. */
+    /** Subscribes to the endpoint list and its changes. */
     record WatchEndpoints() implements RouterAction {}
 }
--- a/src/main/java/brooklock/routing/RouterEvent.java
+++ b/src/main/java/brooklock/routing/RouterEvent.java
@@ -2,29 +2,29 @@
 
 import java.util.List;
 
-/** What happens to a {@link Router}. Durations are in nanoseconds. */
+/** An event that a {@link Router} handles. Durations and times are in nanoseconds. */
 public sealed interface RouterEvent {
 
     /**
-     * A new endpoint list, or what changed in it.
+     * An endpoint list or a change of it has been received, or the subscription to it has failed.
      *
-     * @param kind how it is to be applied
-     * @param endpoints the endpoints it names
+     * @param kind how the list is applied
+     * @param endpoints the entries of the list or of the change
      */
     record EndpointListReceived(EndpointListKind kind, List<Endpoint> endpoints)
             implements RouterEvent {}
 
     /**
-     * A client's request.
+     * A client has sent a request.
      *
-     * @param id the request's identifier, not used by another open request
-     * @param classIndex index of its class in the settings
+     * @param id the request's identifier, unique among the open requests
+     * @param classIndex index of the request's class in the settings
      * @param object the requested object
-     * @param part the part of the object
+     * @param part the requested part of the object
      * @param group the purge group of the object
      * @param sizeKb size of the response in KB; 0 if not known
-     * @param clientRetry whether the client says that it repeats a request
-     * @param deadlineNs time by which the final response has to be out, on the router's clock
+     * @param clientRetry whether the client declares the request to be a retry
+     * @param deadlineNs time by which the final response must have been sent, on the router's clock
      */
     record RequestReceived(
             long id,
@@ -47,33 +47,34 @@
     /**
      * A timer has expired.
      *
-     * @param token the token of its {@link RouterAction.SetTimer}
+     * @param token the token that the {@link RouterAction.SetTimer} action gave the timer
      */
     record TimerFired(long token) implements RouterEvent {}
 
     /**
-     * The first bytes of a response are on their way to the client, so this attempt is the one that
-     * answers.
+     * The first bytes of a response have been sent to the client, so this attempt provides the
+     * final response.
      *
      * @param id the request
      * @param attempt index of the attempt, in the order of the request's {@link
-     *     RouterAction.StartAttempt}s
+     *     RouterAction.StartAttempt} actions
      * @param endpoint the attempt's endpoint
      */
     record ResponseStarted(long id, int attempt, long endpoint) implements RouterEvent {}
 
     /**
-     * An attempt has ended. Each {@link RouterAction.StartAttempt} is followed by exactly one.
+     * An attempt has ended. Each {@link RouterAction.StartAttempt} action is followed by exactly
+     * one such event.
      *
      * @param id the request
      * @param attempt index of the attempt, in the order of the request's {@link
-     *     RouterAction.StartAttempt}s
+     *     RouterAction.StartAttempt} actions
      * @param endpoint the attempt's endpoint
-     * @param outcome how it ended
-     * @param cacheStatus what the response says of the copy or of the fill
-     * @param durationNs time since the attempt was started
-     * @param fillDurationNs time that the endpoint waited for its fill source
-     * @param requestFinished whether the request has its final response
+     * @param outcome how the attempt ended
+     * @param cacheStatus what the response says about the cached copy or the fill
+     * @param durationNs time from the start of the attempt to its end
+     * @param fillDurationNs time for which the endpoint waited for its fill source
+     * @param requestFinished whether the request has had its final response
      */
     record AttemptCompleted(
             long id,
@@ -87,11 +88,11 @@
             implements RouterEvent {}
 
     /**
-     * Copies made before a point in time are invalid.
+     * A purge has been received: copies made before it was issued are invalid.
      *
-     * @param object the object; 0 means all objects of the group
+     * @param object the purged object; 0 purges all objects of the group
      * @param group the purge group
-     * @param ageNs how long ago the purge was issued
+     * @param ageNs time since the purge was issued
      */
     record PurgeReceived(long object, int group, long ageNs) implements RouterEvent {}
 }
--- a/src/main/java/brooklock/routing/RouterSettings.java
+++ b/src/main/java/brooklock/routing/RouterSettings.java
@@ -3,22 +3,22 @@
 import java.util.List;
 
 /**
- * Everything a {@link Router} is configured with. Durations are in nanoseconds.
+ * The configuration of a {@link Router}. Durations are in nanoseconds.
  *
  * @param classes the request classes, by index
- * @param limits what the deployment allows
- * @param safetyLimits the bounds of the overload and purge rules
- * @param dispatcherCount dispatchers that share the endpoints
+ * @param limits the actions that the deployment allows, and their bounds
+ * @param safetyLimits the bounds of slow start and of purges
+ * @param dispatcherCount number of dispatchers that share the endpoints
  * @param zone index of the router's own zone
- * @param parentZoneByZone for each zone the zone whose parents are near to it
+ * @param parentZoneByZone for each zone, the index of the zone whose parents are near it
  * @param parentKind the {@link Endpoint#kind} of parents
  * @param originKind the {@link Endpoint#kind} of the origin; every other kind is a cache
- * @param weighted whether endpoint weights count in cache selection
+ * @param weighted whether cache selection uses endpoint weights
  * @param watchesEndpointList whether the router has to subscribe to the endpoint list
  * @param collapsesRequests whether caches may collapse requests into one fill
- * @param directOriginAllowed whether requests may go to a parent or the origin without a cache
- *     between
- * @param transferKbPerSecond pace of one transfer in KB/s; 0 if not known
+ * @param directOriginAllowed whether requests may go to a parent or the origin without passing
+ *     through a cache
+ * @param transferKbPerSecond rate of a single transfer in KB/s; 0 if not known
  * @param timerTickNs granularity of timers
  */
 public record RouterSettings(
@@ -38,10 +38,11 @@
         long timerTickNs) {
 
     /**
-     * One class of requests.
+     * A class of requests.
      *
-     * @param latencyObjectiveNs time in which a response should come
-     * @param latencyObjectiveWorkFactor multiple of the request's work added to the objective
+     * @param latencyObjectiveNs time within which a response should be complete
+     * @param latencyObjectiveWorkFactor multiple of the request's work that is added to the
+     *     objective
      * @param idempotency whether a request may be executed more than once
      * @param idempotencyScope the endpoints that share idempotency keys
      * @param idempotencyWindowNs how long endpoints remember an idempotency key
@@ -58,14 +59,14 @@
             long freshnessLifetimeNs) {}
 
     /**
-     * What the deployment allows.
+     * The actions that the deployment allows, and their bounds.
      *
      * @param cancelAllowed whether attempts in flight may be cancelled
      * @param hedgingAllowed whether a second attempt may run beside the first
      * @param retryAfterSent whether rejections carry a Retry-After
-     * @param maxAttempts attempts of one request; at least one is made
+     * @param maxAttempts maximum number of attempts of one request; at least one is made
      * @param maxRetryAfterNs the Retry-After of a rejection
-     * @param connectTimeoutNs time in which a connection comes up or fails
+     * @param connectTimeoutNs time after which a connection that is not established fails
      */
     public record Limits(
             boolean cancelAllowed,
@@ -76,16 +77,17 @@
             long connectTimeoutNs) {}
 
     /**
-     * The bounds of the rules on endpoints that are warming up, and on purges.
+     * The bounds of slow start and of purges.
      *
      * @param initialCapacity share of its capacity that a cache has when it starts
-     * @param warmUpNs time after which a cache has all of it
-     * @param overloadMultiple multiple of its capacity at which a warming cache collapses
+     * @param warmUpNs time after its start from which a cache has its full capacity
+     * @param overloadMultiple multiple of its present capacity at which a cache that is warming up
+     *     collapses
      * @param overloadWindowNs time over which that multiple is measured
      * @param parentInitialCapacity as {@code initialCapacity}, for parents
      * @param parentWarmUpNs as {@code warmUpNs}, for parents
      * @param parentOverloadMultiple as {@code overloadMultiple}, for parents
-     * @param purgeWindowNs time within which caches have applied a purge
+     * @param purgeWindowNs time within which every cache has applied a purge
      */
     public record SafetyLimits(
             double initialCapacity,
--- a/src/main/java/brooklock/routing/SlowStart.java
+++ b/src/main/java/brooklock/routing/SlowStart.java
@@ -4,30 +4,34 @@
 import java.util.List;
 
 /**
- * Slow start: the budget of a cache or parent that is warming up.
+ * Slow start: limits the work of caches and parents that are warming up.
  *
- * <p>Inputs: start times from the endpoint list or from lost connections, the stated capacities,
- * and what warm peers served through this dispatcher.
+ * <p>Inputs: start times from the endpoint list or inferred from lost connections, the configured
+ * capacities, and the work that warm peers served for this dispatcher.
  *
- * <p>The capacity of an endpoint is taken to rise in a line, from the stated share at its start to
- * all of it after the stated time. Its budget grows with that capacity times the work that this
- * dispatcher gives a warm peer of its size, times a part of the stated overload multiple. Each
- * request or fill that names it is taken from the budget; where the budget does not cover one, the
- * endpoint is passed over.
+ * <p>The capacity of an endpoint is assumed to rise linearly, from the configured share at its
+ * start to full capacity after the configured time. Its budget is refilled at the rate of the work
+ * that this dispatcher sends to a warm peer of the same size, times the present capacity, times a
+ * planned multiple that is below the one that overloads the endpoint. Each request or fill that
+ * names the endpoint is charged to the budget; an endpoint whose budget does not cover a request is
+ * passed over.
  *
- * <p>This prevents that an endpoint collapses under its full share right after its start, which
- * shows as an endpoint that starts again and again. It holds without a message between dispatchers:
- * together they cannot give a warm peer more than its capacity, so the sum of their budgets stays
- * under the overload multiple.
+ * <p>Without slow start, an endpoint that receives its full share right after its start may
+ * collapse and restart again and again. Dispatchers need no messages for this: together they cannot
+ * send a warm peer more than its capacity, so the sum of their budgets stays below the multiple
+ * that overloads an endpoint.
  */
 public final class SlowStart {
-    /** Part of the overload multiple that all dispatchers together plan to use. */
+    /** Share of the overload multiple that all dispatchers together plan to use. */
     private static final double PLANNED_OVERLOAD_SHARE = 0.6;
 
-    /** Multiple of its present capacity that is planned at most: more would only be late. */
+    /** Maximum planned multiple of an endpoint's present capacity: more work would only be late. */
     private static final double MAX_PLANNED_MULTIPLE = 1.3;
 
-    /** Span of the measured rates, ns: longer than a burst, shorter than a start. */
+    /**
+     * Time constant of the measured rates in nanoseconds: longer than a burst, shorter than a
+     * warm-up.
+     */
     private static final double RATE_SPAN_NS = 8e9;
 
     private final Peers caches;
@@ -54,11 +58,12 @@
     }
 
     /**
-     * Share of its capacity that an endpoint surely has.
+     * Returns the share of its capacity that an endpoint is assumed to have.
      *
-     * @param ageNs time since its start, ns
-     * @param initialCapacity share of its capacity at its start
-     * @param warmUpNs time after which it has all of it, ns
+     * @param ageNs time since the endpoint's start, in nanoseconds
+     * @param initialCapacity share of its capacity that the endpoint has at its start
+     * @param warmUpNs time after its start from which the endpoint has its full capacity, in
+     *     nanoseconds
      */
     public static double capacityAt(long ageNs, double initialCapacity, long warmUpNs) {
         return ageNs >= warmUpNs
@@ -67,21 +72,25 @@
     }
 
     /**
-     * Multiple of its present capacity that all dispatchers together plan to give an endpoint.
+     * Returns the multiple of its present capacity that all dispatchers together plan to send to an
+     * endpoint.
      *
-     * @param overloadMultiple multiple that overloads it
+     * @param overloadMultiple multiple of its present capacity that overloads an endpoint
      */
     public static double plannedMultiple(double overloadMultiple) {
         return Math.min(MAX_PLANNED_MULTIPLE, overloadMultiple * PLANNED_OVERLOAD_SHARE);
     }
 
-    /** The endpoints that are warm have changed with the list. */
+    /**
+     * Recomputes the weight of the warm endpoints at the next use, because the endpoint list has
+     * changed.
+     */
     void onListChanged() {
         caches.warmUntilNs = Long.MIN_VALUE;
         parents.warmUntilNs = Long.MIN_VALUE;
     }
 
-    /** The endpoint is taken for started anew, with an empty budget. */
+    /** Treats an endpoint as restarted, with an empty budget. */
     void restart(RoutedEndpoint endpoint, long now) {
         endpoint.startedAtNs = now;
         endpoint.slowStartBudgetNs = 0;
@@ -89,8 +98,8 @@
     }
 
     /**
-     * Whether an endpoint is warm, or its budget covers a request of this class; refills the budget
-     * up to now first.
+     * Refills the endpoint's budget up to now and returns whether it covers a request of this
+     * class. A warm endpoint needs no budget.
      */
     boolean canAfford(RoutedEndpoint endpoint, PendingRequest request, long now) {
         Peers peers = peersOf(endpoint);
@@ -104,11 +113,12 @@
     }
 
     /**
-     * Adds what the budget has earned since it was refilled last; it may always hold one request.
+     * Adds what the budget has earned since its last refill. The maximum is never less than one
+     * request.
      */
     private void refill(
             RoutedEndpoint endpoint, Peers peers, double capacity, double costNs, long now) {
-        // While none is warm the rate stands as it was measured last: decay would shut the budgets.
+        // While no peer is warm, the last measured rate applies: decay would exhaust the budgets.
         long measuredAt = peers.warmWeight(now) > 0 ? now : peers.rate.updatedAtNs();
         double warmPeerRate = peers.rate.perNs(measuredAt) * endpoint.weight;
         double refillRate = warmPeerRate * capacity * peers.plannedMultiple;
@@ -122,22 +132,22 @@
     }
 
     /**
-     * Takes a request from the budget; what only looks for a copy counts too. The budget of a warm
-     * endpoint only falls and is not read; a new start sets it to 0.
+     * Charges a request to the budget, even if it only looks up a cached copy. The budget of a warm
+     * endpoint only falls and is not read; a restart sets it to 0.
      */
     void spend(RoutedEndpoint endpoint, PendingRequest request) {
         endpoint.slowStartBudgetNs -= workEstimator.classMeanNs(request);
     }
 
-    /** Gives back what a fill source was not needed for. */
+    /** Refunds a request for which the fill source was not needed. */
     void refund(RoutedEndpoint endpoint, PendingRequest request) {
         endpoint.slowStartBudgetNs += workEstimator.classMeanNs(request);
     }
 
     /**
-     * Adds what a warm endpoint served to the rate of one of unit size. It is divided by the
-     * endpoints that were warm then, not by those left later: when most of a zone leaves, the rest
-     * has not grown.
+     * Adds the work that a warm endpoint served to the rate of an endpoint of weight 1. The work is
+     * divided by the weight of the endpoints that are warm when it is served, not of those left
+     * later: when most of a zone leaves, the capacity of the others does not grow.
      */
     void onServed(RoutedEndpoint endpoint, PendingRequest request, long now) {
         Peers peers = peersOf(endpoint);
@@ -153,7 +163,7 @@
         return endpoint.isParent ? parents : caches;
     }
 
-    /** Caches or parents: how they warm up, and what the warm ones serve. */
+    /** The caches or the parents: how they warm up, and the rate at which warm ones serve. */
     private static final class Peers {
         final List<RoutedEndpoint> endpoints;
         final double initialCapacity;
@@ -174,17 +184,22 @@
             plannedMultiple = plannedMultiple(overloadMultiple);
         }
 
-        /** Share of its capacity that an endpoint surely has by now. */
+        /**
+         * Returns the share of its capacity that an endpoint is assumed to have at the given time.
+         */
         double capacityOf(RoutedEndpoint endpoint, long now) {
             return endpoint.startedAtNs == 0
                     ? 1
                     : capacityAt(now - endpoint.startedAtNs, initialCapacity, warmUpNs);
         }
 
-        /** Weight of all that are warm, kept until the list, a restart or time changes it. */
+        /**
+         * Returns the total weight of the warm endpoints, which is cached until the endpoint list,
+         * a restart or the end of a warm-up changes it.
+         */
         double warmWeight(long now) {
             if (now >= warmUntilNs) {
-                // DoubleStream.sum compensates rounding errors; a plain loop sums otherwise.
+                // DoubleStream.sum compensates rounding errors; a plain loop would differ from it.
                 warmWeight =
                         endpoints.stream()
                                 .filter(endpoint -> capacityOf(endpoint, now) >= 1)
--- a/src/main/java/brooklock/routing/WorkEstimator.java
+++ b/src/main/java/brooklock/routing/WorkEstimator.java
@@ -4,9 +4,9 @@
 import brooklock.routing.RouterEvent.RequestReceived;
 
 /**
- * A request's work: the time, ns, that its bytes need at the rate of one transfer. All limits and
- * budgets count work, so that one large response weighs as much as many small ones. Uses declared
- * sizes, else the fastest response seen.
+ * Estimates the work of requests: the time in nanoseconds that a single transfer of the response
+ * takes. All limits and budgets count work, so that one large response weighs as much as many small
+ * ones. The estimate uses the declared size, else the fastest response observed.
  */
 final class WorkEstimator {
     /** Weight of a new sample in a mean. */
@@ -25,7 +25,8 @@
     }
 
     /**
-     * By the declared size, else the least time seen for the object, else the mean of its class.
+     * Returns the estimated work of a request in nanoseconds: by its declared size, else the
+     * shortest time observed for the object, else the mean of its class.
      */
     double estimate(RequestReceived request, ObjectDemand demand) {
         if (request.sizeKb() > 0 && transferKbPerSecond > 0) {
@@ -34,14 +35,14 @@
         return demand.workNs > 0 ? demand.workNs : classMeanNs[request.classIndex()];
     }
 
-    /** Mean work of all requests that caches serve. */
+    /** Returns the mean work of all requests that caches serve, in nanoseconds. */
     double meanNs() {
         return meanNs;
     }
 
     /**
-     * Mean work of the request's class, by which the budgets of endpoints that warm up are
-     * reckoned.
+     * Returns the mean work of the request's class in nanoseconds, in which the budgets of
+     * endpoints that are warming up are counted.
      */
     double classMeanNs(PendingRequest request) {
         return classMeanNs[request.event.classIndex()];
@@ -54,7 +55,8 @@
     }
 
     /**
-     * Learns from a successful response; of unknown size only a cache hit shows the transfer alone.
+     * Updates the means with a successful response. If its size is not known, only a cache hit is
+     * used, because its duration contains no fill.
      */
     void onSuccess(PendingRequest request, AttemptCompleted completed) {
         boolean sizeDeclared = request.event.sizeKb() > 0;
