--- a/src/main/java/brooklock/routing/FillReach.java
+++ b/src/main/java/brooklock/routing/AdmittedTier.java
@@ -3,7 +3,7 @@
 /**
  * The furthest tier (cache, parent or origin) that {@link FillAdmission} allows an attempt to use.
  */
-enum FillReach {
+enum AdmittedTier {
     /** No tier: the request is not admitted at present. */
     NONE,
     /** The endpoint may serve its cached copy but may not fill. */
--- a/src/main/java/brooklock/routing/Attempt.java
+++ b/src/main/java/brooklock/routing/Attempt.java
@@ -7,7 +7,7 @@
     /** Where the endpoint fills a cache miss from; the endpoint itself if it may not fill. */
     final RoutedEndpoint fillSource;
 
-    final FillReach reach;
+    final AdmittedTier reach;
 
     /**
      * The time at which the router started the attempt, in nanoseconds. It is sent later if it
@@ -30,7 +30,7 @@
     /** Whether the first bytes of the response have been sent to the client. */
     boolean responseStarted;
 
-    Attempt(RoutedEndpoint endpoint, RoutedEndpoint fillSource, FillReach reach, long decidedAtNs) {
+    Attempt(RoutedEndpoint endpoint, RoutedEndpoint fillSource, AdmittedTier reach, long decidedAtNs) {
         this.endpoint = endpoint;
         this.fillSource = fillSource;
         this.reach = reach;
--- a/src/main/java/brooklock/routing/DecayingRate.java
+++ b/src/main/java/brooklock/routing/DecayingRate.java
@@ -31,7 +31,7 @@
      * Returns the mean amount per nanosecond, taken over the time constant, at the given time in
      * nanoseconds.
      */
-    public double perNs(long now) {
+    public double ratePerNs(long now) {
         return sum(now) / spanNs;
     }
 
--- a/src/main/java/brooklock/routing/FillAdmission.java
+++ b/src/main/java/brooklock/routing/FillAdmission.java
@@ -45,10 +45,10 @@
      * Returns the furthest tier that the request may use. While the origin's limit is smaller than
      * the request, only hot objects are admitted to the origin.
      */
-    FillReach reach(PendingRequest request, RoutedEndpoint target, long now) {
+    AdmittedTier reach(PendingRequest request, RoutedEndpoint target, long now) {
         double work = request.workNs;
         if (!target.isCache) {
-            return fillLimit.admits(work, now) ? FillReach.ORIGIN : FillReach.NONE;
+            return fillLimit.admits(work, now) ? AdmittedTier.ORIGIN : AdmittedTier.NONE;
         }
         boolean fill = fillLimit.admits(work * (request.missed ? 1 : missRatio), now);
         boolean origin =
@@ -57,9 +57,9 @@
         if (!target.limit.admits(work, now)
                 || (request.missed && !fill)
                 || (request.parentMissed && !origin)) {
-            return FillReach.NONE;
+            return AdmittedTier.NONE;
         }
-        return !fill ? FillReach.CACHE : origin ? FillReach.ORIGIN : FillReach.PARENT;
+        return !fill ? AdmittedTier.CACHE : origin ? AdmittedTier.ORIGIN : AdmittedTier.PARENT;
     }
 
     /**
@@ -79,11 +79,11 @@
         attempt.endpoint.limit.acquire(attempt.endpointWorkNs);
         boolean certain = request.missed || !request.isCacheableAt(attempt.endpoint);
         attempt.fillWorkNs =
-                attempt.reach == FillReach.CACHE || request.requestClass.passThrough()
+                attempt.reach == AdmittedTier.CACHE || request.requestClass.passThrough()
                         ? 0
                         : certain ? request.workNs : request.workNs * missRatio;
         attempt.originWorkNs =
-                attempt.reach != FillReach.ORIGIN
+                attempt.reach != AdmittedTier.ORIGIN
                         ? 0
                         : attempt.fillWorkNs * (request.parentMissed ? 1 : parentMissRatio);
         fillLimit.acquire(attempt.fillWorkNs);
@@ -156,13 +156,13 @@
         if (ok || excused) {
             return null;
         }
-        return attempt.reach == FillReach.CACHE ? attempt.endpoint.limit : fillLimit;
+        return attempt.reach == AdmittedTier.CACHE ? attempt.endpoint.limit : fillLimit;
     }
 
     private void learnMissRatios(
             PendingRequest request, Attempt attempt, AttemptCompleted completed) {
         if (completed.outcome() != AttemptOutcome.OK
-                || attempt.reach != FillReach.ORIGIN
+                || attempt.reach != AdmittedTier.ORIGIN
                 || !attempt.endpoint.isCache) {
             return;
         }
--- a/src/main/java/brooklock/routing/RouterAction.java
+++ b/src/main/java/brooklock/routing/RouterAction.java
@@ -35,7 +35,7 @@
             implements RouterAction {
 
         /** Returns whether the endpoint fills a cache miss. */
-        public boolean fills() {
+        public boolean fillsOnMiss() {
             return fillSource != endpoint;
         }
     }
--- a/src/main/java/brooklock/routing/SlowStart.java
+++ b/src/main/java/brooklock/routing/SlowStart.java
@@ -65,7 +65,7 @@
      * @param warmUpNs time after its start from which the endpoint has its full capacity, in
      *     nanoseconds
      */
-    public static double capacityAt(long ageNs, double initialCapacity, long warmUpNs) {
+    public static double capacityShareAt(long ageNs, double initialCapacity, long warmUpNs) {
         return ageNs >= warmUpNs
                 ? 1
                 : initialCapacity + (1 - initialCapacity) * Math.max(0, ageNs) / warmUpNs;
@@ -77,7 +77,7 @@
      *
      * @param overloadMultiple multiple of its present capacity that overloads an endpoint
      */
-    public static double plannedMultiple(double overloadMultiple) {
+    public static double plannedCapacityMultiple(double overloadMultiple) {
         return Math.min(MAX_PLANNED_MULTIPLE, overloadMultiple * PLANNED_OVERLOAD_SHARE);
     }
 
@@ -120,7 +120,7 @@
             RoutedEndpoint endpoint, Peers peers, double capacity, double costNs, long now) {
         // While no peer is warm, the last measured rate applies: decay would exhaust the budgets.
         long measuredAt = peers.warmWeight(now) > 0 ? now : peers.rate.updatedAtNs();
-        double warmPeerRate = peers.rate.perNs(measuredAt) * endpoint.weight;
+        double warmPeerRate = peers.rate.ratePerNs(measuredAt) * endpoint.weight;
         double refillRate = warmPeerRate * capacity * peers.plannedMultiple;
         double maxBudgetNs = Math.max(refillRate * overloadWindowNs / 2, costNs);
         long refilledAtNs = Math.max(endpoint.slowStartUpdatedAtNs, endpoint.startedAtNs);
@@ -181,7 +181,7 @@
             this.endpoints = endpoints;
             this.initialCapacity = initialCapacity;
             this.warmUpNs = warmUpNs;
-            plannedMultiple = plannedMultiple(overloadMultiple);
+            plannedMultiple = plannedCapacityMultiple(overloadMultiple);
         }
 
         /**
@@ -190,7 +190,7 @@
         double capacityOf(RoutedEndpoint endpoint, long now) {
             return endpoint.startedAtNs == 0
                     ? 1
-                    : capacityAt(now - endpoint.startedAtNs, initialCapacity, warmUpNs);
+                    : capacityShareAt(now - endpoint.startedAtNs, initialCapacity, warmUpNs);
         }
 
         /**
