--- a/src/main/java/brooklock/membership/EndpointRegistry.java
+++ b/src/main/java/brooklock/membership/EndpointRegistry.java
@@ -58,8 +58,7 @@
      * Returns the event that announces an update to the router; empty if the update has changed
      * nothing.
      */
-    public Optional<EndpointListReceived> toListEvent(
-            UpdateResult result, EndpointListKind kind) {
+    public Optional<EndpointListReceived> toListEvent(UpdateResult result, EndpointListKind kind) {
         return result.affected().isEmpty() && !result.coversWholeList()
                 ? Optional.empty()
                 : Optional.of(translate(result.affected(), kind));
--- a/src/main/java/brooklock/proxy/PrefetchSender.java
+++ b/src/main/java/brooklock/proxy/PrefetchSender.java
@@ -33,10 +33,7 @@
         loop.execute(
                 () ->
                         new PrefetchRequest(
-                                        context,
-                                        prefetch.endpointId(),
-                                        prefetch.peerId(),
-                                        listener)
+                                        context, prefetch.endpointId(), prefetch.peerId(), listener)
                                 .send(loop, endpoint.address(), head));
     }
 
