--- a/src/main/java/brooklock/routing/Attempt.java
+++ b/src/main/java/brooklock/routing/Attempt.java
@@ -7,13 +7,13 @@
     /** Where the endpoint fills a cache miss from; the endpoint itself if it may not fill. */
     final RoutedEndpoint fillSource;
 
-    final AdmittedTier reach;
+    final AdmittedTier admittedTier;
 
     /**
      * The time at which the router started the attempt, in nanoseconds. It is sent later if it
      * waits for a connection.
      */
-    final long decidedAtNs;
+    final long startedAtNs;
 
     /** The work reserved on the endpoint's link, in nanoseconds; 0 once released. */
     double endpointWorkNs;
@@ -30,15 +30,19 @@
     /** Whether the first bytes of the response have been sent to the client. */
     boolean responseStarted;
 
-    Attempt(RoutedEndpoint endpoint, RoutedEndpoint fillSource, AdmittedTier reach, long decidedAtNs) {
+    Attempt(
+            RoutedEndpoint endpoint,
+            RoutedEndpoint fillSource,
+            AdmittedTier admittedTier,
+            long startedAtNs) {
         this.endpoint = endpoint;
         this.fillSource = fillSource;
-        this.reach = reach;
-        this.decidedAtNs = decidedAtNs;
+        this.admittedTier = admittedTier;
+        this.startedAtNs = startedAtNs;
     }
 
     /** Returns whether the endpoint fills a cache miss. */
-    boolean fills() {
+    boolean fillsOnMiss() {
         return fillSource != endpoint;
     }
 
@@ -47,7 +51,7 @@
      * since its start. The endpoint is then taken to be alive and the response to be missing. A
      * reset or timeout of another attempt counts as such an outcome, too.
      */
-    boolean isOvertaken() {
-        return !completed && endpoint.health.silentSinceNs > decidedAtNs;
+    boolean isResponseMissing() {
+        return !completed && endpoint.health.noOutcomeSinceNs > startedAtNs;
     }
 }
--- a/src/main/java/brooklock/routing/CacheSelector.java
+++ b/src/main/java/brooklock/routing/CacheSelector.java
@@ -24,7 +24,7 @@
      * A cache is passed over if its load is above this multiple of its peers' mean work in flight
      * ...
      */
-    private static final double LOAD_BOUND = 1.1;
+    private static final double LOAD_BOUND_FACTOR = 1.1;
 
     /** ... plus this many mean requests, so that small loads do not move requests. */
     private static final double LOAD_SLACK_REQUESTS = 2;
@@ -73,20 +73,21 @@
      * one that slow start allows, or null if it allows none.
      */
     RoutedEndpoint select(PendingRequest request, long now) {
-        double bound = scoreAll(RendezvousHash.copyHash(request.event.object(), request.event.part()));
+        double maxLoad =
+                scoreAll(RendezvousHash.copyHash(request.event.object(), request.event.part()));
         RoutedEndpoint best = null;
-        int left = HotList.cacheCount(request.demand);
+        int remaining = HotList.cacheCount(request.demand);
         for (int i = 0; i < caches.size(); i++) {
-            RoutedEndpoint cache = bringNearest(i);
+            RoutedEndpoint cache = moveBestTo(i);
             double load = loadOf(cache);
             if (request.hasTried(cache)
                     || !outliers.isUsable(cache, now)
-                    || load > bound
-                    || !slowStart.canAfford(cache, request, now)) {
+                    || load > maxLoad
+                    || !slowStart.budgetCovers(cache, request, now)) {
                 continue;
             }
             best = best == null || load < loadOf(best) ? cache : best;
-            if (--left == 0) {
+            if (--remaining == 0) {
                 break;
             }
         }
@@ -99,20 +100,20 @@
      * @return the bound of the load, which is work in flight divided by weight, that no selected
      *     cache should exceed
      */
-    private double scoreAll(long copy) {
-        double load = 0;
-        double weight = 0;
+    private double scoreAll(long copyHash) {
+        double totalWorkNs = 0;
+        double totalWeight = 0;
         for (int i = 0; i < caches.size(); i++) {
             RoutedEndpoint cache = caches.get(i);
             cache.rendezvousScore =
                     weighted
-                            ? RendezvousHash.score(copy, cache.id(), cache.weight)
-                            : RendezvousHash.uniform(copy, cache.id());
-            load += cache.limit.inFlightNs();
-            weight += cache.weight;
+                            ? RendezvousHash.score(copyHash, cache.id(), cache.weight)
+                            : RendezvousHash.uniformScore(copyHash, cache.id());
+            totalWorkNs += cache.limit.inFlightNs();
+            totalWeight += cache.weight;
         }
-        return LOAD_BOUND * load / weight
-                + LOAD_SLACK_REQUESTS * workEstimator.meanNs() / weight * caches.size();
+        return LOAD_BOUND_FACTOR * totalWorkNs / totalWeight
+                + LOAD_SLACK_REQUESTS * workEstimator.meanNs() / totalWeight * caches.size();
     }
 
     /**
@@ -120,17 +121,17 @@
      * returns it. Usually only the first few are needed, so the list is ordered only as far as they
      * go, and in place: its order is the starting point for the next request.
      */
-    private RoutedEndpoint bringNearest(int place) {
-        if (place == SELECTION_PASSES) {
-            caches.subList(place, caches.size()).sort(BY_SCORE);
-        } else if (place < SELECTION_PASSES) {
-            int best = place;
-            for (int i = place + 1; i < caches.size(); i++) {
+    private RoutedEndpoint moveBestTo(int index) {
+        if (index == SELECTION_PASSES) {
+            caches.subList(index, caches.size()).sort(BY_SCORE);
+        } else if (index < SELECTION_PASSES) {
+            int best = index;
+            for (int i = index + 1; i < caches.size(); i++) {
                 best = caches.get(i).rendezvousScore > caches.get(best).rendezvousScore ? i : best;
             }
-            caches.set(place, caches.set(best, caches.get(place)));
+            caches.set(index, caches.set(best, caches.get(index)));
         }
-        return caches.get(place);
+        return caches.get(index);
     }
 
     /**
@@ -141,15 +142,16 @@
         RoutedEndpoint best = null;
         for (int i = 0; i < caches.size(); i++) {
             RoutedEndpoint cache = caches.get(i);
-            if (slowStart.canAfford(cache, request, now)
-                    && (best == null || compare(request, best, cache, now) > 0)) {
+            if (slowStart.budgetCovers(cache, request, now)
+                    && (best == null || compareFallbacks(request, best, cache, now) > 0)) {
                 best = cache;
             }
         }
         return best;
     }
 
-    private int compare(PendingRequest request, RoutedEndpoint a, RoutedEndpoint b, long now) {
+    private int compareFallbacks(
+            PendingRequest request, RoutedEndpoint a, RoutedEndpoint b, long now) {
         int order = Double.compare(penalizedLoad(request, a, now), penalizedLoad(request, b, now));
         return order != 0 ? order : BY_SCORE.compare(a, b);
     }
--- a/src/main/java/brooklock/routing/ConcurrencyLimit.java
+++ b/src/main/java/brooklock/routing/ConcurrencyLimit.java
@@ -19,13 +19,13 @@
  */
 final class ConcurrencyLimit {
     /** Tolerated share of late responses on a cache's own link. */
-    private static final double CACHE_LATE_SHARE = 0.1;
+    private static final double TOLERATED_CACHE_LATE_SHARE = 0.1;
 
     /** Tolerated share of late responses on the fill link of the zone. */
-    private static final double FILL_LATE_SHARE = 0.2;
+    private static final double TOLERATED_FILL_LATE_SHARE = 0.2;
 
     /** Tolerated share of late responses at the origin. */
-    private static final double ORIGIN_LATE_SHARE = 0.3;
+    private static final double TOLERATED_ORIGIN_LATE_SHARE = 0.3;
 
     /** Minimum of a limit in the router's own zone, in mean requests. */
     private static final double MIN_REQUESTS = 2;
@@ -37,16 +37,16 @@
      * Maximum share of a limit that one late response may take away: a single large one must not
      * block the link for all.
      */
-    private static final double MAX_DECREASE = 0.25;
+    private static final double MAX_DECREASE_SHARE = 0.25;
 
     /** Share of late responses from which on a link is congested and gets a limit. */
-    private static final double LATE_SHARE_TO_LIMIT = 0.15;
+    private static final double CONGESTED_LATE_SHARE = 0.15;
 
     /** Weight of one response in the running share of late responses. */
-    private static final double LATE_WEIGHT = 0.1;
+    private static final double LATE_SHARE_WEIGHT = 0.1;
 
     /** Weight of a response of unknown size, which may be late only because it is large. */
-    private static final double UNSIZED_LATE_WEIGHT = 0.05;
+    private static final double UNSIZED_LATE_SHARE_WEIGHT = 0.05;
 
     private final double toleratedLateShare;
     private final double minRequests;
@@ -61,11 +61,11 @@
     }
 
     static ConcurrencyLimit forCache() {
-        return new ConcurrencyLimit(CACHE_LATE_SHARE, MIN_REQUESTS);
+        return new ConcurrencyLimit(TOLERATED_CACHE_LATE_SHARE, MIN_REQUESTS);
     }
 
     static ConcurrencyLimit forFills() {
-        return new ConcurrencyLimit(FILL_LATE_SHARE, MIN_REQUESTS);
+        return new ConcurrencyLimit(TOLERATED_FILL_LATE_SHARE, MIN_REQUESTS);
     }
 
     /**
@@ -74,7 +74,7 @@
      */
     static ConcurrencyLimit forOrigin(int dispatchers) {
         return new ConcurrencyLimit(
-                ORIGIN_LATE_SHARE, MIN_ORIGIN_REQUESTS / Math.max(1, dispatchers));
+                TOLERATED_ORIGIN_LATE_SHARE, MIN_ORIGIN_REQUESTS / Math.max(1, dispatchers));
     }
 
     /** Returns the work in flight, in nanoseconds. */
@@ -86,15 +86,15 @@
      * Returns whether the running share of late responses is so high that the link should get no
      * avoidable work.
      */
-    boolean isLate() {
-        return lateShare >= LATE_SHARE_TO_LIMIT;
+    boolean isCongested() {
+        return lateShare >= CONGESTED_LATE_SHARE;
     }
 
     /**
      * Returns whether the limit is at least the given work, so that a request of this size needs no
      * pause after it.
      */
-    boolean admitsAlone(double workNs) {
+    boolean isAtLeast(double workNs) {
         return limitNs >= workNs;
     }
 
@@ -121,7 +121,7 @@
 
     /** Records a response of unknown size, which does not change the limit. */
     void onUnsizedResponse(boolean onTime) {
-        updateLateShare(onTime, UNSIZED_LATE_WEIGHT);
+        updateLateShare(onTime, UNSIZED_LATE_SHARE_WEIGHT);
     }
 
     /**
@@ -129,15 +129,18 @@
      * used.
      */
     void onResponse(boolean onTime, double workNs, double meanWorkNs) {
-        updateLateShare(onTime, LATE_WEIGHT);
-        double min = minRequests * meanWorkNs;
+        updateLateShare(onTime, LATE_SHARE_WEIGHT);
+        double minLimitNs = minRequests * meanWorkNs;
         if (limitNs == Double.POSITIVE_INFINITY) {
             limitNs =
-                    lateShare > LATE_SHARE_TO_LIMIT ? Math.max(min, inFlightNs + workNs) : limitNs;
+                    lateShare > CONGESTED_LATE_SHARE
+                            ? Math.max(minLimitNs, inFlightNs + workNs)
+                            : limitNs;
         } else if (inFlightNs + workNs > limitNs / 2) {
-            double decrease = Math.min((1 - toleratedLateShare) * workNs, MAX_DECREASE * limitNs);
-            double increase = Math.min(toleratedLateShare * workNs, limitNs);
-            limitNs = Math.max(min, limitNs + (onTime ? increase : -decrease));
+            double decreaseNs =
+                    Math.min((1 - toleratedLateShare) * workNs, MAX_DECREASE_SHARE * limitNs);
+            double increaseNs = Math.min(toleratedLateShare * workNs, limitNs);
+            limitNs = Math.max(minLimitNs, limitNs + (onTime ? increaseNs : -decreaseNs));
         }
     }
 
--- a/src/main/java/brooklock/routing/DecayingRate.java
+++ b/src/main/java/brooklock/routing/DecayingRate.java
@@ -2,18 +2,18 @@
 
 /** A sum that decays exponentially, from which a rate is derived. State only. Not thread-safe. */
 public final class DecayingRate {
-    private final double spanNs;
+    private final double timeConstantNs;
     private double sum;
     private long updatedAtNs;
 
     /**
      * Creates a new rate, which starts at 0.
      *
-     * @param spanNs the time constant of the decay in nanoseconds, in which the sum falls to 1/e
-     *     (about a third)
+     * @param timeConstantNs the time constant of the decay in nanoseconds, in which the sum falls
+     *     to 1/e (about a third)
      */
-    public DecayingRate(double spanNs) {
-        this.spanNs = spanNs;
+    public DecayingRate(double timeConstantNs) {
+        this.timeConstantNs = timeConstantNs;
     }
 
     /** Adds an amount at the given time, in nanoseconds. */
@@ -24,7 +24,7 @@
 
     /** Returns the decayed sum at the given time, in nanoseconds. */
     public double sum(long now) {
-        return sum * Math.exp((updatedAtNs - now) / spanNs);
+        return sum * Math.exp((updatedAtNs - now) / timeConstantNs);
     }
 
     /**
@@ -32,7 +32,7 @@
      * nanoseconds.
      */
     public double ratePerNs(long now) {
-        return sum(now) / spanNs;
+        return sum(now) / timeConstantNs;
     }
 
     /** Returns the time of the last addition, in nanoseconds, or 0 if there was none. */
--- a/src/main/java/brooklock/routing/EndpointHealth.java
+++ b/src/main/java/brooklock/routing/EndpointHealth.java
@@ -13,7 +13,7 @@
      * outcome of any kind, including a timeout, a reset or an outcome as fill source; the first
      * attempt after a time without open attempts; a new start time in the endpoint list.
      */
-    long silentSinceNs;
+    long noOutcomeSinceNs;
 
     /** The number of connections lost or refused in succession. */
     int connectionFailures;
--- a/src/main/java/brooklock/routing/EndpointTable.java
+++ b/src/main/java/brooklock/routing/EndpointTable.java
@@ -76,10 +76,10 @@
                 i.remove();
             }
         }
-        sort();
+        groupByUse();
     }
 
-    private void sort() {
+    private void groupByUse() {
         localCaches.clear();
         nearParents.clear();
         farParents.clear();
--- a/src/main/java/brooklock/routing/FillAdmission.java
+++ b/src/main/java/brooklock/routing/FillAdmission.java
@@ -37,53 +37,56 @@
     }
 
     /** Returns whether the zone's fill link is congested. */
-    boolean isFillLate() {
-        return fillLimit.isLate();
+    boolean isFillLinkCongested() {
+        return fillLimit.isCongested();
     }
 
     /**
      * Returns the furthest tier that the request may use. While the origin's limit is smaller than
      * the request, only hot objects are admitted to the origin.
      */
-    AdmittedTier reach(PendingRequest request, RoutedEndpoint target, long now) {
-        double work = request.workNs;
+    AdmittedTier admit(PendingRequest request, RoutedEndpoint target, long now) {
+        double workNs = request.workNs;
         if (!target.isCache) {
-            return fillLimit.admits(work, now) ? AdmittedTier.ORIGIN : AdmittedTier.NONE;
+            return fillLimit.admits(workNs, now) ? AdmittedTier.ORIGIN : AdmittedTier.NONE;
         }
-        boolean fill = fillLimit.admits(work * (request.missed ? 1 : missRatio), now);
-        boolean origin =
-                originLimit.admits(work * originShare(request), now)
-                        && (request.hot || originLimit.admitsAlone(work));
-        if (!target.limit.admits(work, now)
-                || (request.missed && !fill)
-                || (request.parentMissed && !origin)) {
+        boolean fillAdmitted =
+                fillLimit.admits(workNs * (request.cacheMissed ? 1 : missRatio), now);
+        boolean originAdmitted =
+                originLimit.admits(workNs * expectedOriginShare(request), now)
+                        && (request.objectHot || originLimit.isAtLeast(workNs));
+        if (!target.limit.admits(workNs, now)
+                || (request.cacheMissed && !fillAdmitted)
+                || (request.parentMissed && !originAdmitted)) {
             return AdmittedTier.NONE;
         }
-        return !fill ? AdmittedTier.CACHE : origin ? AdmittedTier.ORIGIN : AdmittedTier.PARENT;
+        return !fillAdmitted
+                ? AdmittedTier.CACHE
+                : originAdmitted ? AdmittedTier.ORIGIN : AdmittedTier.PARENT;
     }
 
     /**
      * Returns the share of the request's work that is expected at the origin, given the misses
      * known so far.
      */
-    private double originShare(PendingRequest request) {
+    private double expectedOriginShare(PendingRequest request) {
         if (request.parentMissed) {
             return 1;
         }
-        return request.missed ? parentMissRatio : missRatio * parentMissRatio;
+        return request.cacheMissed ? parentMissRatio : missRatio * parentMissRatio;
     }
 
     /** Reserves an attempt's work on the endpoint's link, on the fill link and at the origin. */
     void acquire(PendingRequest request, Attempt attempt) {
         attempt.endpointWorkNs = request.workNs;
         attempt.endpoint.limit.acquire(attempt.endpointWorkNs);
-        boolean certain = request.missed || !request.isCacheableAt(attempt.endpoint);
+        boolean fillCertain = request.cacheMissed || !request.isCacheableAt(attempt.endpoint);
         attempt.fillWorkNs =
-                attempt.reach == AdmittedTier.CACHE || request.requestClass.passThrough()
+                attempt.admittedTier == AdmittedTier.CACHE || request.requestClass.passThrough()
                         ? 0
-                        : certain ? request.workNs : request.workNs * missRatio;
+                        : fillCertain ? request.workNs : request.workNs * missRatio;
         attempt.originWorkNs =
-                attempt.reach != AdmittedTier.ORIGIN
+                attempt.admittedTier != AdmittedTier.ORIGIN
                         ? 0
                         : attempt.fillWorkNs * (request.parentMissed ? 1 : parentMissRatio);
         fillLimit.acquire(attempt.fillWorkNs);
@@ -112,9 +115,9 @@
             boolean responseLost,
             double meanWorkNs,
             long now) {
-        boolean early = now < request.objectiveAtNs;
+        boolean beforeObjective = now < request.objectiveAtNs;
         if (completed.outcome().neverStarted()
-                || (completed.outcome() == AttemptOutcome.CANCELLED && early)) {
+                || (completed.outcome() == AttemptOutcome.CANCELLED && beforeObjective)) {
             return;
         }
         boolean onTime = completed.outcome() == AttemptOutcome.OK && request.isOnTime(completed);
@@ -124,12 +127,13 @@
             (isHit(attempt, completed) ? attempt.endpoint.limit : fillLimit)
                     .onUnsizedResponse(onTime);
         } else {
-            ConcurrencyLimit limit = limitJudgedBy(attempt, completed, early || responseLost);
+            ConcurrencyLimit limit =
+                    limitToUpdate(attempt, completed, beforeObjective || responseLost);
             if (limit != null) {
                 limit.onResponse(onTime, request.workNs, meanWorkNs);
             }
         }
-        learnMissRatios(request, attempt, completed);
+        updateMissRatios(request, attempt, completed);
     }
 
     /**
@@ -139,7 +143,7 @@
      * that reached its fill source. Any other failure, unless it is excused, updates the limit of
      * the cache's link if only the cached copy was allowed, else that of the fill link.
      */
-    private ConcurrencyLimit limitJudgedBy(
+    private ConcurrencyLimit limitToUpdate(
             Attempt attempt, AttemptCompleted completed, boolean excused) {
         boolean ok = completed.outcome() == AttemptOutcome.OK;
         CacheStatus status = completed.cacheStatus();
@@ -150,24 +154,24 @@
             return fillLimit;
         }
         if ((ok && status == CacheStatus.FILLED_BY_ORIGIN)
-                || (status.isFillSourceFailure() && !outliers.isFillSourceUnreached(completed))) {
+                || (status.isFillSourceFailure() && !outliers.isFillSourceUnreachable(completed))) {
             return originLimit;
         }
         if (ok || excused) {
             return null;
         }
-        return attempt.reach == AdmittedTier.CACHE ? attempt.endpoint.limit : fillLimit;
+        return attempt.admittedTier == AdmittedTier.CACHE ? attempt.endpoint.limit : fillLimit;
     }
 
-    private void learnMissRatios(
+    private void updateMissRatios(
             PendingRequest request, Attempt attempt, AttemptCompleted completed) {
         if (completed.outcome() != AttemptOutcome.OK
-                || attempt.reach != AdmittedTier.ORIGIN
+                || attempt.admittedTier != AdmittedTier.ORIGIN
                 || !attempt.endpoint.isCache) {
             return;
         }
         boolean hit = completed.cacheStatus() == CacheStatus.HIT;
-        if (!request.missed) {
+        if (!request.cacheMissed) {
             missRatio += MISS_RATIO_WEIGHT * ((hit ? 0 : 1) - missRatio);
         }
         if (!request.parentMissed && !hit) {
--- a/src/main/java/brooklock/routing/FillSourceSelector.java
+++ b/src/main/java/brooklock/routing/FillSourceSelector.java
@@ -22,10 +22,10 @@
     private static final double PENALTY_WEIGHT = 1e6;
 
     /** Penalty of a parent that the request has used before as its fill source. */
-    private static final int ALREADY_USED = 2;
+    private static final int ALREADY_USED_PENALTY = 2;
 
     /** Penalty of an ejected parent. */
-    private static final int EJECTED = 1;
+    private static final int EJECTED_PENALTY = 1;
 
     private final EndpointTable endpoints;
     private final OutlierDetector outliers;
@@ -56,14 +56,14 @@
     }
 
     private RoutedEndpoint bestOf(List<RoutedEndpoint> parents, PendingRequest request, long now) {
-        long copy = RendezvousHash.copyHash(request.event.object(), request.event.part());
+        long copyHash = RendezvousHash.copyHash(request.event.object(), request.event.part());
         RoutedEndpoint best = null;
         double bestScore = 0;
         for (int i = 0; i < parents.size(); i++) {
             RoutedEndpoint parent = parents.get(i);
-            if (slowStart.canAfford(parent, request, now)) {
+            if (slowStart.budgetCovers(parent, request, now)) {
                 double score =
-                        RendezvousHash.score(copy, parent.id(), parent.weight)
+                        RendezvousHash.score(copyHash, parent.id(), parent.weight)
                                 - PENALTY_WEIGHT * penalty(parent, request, now);
                 if (best == null || Double.compare(bestScore, score) < 0) {
                     best = parent;
@@ -75,7 +75,7 @@
     }
 
     private int penalty(RoutedEndpoint parent, PendingRequest request, long now) {
-        return (request.hasUsedFillSource(parent) ? ALREADY_USED : 0)
-                + (outliers.isUsable(parent, now) ? 0 : EJECTED);
+        return (request.hasUsedFillSource(parent) ? ALREADY_USED_PENALTY : 0)
+                + (outliers.isUsable(parent, now) ? 0 : EJECTED_PENALTY);
     }
 }
--- a/src/main/java/brooklock/routing/HedgingPolicy.java
+++ b/src/main/java/brooklock/routing/HedgingPolicy.java
@@ -28,15 +28,15 @@
     /** Weight of a new sample in the rate of lost responses. */
     private static final double LOST_RATE_WEIGHT = 0.05;
 
-    private final boolean allowed;
+    private final boolean hedgingAllowed;
     private double lostRate;
 
     HedgingPolicy(RouterSettings settings) {
-        allowed = settings.limits().hedgingAllowed();
+        hedgingAllowed = settings.limits().hedgingAllowed();
     }
 
     boolean mayHedge(PendingRequest request) {
-        return allowed && request.requestClass.idempotency() == Idempotency.IDEMPOTENT;
+        return hedgingAllowed && request.requestClass.idempotency() == Idempotency.IDEMPOTENT;
     }
 
     /** Returns the time at which the request is considered for hedging, in nanoseconds. */
@@ -51,9 +51,9 @@
      */
     boolean isResponseLost(Attempt attempt, FillAdmission admission) {
         return lostRate > MIN_LOST_RATE
-                && !attempt.endpoint.limit.isLate()
-                && !admission.isFillLate()
-                && attempt.isOvertaken();
+                && !attempt.endpoint.limit.isCongested()
+                && !admission.isFillLinkCongested()
+                && attempt.isResponseMissing();
     }
 
     /**
@@ -65,9 +65,11 @@
     boolean onCompleted(
             PendingRequest request, Attempt attempt, AttemptCompleted completed, long now) {
         boolean ok = completed.outcome() == AttemptOutcome.OK;
-        boolean overdue = attempt.isOvertaken() && now >= request.finalResponseAtNs;
-        Attempt first = request.attempts.get(0);
-        boolean lost = (overdue && !ok) || (ok && first != attempt && first.isOvertaken());
+        boolean overdue = attempt.isResponseMissing() && now >= request.finalResponseAtNs;
+        Attempt firstAttempt = request.attempts.get(0);
+        boolean lost =
+                (overdue && !ok)
+                        || (ok && firstAttempt != attempt && firstAttempt.isResponseMissing());
         if (overdue || ok) {
             lostRate += LOST_RATE_WEIGHT * ((lost ? 1 : 0) - lostRate);
         }
--- a/src/main/java/brooklock/routing/HotList.java
+++ b/src/main/java/brooklock/routing/HotList.java
@@ -46,13 +46,13 @@
      * Priority of other copies in the first interval, in which no hot list exists yet: the lowest
      * one.
      */
-    private static final int UNKNOWN_PRIORITY = 1;
+    private static final int FIRST_INTERVAL_PRIORITY = 1;
 
     /** Priority of a copy that is not cached. */
-    private static final int NOT_CACHED = 0;
+    private static final int NOT_CACHED_PRIORITY = 0;
 
-    private Map<Long, ObjectDemand> previous = new HashMap<>();
-    private LinkedHashMap<Long, ObjectDemand> current = new LinkedHashMap<>();
+    private Map<Long, ObjectDemand> previousDemands = new HashMap<>();
+    private LinkedHashMap<Long, ObjectDemand> currentDemands = new LinkedHashMap<>();
     private long intervalEndNs;
     private long firstIntervalEndNs;
 
@@ -66,12 +66,12 @@
      * Advances to the interval of the given time. If a whole interval has passed without events,
      * the list is empty.
      */
-    void advance(long now) {
+    void advanceTo(long now) {
         if (now < intervalEndNs) {
             return;
         }
-        previous = now < intervalEndNs + INTERVAL_NS ? current : new HashMap<>();
-        current = new LinkedHashMap<>();
+        previousDemands = now < intervalEndNs + INTERVAL_NS ? currentDemands : new HashMap<>();
+        currentDemands = new LinkedHashMap<>();
         intervalEndNs += ((now - intervalEndNs) / INTERVAL_NS + 1) * INTERVAL_NS;
     }
 
@@ -79,15 +79,15 @@
      * Counts a request and returns the demand for its object. Parts requested in ascending order
      * count as one request; a part that is requested again counts as another.
      */
-    ObjectDemand count(RequestReceived request) {
-        ObjectDemand demand = current.get(request.object());
+    ObjectDemand recordRequest(RequestReceived request) {
+        ObjectDemand demand = currentDemands.get(request.object());
         if (demand == null) {
             demand = new ObjectDemand();
-            ObjectDemand before = previous.get(request.object());
-            demand.workNs = before == null ? 0 : before.workNs;
-            current.put(request.object(), demand);
-            if (current.size() > MAX_COUNTED_OBJECTS) {
-                current.remove(current.keySet().iterator().next());
+            ObjectDemand previousDemand = previousDemands.get(request.object());
+            demand.workNs = previousDemand == null ? 0 : previousDemand.workNs;
+            currentDemands.put(request.object(), demand);
+            if (currentDemands.size() > MAX_COUNTED_OBJECTS) {
+                currentDemands.remove(currentDemands.keySet().iterator().next());
             }
         }
         if ((!request.clientRetry() && request.part() <= demand.lastPart) || demand.lastPart < 0) {
@@ -100,12 +100,12 @@
     /**
      * Removes a rejected request from the count, because its retry must not make the object hot.
      */
-    static void uncount(ObjectDemand demand) {
+    static void removeRejectedRequest(ObjectDemand demand) {
         demand.requests = Math.max(0, demand.requests - 1);
     }
 
     boolean isHot(long object, ObjectDemand demand) {
-        return previous.containsKey(object) || demand.requests > 1;
+        return previousDemands.containsKey(object) || demand.requests > 1;
     }
 
     /**
@@ -114,12 +114,12 @@
      */
     int cachePriority(PendingRequest request, RoutedEndpoint endpoint, long now) {
         if (!request.isCacheableAt(endpoint)) {
-            return NOT_CACHED;
+            return NOT_CACHED_PRIORITY;
         }
-        if (request.hot) {
+        if (request.objectHot) {
             return HOT_PRIORITY;
         }
-        return now < firstIntervalEndNs ? UNKNOWN_PRIORITY : NOT_CACHED;
+        return now < firstIntervalEndNs ? FIRST_INTERVAL_PRIORITY : NOT_CACHED_PRIORITY;
     }
 
     /**
--- a/src/main/java/brooklock/routing/OutlierDetector.java
+++ b/src/main/java/brooklock/routing/OutlierDetector.java
@@ -45,35 +45,35 @@
     private static final int MAX_PAUSE_DOUBLINGS = 4;
 
     /** Number of open attempts from which on an endpoint can be unresponsive. */
-    private static final int MIN_SILENT_ATTEMPTS = 3;
+    private static final int MIN_UNRESPONSIVE_ATTEMPTS = 3;
 
     /**
      * Multiple of the longest latency objective after which an endpoint without any outcome is
      * unresponsive.
      */
-    private static final double SILENT_OBJECTIVES = 2;
+    private static final double UNRESPONSIVE_OBJECTIVES = 2;
 
     /** Number of connections lost in succession from which a restart is inferred. */
-    private static final int CONNECTION_FAILURES_OF_RESTART = 3;
+    private static final int MIN_CONNECTION_FAILURES_FOR_RESTART = 3;
 
     /**
      * A fill that fails within this multiple of the connect timeout did not reach its fill source.
      */
-    private static final double UNREACHED_CONNECT_TIMEOUTS = 1.25;
+    private static final double UNREACHABLE_CONNECT_TIMEOUTS = 1.25;
 
-    private final double silentAfterNs;
-    private final double unreachedWithinNs;
+    private final double unresponsiveAfterNs;
+    private final double unreachableWithinNs;
 
     OutlierDetector(RouterSettings settings) {
         double longestObjectiveNs = 0;
-        for (int i = 0; i < settings.classes().size(); i++) {
+        for (int classIndex = 0; classIndex < settings.classes().size(); classIndex++) {
             longestObjectiveNs =
                     Math.max(
                             longestObjectiveNs,
-                            (double) settings.classes().get(i).latencyObjectiveNs());
+                            (double) settings.classes().get(classIndex).latencyObjectiveNs());
         }
-        silentAfterNs = SILENT_OBJECTIVES * longestObjectiveNs;
-        unreachedWithinNs = UNREACHED_CONNECT_TIMEOUTS * settings.limits().connectTimeoutNs();
+        unresponsiveAfterNs = UNRESPONSIVE_OBJECTIVES * longestObjectiveNs;
+        unreachableWithinNs = UNREACHABLE_CONNECT_TIMEOUTS * settings.limits().connectTimeoutNs();
     }
 
     /**
@@ -87,14 +87,14 @@
     boolean isEjected(RoutedEndpoint endpoint, long now) {
         EndpointHealth health = endpoint.health;
         return health.errorRate > MAX_ERROR_RATE
-                || (health.openAttempts >= MIN_SILENT_ATTEMPTS
-                        && now - health.silentSinceNs > silentAfterNs);
+                || (health.openAttempts >= MIN_UNRESPONSIVE_ATTEMPTS
+                        && now - health.noOutcomeSinceNs > unresponsiveAfterNs);
     }
 
     /** Records the start of an attempt at the endpoint. */
     void onAttemptStarted(RoutedEndpoint endpoint, long now) {
         if (endpoint.health.openAttempts++ == 0) {
-            endpoint.health.silentSinceNs = now;
+            endpoint.health.noOutcomeSinceNs = now;
         }
     }
 
@@ -109,7 +109,7 @@
      */
     void onUsed(RoutedEndpoint endpoint, long now) {
         if (isEjected(endpoint, now)) {
-            endpoint.health.nextHealthCheckNs = now + pauseNs(endpoint.health);
+            endpoint.health.nextHealthCheckNs = now + healthCheckPauseNs(endpoint.health);
         }
     }
 
@@ -122,7 +122,7 @@
     boolean onConnectionOutcome(RoutedEndpoint endpoint, boolean failed) {
         EndpointHealth health = endpoint.health;
         health.connectionFailures = failed ? health.connectionFailures + 1 : 0;
-        return health.connectionFailures >= CONNECTION_FAILURES_OF_RESTART;
+        return health.connectionFailures >= MIN_CONNECTION_FAILURES_FOR_RESTART;
     }
 
     /**
@@ -135,30 +135,30 @@
         CacheStatus status = completed.cacheStatus();
         if (outcome == AttemptOutcome.OK) {
             recordOutcome(endpoint, true, now);
-            blameFailedEndpoints(request, now);
+            attributeErrors(request, now);
             if (status.isFilled()) {
-                boolean inTime = request.isOnTime(completed);
+                boolean onTime = request.isOnTime(completed);
                 recordOutcome(
-                        attempt.fillSource, status == CacheStatus.FILLED_BY_ORIGIN || inTime, now);
+                        attempt.fillSource, status == CacheStatus.FILLED_BY_ORIGIN || onTime, now);
             }
         } else if (status.isFillSourceFailure()) {
             recordOutcome(endpoint, true, now);
             recordOutcome(attempt.fillSource, status == CacheStatus.ORIGIN_FAILED, now);
         } else if ((outcome == AttemptOutcome.TIMEOUT
-                        && endpoint.health.silentSinceNs <= attempt.decidedAtNs)
+                        && endpoint.health.noOutcomeSinceNs <= attempt.startedAtNs)
                 || outcome == AttemptOutcome.RESET
                 || outcome == AttemptOutcome.CONNECT_FAILED) {
             recordOutcome(endpoint, false, now);
         } else if (outcome == AttemptOutcome.ERROR) {
-            endpoint.health.silentSinceNs = now;
+            endpoint.health.noOutcomeSinceNs = now;
             request.failedEndpoints.add(endpoint);
         } else if (outcome == AttemptOutcome.OVERLOADED || outcome == AttemptOutcome.CACHE_MISS) {
-            endpoint.health.silentSinceNs = now;
+            endpoint.health.noOutcomeSinceNs = now;
         }
     }
 
     /** Attributes the errors of a request to the endpoints that responded with them. */
-    void blameFailedEndpoints(PendingRequest request, long now) {
+    void attributeErrors(PendingRequest request, long now) {
         for (int i = 0; i < request.failedEndpoints.size(); i++) {
             recordOutcome(request.failedEndpoints.get(i), false, now);
         }
@@ -169,14 +169,14 @@
      * Returns whether a fill failed so soon that its fill source cannot have been reached. A slow
      * fill source fails later.
      */
-    boolean isFillSourceUnreached(AttemptCompleted completed) {
+    boolean isFillSourceUnreachable(AttemptCompleted completed) {
         return completed.cacheStatus() == CacheStatus.FILL_SOURCE_CONNECTION_LOST
-                && completed.fillDurationNs() < unreachedWithinNs;
+                && completed.fillDurationNs() < unreachableWithinNs;
     }
 
     private void recordOutcome(RoutedEndpoint endpoint, boolean success, long now) {
         EndpointHealth health = endpoint.health;
-        health.silentSinceNs = now;
+        health.noOutcomeSinceNs = now;
         health.errorRate +=
                 success
                         ? -SUCCESS_WEIGHT * health.errorRate
@@ -185,10 +185,10 @@
                 success || !isEjected(endpoint, now)
                         ? 0
                         : Math.min(health.failuresWhileEjected + 1, MAX_PAUSE_DOUBLINGS);
-        health.nextHealthCheckNs = success ? now : now + pauseNs(health);
+        health.nextHealthCheckNs = success ? now : now + healthCheckPauseNs(health);
     }
 
-    private static long pauseNs(EndpointHealth health) {
+    private static long healthCheckPauseNs(EndpointHealth health) {
         return BASE_PAUSE_NS << health.failuresWhileEjected;
     }
 }
--- a/src/main/java/brooklock/routing/PendingRequest.java
+++ b/src/main/java/brooklock/routing/PendingRequest.java
@@ -20,7 +20,7 @@
     final ObjectDemand demand;
 
     /** Whether the object was on the hot list when the request was accepted. */
-    final boolean hot;
+    final boolean objectHot;
 
     /**
      * The request's work: the estimated time that a single transfer of the response takes, in
@@ -56,7 +56,7 @@
      * sent later. The window of the idempotency key is counted from here, so that it ends no later
      * than at the endpoints.
      */
-    long firstDecidedAtNs;
+    long firstAttemptAtNs;
 
     /** Whether the request has had its final response or its client has disconnected. */
     boolean finished;
@@ -65,7 +65,7 @@
     boolean mayHaveExecuted;
 
     /** Whether a cache is known not to have the object, so that a fill is certain. */
-    boolean missed;
+    boolean cacheMissed;
 
     /**
      * Whether a parent is known not to have the object either, so that a fetch from the origin is
@@ -77,14 +77,14 @@
             RequestReceived event,
             RequestClass requestClass,
             ObjectDemand demand,
-            boolean hot,
+            boolean objectHot,
             double workNs,
             long now,
             long finalResponseAtNs) {
         this.event = event;
         this.requestClass = requestClass;
         this.demand = demand;
-        this.hot = hot;
+        this.objectHot = objectHot;
         this.workNs = workNs;
         this.finalResponseAtNs = finalResponseAtNs;
         sizeKnown = event.sizeKb() > 0 || demand.workNs > 0;
@@ -116,8 +116,8 @@
         for (int i = 0; i < attempts.size(); i++) {
             Attempt attempt = attempts.get(i);
             if (attempt.endpoint == endpoint
-                    && attempt.reach == AdmittedTier.ORIGIN
-                    && !attempt.isOvertaken()) {
+                    && attempt.admittedTier == AdmittedTier.ORIGIN
+                    && !attempt.isResponseMissing()) {
                 return true;
             }
         }
--- a/src/main/java/brooklock/routing/PurgeLog.java
+++ b/src/main/java/brooklock/routing/PurgeLog.java
@@ -46,18 +46,18 @@
      * freshness lifetime of the class.
      */
     long maxAgeNs(PendingRequest request, long now) {
-        Long object = purgedObjects.get(request.event.object());
-        Long group = purgedGroups.get(request.event.group());
+        Long objectPurgedAt = purgedObjects.get(request.event.object());
+        Long groupPurgedAt = purgedGroups.get(request.event.group());
         long purgedAt =
                 Math.max(
-                        object == null ? Long.MIN_VALUE : object,
-                        group == null ? Long.MIN_VALUE : group);
+                        objectPurgedAt == null ? Long.MIN_VALUE : objectPurgedAt,
+                        groupPurgedAt == null ? Long.MIN_VALUE : groupPurgedAt);
         if (purgedAt == Long.MIN_VALUE || isExpired(purgedAt, now)) {
             return 0;
         }
-        long age = Math.max(1, now - purgedAt - MARGIN_NS);
-        long lifetime = request.requestClass.freshnessLifetimeNs();
-        return lifetime > 0 ? Math.min(lifetime, age) : age;
+        long ageNs = Math.max(1, now - purgedAt - MARGIN_NS);
+        long lifetimeNs = request.requestClass.freshnessLifetimeNs();
+        return lifetimeNs > 0 ? Math.min(lifetimeNs, ageNs) : ageNs;
     }
 
     private boolean isExpired(long purgedAt, long now) {
--- a/src/main/java/brooklock/routing/RendezvousHash.java
+++ b/src/main/java/brooklock/routing/RendezvousHash.java
@@ -15,16 +15,16 @@
      * choice; each endpoint is the first choice for a share of the copies in proportion to its
      * weight.
      */
-    public static double score(long copy, long endpoint, double weight) {
-        return -weight / Math.log(uniform(copy, endpoint));
+    public static double score(long copyHash, long endpoint, double weight) {
+        return -weight / Math.log(uniformScore(copyHash, endpoint));
     }
 
     /**
      * Returns a score between 0 and 1, both exclusive, that ranks endpoints of equal weight like
      * {@link #score} but needs no logarithm.
      */
-    static double uniform(long copy, long endpoint) {
-        return ((mix(copy ^ mix(endpoint)) >>> 11) + 0.5) / (1L << 53);
+    static double uniformScore(long copyHash, long endpoint) {
+        return ((mix(copyHash ^ mix(endpoint)) >>> 11) + 0.5) / (1L << 53);
     }
 
     /** Returns the hash of one part of an object. */
@@ -33,9 +33,9 @@
     }
 
     // The finalizer of SplitMix64.
-    private static long mix(long x) {
-        x = (x ^ (x >>> 30)) * 0xbf58476d1ce4e5b9L;
-        x = (x ^ (x >>> 27)) * 0x94d049bb133111ebL;
-        return x ^ (x >>> 31);
+    private static long mix(long value) {
+        value = (value ^ (value >>> 30)) * 0xbf58476d1ce4e5b9L;
+        value = (value ^ (value >>> 27)) * 0x94d049bb133111ebL;
+        return value ^ (value >>> 31);
     }
 }
--- a/src/main/java/brooklock/routing/RetryBudget.java
+++ b/src/main/java/brooklock/routing/RetryBudget.java
@@ -15,22 +15,22 @@
  */
 final class RetryBudget {
     /** Extra attempts earned by each request. */
-    private static final double EARNED_PER_REQUEST = 0.2;
+    private static final double ATTEMPTS_EARNED_PER_REQUEST = 0.2;
 
     /** Maximum number of saved extra attempts, and their number at the start. */
-    private static final double MAX_SAVED = 20;
+    private static final double MAX_SAVED_ATTEMPTS = 20;
 
-    private double saved = MAX_SAVED;
+    private double savedAttempts = MAX_SAVED_ATTEMPTS;
 
     void onRequest() {
-        saved = Math.min(MAX_SAVED, saved + EARNED_PER_REQUEST);
+        savedAttempts = Math.min(MAX_SAVED_ATTEMPTS, savedAttempts + ATTEMPTS_EARNED_PER_REQUEST);
     }
 
-    boolean hasAttempt() {
-        return saved >= 1;
+    boolean hasAvailableAttempt() {
+        return savedAttempts >= 1;
     }
 
     void spendAttempt() {
-        saved--;
+        savedAttempts--;
     }
 }
--- a/src/main/java/brooklock/routing/RetryPolicy.java
+++ b/src/main/java/brooklock/routing/RetryPolicy.java
@@ -20,7 +20,7 @@
      * Number of endpoints that respond with an error before the request itself is assumed to be at
      * fault.
      */
-    private static final int MAX_ERRORS = 3;
+    private static final int MAX_FAILED_ENDPOINTS = 3;
 
     private final int maxAttempts;
 
@@ -28,7 +28,7 @@
         maxAttempts = Math.max(1, settings.limits().maxAttempts());
     }
 
-    boolean hasAttemptLeft(PendingRequest request) {
+    boolean hasAttemptsLeft(PendingRequest request) {
         return request.attempts.size() < maxAttempts;
     }
 
@@ -38,7 +38,7 @@
      */
     boolean mayRetry(PendingRequest request, long now) {
         return now < request.objectiveAtNs
-                && request.failedEndpoints.size() < MAX_ERRORS
+                && request.failedEndpoints.size() < MAX_FAILED_ENDPOINTS
                 && mayRepeat(request, now);
     }
 
@@ -48,7 +48,7 @@
             case IDEMPOTENCY_KEY ->
                     !request.mayHaveExecuted
                             || (request.requestClass.idempotencyScope() == IdempotencyScope.ALL
-                                    && keyWindowLeftNs(request, now) > 0);
+                                    && remainingKeyWindowNs(request, now) > 0);
             case NOT_IDEMPOTENT -> !request.mayHaveExecuted;
         };
     }
@@ -57,10 +57,10 @@
      * Returns the time within which an attempt must start, in nanoseconds: a repeat with an
      * idempotency key only within the key's window.
      */
-    static long startWithinNs(PendingRequest request, long timeoutNs, long now) {
+    static long startTimeoutNs(PendingRequest request, long timeoutNs, long now) {
         return request.mayHaveExecuted
                         && request.requestClass.idempotency() == Idempotency.IDEMPOTENCY_KEY
-                ? Math.min(timeoutNs, keyWindowLeftNs(request, now))
+                ? Math.min(timeoutNs, remainingKeyWindowNs(request, now))
                 : timeoutNs;
     }
 
@@ -79,7 +79,7 @@
                         && requestClass.idempotencyScope() == IdempotencyScope.ALL);
     }
 
-    private static long keyWindowLeftNs(PendingRequest request, long now) {
-        return request.firstDecidedAtNs + request.requestClass.idempotencyWindowNs() - now;
+    private static long remainingKeyWindowNs(PendingRequest request, long now) {
+        return request.firstAttemptAtNs + request.requestClass.idempotencyWindowNs() - now;
     }
 }
--- a/src/main/java/brooklock/routing/RoutedEndpoint.java
+++ b/src/main/java/brooklock/routing/RoutedEndpoint.java
@@ -55,7 +55,7 @@
     void update(Endpoint newEntry, RouterSettings settings, long now) {
         if (entry == null || entry.startedAtNs() != newEntry.startedAtNs()) {
             health.errorRate = 0;
-            health.silentSinceNs = now;
+            health.noOutcomeSinceNs = now;
             slowStartBudgetNs = 0;
             slowStartUpdatedAtNs = now;
         }
--- a/src/main/java/brooklock/routing/Router.java
+++ b/src/main/java/brooklock/routing/Router.java
@@ -25,8 +25,8 @@
  * <p>{@link HotList} counts each request. {@link CacheSelector} and {@link FillSourceSelector}
  * select its endpoint and its fill source, and {@link FillAdmission} decides which tiers it may use
  * under the present load. When an attempt ends, the policies are updated in the order documented at
- * {@link #settle}; then the request is finished, retried (see {@link RetryPolicy}), rejected or
- * failed.
+ * {@link #updatePolicies}; then the request is finished, retried (see {@link RetryPolicy}),
+ * rejected or failed.
  *
  * <p>Times are nanoseconds of the caller's clock. The router reads no clock and draws no random
  * numbers, so the same events always produce the same actions. {@link #start} is called before the
@@ -79,7 +79,7 @@
      * @param actions the list to which the first actions are appended
      */
     public void start(long now, List<RouterAction> actions) {
-        begin(now, actions);
+        beginEvent(now, actions);
         hotList.start(now);
         if (settings.watchesEndpointList()) {
             actions.add(new WatchEndpoints());
@@ -95,8 +95,8 @@
      *     they are to be carried out
      */
     public void onEvent(long now, RouterEvent event, List<RouterAction> actions) {
-        begin(now, actions);
-        hotList.advance(now);
+        beginEvent(now, actions);
+        hotList.advanceTo(now);
         if (event instanceof RequestReceived e) {
             onRequest(e);
         } else if (event instanceof AttemptCompleted e) {
@@ -114,7 +114,7 @@
         }
     }
 
-    private void begin(long now, List<RouterAction> actions) {
+    private void beginEvent(long now, List<RouterAction> actions) {
         this.now = now;
         this.actions = actions;
     }
@@ -144,7 +144,7 @@
     }
 
     private PendingRequest accept(RequestReceived event) {
-        ObjectDemand demand = hotList.count(event);
+        ObjectDemand demand = hotList.recordRequest(event);
         return new PendingRequest(
                 event,
                 settings.classes().get(event.classIndex()),
@@ -164,32 +164,32 @@
      * @return whether an attempt was started
      */
     private boolean startAttempt(PendingRequest request) {
-        if (!retryPolicy.hasAttemptLeft(request)) {
+        if (!retryPolicy.hasAttemptsLeft(request)) {
             return false;
         }
         boolean passThrough = request.requestClass.passThrough();
-        boolean direct = settings.directOriginAllowed();
+        boolean directOriginAllowed = settings.directOriginAllowed();
         RoutedEndpoint target = endpoints.origin();
         RoutedEndpoint fillSource = target;
-        if (!passThrough || !direct) {
+        if (!passThrough || !directOriginAllowed) {
             target = cacheSelector.select(request, now);
             fillSource = passThrough ? endpoints.origin() : fillSourceSelector.select(request, now);
-            if (target == null && direct) {
+            if (target == null && directOriginAllowed) {
                 target = fillSource;
                 fillSource = endpoints.origin();
             }
         }
         if (target != null) {
-            AdmittedTier reach =
-                    passThrough ? AdmittedTier.ORIGIN : admission.reach(request, target, now);
-            if (reach != AdmittedTier.NONE) {
-                boolean noFill = fillSource == null || reach == AdmittedTier.CACHE;
-                send(request, new Attempt(target, noFill ? target : fillSource, reach, now));
+            AdmittedTier tier =
+                    passThrough ? AdmittedTier.ORIGIN : admission.admit(request, target, now);
+            if (tier != AdmittedTier.NONE) {
+                boolean noFill = fillSource == null || tier == AdmittedTier.CACHE;
+                send(request, new Attempt(target, noFill ? target : fillSource, tier, now));
                 return true;
             }
         }
         if (request.openAttempts == 0) {
-            giveUp(request);
+            rejectOrFail(request);
         }
         return false;
     }
@@ -198,15 +198,15 @@
         RoutedEndpoint endpoint = attempt.endpoint;
         RoutedEndpoint fillSource = attempt.fillSource;
         if (request.attempts.isEmpty()) {
-            request.firstDecidedAtNs = now;
+            request.firstAttemptAtNs = now;
         }
         request.attempts.add(attempt);
         request.openAttempts++;
         outliers.onAttemptStarted(endpoint, now);
         admission.acquire(request, attempt);
-        charge(endpoint, request);
-        if (attempt.fills()) {
-            charge(fillSource, request);
+        chargeUse(endpoint, request);
+        if (attempt.fillsOnMiss()) {
+            chargeUse(fillSource, request);
         }
         long timeoutNs = Math.max(1, request.event.deadlineNs() - now);
         actions.add(
@@ -218,16 +218,16 @@
                         hotList.cachePriority(request, endpoint, now),
                         purges.maxAgeNs(request, now),
                         settings.collapsesRequests() && !request.requestClass.passThrough(),
-                        attempt.reach == AdmittedTier.PARENT && fillSource.isParent,
-                        RetryPolicy.startWithinNs(request, timeoutNs, now)));
+                        attempt.admittedTier == AdmittedTier.PARENT && fillSource.isParent,
+                        RetryPolicy.startTimeoutNs(request, timeoutNs, now)));
     }
 
     /**
      * Charges the use of an endpoint as target or fill source to its slow-start budget and records
      * it as a health check.
      */
-    private void charge(RoutedEndpoint endpoint, PendingRequest request) {
-        slowStart.spend(endpoint, request);
+    private void chargeUse(RoutedEndpoint endpoint, PendingRequest request) {
+        slowStart.charge(endpoint, request);
         outliers.onUsed(endpoint, now);
     }
 
@@ -242,14 +242,14 @@
         if (attempt.completed) {
             return;
         }
-        settle(request, attempt, completed);
+        updatePolicies(request, attempt, completed);
         if (completed.requestFinished()) {
             finish(request);
         } else if (!request.finished) {
             request.mayHaveExecuted |= !completed.outcome().provesNotExecuted;
-            retryOrGiveUp(request, completed.outcome());
+            retryOrEnd(request, completed.outcome());
         }
-        forgetIfDone(request);
+        removeIfDone(request);
     }
 
     /**
@@ -272,7 +272,8 @@
      *   <li>the concurrency limits and the miss ratios.
      * </ol>
      */
-    private void settle(PendingRequest request, Attempt attempt, AttemptCompleted completed) {
+    private void updatePolicies(
+            PendingRequest request, Attempt attempt, AttemptCompleted completed) {
         RoutedEndpoint endpoint = attempt.endpoint;
         RoutedEndpoint fillSource = attempt.fillSource;
         AttemptOutcome outcome = completed.outcome();
@@ -283,11 +284,11 @@
         request.openAttempts--;
         outliers.onAttemptEnded(endpoint);
         admission.release(attempt, now);
-        learnConnection(
+        recordConnectionOutcome(
                 endpoint,
                 outcome == AttemptOutcome.RESET || outcome == AttemptOutcome.CONNECT_FAILED);
         if (status.isFilled() || status.isFillSourceFailure()) {
-            learnConnection(fillSource, outliers.isFillSourceUnreached(completed));
+            recordConnectionOutcome(fillSource, outliers.isFillSourceUnreachable(completed));
         }
         outliers.onCompleted(request, attempt, completed, now);
         if (ok && endpoint.isCache) {
@@ -298,14 +299,14 @@
         }
         if (fillSource.isParent && status.isFilled()) {
             slowStart.onServed(fillSource, request, now);
-        } else if (fillSource.isParent && attempt.fills() && ok) {
+        } else if (fillSource.isParent && attempt.fillsOnMiss() && ok) {
             slowStart.refund(fillSource, request);
         }
         admission.onCompleted(
                 request, attempt, completed, responseLost, workEstimator.meanNs(), now);
     }
 
-    private void learnConnection(RoutedEndpoint endpoint, boolean failed) {
+    private void recordConnectionOutcome(RoutedEndpoint endpoint, boolean failed) {
         if (outliers.onConnectionOutcome(endpoint, failed)) {
             slowStart.restart(endpoint, now);
         }
@@ -316,25 +317,26 @@
      * admitted to the origin, the next attempt may use a further tier and needs no retry budget.
      * Any other attempt needs the consent of the retry policy and of the retry budget.
      */
-    private void retryOrGiveUp(PendingRequest request, AttemptOutcome outcome) {
+    private void retryOrEnd(PendingRequest request, AttemptOutcome outcome) {
         if (request.openAttempts > 0) {
             return;
         }
-        Attempt last = request.lastAttempt();
-        if (last.reach != AdmittedTier.ORIGIN && outcome == AttemptOutcome.CACHE_MISS) {
-            request.missed = true;
-            request.parentMissed |= last.reach == AdmittedTier.PARENT;
+        Attempt lastAttempt = request.lastAttempt();
+        if (lastAttempt.admittedTier != AdmittedTier.ORIGIN
+                && outcome == AttemptOutcome.CACHE_MISS) {
+            request.cacheMissed = true;
+            request.parentMissed |= lastAttempt.admittedTier == AdmittedTier.PARENT;
             if (startAttempt(request) || request.finished) {
                 return;
             }
         }
-        if (retryBudget.hasAttempt() && retryPolicy.mayRetry(request, now)) {
+        if (retryBudget.hasAvailableAttempt() && retryPolicy.mayRetry(request, now)) {
             retryBudget.spendAttempt();
             if (startAttempt(request) || request.finished) {
                 return;
             }
         }
-        giveUp(request);
+        rejectOrFail(request);
     }
 
     // ---- Timers
@@ -345,7 +347,7 @@
             return;
         }
         if (timer.purpose() == Purpose.FINAL_RESPONSE) {
-            giveUp(request);
+            rejectOrFail(request);
         } else if (request.openAttempts == 1 && !request.attempts.isEmpty()) {
             hedge(request);
         }
@@ -364,7 +366,7 @@
         }
         if (outliers.isEjected(attempt.endpoint, now)) {
             startAttempt(request);
-        } else if (responseLost && retryBudget.hasAttempt() && startAttempt(request)) {
+        } else if (responseLost && retryBudget.hasAvailableAttempt() && startAttempt(request)) {
             retryBudget.spendAttempt();
         }
     }
@@ -375,9 +377,9 @@
      * Sends the final response: the request is rejected if a retry by the client is harmless, else
      * it fails.
      */
-    private void giveUp(PendingRequest request) {
+    private void rejectOrFail(PendingRequest request) {
         if (request.failedEndpoints.size() == 1) {
-            outliers.blameFailedEndpoints(request, now);
+            outliers.attributeErrors(request, now);
         }
         if (RetryPolicy.mayReject(request)) {
             RouterSettings.Limits limits = settings.limits();
@@ -386,7 +388,7 @@
         } else {
             actions.add(new FailRequest(request.id()));
         }
-        HotList.uncount(request.demand);
+        HotList.removeRejectedRequest(request.demand);
         finish(request);
     }
 
@@ -415,10 +417,10 @@
                 }
             }
         }
-        forgetIfDone(request);
+        removeIfDone(request);
     }
 
-    private void forgetIfDone(PendingRequest request) {
+    private void removeIfDone(PendingRequest request) {
         if (request.finished && request.openAttempts == 0) {
             requests.remove(request.id());
         }
--- a/src/main/java/brooklock/routing/SlowStart.java
+++ b/src/main/java/brooklock/routing/SlowStart.java
@@ -32,23 +32,23 @@
      * Time constant of the measured rates in nanoseconds: longer than a burst, shorter than a
      * warm-up.
      */
-    private static final double RATE_SPAN_NS = 8e9;
+    private static final double RATE_TIME_CONSTANT_NS = 8e9;
 
-    private final Peers caches;
-    private final Peers parents;
+    private final PeerGroup caches;
+    private final PeerGroup parents;
     private final long overloadWindowNs;
     private final WorkEstimator workEstimator;
 
     SlowStart(RouterSettings settings, EndpointTable endpoints, WorkEstimator workEstimator) {
         SafetyLimits limits = settings.safetyLimits();
         caches =
-                new Peers(
+                new PeerGroup(
                         endpoints.localCaches(),
                         limits.initialCapacity(),
                         limits.warmUpNs(),
                         limits.overloadMultiple());
         parents =
-                new Peers(
+                new PeerGroup(
                         endpoints.nearParents(),
                         limits.parentInitialCapacity(),
                         limits.parentWarmUpNs(),
@@ -101,9 +101,9 @@
      * Refills the endpoint's budget up to now and returns whether it covers a request of this
      * class. A warm endpoint needs no budget.
      */
-    boolean canAfford(RoutedEndpoint endpoint, PendingRequest request, long now) {
-        Peers peers = peersOf(endpoint);
-        double capacity = peers.capacityOf(endpoint, now);
+    boolean budgetCovers(RoutedEndpoint endpoint, PendingRequest request, long now) {
+        PeerGroup peers = peerGroupOf(endpoint);
+        double capacity = peers.capacityShareOf(endpoint, now);
         if (capacity >= 1 || (!endpoint.isCache && !endpoint.isParent)) {
             return true;
         }
@@ -117,11 +117,11 @@
      * request.
      */
     private void refill(
-            RoutedEndpoint endpoint, Peers peers, double capacity, double costNs, long now) {
+            RoutedEndpoint endpoint, PeerGroup peers, double capacity, double costNs, long now) {
         // While no peer is warm, the last measured rate applies: decay would exhaust the budgets.
-        long measuredAt = peers.warmWeight(now) > 0 ? now : peers.rate.updatedAtNs();
-        double warmPeerRate = peers.rate.ratePerNs(measuredAt) * endpoint.weight;
-        double refillRate = warmPeerRate * capacity * peers.plannedMultiple;
+        long measuredAt = peers.warmWeight(now) > 0 ? now : peers.servedRate.updatedAtNs();
+        double warmPeerRate = peers.servedRate.ratePerNs(measuredAt) * endpoint.weight;
+        double refillRate = warmPeerRate * capacity * peers.plannedCapacityMultiple;
         double maxBudgetNs = Math.max(refillRate * overloadWindowNs / 2, costNs);
         long refilledAtNs = Math.max(endpoint.slowStartUpdatedAtNs, endpoint.startedAtNs);
         endpoint.slowStartBudgetNs =
@@ -135,7 +135,7 @@
      * Charges a request to the budget, even if it only looks up a cached copy. The budget of a warm
      * endpoint only falls and is not read; a restart sets it to 0.
      */
-    void spend(RoutedEndpoint endpoint, PendingRequest request) {
+    void charge(RoutedEndpoint endpoint, PendingRequest request) {
         endpoint.slowStartBudgetNs -= workEstimator.classMeanNs(request);
     }
 
@@ -150,30 +150,30 @@
      * later: when most of a zone leaves, the capacity of the others does not grow.
      */
     void onServed(RoutedEndpoint endpoint, PendingRequest request, long now) {
-        Peers peers = peersOf(endpoint);
+        PeerGroup peers = peerGroupOf(endpoint);
         double warmWeight = peers.warmWeight(now);
         if (warmWeight > 0
                 && endpoint.state == EndpointState.READY
-                && peers.capacityOf(endpoint, now) >= 1) {
-            peers.rate.add(workEstimator.classMeanNs(request) / warmWeight, now);
+                && peers.capacityShareOf(endpoint, now) >= 1) {
+            peers.servedRate.add(workEstimator.classMeanNs(request) / warmWeight, now);
         }
     }
 
-    private Peers peersOf(RoutedEndpoint endpoint) {
+    private PeerGroup peerGroupOf(RoutedEndpoint endpoint) {
         return endpoint.isParent ? parents : caches;
     }
 
     /** The caches or the parents: how they warm up, and the rate at which warm ones serve. */
-    private static final class Peers {
+    private static final class PeerGroup {
         final List<RoutedEndpoint> endpoints;
         final double initialCapacity;
         final long warmUpNs;
-        final double plannedMultiple;
-        final DecayingRate rate = new DecayingRate(RATE_SPAN_NS);
+        final double plannedCapacityMultiple;
+        final DecayingRate servedRate = new DecayingRate(RATE_TIME_CONSTANT_NS);
         double warmWeight;
         long warmUntilNs = Long.MIN_VALUE;
 
-        Peers(
+        PeerGroup(
                 List<RoutedEndpoint> endpoints,
                 double initialCapacity,
                 long warmUpNs,
@@ -181,13 +181,13 @@
             this.endpoints = endpoints;
             this.initialCapacity = initialCapacity;
             this.warmUpNs = warmUpNs;
-            plannedMultiple = plannedCapacityMultiple(overloadMultiple);
+            plannedCapacityMultiple = plannedCapacityMultiple(overloadMultiple);
         }
 
         /**
          * Returns the share of its capacity that an endpoint is assumed to have at the given time.
          */
-        double capacityOf(RoutedEndpoint endpoint, long now) {
+        double capacityShareOf(RoutedEndpoint endpoint, long now) {
             return endpoint.startedAtNs == 0
                     ? 1
                     : capacityShareAt(now - endpoint.startedAtNs, initialCapacity, warmUpNs);
@@ -202,12 +202,12 @@
                 // DoubleStream.sum compensates rounding errors; a plain loop would differ from it.
                 warmWeight =
                         endpoints.stream()
-                                .filter(endpoint -> capacityOf(endpoint, now) >= 1)
+                                .filter(endpoint -> capacityShareOf(endpoint, now) >= 1)
                                 .mapToDouble(endpoint -> endpoint.weight)
                                 .sum();
                 warmUntilNs = Long.MAX_VALUE;
                 for (RoutedEndpoint endpoint : endpoints) {
-                    if (capacityOf(endpoint, now) < 1) {
+                    if (capacityShareOf(endpoint, now) < 1) {
                         warmUntilNs = Math.min(warmUntilNs, endpoint.startedAtNs + warmUpNs);
                     }
                 }
--- a/src/main/java/brooklock/routing/WorkEstimator.java
+++ b/src/main/java/brooklock/routing/WorkEstimator.java
@@ -61,11 +61,11 @@
     void onSuccess(PendingRequest request, AttemptCompleted completed) {
         boolean sizeDeclared = request.event.sizeKb() > 0;
         if (sizeDeclared || completed.cacheStatus() == CacheStatus.HIT) {
-            double work = sizeDeclared ? request.workNs : completed.durationNs();
+            double workNs = sizeDeclared ? request.workNs : completed.durationNs();
             int index = request.event.classIndex();
-            classMeanNs[index] += MEAN_WEIGHT * (work - classMeanNs[index]);
+            classMeanNs[index] += MEAN_WEIGHT * (workNs - classMeanNs[index]);
             ObjectDemand demand = request.demand;
-            demand.workNs = demand.workNs == 0 ? work : Math.min(demand.workNs, work);
+            demand.workNs = demand.workNs == 0 ? workNs : Math.min(demand.workNs, workNs);
         }
     }
 }
--- a/src/main/java/brooklock/simulator/EventDecoder.java
+++ b/src/main/java/brooklock/simulator/EventDecoder.java
@@ -18,26 +18,26 @@
     private static final int EVENT_START = 16;
     private static final int EVENT_ENDPOINT_LIST = 17;
     private static final int EVENT_REQUEST = 18;
-    private static final int EVENT_STREAMING = 19;
-    private static final int EVENT_ATTEMPT_DONE = 20;
-    private static final int EVENT_CLIENT_GONE = 21;
+    private static final int EVENT_RESPONSE_STARTED = 19;
+    private static final int EVENT_ATTEMPT_COMPLETED = 20;
+    private static final int EVENT_CLIENT_DISCONNECTED = 21;
     private static final int EVENT_TIMER_FIRED = 22;
     private static final int EVENT_HEALTH_CHECK_DONE = 23;
     private static final int EVENT_PEER_MESSAGE = 24;
     private static final int EVENT_STOP = 25;
-    private static final int EVENT_PURGED = 26;
+    private static final int EVENT_PURGE = 26;
 
     /** Code and length before each record. */
     private static final int HEADER_BYTES = 5;
 
-    private static final int REQUEST_REPEAT_BIT = 2;
+    private static final int CLIENT_RETRY_BIT = 2;
 
     // The wire numbers these as the router declares them.
     private static final EndpointListKind[] LIST_KINDS = EndpointListKind.values();
     private static final EndpointState[] STATES = EndpointState.values();
     private static final CacheStatus[] CACHE_STATUSES = CacheStatus.values();
 
-    private final FieldBuffer in;
+    private final FieldBuffer fields;
     private int recordStart;
     private int recordEnd;
     private int code;
@@ -45,7 +45,7 @@
 
     /** Creates a decoder; {@code body} is what follows the frame's header. */
     EventDecoder(byte[] body) {
-        in = new FieldBuffer(body);
+        fields = new FieldBuffer(body);
     }
 
     /**
@@ -56,16 +56,16 @@
      */
     boolean nextRecord() {
         recordStart = recordEnd;
-        int available = in.capacity() - recordStart;
+        int available = fields.capacity() - recordStart;
         if (available == 0) {
             return false;
         }
         if (available < HEADER_BYTES) {
             throw malformed("header runs past the frame");
         }
-        in.moveTo(recordStart, in.capacity());
-        code = in.readByte();
-        int length = in.readInt();
+        fields.moveTo(recordStart, fields.capacity());
+        code = fields.readByte();
+        int length = fields.readInt();
         if (length < 0 || length > available - HEADER_BYTES) {
             throw new MalformedFrameException(
                     "record at byte "
@@ -77,11 +77,11 @@
                             + " runs past the frame");
         }
         recordEnd = recordStart + HEADER_BYTES + length;
-        in.limit(recordEnd);
-        if (code < EVENT_START || code > EVENT_PURGED) {
+        fields.limit(recordEnd);
+        if (code < EVENT_START || code > EVENT_PURGE) {
             throw malformed("unknown event code " + code);
         }
-        instance = guarded(in::readInt);
+        instance = readInRecord(fields::readInt);
         return true;
     }
 
@@ -100,10 +100,10 @@
 
     /** The settings of a start record. */
     RouterSettings settings() {
-        return guarded(
+        return readInRecord(
                 () -> {
-                    in.readLong();
-                    byte[] text = in.readBytes(in.readInt());
+                    fields.readLong();
+                    byte[] text = fields.readBytes(fields.readInt());
                     try {
                         return SettingsDecoder.decode(
                                 JsonParser.parseString(new String(text, StandardCharsets.UTF_8))
@@ -118,33 +118,35 @@
 
     /** The event of any other record, or null for one that no router uses. */
     RouterEvent event() {
-        return guarded(
+        return readInRecord(
                 () ->
                         switch (code) {
                             case EVENT_ENDPOINT_LIST -> decodeEndpointList();
                             case EVENT_REQUEST -> decodeRequest();
-                            case EVENT_STREAMING ->
+                            case EVENT_RESPONSE_STARTED ->
                                     new RouterEvent.ResponseStarted(
-                                            in.readLong(), in.readShort(), in.readUnsignedInt());
-                            case EVENT_ATTEMPT_DONE -> decodeAttemptDone();
-                            case EVENT_CLIENT_GONE ->
-                                    new RouterEvent.ClientDisconnected(in.readLong());
+                                            fields.readLong(),
+                                            fields.readShort(),
+                                            fields.readUnsignedInt());
+                            case EVENT_ATTEMPT_COMPLETED -> decodeAttemptCompleted();
+                            case EVENT_CLIENT_DISCONNECTED ->
+                                    new RouterEvent.ClientDisconnected(fields.readLong());
                             case EVENT_TIMER_FIRED ->
-                                    new RouterEvent.TimerFired(in.readUnsignedInt());
+                                    new RouterEvent.TimerFired(fields.readUnsignedInt());
                             case EVENT_HEALTH_CHECK_DONE -> skipHealthCheck();
                             case EVENT_PEER_MESSAGE -> skipPeerMessage();
-                            case EVENT_PURGED -> decodePurge();
+                            case EVENT_PURGE -> decodePurge();
                             default -> throw malformed("unknown event code " + code);
                         });
     }
 
-    private interface FieldSupplier<T> {
+    private interface RecordReader<T> {
         T read();
     }
 
-    private <T> T guarded(FieldSupplier<T> field) {
+    private <T> T readInRecord(RecordReader<T> reader) {
         try {
-            return field.read();
+            return reader.read();
         } catch (BufferUnderflowException e) {
             throw new MalformedFrameException(
                     "record at byte "
@@ -156,64 +158,65 @@
         }
     }
 
-    private MalformedFrameException malformed(String what) {
-        return new MalformedFrameException("record at byte " + recordStart + ": " + what);
+    private MalformedFrameException malformed(String problem) {
+        return new MalformedFrameException("record at byte " + recordStart + ": " + problem);
     }
 
     private RouterEvent decodeEndpointList() {
-        int kind = in.readByte();
+        int kind = fields.readByte();
         if (kind >= LIST_KINDS.length) {
             throw malformed("unknown list kind " + kind);
         }
-        in.optionalLong();
-        int count = in.optionalInt();
-        if (count < 0 || count > in.remaining()) {
+        fields.optionalLong();
+        int count = fields.optionalInt();
+        if (count < 0 || count > fields.remaining()) {
             throw malformed(
                     "list of " + Integer.toUnsignedString(count) + " entries runs past the record");
         }
         List<Endpoint> endpoints = new ArrayList<>(count);
         for (int i = 0; i < count; i++) {
-            long id = in.readUnsignedInt();
-            int zone = in.readByte();
-            int endpointKind = in.readShort();
-            in.readShort();
-            EndpointState state = decodeState(in.readByte());
+            long id = fields.readUnsignedInt();
+            int zone = fields.readByte();
+            int endpointKind = fields.readShort();
+            fields.readShort();
+            EndpointState state = decodeState(fields.readByte());
             endpoints.add(
-                    new Endpoint(id, zone, endpointKind, state, in.readFloat(), in.readLong()));
+                    new Endpoint(
+                            id, zone, endpointKind, state, fields.readFloat(), fields.readLong()));
         }
         return new RouterEvent.EndpointListReceived(LIST_KINDS[kind], endpoints);
     }
 
-    private EndpointState decodeState(int word) {
-        if (word >= STATES.length) {
-            throw malformed("unknown endpoint state " + word);
+    private EndpointState decodeState(int value) {
+        if (value >= STATES.length) {
+            throw malformed("unknown endpoint state " + value);
         }
-        return STATES[word];
+        return STATES[value];
     }
 
     private RouterEvent decodeRequest() {
-        long id = in.readLong();
-        int bits = in.readByte();
-        in.optionalShort();
-        int part = (int) in.optionalFloat();
-        int classIndex = in.optionalByte();
-        int group = (int) in.optionalFloat();
-        long object = in.optionalLong();
-        double sizeKb = in.optionalFloat();
-        boolean clientRetry = (bits & REQUEST_REPEAT_BIT) != 0;
+        long id = fields.readLong();
+        int bits = fields.readByte();
+        fields.optionalShort();
+        int part = (int) fields.optionalFloat();
+        int classIndex = fields.optionalByte();
+        int group = (int) fields.optionalFloat();
+        long object = fields.optionalLong();
+        double sizeKb = fields.optionalFloat();
+        boolean clientRetry = (bits & CLIENT_RETRY_BIT) != 0;
         return new RouterEvent.RequestReceived(
-                id, classIndex, object, part, group, sizeKb, clientRetry, in.optionalLong());
+                id, classIndex, object, part, group, sizeKb, clientRetry, fields.optionalLong());
     }
 
-    private RouterEvent decodeAttemptDone() {
-        long id = in.readLong();
-        AttemptOutcome outcome = decodeOutcome(in.readShort());
-        long durationNs = in.optionalLong();
-        int status = in.optionalInt();
-        long endpoint = in.optionalUnsignedInt();
-        boolean requestFinished = in.optionalByte() != 0;
-        int attempt = in.optionalShort();
-        long fillDurationNs = in.optionalLong();
+    private RouterEvent decodeAttemptCompleted() {
+        long id = fields.readLong();
+        AttemptOutcome outcome = decodeOutcome(fields.readShort());
+        long durationNs = fields.optionalLong();
+        int status = fields.optionalInt();
+        long endpoint = fields.optionalUnsignedInt();
+        boolean requestFinished = fields.optionalByte() != 0;
+        int attempt = fields.optionalShort();
+        long fillDurationNs = fields.optionalLong();
         skipLoadReport();
         CacheStatus cacheStatus =
                 status >= 0 && status < CACHE_STATUSES.length
@@ -232,34 +235,34 @@
 
     // No router requests health checks; the fields are read so that a wrong one is found.
     private RouterEvent skipHealthCheck() {
-        in.readInt();
-        decodeOutcome(in.readShort());
-        in.optionalLong();
+        fields.readInt();
+        decodeOutcome(fields.readShort());
+        fields.optionalLong();
         skipLoadReport();
         return null;
     }
 
     // No router sends messages to its peers.
     private RouterEvent skipPeerMessage() {
-        in.readShort();
-        in.readBytes(in.readShort());
+        fields.readShort();
+        fields.readBytes(fields.readShort());
         return null;
     }
 
     private RouterEvent decodePurge() {
-        long object = in.readLong();
-        long ageNs = in.optionalLong();
-        return new RouterEvent.PurgeReceived(object, in.optionalShort(), ageNs);
+        long object = fields.readLong();
+        long ageNs = fields.optionalLong();
+        return new RouterEvent.PurgeReceived(object, fields.optionalShort(), ageNs);
     }
 
     private void skipLoadReport() {
-        for (int left = in.optionalByte(); left > 0; left--) {
-            in.readFloat();
+        for (int left = fields.optionalByte(); left > 0; left--) {
+            fields.readFloat();
         }
     }
 
-    private AttemptOutcome decodeOutcome(int status) {
-        return switch (status) {
+    private AttemptOutcome decodeOutcome(int value) {
+        return switch (value) {
             case 10 -> AttemptOutcome.OK;
             case 20 -> AttemptOutcome.ERROR;
             case 30 -> AttemptOutcome.OVERLOADED;
@@ -269,7 +272,7 @@
             case 70 -> AttemptOutcome.CANCELLED;
             case 80 -> AttemptOutcome.NOT_STARTED;
             case 90 -> AttemptOutcome.CACHE_MISS;
-            default -> throw malformed("unknown outcome " + status);
+            default -> throw malformed("unknown outcome " + value);
         };
     }
 }
--- a/src/main/java/brooklock/simulator/FieldBuffer.java
+++ b/src/main/java/brooklock/simulator/FieldBuffer.java
@@ -10,85 +10,85 @@
  * the last fields of a record.
  */
 final class FieldBuffer {
-    private final ByteBuffer in;
+    private final ByteBuffer buffer;
 
     FieldBuffer(byte[] body) {
-        in = ByteBuffer.wrap(body).order(ByteOrder.LITTLE_ENDIAN);
+        buffer = ByteBuffer.wrap(body).order(ByteOrder.LITTLE_ENDIAN);
     }
 
     /** Bytes of all records. */
     int capacity() {
-        return in.capacity();
+        return buffer.capacity();
     }
 
     /** Moves to a field; it and what follows may extend to {@code limit}. */
     void moveTo(int position, int limit) {
-        in.limit(limit).position(position);
+        buffer.limit(limit).position(position);
     }
 
     /** Sets the end of the record. */
     void limit(int limit) {
-        in.limit(limit);
+        buffer.limit(limit);
     }
 
     int remaining() {
-        return in.remaining();
+        return buffer.remaining();
     }
 
     int readByte() {
-        return in.get() & 0xff;
+        return buffer.get() & 0xff;
     }
 
     int readShort() {
-        return in.getShort() & 0xffff;
+        return buffer.getShort() & 0xffff;
     }
 
     int readInt() {
-        return in.getInt();
+        return buffer.getInt();
     }
 
     long readUnsignedInt() {
-        return in.getInt() & 0xffffffffL;
+        return buffer.getInt() & 0xffffffffL;
     }
 
     long readLong() {
-        return in.getLong();
+        return buffer.getLong();
     }
 
     float readFloat() {
-        return in.getFloat();
+        return buffer.getFloat();
     }
 
     byte[] readBytes(int count) {
-        if (count < 0 || count > in.remaining()) {
+        if (count < 0 || count > buffer.remaining()) {
             throw new BufferUnderflowException();
         }
         byte[] bytes = new byte[count];
-        in.get(bytes);
+        buffer.get(bytes);
         return bytes;
     }
 
     int optionalByte() {
-        return in.hasRemaining() ? readByte() : 0;
+        return buffer.hasRemaining() ? readByte() : 0;
     }
 
     int optionalShort() {
-        return in.hasRemaining() ? readShort() : 0;
+        return buffer.hasRemaining() ? readShort() : 0;
     }
 
     int optionalInt() {
-        return in.hasRemaining() ? readInt() : 0;
+        return buffer.hasRemaining() ? readInt() : 0;
     }
 
     long optionalUnsignedInt() {
-        return in.hasRemaining() ? readUnsignedInt() : 0;
+        return buffer.hasRemaining() ? readUnsignedInt() : 0;
     }
 
     long optionalLong() {
-        return in.hasRemaining() ? readLong() : 0;
+        return buffer.hasRemaining() ? readLong() : 0;
     }
 
     float optionalFloat() {
-        return in.hasRemaining() ? readFloat() : 0;
+        return buffer.hasRemaining() ? readFloat() : 0;
     }
 }
--- a/src/main/java/brooklock/simulator/SettingsDecoder.java
+++ b/src/main/java/brooklock/simulator/SettingsDecoder.java
@@ -68,75 +68,75 @@
      * @throws IllegalArgumentException if a word is unknown
      * @throws IllegalStateException if a value has another type than it should
      */
-    public static RouterSettings decode(JsonObject top) {
-        JsonObject extra = object(top, EXTRA);
+    public static RouterSettings decode(JsonObject settings) {
+        JsonObject extra = object(settings, EXTRA);
         List<RouterSettings.RequestClass> classes = new ArrayList<>();
-        for (JsonElement element : array(top, CLASSES)) {
+        for (JsonElement element : array(settings, CLASSES)) {
             classes.add(decodeClass(element.getAsJsonObject(), extra, classes.size()));
         }
         return new RouterSettings(
                 List.copyOf(classes),
-                decodeLimits(object(top, LIMITS)),
-                decodeSafetyLimits(object(top, SAFETY_LIMITS), extra),
-                (int) number(top, DISPATCHER_COUNT),
-                (int) number(top, ZONE),
-                integers(extra, PARENT_ZONE_BY_ZONE),
-                kind(extra, PARENT_KIND),
-                kind(extra, ORIGIN_KIND),
-                !text(top, WEIGHTS).equals("off"),
-                text(top, DISCOVERY).equals("ask"),
-                flag(extra, COLLAPSES_REQUESTS),
-                flag(extra, DIRECT_ORIGIN_ALLOWED),
-                number(extra, TRANSFER_KB_PER_SECOND),
-                whole(top, TICK_NS));
+                decodeLimits(object(settings, LIMITS)),
+                decodeSafetyLimits(object(settings, SAFETY_LIMITS), extra),
+                (int) doubleValue(settings, DISPATCHER_COUNT),
+                (int) doubleValue(settings, ZONE),
+                integerList(extra, PARENT_ZONE_BY_ZONE),
+                decodeKind(extra, PARENT_KIND),
+                decodeKind(extra, ORIGIN_KIND),
+                !stringValue(settings, WEIGHTS).equals("off"),
+                stringValue(settings, DISCOVERY).equals("ask"),
+                booleanValue(extra, COLLAPSES_REQUESTS),
+                booleanValue(extra, DIRECT_ORIGIN_ALLOWED),
+                doubleValue(extra, TRANSFER_KB_PER_SECOND),
+                longValue(settings, TICK_NS));
     }
 
     private static RouterSettings.Limits decodeLimits(JsonObject limits) {
         return new RouterSettings.Limits(
-                flag(limits, MAY_CANCEL),
-                flag(limits, MAY_HEDGE),
-                flag(limits, SENDS_RETRY_AFTER),
-                (int) number(limits, MAX_ATTEMPTS),
-                whole(limits, MAX_RETRY_AFTER_NS),
-                whole(limits, CONNECT_TIMEOUT_NS));
+                booleanValue(limits, MAY_CANCEL),
+                booleanValue(limits, MAY_HEDGE),
+                booleanValue(limits, SENDS_RETRY_AFTER),
+                (int) doubleValue(limits, MAX_ATTEMPTS),
+                longValue(limits, MAX_RETRY_AFTER_NS),
+                longValue(limits, CONNECT_TIMEOUT_NS));
     }
 
     private static RouterSettings.SafetyLimits decodeSafetyLimits(
             JsonObject limits, JsonObject extra) {
         return new RouterSettings.SafetyLimits(
-                number(limits, INITIAL_CAPACITY),
-                whole(limits, WARM_UP_NS),
-                number(limits, OVERLOAD_MULTIPLE),
-                whole(limits, OVERLOAD_WINDOW_NS),
-                number(extra, PARENT_INITIAL_CAPACITY),
-                whole(extra, PARENT_WARM_UP_NS),
-                number(extra, PARENT_OVERLOAD_MULTIPLE),
-                whole(extra, PURGE_WINDOW_NS));
+                doubleValue(limits, INITIAL_CAPACITY),
+                longValue(limits, WARM_UP_NS),
+                doubleValue(limits, OVERLOAD_MULTIPLE),
+                longValue(limits, OVERLOAD_WINDOW_NS),
+                doubleValue(extra, PARENT_INITIAL_CAPACITY),
+                longValue(extra, PARENT_WARM_UP_NS),
+                doubleValue(extra, PARENT_OVERLOAD_MULTIPLE),
+                longValue(extra, PURGE_WINDOW_NS));
     }
 
     private static RouterSettings.RequestClass decodeClass(
             JsonObject requestClass, JsonObject extra, int index) {
         return new RouterSettings.RequestClass(
-                whole(requestClass, LATENCY_OBJECTIVE_NS),
-                number(requestClass, LATENCY_OBJECTIVE_WORK_FACTOR),
-                idempotency(text(requestClass, IDEMPOTENCY)),
-                scope(text(requestClass, IDEMPOTENCY_SCOPE)),
-                whole(requestClass, IDEMPOTENCY_WINDOW_NS),
-                flagAt(extra, PASS_THROUGH_BY_CLASS, index),
-                wholeAt(extra, FRESHNESS_BY_CLASS_NS, index));
+                longValue(requestClass, LATENCY_OBJECTIVE_NS),
+                doubleValue(requestClass, LATENCY_OBJECTIVE_WORK_FACTOR),
+                decodeIdempotency(stringValue(requestClass, IDEMPOTENCY)),
+                decodeScope(stringValue(requestClass, IDEMPOTENCY_SCOPE)),
+                longValue(requestClass, IDEMPOTENCY_WINDOW_NS),
+                booleanValueAt(extra, PASS_THROUGH_BY_CLASS, index),
+                longValueAt(extra, FRESHNESS_BY_CLASS_NS, index));
     }
 
-    private static Idempotency idempotency(String word) {
-        return switch (word) {
+    private static Idempotency decodeIdempotency(String value) {
+        return switch (value) {
             case "read_like" -> Idempotency.IDEMPOTENT;
             case "idempotency_key" -> Idempotency.IDEMPOTENCY_KEY;
             case "non_idempotent" -> Idempotency.NOT_IDEMPOTENT;
-            default -> throw new IllegalArgumentException("unknown effect '" + word + "'");
+            default -> throw new IllegalArgumentException("unknown effect '" + value + "'");
         };
     }
 
-    private static IdempotencyScope scope(String word) {
-        return switch (word) {
+    private static IdempotencyScope decodeScope(String value) {
+        return switch (value) {
             case "zone" -> IdempotencyScope.ZONE;
             case "cell" -> IdempotencyScope.CELL;
             default -> IdempotencyScope.ALL;
@@ -162,47 +162,47 @@
         return index < elements.size() ? elements.get(index) : null;
     }
 
-    private static boolean isValue(JsonElement element) {
+    private static boolean isPrimitive(JsonElement element) {
         return element != null && element.isJsonPrimitive();
     }
 
-    private static double number(JsonObject parent, String key) {
-        return number(parent.get(key));
+    private static double doubleValue(JsonObject parent, String key) {
+        return doubleValue(parent.get(key));
     }
 
-    private static double number(JsonElement element) {
-        return isValue(element) ? element.getAsDouble() : 0;
+    private static double doubleValue(JsonElement element) {
+        return isPrimitive(element) ? element.getAsDouble() : 0;
     }
 
-    private static int kind(JsonObject parent, String key) {
-        return isValue(parent.get(key)) ? parent.get(key).getAsInt() : NO_KIND;
+    private static int decodeKind(JsonObject parent, String key) {
+        return isPrimitive(parent.get(key)) ? parent.get(key).getAsInt() : NO_KIND;
     }
 
-    private static long whole(JsonObject parent, String key) {
-        return (long) number(parent, key);
+    private static long longValue(JsonObject parent, String key) {
+        return (long) doubleValue(parent, key);
     }
 
-    private static long wholeAt(JsonObject parent, String key, int index) {
-        return (long) number(elementAt(parent, key, index));
+    private static long longValueAt(JsonObject parent, String key, int index) {
+        return (long) doubleValue(elementAt(parent, key, index));
     }
 
-    private static boolean flag(JsonObject parent, String key) {
-        return flag(parent.get(key));
+    private static boolean booleanValue(JsonObject parent, String key) {
+        return booleanValue(parent.get(key));
     }
 
-    private static boolean flagAt(JsonObject parent, String key, int index) {
-        return flag(elementAt(parent, key, index));
+    private static boolean booleanValueAt(JsonObject parent, String key, int index) {
+        return booleanValue(elementAt(parent, key, index));
     }
 
-    private static boolean flag(JsonElement element) {
-        return isValue(element) && element.getAsBoolean();
+    private static boolean booleanValue(JsonElement element) {
+        return isPrimitive(element) && element.getAsBoolean();
     }
 
-    private static String text(JsonObject parent, String key) {
-        return isValue(parent.get(key)) ? parent.get(key).getAsString() : "";
+    private static String stringValue(JsonObject parent, String key) {
+        return isPrimitive(parent.get(key)) ? parent.get(key).getAsString() : "";
     }
 
-    private static List<Integer> integers(JsonObject parent, String key) {
+    private static List<Integer> integerList(JsonObject parent, String key) {
         List<Integer> values = new ArrayList<>();
         array(parent, key).forEach(element -> values.add(element.getAsInt()));
         return List.copyOf(values);
--- a/src/test/java/brooklock/routing/CacheSelectorTest.java
+++ b/src/test/java/brooklock/routing/CacheSelectorTest.java
@@ -1,7 +1,7 @@
 package brooklock.routing;
 
 import static brooklock.routing.RouterFixture.PAGE;
-import static brooklock.routing.RouterFixture.attemptIn;
+import static brooklock.routing.RouterFixture.firstAttempt;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -26,14 +26,16 @@
         RouterFixture fixture = new RouterFixture().withEndpoints();
         Map<Long, Long> before = new HashMap<>();
         for (long object = 1; object <= 300; object++) {
-            before.put(object, fixture.requestServed(PAGE, object).endpoint());
+            before.put(object, fixture.serveRequest(PAGE, object).endpoint());
         }
         assertEquals(4, new HashSet<>(before.values()).size());
         fixture.changeEndpoints(RouterFixture.cache(12, EndpointState.GONE, 0));
         for (long object = 1; object <= 300; object++) {
-            long endpoint = fixture.requestServed(PAGE, object).endpoint();
-            long home = before.get(object);
-            assertTrue(home == 12 ? endpoint != 12 : endpoint == home, "object " + object);
+            long endpoint = fixture.serveRequest(PAGE, object).endpoint();
+            long previousEndpoint = before.get(object);
+            assertTrue(
+                    previousEndpoint == 12 ? endpoint != 12 : endpoint == previousEndpoint,
+                    "object " + object);
         }
     }
 
@@ -43,7 +45,7 @@
      * and no longer picked one by one.
      */
     @Test
-    void theNearestUsableCacheIsTakenHoweverManyNearerOnesAreEjected() {
+    void theNextCacheInRendezvousOrderIsSelectedHoweverManyAreEjected() {
         List<Endpoint> endpoints = new ArrayList<>();
         for (long id = 101; id <= 130; id++) {
             endpoints.add(RouterFixture.cache(id, EndpointState.READY, 0));
@@ -52,18 +54,18 @@
         endpoints.add(RouterFixture.origin());
         RouterFixture fixture = new RouterFixture();
         fixture.onEvent(new EndpointListReceived(EndpointListKind.CACHED, endpoints));
-        long copy = RendezvousHash.copyHash(7, 0);
-        List<Long> nearest =
+        long copyHash = RendezvousHash.copyHash(7, 0);
+        List<Long> ranking =
                 endpoints.stream()
                         .map(Endpoint::id)
                         .filter(id -> id <= 130)
                         .sorted(
                                 Comparator.comparingDouble(
-                                        id -> -RendezvousHash.score(copy, id, 1)))
+                                        id -> -RendezvousHash.score(copyHash, id, 1)))
                         .toList();
         List<Long> chosen = new ArrayList<>();
         for (int i = 0; i < 200 && chosen.size() < 12; i++) {
-            StartAttempt attempt = fixture.request(PAGE, 7);
+            StartAttempt attempt = fixture.startRequest(PAGE, 7);
             long failing = attempt.endpoint();
             if (!chosen.contains(failing)) {
                 chosen.add(failing);
@@ -71,9 +73,9 @@
             while (attempt != null) {
                 AttemptOutcome outcome =
                         attempt.endpoint() == failing ? AttemptOutcome.ERROR : AttemptOutcome.OK;
-                attempt = attemptIn(fixture.complete(attempt, outcome, CacheStatus.NONE, 1));
+                attempt = firstAttempt(fixture.complete(attempt, outcome, CacheStatus.NONE, 1));
             }
         }
-        assertEquals(nearest.subList(0, 12), chosen);
+        assertEquals(ranking.subList(0, 12), chosen);
     }
 }
--- a/src/test/java/brooklock/routing/ConcurrencyLimitTest.java
+++ b/src/test/java/brooklock/routing/ConcurrencyLimitTest.java
@@ -16,7 +16,7 @@
         respond(limit, true, 100);
         limit.acquire(1000 * REQUEST_NS);
         assertTrue(limit.admits(REQUEST_NS, 0));
-        assertFalse(limit.isLate());
+        assertFalse(limit.isCongested());
     }
 
     /**
@@ -24,12 +24,12 @@
      * admitted, because only their responses can show that the jam is over.
      */
     @Test
-    void aJammedLinkStaysOpenForTwoMeanRequests() {
+    void aCongestedLinkStaysOpenForTwoMeanRequests() {
         ConcurrencyLimit limit = ConcurrencyLimit.forCache();
         respond(limit, false, 100);
-        assertTrue(limit.isLate());
-        assertTrue(limit.admitsAlone(2 * REQUEST_NS));
-        assertFalse(limit.admitsAlone(2 * REQUEST_NS + 1));
+        assertTrue(limit.isCongested());
+        assertTrue(limit.isAtLeast(2 * REQUEST_NS));
+        assertFalse(limit.isAtLeast(2 * REQUEST_NS + 1));
         limit.acquire(REQUEST_NS);
         assertTrue(limit.admits(REQUEST_NS, 0));
         limit.acquire(REQUEST_NS);
@@ -38,13 +38,13 @@
 
     /** The jam is over: responses in time widen the limit again while it is used. */
     @Test
-    void responsesInTimeWidenTheLimitAgain() {
+    void responsesInTimeRaiseTheLimitAgain() {
         ConcurrencyLimit limit = ConcurrencyLimit.forCache();
         respond(limit, false, 100);
         limit.acquire(2 * REQUEST_NS);
         respond(limit, true, 100);
-        assertTrue(limit.admitsAlone(4 * REQUEST_NS));
-        assertFalse(limit.isLate());
+        assertTrue(limit.isAtLeast(4 * REQUEST_NS));
+        assertFalse(limit.isCongested());
     }
 
     /**
@@ -52,10 +52,10 @@
      * less than a request. One request is admitted, then the limit pauses until its mean is kept.
      */
     @Test
-    void aLimitNarrowerThanARequestAdmitsOneAndThenPauses() {
+    void aLimitSmallerThanARequestAdmitsOneAndThenPauses() {
         ConcurrencyLimit limit = ConcurrencyLimit.forOrigin(400);
         respond(limit, false, 200);
-        assertFalse(limit.admitsAlone(REQUEST_NS));
+        assertFalse(limit.isAtLeast(REQUEST_NS));
         assertTrue(limit.admits(REQUEST_NS, 0));
         limit.acquire(REQUEST_NS);
         assertFalse(limit.admits(REQUEST_NS, 0), "one is in flight");
@@ -69,13 +69,13 @@
      * late, but must not shut it.
      */
     @Test
-    void responsesOfUnknownSizeMoveNoLimit() {
+    void responsesOfUnknownSizeDoNotChangeTheLimit() {
         ConcurrencyLimit limit = ConcurrencyLimit.forFills();
         for (int i = 0; i < 100; i++) {
             limit.onUnsizedResponse(false);
         }
         limit.acquire(1000 * REQUEST_NS);
-        assertTrue(limit.isLate());
+        assertTrue(limit.isCongested());
         assertTrue(limit.admits(REQUEST_NS, 0));
     }
 
--- a/src/test/java/brooklock/routing/EndpointTableTest.java
+++ b/src/test/java/brooklock/routing/EndpointTableTest.java
@@ -17,13 +17,13 @@
      * A cache and a parent drain. From that event on neither gets a request or is named for a fill.
      */
     @Test
-    void aDrainingEndpointIsLeftAtOnceAsTargetAndAsFillSource() {
+    void aDrainingEndpointIsNoLongerUsedAsTargetOrFillSource() {
         RouterFixture fixture = new RouterFixture().withEndpoints();
         fixture.changeEndpoints(
                 RouterFixture.cache(12, EndpointState.DRAINING, 0),
                 RouterFixture.parent(801, EndpointState.DRAINING, 0));
         for (long object = 1; object <= 200; object++) {
-            StartAttempt attempt = fixture.requestServed(PAGE, object);
+            StartAttempt attempt = fixture.serveRequest(PAGE, object);
             assertNotEquals(12, attempt.endpoint());
             assertEquals(802, attempt.fillSource());
         }
@@ -40,7 +40,7 @@
                                 RouterFixture.cache(11, EndpointState.READY, 0),
                                 RouterFixture.parent(802, EndpointState.READY, 0))));
         for (long object = 1; object <= 50; object++) {
-            StartAttempt attempt = fixture.requestServed(PAGE, object);
+            StartAttempt attempt = fixture.serveRequest(PAGE, object);
             assertEquals(11, attempt.endpoint());
             assertEquals(802, attempt.fillSource());
         }
@@ -56,6 +56,6 @@
         assertEquals(
                 List.of(new WatchEndpoints()),
                 fixture.onEvent(new EndpointListReceived(EndpointListKind.FAILED, List.of())));
-        assertNotNull(fixture.request(PAGE, 42));
+        assertNotNull(fixture.startRequest(PAGE, 42));
     }
 }
--- a/src/test/java/brooklock/routing/FillAdmissionTest.java
+++ b/src/test/java/brooklock/routing/FillAdmissionTest.java
@@ -2,7 +2,7 @@
 
 import static brooklock.routing.RouterFixture.MS;
 import static brooklock.routing.RouterFixture.PAGE;
-import static brooklock.routing.RouterFixture.attemptIn;
+import static brooklock.routing.RouterFixture.firstAttempt;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -21,12 +21,12 @@
      * that hits are served however jammed the fills are.
      */
     @Test
-    void aJammedFillLinkIsSparedAndHitsAreStillServed() {
+    void requestsAreLimitedToCachedCopiesWhileTheFillLinkIsCongested() {
         RouterFixture fixture = new RouterFixture().withEndpoints();
-        jamFillLink(fixture);
+        congestFillLink(fixture);
         boolean cachedOnly = false;
         for (int i = 0; i < 30; i++) {
-            StartAttempt attempt = fixture.request(PAGE, 5000 + i);
+            StartAttempt attempt = fixture.startRequest(PAGE, 5000 + i);
             cachedOnly |= attempt != null && !attempt.fillsOnMiss();
         }
         assertTrue(cachedOnly);
@@ -37,11 +37,11 @@
      * limit may shut and requests reach as far as before.
      */
     @Test
-    void clientsThatLeaveAndAttemptsThatNeverStartedShutNoLink() {
+    void disconnectedClientsAndAttemptsNeverStartedLowerNoLimit() {
         RouterFixture fixture = new RouterFixture().withEndpoints();
         for (int i = 0; i < 300; i++) {
             RequestReceived request = withoutSize(fixture.newRequest(PAGE, 7000 + i));
-            StartAttempt attempt = attemptIn(fixture.onEvent(request));
+            StartAttempt attempt = firstAttempt(fixture.onEvent(request));
             fixture.now += 20 * MS;
             fixture.onEvent(new ClientDisconnected(request.id()));
             fixture.onEvent(
@@ -54,7 +54,7 @@
                             20 * MS,
                             0,
                             true));
-            StartAttempt late = fixture.request(PAGE, 9000 + i);
+            StartAttempt late = fixture.startRequest(PAGE, 9000 + i);
             fixture.now += 700 * MS;
             AttemptOutcome outcome =
                     i % 2 == 0 ? AttemptOutcome.NOT_STARTED : AttemptOutcome.CONNECT_FAILED;
@@ -62,7 +62,7 @@
         }
         for (int i = 0; i < 20; i++) {
             RequestReceived request = withoutSize(fixture.newRequest(PAGE, 12_000 + i));
-            StartAttempt attempt = attemptIn(fixture.onEvent(request));
+            StartAttempt attempt = firstAttempt(fixture.onEvent(request));
             assertTrue(attempt.fillsOnMiss(), "a fill is allowed with the request");
         }
     }
@@ -72,7 +72,7 @@
      * of hundreds of dispatchers these would be a load again, so each has only its part.
      */
     @Test
-    void theFloorsOfManyDispatchersAtTheOriginAddUpToFewRequests() {
+    void theMinimaOfAllDispatchersAtTheOriginAddUpToFewRequests() {
         assertFalse(onlyIfCachedAfterOriginFailures(4));
         assertTrue(onlyIfCachedAfterOriginFailures(400));
     }
@@ -82,15 +82,15 @@
      * are requested again; others wait.
      */
     @Test
-    void onlyHotObjectsAreFilledWhileTheOriginsLimitIsNarrowerThanOne() {
+    void onlyHotObjectsAreFilledWhileTheOriginLimitIsSmallerThanARequest() {
         RouterFixture fixture = afterOriginFailures(400);
         fixture.now += 5000 * MS;
         assertTrue(
-                fixture.request(PAGE, 1059).fillSource() >= 801
-                        && !fixture.requestServed(PAGE, 1059).onlyIfCached(),
+                fixture.startRequest(PAGE, 1059).fillSource() >= 801
+                        && !fixture.serveRequest(PAGE, 1059).onlyIfCached(),
                 "requested before: hot");
         fixture.now += 5000 * MS;
-        assertTrue(fixture.requestServed(PAGE, 6000).onlyIfCached(), "requested once");
+        assertTrue(fixture.serveRequest(PAGE, 6000).onlyIfCached(), "requested once");
     }
 
     private static RequestReceived withoutSize(RequestReceived request) {
@@ -105,11 +105,11 @@
                 request.deadlineNs());
     }
 
-    private static void jamFillLink(RouterFixture fixture) {
+    private static void congestFillLink(RouterFixture fixture) {
         for (int round = 0; round < 30; round++) {
             List<StartAttempt> attempts = new ArrayList<>();
             for (int i = 0; i < 10; i++) {
-                StartAttempt attempt = fixture.request(PAGE, round * 100 + i);
+                StartAttempt attempt = fixture.startRequest(PAGE, round * 100 + i);
                 if (attempt != null) {
                     attempts.add(attempt);
                 }
@@ -124,7 +124,7 @@
     private static boolean onlyIfCachedAfterOriginFailures(int dispatchers) {
         RouterFixture fixture = afterOriginFailures(dispatchers);
         fixture.now += MS;
-        return fixture.request(PAGE, 5000).onlyIfCached();
+        return fixture.startRequest(PAGE, 5000).onlyIfCached();
     }
 
     private static RouterFixture afterOriginFailures(int dispatchers) {
@@ -133,11 +133,11 @@
                         .withEndpoints();
         for (int i = 0; i < 60; i++) {
             fixture.now += 100 * MS;
-            StartAttempt attempt = fixture.request(PAGE, 1000 + i);
+            StartAttempt attempt = fixture.startRequest(PAGE, 1000 + i);
             while (attempt != null) {
                 boolean cachedOnly = attempt.onlyIfCached() || !attempt.fillsOnMiss();
                 attempt =
-                        attemptIn(
+                        firstAttempt(
                                 fixture.complete(
                                         attempt,
                                         cachedOnly
--- a/src/test/java/brooklock/routing/FillSourceSelectorTest.java
+++ b/src/test/java/brooklock/routing/FillSourceSelectorTest.java
@@ -3,7 +3,7 @@
 import static brooklock.routing.RouterFixture.MS;
 import static brooklock.routing.RouterFixture.ORIGIN_ID;
 import static brooklock.routing.RouterFixture.PAGE;
-import static brooklock.routing.RouterFixture.attemptIn;
+import static brooklock.routing.RouterFixture.firstAttempt;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -17,11 +17,11 @@
      * push the origin further, so the parents are still named.
      */
     @Test
-    void ejectedParentsAreNamedBeforeTheOrigin() {
+    void ejectedParentsAreSelectedBeforeTheOrigin() {
         RouterFixture fixture = new RouterFixture().withEndpoints();
         for (int i = 0; i < 40; i++) {
             fixture.now += 5 * MS;
-            StartAttempt attempt = fixture.request(PAGE, i);
+            StartAttempt attempt = fixture.startRequest(PAGE, i);
             if (attempt != null) {
                 assertNotEquals(ORIGIN_ID, attempt.fillSource());
                 fixture.complete(
@@ -35,15 +35,15 @@
      * cause, and without it nothing would be served.
      */
     @Test
-    void parentsThatAreNotReachedMakeWayForTheOrigin() {
+    void theOriginIsSelectedIfAllParentsAreUnreachable() {
         RouterFixture fixture = new RouterFixture().withEndpoints();
         boolean fromOrigin = false;
         for (int i = 0; i < 40 && !fromOrigin; i++) {
             fixture.now += 5 * MS;
-            StartAttempt attempt = fixture.request(PAGE, i);
+            StartAttempt attempt = fixture.startRequest(PAGE, i);
             fromOrigin = attempt.fillSource() == ORIGIN_ID;
             StartAttempt next =
-                    attemptIn(
+                    firstAttempt(
                             fixture.complete(
                                     attempt,
                                     fromOrigin ? AttemptOutcome.OK : AttemptOutcome.OVERLOADED,
--- a/src/test/java/brooklock/routing/HedgingPolicyTest.java
+++ b/src/test/java/brooklock/routing/HedgingPolicyTest.java
@@ -2,8 +2,8 @@
 
 import static brooklock.routing.RouterFixture.MS;
 import static brooklock.routing.RouterFixture.PAGE;
-import static brooklock.routing.RouterFixture.allOf;
-import static brooklock.routing.RouterFixture.attemptIn;
+import static brooklock.routing.RouterFixture.actionsOfType;
+import static brooklock.routing.RouterFixture.firstAttempt;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -21,12 +21,12 @@
 /** When a second attempt goes out beside the first. */
 class HedgingPolicyTest {
     @Test
-    void nothingIsHedgedWhereItIsNotAllowed() {
+    void noRequestIsHedgedIfHedgingIsNotAllowed() {
         RouterFixture fixture =
                 new RouterFixture(RouterFixture.settings(false, IdempotencyScope.ALL))
                         .withEndpoints();
         List<RouterAction> actions = fixture.onEvent(fixture.newRequest(PAGE, 42));
-        assertEquals(1, allOf(actions, SetTimer.class).size(), "the deadline's alone");
+        assertEquals(1, actionsOfType(actions, SetTimer.class).size(), "the deadline's alone");
     }
 
     /**
@@ -34,25 +34,26 @@
      * request is not, as its second attempt would load a jammed link twice.
      */
     @Test
-    void aRequestAtASilentEndpointIsHedgedAndAMerelyLateOneIsNot() {
+    void aRequestIsHedgedIfItsEndpointIsUnresponsiveButNotIfItIsOnlyLate() {
         RouterFixture fixture = new RouterFixture().withEndpoints();
         List<RouterAction> actions = fixture.onEvent(fixture.newRequest(PAGE, 42));
-        StartAttempt first = attemptIn(actions);
-        SetTimer hedge = allOf(actions, SetTimer.class).get(1);
-        fixture.now = hedge.atNs();
+        StartAttempt first = firstAttempt(actions);
+        SetTimer hedgeTimer = actionsOfType(actions, SetTimer.class).get(1);
+        fixture.now = hedgeTimer.atNs();
         assertNull(
-                attemptIn(fixture.onEvent(new TimerFired(hedge.token()))),
+                firstAttempt(fixture.onEvent(new TimerFired(hedgeTimer.token()))),
                 "late, but not at a silent endpoint");
         List<SetTimer> timers = new ArrayList<>();
         for (int i = 0; i < 30; i++) {
-            timers.addAll(allOf(fixture.onEvent(fixture.newRequest(PAGE, i)), SetTimer.class));
+            timers.addAll(
+                    actionsOfType(fixture.onEvent(fixture.newRequest(PAGE, i)), SetTimer.class));
         }
         fixture.now += 1200 * MS;
         int hedged = 0;
         for (SetTimer timer : timers) {
             if (timer.atNs() <= fixture.now) {
                 List<RouterAction> fired = fixture.onEvent(new TimerFired(timer.token()));
-                hedged += allOf(fired, StartAttempt.class).size();
+                hedged += actionsOfType(fired, StartAttempt.class).size();
             }
         }
         assertTrue(hedged > 0, "first endpoint " + first.endpoint());
@@ -64,18 +65,18 @@
      * no link was late.
      */
     @Test
-    void lostResponsesAreHedgedAtTheSameCacheOnceTheyAreSeenToGetLost() {
+    void aRequestWhoseResponseIsLostIsHedgedAtTheSameCache() {
         RouterFixture fixture = new RouterFixture().withEndpoints();
         assertNull(hedgeOf(fixture, 500), "nothing has been lost so far");
         for (int i = 0; i < 8; i++) {
             RequestReceived lost = fixture.newRequest(PAGE, 100 + i);
             List<RouterAction> actions = fixture.onEvent(lost);
-            long endpoint = attemptIn(actions).endpoint();
+            long endpoint = firstAttempt(actions).endpoint();
             fixture.now += 20 * MS;
-            assertEquals(endpoint, fixture.requestServed(PAGE, 100 + i).endpoint());
-            SetTimer last = allOf(actions, SetTimer.class).get(0);
-            fixture.now = last.atNs();
-            fixture.onEvent(new TimerFired(last.token()));
+            assertEquals(endpoint, fixture.serveRequest(PAGE, 100 + i).endpoint());
+            SetTimer finalResponseTimer = actionsOfType(actions, SetTimer.class).get(0);
+            fixture.now = finalResponseTimer.atNs();
+            fixture.onEvent(new TimerFired(finalResponseTimer.token()));
             fixture.onEvent(
                     new AttemptCompleted(
                             lost.id(),
@@ -88,7 +89,7 @@
                             true));
         }
         assertNotNull(hedgeOf(fixture, 600));
-        assertNotNull(fixture.request(PAGE, 700), "what is lost shuts no limit");
+        assertNotNull(fixture.startRequest(PAGE, 700), "what is lost shuts no limit");
     }
 
     /**
@@ -98,11 +99,11 @@
     private static StartAttempt hedgeOf(RouterFixture fixture, long object) {
         List<RouterAction> actions = fixture.onEvent(fixture.newRequest(PAGE, object));
         fixture.now += 20 * MS;
-        fixture.requestServed(PAGE, object);
-        SetTimer hedge = allOf(actions, SetTimer.class).get(1);
-        fixture.now = hedge.atNs();
-        StartAttempt second = attemptIn(fixture.onEvent(new TimerFired(hedge.token())));
-        assertTrue(second == null || second.endpoint() == attemptIn(actions).endpoint());
+        fixture.serveRequest(PAGE, object);
+        SetTimer hedgeTimer = actionsOfType(actions, SetTimer.class).get(1);
+        fixture.now = hedgeTimer.atNs();
+        StartAttempt second = firstAttempt(fixture.onEvent(new TimerFired(hedgeTimer.token())));
+        assertTrue(second == null || second.endpoint() == firstAttempt(actions).endpoint());
         return second;
     }
 }
--- a/src/test/java/brooklock/routing/HotListTest.java
+++ b/src/test/java/brooklock/routing/HotListTest.java
@@ -2,8 +2,8 @@
 
 import static brooklock.routing.RouterFixture.MS;
 import static brooklock.routing.RouterFixture.PAGE;
-import static brooklock.routing.RouterFixture.allOf;
-import static brooklock.routing.RouterFixture.attemptIn;
+import static brooklock.routing.RouterFixture.actionsOfType;
+import static brooklock.routing.RouterFixture.firstAttempt;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -20,10 +20,10 @@
     @Test
     void anObjectIsCachedFromItsSecondRequestOn() {
         RouterFixture fixture = new RouterFixture().withEndpoints();
-        StartAttempt first = fixture.requestServed(PAGE, 42);
+        StartAttempt first = fixture.serveRequest(PAGE, 42);
         assertEquals(0, first.cachePriority());
         assertTrue(first.fillSource() == 801 || first.fillSource() == 802);
-        StartAttempt second = fixture.requestServed(PAGE, 42);
+        StartAttempt second = fixture.serveRequest(PAGE, 42);
         assertEquals(2, second.cachePriority());
         assertEquals(first.endpoint(), second.endpoint());
         assertEquals(first.fillSource(), second.fillSource());
@@ -32,13 +32,13 @@
     @Test
     void anObjectOfThePreviousIntervalIsHotInThisOneOnly() {
         RouterFixture fixture = new RouterFixture().withEndpoints();
-        fixture.requestServed(PAGE, 42);
+        fixture.serveRequest(PAGE, 42);
         fixture.now += 10_000 * MS;
-        assertEquals(2, fixture.requestServed(PAGE, 42).cachePriority());
+        assertEquals(2, fixture.serveRequest(PAGE, 42).cachePriority());
         fixture.now += 20_000 * MS;
         assertEquals(
                 0,
-                fixture.requestServed(PAGE, 42).cachePriority(),
+                fixture.serveRequest(PAGE, 42).cachePriority(),
                 "a whole interval passed without it");
     }
 
@@ -48,28 +48,28 @@
      * interval has passed.
      */
     @Test
-    void withoutAListCopiesAreCachedAtTheLowestPriority() {
+    void copiesAreCachedAtTheLowestPriorityInTheFirstInterval() {
         RouterFixture fixture = new RouterFixture().withEndpoints();
         fixture.router.start(fixture.now, new ArrayList<>());
-        assertEquals(1, fixture.requestServed(PAGE, 42).cachePriority());
-        assertEquals(2, fixture.requestServed(PAGE, 42).cachePriority());
+        assertEquals(1, fixture.serveRequest(PAGE, 42).cachePriority());
+        assertEquals(2, fixture.serveRequest(PAGE, 42).cachePriority());
         fixture.now += 10_000 * MS;
-        assertEquals(0, fixture.requestServed(PAGE, 43).cachePriority());
+        assertEquals(0, fixture.serveRequest(PAGE, 43).cachePriority());
     }
 
     @Test
-    void partsInOrderAreOneRequest() {
+    void partsInAscendingOrderCountAsOneRequest() {
         RouterFixture fixture = new RouterFixture().withEndpoints();
         for (int part = 0; part < 4; part++) {
             RequestReceived whole = fixture.newRequest(PAGE, 42);
             RequestReceived request =
                     new RequestReceived(
                             whole.id(), PAGE, 42, part, 3, 50, false, whole.deadlineNs());
-            StartAttempt attempt = attemptIn(fixture.onEvent(request));
+            StartAttempt attempt = firstAttempt(fixture.onEvent(request));
             assertEquals(0, attempt.cachePriority(), "part " + part);
             fixture.complete(attempt, AttemptOutcome.OK, CacheStatus.HIT, 10);
         }
-        assertEquals(2, fixture.requestServed(PAGE, 42).cachePriority());
+        assertEquals(2, fixture.serveRequest(PAGE, 42).cachePriority());
     }
 
     /**
@@ -81,10 +81,11 @@
         RouterFixture fixture = new RouterFixture();
         assertEquals(
                 1,
-                allOf(fixture.onEvent(fixture.newRequest(PAGE, 42)), RejectRequest.class).size(),
+                actionsOfType(fixture.onEvent(fixture.newRequest(PAGE, 42)), RejectRequest.class)
+                        .size(),
                 "no endpoint is known");
         fixture.withEndpoints();
-        assertEquals(0, fixture.requestServed(PAGE, 42).cachePriority());
+        assertEquals(0, fixture.serveRequest(PAGE, 42).cachePriority());
     }
 
     /** One object takes most of the traffic. On one cache it would fill that cache's link alone. */
@@ -93,7 +94,7 @@
         RouterFixture fixture = new RouterFixture().withEndpoints();
         Set<Long> endpoints = new HashSet<>();
         for (int i = 0; i < 100; i++) {
-            endpoints.add(fixture.request(PAGE, 42).endpoint());
+            endpoints.add(fixture.startRequest(PAGE, 42).endpoint());
         }
         assertTrue(endpoints.size() >= 2);
     }
--- a/src/test/java/brooklock/routing/OutlierDetectorTest.java
+++ b/src/test/java/brooklock/routing/OutlierDetectorTest.java
@@ -2,7 +2,7 @@
 
 import static brooklock.routing.RouterFixture.MS;
 import static brooklock.routing.RouterFixture.PAGE;
-import static brooklock.routing.RouterFixture.attemptIn;
+import static brooklock.routing.RouterFixture.firstAttempt;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
@@ -26,11 +26,11 @@
         int errors = 0;
         for (int i = 0; i < 200; i++) {
             fixture.now += 10 * MS;
-            StartAttempt attempt = fixture.request(PAGE, i);
+            StartAttempt attempt = fixture.startRequest(PAGE, i);
             if (attempt.endpoint() == 12) {
                 errors++;
                 attempt =
-                        attemptIn(
+                        firstAttempt(
                                 fixture.complete(
                                         attempt, AttemptOutcome.ERROR, CacheStatus.NONE, 1));
             }
@@ -48,19 +48,22 @@
     @Test
     void requestsThatNoEndpointCanServeEjectNone() {
         RouterFixture fixture = new RouterFixture().withEndpoints();
-        Map<Long, Long> homes = new HashMap<>();
+        Map<Long, Long> firstEndpoints = new HashMap<>();
         int moved = 0;
         for (int i = 0; i < 400; i++) {
             fixture.now += 20 * MS;
             long object = i % 40;
-            StartAttempt good = fixture.requestServed(PAGE, object);
-            moved += homes.computeIfAbsent(object, k -> good.endpoint()) == good.endpoint() ? 0 : 1;
+            StartAttempt good = fixture.serveRequest(PAGE, object);
+            moved +=
+                    firstEndpoints.computeIfAbsent(object, k -> good.endpoint()) == good.endpoint()
+                            ? 0
+                            : 1;
             if (i % 8 == 0) {
                 int attempts = 0;
-                StartAttempt bad = fixture.request(PAGE, 1000 + i);
+                StartAttempt bad = fixture.startRequest(PAGE, 1000 + i);
                 for (; bad != null; attempts++) {
                     bad =
-                            attemptIn(
+                            firstAttempt(
                                     fixture.complete(
                                             bad, AttemptOutcome.ERROR, CacheStatus.NONE, 1));
                 }
@@ -72,11 +75,11 @@
 
     /** A fill source rejects a fill. The next attempt names another: the cache is not at fault. */
     @Test
-    void aFailedFillIsAttributedToItsSource() {
+    void aFailedFillIsAttributedToTheFillSource() {
         RouterFixture fixture = new RouterFixture().withEndpoints();
-        StartAttempt first = fixture.request(PAGE, 42);
+        StartAttempt first = fixture.startRequest(PAGE, 42);
         StartAttempt next =
-                attemptIn(
+                firstAttempt(
                         fixture.complete(
                                 first,
                                 AttemptOutcome.OVERLOADED,
@@ -96,11 +99,11 @@
         int sent = 0;
         for (int i = 0; i < 60; i++) {
             fixture.now += 5 * MS;
-            StartAttempt attempt = fixture.request(PAGE, i);
+            StartAttempt attempt = fixture.startRequest(PAGE, i);
             boolean failing = attempt.endpoint() == 12;
             sent += failing ? 1 : 0;
             StartAttempt next =
-                    attemptIn(
+                    firstAttempt(
                             fixture.complete(
                                     attempt,
                                     failing ? AttemptOutcome.ERROR : AttemptOutcome.OK,
@@ -118,16 +121,16 @@
      * dispatcher's fills, so the pause between checks grows.
      */
     @Test
-    void aParentThatKeepsFailingIsCheckedMoreAndMoreSeldom() {
+    void aParentThatKeepsFailingIsCheckedAtGrowingIntervals() {
         RouterFixture fixture = new RouterFixture().withEndpoints();
         int late = 0;
         for (int i = 0; i < 120; i++) {
             fixture.now += 500 * MS;
-            StartAttempt attempt = fixture.request(PAGE, 2000 + i);
+            StartAttempt attempt = fixture.startRequest(PAGE, 2000 + i);
             if (attempt.fillSource() == 801) {
                 late += i >= 40 ? 1 : 0;
                 attempt =
-                        attemptIn(
+                        firstAttempt(
                                 fixture.onEvent(
                                         new AttemptCompleted(
                                                 attempt.id(),
@@ -148,12 +151,12 @@
 
     /** A parent's link ages: its fills come, but late. It is ejected before it breaks off. */
     @Test
-    void aParentThatGrowsSlowIsEjectedBeforeItFails() {
+    void aSlowParentIsEjectedBeforeItFails() {
         RouterFixture fixture = new RouterFixture().withEndpoints();
         int late = 0;
         for (int i = 0; i < 60; i++) {
             fixture.now += 500 * MS;
-            StartAttempt attempt = fixture.request(PAGE, 2000 + i);
+            StartAttempt attempt = fixture.startRequest(PAGE, 2000 + i);
             boolean slow = attempt.fillSource() == 801;
             late += i >= 20 && slow ? 1 : 0;
             fixture.complete(
--- a/src/test/java/brooklock/routing/PurgeLogTest.java
+++ b/src/test/java/brooklock/routing/PurgeLogTest.java
@@ -19,15 +19,15 @@
         RouterFixture fixture = new RouterFixture().withEndpoints();
         fixture.onEvent(new PurgeReceived(42, 3, 200 * MS));
         fixture.now += 300 * MS;
-        long age = fixture.request(PAGE, 42).maxAgeNs();
+        long age = fixture.startRequest(PAGE, 42).maxAgeNs();
         assertTrue(age > 0 && age < 500 * MS, "age " + age);
-        assertEquals(0, fixture.request(PAGE, 43).maxAgeNs());
+        assertEquals(0, fixture.startRequest(PAGE, 43).maxAgeNs());
         fixture.onEvent(new PurgeReceived(0, 3, 0));
         assertEquals(
                 1,
-                fixture.request(PAGE, 43).maxAgeNs(),
+                fixture.startRequest(PAGE, 43).maxAgeNs(),
                 "a group's purge holds for all its objects");
         fixture.now += 7000 * MS;
-        assertEquals(0, fixture.request(PAGE, 43).maxAgeNs(), "by now no older copy is left");
+        assertEquals(0, fixture.startRequest(PAGE, 43).maxAgeNs(), "by now no older copy is left");
     }
 }
--- a/src/test/java/brooklock/routing/RandomTraffic.java
+++ b/src/test/java/brooklock/routing/RandomTraffic.java
@@ -26,79 +26,81 @@
 final class RandomTraffic {
     private final Random random;
     private final RouterFixture fixture = new RouterFixture().withEndpoints();
-    private final TreeMap<Long, List<RouterEvent>> due = new TreeMap<>();
-    private final Map<Long, RequestReceived> open = new HashMap<>();
-    private final Set<Long> finished = new HashSet<>();
-    private final Map<Long, Integer> attempts = new HashMap<>();
-    private final Map<Long, Integer> openAttempts = new HashMap<>();
+    private final TreeMap<Long, List<RouterEvent>> scheduledEvents = new TreeMap<>();
+    private final Map<Long, RequestReceived> openRequests = new HashMap<>();
+    private final Set<Long> finishedRequests = new HashSet<>();
+    private final Map<Long, Integer> attemptCounts = new HashMap<>();
+    private final Map<Long, Integer> openAttemptCounts = new HashMap<>();
     private final Map<Long, Long> mayHaveExecutedSince = new HashMap<>();
-    private final Map<Long, Long> firstSent = new HashMap<>();
-    private final Set<Long> leaving = new HashSet<>();
-    private final Map<Long, Long> purged = new HashMap<>();
+    private final Map<Long, Long> firstSentAt = new HashMap<>();
+    private final Set<Long> unavailableEndpoints = new HashSet<>();
+    private final Map<Long, Long> purgedAt = new HashMap<>();
 
     RandomTraffic(long seed) {
         random = new Random(seed);
     }
 
-    void play() {
+    void run() {
         for (int step = 0; step < 1500; step++) {
             fixture.now += 4 * RouterFixture.MS;
-            deliver();
+            handleDueEvents();
             int choice = random.nextInt(40);
             if (choice == 0) {
                 changeEndpoint();
             } else if (choice == 1) {
                 long object = 1L + random.nextInt(30);
-                feed(new PurgeReceived(object, 3, 50 * RouterFixture.MS));
-                purged.put(object, fixture.now - 50 * RouterFixture.MS);
+                handle(new PurgeReceived(object, 3, 50 * RouterFixture.MS));
+                purgedAt.put(object, fixture.now - 50 * RouterFixture.MS);
             } else if (choice < 32) {
                 RequestReceived request =
                         fixture.newRequest(
                                 random.nextInt(10) == 0 ? 1 + random.nextInt(2) : 0,
                                 1 + random.nextInt(30));
-                open.put(request.id(), request);
-                feed(request);
+                openRequests.put(request.id(), request);
+                handle(request);
             }
         }
         for (int step = 0; step < 1000; step++) {
             fixture.now += 4 * RouterFixture.MS;
-            deliver();
+            handleDueEvents();
         }
-        assertTrue(open.isEmpty(), "requests without a final response: " + open.keySet());
+        assertTrue(
+                openRequests.isEmpty(),
+                "requests without a final response: " + openRequests.keySet());
     }
 
     private void changeEndpoint() {
         long id = random.nextBoolean() ? 11L + random.nextInt(4) : 801L + random.nextInt(2);
         boolean isParent = id > 800;
-        boolean back = leaving.remove(id);
-        if (!back) {
-            leaving.add(id);
+        boolean returning = unavailableEndpoints.remove(id);
+        if (!returning) {
+            unavailableEndpoints.add(id);
         }
         EndpointState state =
-                back
+                returning
                         ? EndpointState.READY
                         : random.nextBoolean() ? EndpointState.DRAINING : EndpointState.GONE;
-        long startedAt = back ? fixture.now : 0;
+        long startedAt = returning ? fixture.now : 0;
         fixture.changeEndpoints(
                 isParent
                         ? RouterFixture.parent(id, state, startedAt)
                         : RouterFixture.cache(id, state, startedAt));
     }
 
-    private void deliver() {
-        while (!due.isEmpty() && due.firstKey() <= fixture.now) {
-            for (RouterEvent event : due.pollFirstEntry().getValue()) {
-                feed(event);
+    private void handleDueEvents() {
+        while (!scheduledEvents.isEmpty() && scheduledEvents.firstKey() <= fixture.now) {
+            for (RouterEvent event : scheduledEvents.pollFirstEntry().getValue()) {
+                handle(event);
             }
         }
     }
 
-    private void feed(RouterEvent event) {
+    private void handle(RouterEvent event) {
         RouterEvent delivered = event;
         if (event instanceof AttemptCompleted completed) {
             delivered = complete(completed);
         } else if (event instanceof ClientDisconnected disconnected) {
-            if (!open.containsKey(disconnected.id())) {
+            if (!openRequests.containsKey(disconnected.id())) {
                 return;
             }
             finish(disconnected.id());
@@ -108,8 +110,8 @@
 
     private AttemptCompleted complete(AttemptCompleted completed) {
         long id = completed.id();
-        openAttempts.merge(id, -1, Integer::sum);
-        boolean requestFinished = !open.containsKey(id);
+        openAttemptCounts.merge(id, -1, Integer::sum);
+        boolean requestFinished = !openRequests.containsKey(id);
         if (!requestFinished && completed.outcome() == AttemptOutcome.OK) {
             finish(id);
             requestFinished = true;
@@ -132,15 +134,15 @@
         if (action instanceof StartAttempt attempt) {
             start(attempt);
         } else if (action instanceof RejectRequest rejected) {
-            RequestReceived request = open.get(rejected.id());
+            RequestReceived request = openRequests.get(rejected.id());
             assertTrue(request != null && fixture.now <= request.deadlineNs());
             assertTrue(
                     request.classIndex() != RouterFixture.NOT_IDEMPOTENT
                             || (!mayHaveExecutedSince.containsKey(rejected.id())
-                                    && openAttempts.getOrDefault(rejected.id(), 0) == 0));
+                                    && openAttemptCounts.getOrDefault(rejected.id(), 0) == 0));
             finish(rejected.id());
         } else if (action instanceof FailRequest failed) {
-            assertTrue(open.containsKey(failed.id()));
+            assertTrue(openRequests.containsKey(failed.id()));
             finish(failed.id());
         } else if (action instanceof SetTimer timer) {
             assertTrue(timer.atNs() > fixture.now);
@@ -149,20 +151,21 @@
     }
 
     private void start(StartAttempt attempt) {
-        RequestReceived request = open.get(attempt.id());
+        RequestReceived request = openRequests.get(attempt.id());
         assertTrue(request != null, "an attempt for a request that has ended");
         assertFalse(
-                leaving.contains(attempt.endpoint()) || leaving.contains(attempt.fillSource()),
+                unavailableEndpoints.contains(attempt.endpoint())
+                        || unavailableEndpoints.contains(attempt.fillSource()),
                 "sent to an endpoint that leaves");
-        int number = attempts.merge(attempt.id(), 1, Integer::sum);
+        int number = attemptCounts.merge(attempt.id(), 1, Integer::sum);
         assertTrue(number <= 6);
-        firstSent.putIfAbsent(attempt.id(), fixture.now);
+        firstSentAt.putIfAbsent(attempt.id(), fixture.now);
         checkIdempotency(request);
-        Long purgedAt = purged.get(request.object());
+        Long purgedAt = purgedAt.get(request.object());
         if (purgedAt != null && fixture.now < purgedAt + 6000 * RouterFixture.MS) {
             assertTrue(attempt.maxAgeNs() > 0 && attempt.maxAgeNs() <= fixture.now - purgedAt);
         }
-        openAttempts.merge(attempt.id(), 1, Integer::sum);
+        openAttemptCounts.merge(attempt.id(), 1, Integer::sum);
         scheduleOutcome(attempt, number - 1);
         if (number == 1) {
             schedule(request.deadlineNs(), new ClientDisconnected(attempt.id()));
@@ -172,9 +175,9 @@
     private void checkIdempotency(RequestReceived request) {
         boolean mayHaveExecuted = mayHaveExecutedSince.containsKey(request.id());
         if (request.classIndex() == RouterFixture.NOT_IDEMPOTENT) {
-            assertTrue(openAttempts.getOrDefault(request.id(), 0) == 0 && !mayHaveExecuted);
+            assertTrue(openAttemptCounts.getOrDefault(request.id(), 0) == 0 && !mayHaveExecuted);
         } else if (request.classIndex() == RouterFixture.KEYED && mayHaveExecuted) {
-            assertTrue(fixture.now - firstSent.get(request.id()) <= 2000 * RouterFixture.MS);
+            assertTrue(fixture.now - firstSentAt.get(request.id()) <= 2000 * RouterFixture.MS);
         }
     }
 
@@ -202,10 +205,13 @@
     }
 
     private void schedule(long at, RouterEvent event) {
-        due.computeIfAbsent(at, k -> new ArrayList<>()).add(event);
+        scheduledEvents.computeIfAbsent(at, k -> new ArrayList<>()).add(event);
     }
 
     private void finish(long id) {
-        assertEquals(true, open.remove(id) != null && finished.add(id), "a second final response");
+        assertEquals(
+                true,
+                openRequests.remove(id) != null && finishedRequests.add(id),
+                "a second final response");
     }
 }
--- a/src/test/java/brooklock/routing/RetryBudgetTest.java
+++ b/src/test/java/brooklock/routing/RetryBudgetTest.java
@@ -15,14 +15,14 @@
     void extraAttemptsStayAFifthOfTheRequestsWhenAllFail() {
         RetryBudget budget = new RetryBudget();
         int saved = 0;
-        for (; budget.hasAttempt(); saved++) {
+        for (; budget.hasAvailableAttempt(); saved++) {
             budget.spendAttempt();
         }
         assertEquals(20, saved);
         int extra = 0;
         for (int i = 0; i < 1000; i++) {
             budget.onRequest();
-            if (budget.hasAttempt()) {
+            if (budget.hasAvailableAttempt()) {
                 budget.spendAttempt();
                 extra++;
             }
@@ -32,7 +32,7 @@
 
     /** A quiet hour saves no more than a burst may use: a long save would undo the bound. */
     @Test
-    void noMoreThanABurstIsSaved() {
+    void savedAttemptsAreBounded() {
         RetryBudget budget = new RetryBudget();
         for (int i = 0; i < 100_000; i++) {
             budget.onRequest();
@@ -40,6 +40,6 @@
         for (int i = 0; i < 20; i++) {
             budget.spendAttempt();
         }
-        assertFalse(budget.hasAttempt());
+        assertFalse(budget.hasAvailableAttempt());
     }
 }
--- a/src/test/java/brooklock/routing/RetryPolicyTest.java
+++ b/src/test/java/brooklock/routing/RetryPolicyTest.java
@@ -5,8 +5,8 @@
 import static brooklock.routing.RouterFixture.NOT_IDEMPOTENT;
 import static brooklock.routing.RouterFixture.ORIGIN_ID;
 import static brooklock.routing.RouterFixture.PAGE;
-import static brooklock.routing.RouterFixture.allOf;
-import static brooklock.routing.RouterFixture.attemptIn;
+import static brooklock.routing.RouterFixture.actionsOfType;
+import static brooklock.routing.RouterFixture.firstAttempt;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
@@ -23,16 +23,17 @@
     @Test
     void anIdempotentRequestGoesToTheNextCacheAfterAnError() {
         RouterFixture fixture = new RouterFixture().withEndpoints();
-        StartAttempt first = fixture.request(PAGE, 42);
+        StartAttempt first = fixture.startRequest(PAGE, 42);
         StartAttempt second =
-                attemptIn(fixture.complete(first, AttemptOutcome.ERROR, CacheStatus.NONE, 5));
+                firstAttempt(fixture.complete(first, AttemptOutcome.ERROR, CacheStatus.NONE, 5));
         assertNotNull(second);
         assertNotEquals(first.endpoint(), second.endpoint());
     }
 
     @Test
-    void whatPassesThroughGoesStraightToTheOrigin() {
-        assertEquals(ORIGIN_ID, new RouterFixture().withEndpoints().request(KEYED, 1).endpoint());
+    void passThroughRequestsGoStraightToTheOrigin() {
+        assertEquals(
+                ORIGIN_ID, new RouterFixture().withEndpoints().startRequest(KEYED, 1).endpoint());
     }
 
     /**
@@ -42,10 +43,10 @@
     @Test
     void aRequestThatIsNotIdempotentFailsOnceItMayHaveBeenExecuted() {
         RouterFixture fixture = new RouterFixture().withEndpoints();
-        StartAttempt attempt = fixture.request(NOT_IDEMPOTENT, 42);
+        StartAttempt attempt = fixture.startRequest(NOT_IDEMPOTENT, 42);
         List<RouterAction> actions =
                 fixture.complete(attempt, AttemptOutcome.RESET, CacheStatus.NONE, 5);
-        assertNull(attemptIn(actions));
+        assertNull(firstAttempt(actions));
         assertEquals(List.of(new FailRequest(attempt.id())), actions);
     }
 
@@ -54,12 +55,12 @@
      * so none is sent, and one that waits for its connection must not start after it.
      */
     @Test
-    void aRequestWithAKeyIsNotRepeatedPastItsWindow() {
+    void aRequestWithAnIdempotencyKeyIsNotRepeatedAfterItsWindow() {
         RouterFixture fixture = new RouterFixture().withEndpoints();
-        StartAttempt first = fixture.request(KEYED, 42);
+        StartAttempt first = fixture.startRequest(KEYED, 42);
         fixture.now += 100 * MS;
         StartAttempt repeat =
-                attemptIn(fixture.complete(first, AttemptOutcome.ERROR, CacheStatus.NONE, 100));
+                firstAttempt(fixture.complete(first, AttemptOutcome.ERROR, CacheStatus.NONE, 100));
         assertNotNull(repeat, "inside its window");
         assertEquals(
                 3000 * MS, first.startWithinNs(), "a first attempt may start until the deadline");
@@ -67,10 +68,10 @@
         fixture.now += 2000 * MS;
         List<RouterAction> actions =
                 fixture.complete(repeat, AttemptOutcome.ERROR, CacheStatus.NONE, 2000);
-        assertNull(attemptIn(actions));
+        assertNull(firstAttempt(actions));
         assertEquals(
                 1,
-                allOf(actions, RejectRequest.class).size(),
+                actionsOfType(actions, RejectRequest.class).size(),
                 "all endpoints share the key: a rejection is allowed");
     }
 
@@ -79,11 +80,11 @@
      * executed again, so the request must not be rejected as harmless.
      */
     @Test
-    void aRequestWithAKeyOfASmallScopeFailsOnceItMayHaveBeenExecuted() {
+    void aRequestWithAKeyOfCellScopeFailsOnceItMayHaveBeenExecuted() {
         RouterFixture fixture =
                 new RouterFixture(RouterFixture.settings(true, IdempotencyScope.CELL))
                         .withEndpoints();
-        StartAttempt attempt = fixture.request(KEYED, 42);
+        StartAttempt attempt = fixture.startRequest(KEYED, 42);
         List<RouterAction> actions =
                 fixture.complete(attempt, AttemptOutcome.ERROR, CacheStatus.NONE, 5);
         assertEquals(List.of(new FailRequest(attempt.id())), actions);
--- a/src/test/java/brooklock/routing/RouterFixture.java
+++ b/src/test/java/brooklock/routing/RouterFixture.java
@@ -24,7 +24,7 @@
     static final long ORIGIN_ID = 900;
 
     final Router router;
-    final Map<Long, Integer> attemptsByRequest = new HashMap<>();
+    final Map<Long, Integer> attemptCounts = new HashMap<>();
     long now = 1_000_000 * MS;
     private long lastRequestId;
 
@@ -125,7 +125,7 @@
         router.onEvent(now, event, actions);
         for (RouterAction action : actions) {
             if (action instanceof StartAttempt attempt) {
-                attemptsByRequest.merge(attempt.id(), 1, Integer::sum);
+                attemptCounts.merge(attempt.id(), 1, Integer::sum);
             }
         }
         return actions;
@@ -137,13 +137,13 @@
     }
 
     /** Sends a request in and returns its attempt, or null. */
-    StartAttempt request(int classIndex, long object) {
-        return attemptIn(onEvent(newRequest(classIndex, object)));
+    StartAttempt startRequest(int classIndex, long object) {
+        return firstAttempt(onEvent(newRequest(classIndex, object)));
     }
 
     /** Sends a request in and has it served at once, in time. */
-    StartAttempt requestServed(int classIndex, long object) {
-        StartAttempt attempt = request(classIndex, object);
+    StartAttempt serveRequest(int classIndex, long object) {
+        StartAttempt attempt = startRequest(classIndex, object);
         if (attempt != null) {
             complete(attempt, AttemptOutcome.OK, CacheStatus.HIT, 10);
         }
@@ -156,7 +156,7 @@
         return onEvent(
                 new AttemptCompleted(
                         attempt.id(),
-                        attemptsByRequest.get(attempt.id()) - 1,
+                        attemptCounts.get(attempt.id()) - 1,
                         attempt.endpoint(),
                         outcome,
                         status,
@@ -166,13 +166,13 @@
     }
 
     /** The first attempt among actions, or null. */
-    static StartAttempt attemptIn(List<RouterAction> actions) {
-        List<StartAttempt> attempts = allOf(actions, StartAttempt.class);
+    static StartAttempt firstAttempt(List<RouterAction> actions) {
+        List<StartAttempt> attempts = actionsOfType(actions, StartAttempt.class);
         return attempts.isEmpty() ? null : attempts.get(0);
     }
 
     /** The actions of one type, in order. */
-    static <T> List<T> allOf(List<RouterAction> actions, Class<T> type) {
+    static <T> List<T> actionsOfType(List<RouterAction> actions, Class<T> type) {
         return actions.stream().filter(type::isInstance).map(type::cast).toList();
     }
 }
--- a/src/test/java/brooklock/routing/RouterTest.java
+++ b/src/test/java/brooklock/routing/RouterTest.java
@@ -3,8 +3,8 @@
 import static brooklock.routing.RouterFixture.MS;
 import static brooklock.routing.RouterFixture.NOT_IDEMPOTENT;
 import static brooklock.routing.RouterFixture.PAGE;
-import static brooklock.routing.RouterFixture.allOf;
-import static brooklock.routing.RouterFixture.attemptIn;
+import static brooklock.routing.RouterFixture.actionsOfType;
+import static brooklock.routing.RouterFixture.firstAttempt;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -29,19 +29,20 @@
      * response, its attempt is cancelled, and its late outcome starts nothing.
      */
     @Test
-    void theDeadlineTimerEndsTheRequestAndNothingFollows() {
+    void theFinalResponseTimerEndsTheRequest() {
         RouterFixture fixture = new RouterFixture().withEndpoints();
         RequestReceived request = fixture.newRequest(PAGE, 42);
         List<RouterAction> actions = fixture.onEvent(request);
-        SetTimer last = allOf(actions, SetTimer.class).get(0);
+        SetTimer finalResponseTimer = actionsOfType(actions, SetTimer.class).get(0);
         assertTrue(
-                last.atNs() < request.deadlineNs() && last.atNs() > request.deadlineNs() - 20 * MS);
-        fixture.now = last.atNs();
-        actions = fixture.onEvent(new TimerFired(last.token()));
-        assertEquals(1, allOf(actions, RejectRequest.class).size());
-        assertEquals(1, allOf(actions, CancelAttempt.class).size());
+                finalResponseTimer.atNs() < request.deadlineNs()
+                        && finalResponseTimer.atNs() > request.deadlineNs() - 20 * MS);
+        fixture.now = finalResponseTimer.atNs();
+        actions = fixture.onEvent(new TimerFired(finalResponseTimer.token()));
+        assertEquals(1, actionsOfType(actions, RejectRequest.class).size());
+        assertEquals(1, actionsOfType(actions, CancelAttempt.class).size());
         fixture.complete(
-                attemptIn(fixture.onEvent(fixture.newRequest(PAGE, 43))),
+                firstAttempt(fixture.onEvent(fixture.newRequest(PAGE, 43))),
                 AttemptOutcome.ERROR,
                 CacheStatus.NONE,
                 1);
@@ -56,13 +57,13 @@
                                 1,
                                 0,
                                 true));
-        assertEquals(0, allOf(actions, StartAttempt.class).size());
+        assertEquals(0, actionsOfType(actions, StartAttempt.class).size());
     }
 
     @Test
-    void aRequestWhoseClientDisconnectedIsForgotten() {
+    void aRequestWhoseClientDisconnectedIsRemoved() {
         RouterFixture fixture = new RouterFixture().withEndpoints();
-        StartAttempt attempt = fixture.request(PAGE, 42);
+        StartAttempt attempt = fixture.startRequest(PAGE, 42);
         List<RouterAction> actions = fixture.onEvent(new ClientDisconnected(attempt.id()));
         assertEquals(List.of(new CancelAttempt(attempt.id(), 0)), actions);
         assertEquals(
@@ -72,21 +73,24 @@
     @Test
     void aResponseThatHasStartedIsNotCancelled() {
         RouterFixture fixture = new RouterFixture().withEndpoints();
-        StartAttempt attempt = fixture.request(NOT_IDEMPOTENT, 42);
+        StartAttempt attempt = fixture.startRequest(NOT_IDEMPOTENT, 42);
         assertEquals(
                 List.of(),
                 fixture.onEvent(new ResponseStarted(attempt.id(), 0, attempt.endpoint())));
     }
 
     @Test
-    void withNoUsableEndpointTheFinalResponseComesAtOnce() {
+    void aRequestWithoutUsableEndpointIsRejectedAtOnce() {
         RouterFixture fixture = new RouterFixture();
         RejectRequest rejected =
-                allOf(fixture.onEvent(fixture.newRequest(PAGE, 1)), RejectRequest.class).get(0);
+                actionsOfType(fixture.onEvent(fixture.newRequest(PAGE, 1)), RejectRequest.class)
+                        .get(0);
         assertTrue(rejected.retryAfterNs() > 0 && rejected.retryAfterNs() <= 500 * MS);
         assertEquals(
                 1,
-                allOf(fixture.onEvent(fixture.newRequest(NOT_IDEMPOTENT, 1)), RejectRequest.class)
+                actionsOfType(
+                                fixture.onEvent(fixture.newRequest(NOT_IDEMPOTENT, 1)),
+                                RejectRequest.class)
                         .size(),
                 "it was never executed");
     }
@@ -98,32 +102,33 @@
      * and after its attempt, its final response before the cancellations.
      */
     @Test
-    void theActionsOfOneWholeRequestComeInTheirOrder() {
+    void theActionsOfARequestAreInOrder() {
         RouterFixture fixture = new RouterFixture().withEndpoints();
         RequestReceived request = fixture.newRequest(PAGE, 42);
         List<RouterAction> actions = fixture.onEvent(request);
-        StartAttempt first = attemptIn(actions);
-        SetTimer last = allOf(actions, SetTimer.class).get(0);
-        SetTimer hedge = allOf(actions, SetTimer.class).get(1);
-        assertEquals(List.of(last, first, hedge), actions);
-        assertEquals(request.deadlineNs() - 2 * 2 * MS, last.atNs());
-        assertTrue(hedge.atNs() > fixture.now && hedge.atNs() < last.atNs());
+        StartAttempt first = firstAttempt(actions);
+        SetTimer finalResponseTimer = actionsOfType(actions, SetTimer.class).get(0);
+        SetTimer hedgeTimer = actionsOfType(actions, SetTimer.class).get(1);
+        assertEquals(List.of(finalResponseTimer, first, hedgeTimer), actions);
+        assertEquals(request.deadlineNs() - 2 * 2 * MS, finalResponseTimer.atNs());
+        assertTrue(
+                hedgeTimer.atNs() > fixture.now && hedgeTimer.atNs() < finalResponseTimer.atNs());
 
         fixture.now += 5 * MS;
         actions = fixture.complete(first, AttemptOutcome.ERROR, CacheStatus.NONE, 5);
-        StartAttempt second = attemptIn(actions);
+        StartAttempt second = firstAttempt(actions);
         assertEquals(List.of(second), actions, "retried at once, with no further timer");
         assertNotEquals(first.endpoint(), second.endpoint());
 
-        silence(fixture, second.endpoint());
-        fixture.now = Math.max(fixture.now, hedge.atNs());
-        actions = fixture.onEvent(new TimerFired(hedge.token()));
-        StartAttempt third = attemptIn(actions);
+        makeUnresponsive(fixture, second.endpoint());
+        fixture.now = Math.max(fixture.now, hedgeTimer.atNs());
+        actions = fixture.onEvent(new TimerFired(hedgeTimer.token()));
+        StartAttempt third = firstAttempt(actions);
         assertEquals(List.of(third), actions, "hedged: its endpoint is silent");
         assertNotEquals(second.endpoint(), third.endpoint());
 
-        fixture.now = last.atNs();
-        actions = fixture.onEvent(new TimerFired(last.token()));
+        fixture.now = finalResponseTimer.atNs();
+        actions = fixture.onEvent(new TimerFired(finalResponseTimer.token()));
         assertEquals(
                 List.of(
                         new RejectRequest(request.id(), 500 * MS),
@@ -140,10 +145,10 @@
     }
 
     /** Leaves two more attempts at an endpoint unanswered until it is taken for silent. */
-    private static void silence(RouterFixture fixture, long endpoint) {
+    private static void makeUnresponsive(RouterFixture fixture, long endpoint) {
         int open = 0;
         for (int object = 1000; open < 2 && object < 2000; object++) {
-            StartAttempt attempt = fixture.request(PAGE, object);
+            StartAttempt attempt = fixture.startRequest(PAGE, object);
             if (attempt.endpoint() == endpoint) {
                 open++;
             } else {
@@ -169,32 +174,33 @@
     }
 
     @Test
-    void theSameEventsGiveTheSameActionsWithOtherRoutersBeside() {
+    void theSameEventsGiveTheSameActionsDespiteOtherRouters() {
         RouterFixture one = new RouterFixture().withEndpoints();
-        RouterFixture beside = new RouterFixture().withEndpoints();
+        RouterFixture unrelated = new RouterFixture().withEndpoints();
         RouterFixture other = new RouterFixture().withEndpoints();
         Random random = new Random(5);
         for (int i = 0; i < 500; i++) {
             one.now += MS;
             other.now += MS;
             long object = random.nextInt(60);
-            beside.request(PAGE, object + 1);
+            unrelated.startRequest(PAGE, object + 1);
             List<RouterAction> ofOne = one.onEvent(one.newRequest(PAGE, object));
             List<RouterAction> ofOther = other.onEvent(other.newRequest(PAGE, object));
             assertEquals(ofOne, ofOther);
-            if (attemptIn(ofOne) != null && random.nextBoolean()) {
+            if (firstAttempt(ofOne) != null && random.nextBoolean()) {
                 assertEquals(
-                        one.complete(attemptIn(ofOne), AttemptOutcome.ERROR, CacheStatus.NONE, 3),
+                        one.complete(
+                                firstAttempt(ofOne), AttemptOutcome.ERROR, CacheStatus.NONE, 3),
                         other.complete(
-                                attemptIn(ofOther), AttemptOutcome.ERROR, CacheStatus.NONE, 3));
+                                firstAttempt(ofOther), AttemptOutcome.ERROR, CacheStatus.NONE, 3));
             }
         }
     }
 
     @Test
-    void randomEventsKeepTheRulesThatCanBeSeenHere() {
+    void randomEventsBreakNoRuleOfASingleRouter() {
         for (int seed = 1; seed <= 20; seed++) {
-            new RandomTraffic(seed).play();
+            new RandomTraffic(seed).run();
         }
     }
 }
--- a/src/test/java/brooklock/routing/SlowStartTest.java
+++ b/src/test/java/brooklock/routing/SlowStartTest.java
@@ -2,7 +2,7 @@
 
 import static brooklock.routing.RouterFixture.MS;
 import static brooklock.routing.RouterFixture.PAGE;
-import static brooklock.routing.RouterFixture.attemptIn;
+import static brooklock.routing.RouterFixture.firstAttempt;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import brooklock.routing.RouterAction.StartAttempt;
@@ -21,9 +21,9 @@
         RouterFixture fixture = new RouterFixture().withEndpoints();
         measureRates(fixture);
         fixture.changeEndpoints(RouterFixture.cache(12, EndpointState.READY, fixture.now));
-        long early = shareOf(fixture, 12, 2000);
+        long early = countRequestsServedBy(fixture, 12, 2000);
         fixture.now += 10_000 * MS;
-        long late = shareOf(fixture, 12, 2000);
+        long late = countRequestsServedBy(fixture, 12, 2000);
         assertTrue(early < 200, "of 500 due: " + early);
         assertTrue(late > early, early + " then " + late);
     }
@@ -39,20 +39,21 @@
         int resets = 0;
         for (int i = 0; resets < 4 && i < 4000; i++) {
             fixture.now += 5 * MS;
-            StartAttempt attempt = fixture.request(PAGE, i);
+            StartAttempt attempt = fixture.startRequest(PAGE, i);
             boolean reset = attempt.endpoint() == 12;
             resets += reset ? 1 : 0;
             AttemptOutcome outcome = reset ? AttemptOutcome.RESET : AttemptOutcome.OK;
-            StartAttempt next = attemptIn(fixture.complete(attempt, outcome, CacheStatus.HIT, 1));
+            StartAttempt next =
+                    firstAttempt(fixture.complete(attempt, outcome, CacheStatus.HIT, 1));
             if (next != null) {
                 fixture.complete(next, AttemptOutcome.OK, CacheStatus.HIT, 1);
             }
         }
         fixture.now += 1500 * MS;
-        long early = shareOf(fixture, 12, 2000);
+        long early = countRequestsServedBy(fixture, 12, 2000);
         assertTrue(early < 200, "of 500 due: " + early);
         fixture.now += 16_000 * MS;
-        assertTrue(shareOf(fixture, 12, 2000) > 300);
+        assertTrue(countRequestsServedBy(fixture, 12, 2000) > 300);
     }
 
     /**
@@ -72,7 +73,7 @@
         long sent = 0;
         for (int i = 0; i < 200; i++) {
             fixture.now += 5 * MS;
-            StartAttempt attempt = fixture.request(PAGE, i);
+            StartAttempt attempt = fixture.startRequest(PAGE, i);
             sent += attempt != null && attempt.endpoint() == 12 ? 1 : 0;
         }
         assertTrue(sent > 10 && sent < 100, "of 200, where a warm peer took 50: " + sent);
@@ -90,7 +91,7 @@
         long named = 0;
         for (int i = 0; i < 1000; i++) {
             fixture.now += 5 * MS;
-            StartAttempt attempt = fixture.request(PAGE, i);
+            StartAttempt attempt = fixture.startRequest(PAGE, i);
             named += attempt.fillSource() == 801 ? 1 : 0;
             fixture.complete(attempt, AttemptOutcome.OK, CacheStatus.FILLED_BY_PARENT, 20);
         }
@@ -103,20 +104,20 @@
      * capacity.
      */
     @Test
-    void theBudgetsOfManyDispatchersHoldInSumForOneCacheAndForARack() {
+    void theBudgetsOfAllDispatchersTogetherStayBelowTheOverloadMultiple() {
         for (int restarted = 1; restarted <= 3; restarted += 2) {
             List<RouterFixture> dispatchers = new ArrayList<>();
             for (int i = 0; i < 100; i++) {
                 dispatchers.add(new RouterFixture().withEndpoints());
             }
-            int warm = sentTo(dispatchers, 11, 15, 20, 0) / 4 / 20;
+            int warm = countAttemptsTo(dispatchers, 11, 15, 20, 0) / 4 / 20;
             for (RouterFixture dispatcher : dispatchers) {
                 for (long id = 15L - restarted; id <= 14; id++) {
                     dispatcher.changeEndpoints(
                             RouterFixture.cache(id, EndpointState.READY, dispatcher.now));
                 }
             }
-            int warming = sentTo(dispatchers, 15 - restarted, 15, 4, 100) / restarted;
+            int warming = countAttemptsTo(dispatchers, 15 - restarted, 15, 4, 100) / restarted;
             assertTrue(
                     warming <= 2 * 4 * warm * (0.2 + 0.8 * 4 / 15),
                     restarted + " restarted: " + warming + " of " + warm);
@@ -129,15 +130,18 @@
         for (int i = 0; i < 4000; i++) {
             fixture.now += 5 * MS;
             fixture.complete(
-                    fixture.request(PAGE, i), AttemptOutcome.OK, CacheStatus.FILLED_BY_PARENT, 20);
+                    fixture.startRequest(PAGE, i),
+                    AttemptOutcome.OK,
+                    CacheStatus.FILLED_BY_PARENT,
+                    20);
         }
     }
 
-    private static long shareOf(RouterFixture fixture, long endpoint, int requests) {
+    private static long countRequestsServedBy(RouterFixture fixture, long endpoint, int requests) {
         long sent = 0;
         for (int i = 0; i < requests; i++) {
             fixture.now += MS;
-            sent += fixture.requestServed(PAGE, i).endpoint() == endpoint ? 1 : 0;
+            sent += fixture.serveRequest(PAGE, i).endpoint() == endpoint ? 1 : 0;
         }
         return sent;
     }
@@ -146,14 +150,14 @@
      * Each router gets two requests a second for so long, served at once; counts those to [from,
      * to).
      */
-    private static int sentTo(
+    private static int countAttemptsTo(
             List<RouterFixture> dispatchers, long from, long to, int seconds, int offset) {
         int count = 0;
         for (int i = 0; i < 2 * seconds; i++) {
             for (RouterFixture dispatcher : dispatchers) {
                 dispatcher.now += 500 * MS;
                 long object = 10_000 + 7919L * dispatchers.indexOf(dispatcher) + offset + i;
-                StartAttempt attempt = dispatcher.requestServed(PAGE, object);
+                StartAttempt attempt = dispatcher.serveRequest(PAGE, object);
                 count +=
                         attempt != null && attempt.endpoint() >= from && attempt.endpoint() < to
                                 ? 1
--- a/src/test/java/brooklock/simulator/ActionEncoderTest.java
+++ b/src/test/java/brooklock/simulator/ActionEncoderTest.java
@@ -11,7 +11,7 @@
 /** Actions as the simulator reads them, byte by byte. */
 class ActionEncoderTest {
     @Test
-    void actionsAreEncodedAsTheWireHasThem() {
+    void actionsAreEncodedInTheWireFormat() {
         ActionEncoder encoder = new ActionEncoder();
         encoder.add(
                 3,
--- a/src/test/java/brooklock/simulator/SimulatorHostTest.java
+++ b/src/test/java/brooklock/simulator/SimulatorHostTest.java
@@ -4,7 +4,7 @@
 import static brooklock.simulator.TestRecords.frame;
 import static brooklock.simulator.TestRecords.hex;
 import static brooklock.simulator.TestRecords.record;
-import static brooklock.simulator.TestRecords.start;
+import static brooklock.simulator.TestRecords.startRecord;
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -26,48 +26,58 @@
         return out.toByteArray();
     }
 
-    private static String malformed(byte[] input) {
+    private static String malformedMessage(byte[] input) {
         return assertThrows(MalformedFrameException.class, () -> serve(input)).getMessage();
     }
 
     @Test
-    void anEmptyBatchGetsAnEmptyReplyAndTheEndOfInputIsQuiet() throws IOException {
+    void anEmptyBatchGetsAnEmptyReplyAndEndOfInputIsNoError() throws IOException {
         assertArrayEquals(EMPTY_REPLY, serve(frame()));
     }
 
     @Test
     void anInstanceIsStoppedAndStartedInOneBatch() throws IOException {
         byte[] stop = record(25, hex("03000000"));
-        assertArrayEquals(EMPTY_REPLY, serve(frame(start(3, SETTINGS), stop, start(3, SETTINGS))));
+        assertArrayEquals(
+                EMPTY_REPLY,
+                serve(frame(startRecord(3, SETTINGS), stop, startRecord(3, SETTINGS))));
     }
 
     @Test
     void aTruncatedFrameIsReported() {
-        byte[] whole = frame(start(3, SETTINGS));
-        assertTrue(malformed(Arrays.copyOf(whole, 7)).contains("truncated frame: header has 7"));
-        assertTrue(malformed(Arrays.copyOf(whole, 40)).contains("truncated frame: body has 28"));
+        byte[] complete = frame(startRecord(3, SETTINGS));
+        assertTrue(
+                malformedMessage(Arrays.copyOf(complete, 7))
+                        .contains("truncated frame: header has 7"));
+        assertTrue(
+                malformedMessage(Arrays.copyOf(complete, 40))
+                        .contains("truncated frame: body has 28"));
     }
 
     @Test
     void anUnknownCodeIsReported() {
         assertTrue(
-                malformed(frame(record(99, hex("03000000"))))
+                malformedMessage(frame(record(99, hex("03000000"))))
                         .contains("record at byte 0: unknown event code 99"));
     }
 
     @Test
     void aFieldPastItsRecordIsReported() {
-        String message = malformed(frame(start(3, SETTINGS), record(21, hex("03000000 0102"))));
+        String message =
+                malformedMessage(frame(startRecord(3, SETTINGS), record(21, hex("03000000 0102"))));
         assertTrue(
                 message.contains("code 21") && message.contains("runs past the record"), message);
-        assertTrue(malformed(frame(hex("15 ff000000 03000000"))).contains("runs past the frame"));
+        assertTrue(
+                malformedMessage(frame(hex("15 ff000000 03000000")))
+                        .contains("runs past the frame"));
     }
 
     @Test
     void settingsThatCannotBeParsedAreReported() {
-        assertTrue(malformed(frame(start(3, "{\"lanes\": 1,"))).contains("(settings)"));
         assertTrue(
-                malformed(frame(start(3, "{\"lanes\": [{\"effect\": \"odd\"}]}")))
+                malformedMessage(frame(startRecord(3, "{\"lanes\": 1,"))).contains("(settings)"));
+        assertTrue(
+                malformedMessage(frame(startRecord(3, "{\"lanes\": [{\"effect\": \"odd\"}]}")))
                         .contains("unknown effect 'odd'"));
     }
 
@@ -78,7 +88,7 @@
                 hex(
                         "12 2c000000 03000000 c4913a5d3ef60e00 01 0000 00004040 05 00003041"
                                 + "640ad2557c3bf091 00002044 90dbb60302000000");
-        byte[] reply = serve(frame(start(3, SETTINGS), request));
+        byte[] reply = serve(frame(startRecord(3, SETTINGS), request));
         assertEquals(25, reply[4]);
     }
 }
--- a/src/test/java/brooklock/simulator/TestRecords.java
+++ b/src/test/java/brooklock/simulator/TestRecords.java
@@ -14,7 +14,7 @@
              "extra": {"secondTierKind": 1, "storeKind": 2, "passThroughOk": true, "unheardOf": [1]},
              "limits": {"tryLimit": 6}, "tickNs": 2000000, "zone": 1, "machineTypes": ["c", "p", "o"]}""";
 
-    private static final int START = 16;
+    private static final int EVENT_START = 16;
 
     private TestRecords() {}
 
@@ -32,10 +32,10 @@
     }
 
     /** A record that starts an instance. */
-    static byte[] start(int instance, String settings) {
+    static byte[] startRecord(int instance, String settings) {
         byte[] text = settings.getBytes(StandardCharsets.UTF_8);
         return record(
-                START,
+                EVENT_START,
                 littleEndian(16 + text.length)
                         .putInt(instance)
                         .putLong(9)
