--- a/src/main/java/brooklock/simulator/ActionEncoder.java
+++ b/src/main/java/brooklock/simulator/ActionEncoder.java
@@ -6,7 +6,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 
-/** Encodes the actions of one reply. */
+/** Encodes the actions of one reply. A new encoder is created for each reply. */
 final class ActionEncoder {
     private static final int ACTION_REJECT = 17;
     private static final int ACTION_FAIL = 18;
@@ -21,16 +21,18 @@
 
     private static final int INITIAL_BYTES = 1 << 12;
 
-    /** The frame's length before all records, and code and length before each of them. */
+    /** Length of the frame's header, which is the length of all records. */
     private static final int LENGTH_BYTES = 4;
 
+    /** Length of a record's header: its code and the length of its fields. */
     private static final int HEADER_BYTES = 5;
+
     private static final int MAX_TEXT_BYTES = 0xffff;
 
     private ByteBuffer out =
             ByteBuffer.allocate(INITIAL_BYTES).order(ByteOrder.LITTLE_ENDIAN).putInt(0);
 
-    /** Adds an action of an instance. */
+    /** Adds an action of a router instance. */
     void add(int instance, RouterAction action) {
         if (action instanceof RouterAction.StartAttempt start) {
             int bits =
@@ -63,7 +65,7 @@
         }
     }
 
-    /** Adds the report that an instance has failed. */
+    /** Adds a report that a router instance has failed. The reason is cut to 65535 bytes. */
     void addInstanceFailed(int instance, String reason) {
         byte[] text = reason.getBytes(StandardCharsets.UTF_8);
         int count = Math.min(text.length, MAX_TEXT_BYTES);
@@ -72,7 +74,7 @@
                 .put(text, 0, count);
     }
 
-    /** The reply's frame. */
+    /** Returns the frame of the reply. */
     byte[] toFrame() {
         out.putInt(0, out.position() - LENGTH_BYTES);
         return Arrays.copyOf(out.array(), out.position());
--- a/src/main/java/brooklock/simulator/EventDecoder.java
+++ b/src/main/java/brooklock/simulator/EventDecoder.java
@@ -13,7 +13,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Decodes the records of one batch to events of the router. */
+/** Decodes the records of one batch to router events. A new decoder is created for each batch. */
 final class EventDecoder {
     private static final int EVENT_START = 16;
     private static final int EVENT_ENDPOINT_LIST = 17;
@@ -27,12 +27,12 @@
     private static final int EVENT_STOP = 25;
     private static final int EVENT_PURGE = 26;
 
-    /** Code and length before each record. */
+    /** Length of a record's header: its code and the length of its fields. */
     private static final int HEADER_BYTES = 5;
 
     private static final int CLIENT_RETRY_BIT = 2;
 
-    // The wire numbers these as the router declares them.
+    // The wire format uses the ordinals of these enums.
     private static final EndpointListKind[] LIST_KINDS = EndpointListKind.values();
     private static final EndpointState[] STATES = EndpointState.values();
     private static final CacheStatus[] CACHE_STATUSES = CacheStatus.values();
@@ -43,7 +43,11 @@
     private int code;
     private int instance;
 
-    /** Creates a decoder; {@code body} is what follows the frame's header. */
+    /**
+     * Creates a new decoder.
+     *
+     * @param body the bytes of the batch after the frame's header
+     */
     EventDecoder(byte[] body) {
         fields = new FieldBuffer(body);
     }
@@ -52,7 +56,7 @@
      * Moves to the next record.
      *
      * @return false at the end of the batch
-     * @throws MalformedFrameException if the record runs past the frame, or has an unknown code
+     * @throws MalformedFrameException if the record extends beyond the frame or has an unknown code
      */
     boolean nextRecord() {
         recordStart = recordEnd;
@@ -61,7 +65,12 @@
             return false;
         }
         if (available < HEADER_BYTES) {
-            throw malformed("header runs past the frame");
+            throw malformed(
+                    "a header of "
+                            + HEADER_BYTES
+                            + " bytes runs past the frame, which has "
+                            + available
+                            + " more bytes");
         }
         fields.moveTo(recordStart, fields.capacity());
         code = fields.readByte();
@@ -74,18 +83,26 @@
                             + code
                             + "): length "
                             + Integer.toUnsignedString(length)
-                            + " runs past the frame");
+                            + " runs past the frame, which has "
+                            + (available - HEADER_BYTES)
+                            + " more bytes");
         }
         recordEnd = recordStart + HEADER_BYTES + length;
         fields.limit(recordEnd);
         if (code < EVENT_START || code > EVENT_PURGE) {
-            throw malformed("unknown event code " + code);
+            throw malformed(
+                    "expected an event code from "
+                            + EVENT_START
+                            + " to "
+                            + EVENT_PURGE
+                            + " but received "
+                            + code);
         }
         instance = readInRecord(fields::readInt);
         return true;
     }
 
-    /** The router instance that the record is for. */
+    /** Returns the router instance to which the record belongs. */
     int instance() {
         return instance;
     }
@@ -98,7 +115,11 @@
         return code == EVENT_STOP;
     }
 
-    /** The settings of a start record. */
+    /**
+     * Returns the settings of a start record.
+     *
+     * @throws MalformedFrameException if the settings are not valid JSON or have an invalid value
+     */
     RouterSettings settings() {
         return readInRecord(
                 () -> {
@@ -116,7 +137,12 @@
                 });
     }
 
-    /** The event of any other record, or null for one that no router uses. */
+    /**
+     * Returns the event of a record that is neither a start nor a stop record, or null if no router
+     * uses it.
+     *
+     * @throws MalformedFrameException if a field extends beyond the record or has an unknown value
+     */
     RouterEvent event() {
         return readInRecord(
                 () ->
@@ -136,7 +162,11 @@
                             case EVENT_HEALTH_CHECK_DONE -> skipHealthCheck();
                             case EVENT_PEER_MESSAGE -> skipPeerMessage();
                             case EVENT_PURGE -> decodePurge();
-                            default -> throw malformed("unknown event code " + code);
+                            default ->
+                                    throw malformed(
+                                            "expected an event other than start and stop but"
+                                                    + " received code "
+                                                    + code);
                         });
     }
 
@@ -153,7 +183,8 @@
                             + recordStart
                             + " (code "
                             + code
-                            + "): a field runs past the record",
+                            + "): a field runs past the record, which ends at byte "
+                            + recordEnd,
                     e);
         }
     }
@@ -165,13 +196,21 @@
     private RouterEvent decodeEndpointList() {
         int kind = fields.readByte();
         if (kind >= LIST_KINDS.length) {
-            throw malformed("unknown list kind " + kind);
+            throw malformed(
+                    "expected an endpoint list kind from 0 to "
+                            + (LIST_KINDS.length - 1)
+                            + " but received "
+                            + kind);
         }
         fields.optionalLong();
         int count = fields.optionalInt();
         if (count < 0 || count > fields.remaining()) {
             throw malformed(
-                    "list of " + Integer.toUnsignedString(count) + " entries runs past the record");
+                    "an endpoint list of "
+                            + Integer.toUnsignedString(count)
+                            + " entries runs past the record, which has "
+                            + fields.remaining()
+                            + " more bytes");
         }
         List<Endpoint> endpoints = new ArrayList<>(count);
         for (int i = 0; i < count; i++) {
@@ -189,7 +228,11 @@
 
     private EndpointState decodeState(int value) {
         if (value >= STATES.length) {
-            throw malformed("unknown endpoint state " + value);
+            throw malformed(
+                    "expected an endpoint state from 0 to "
+                            + (STATES.length - 1)
+                            + " but received "
+                            + value);
         }
         return STATES[value];
     }
@@ -233,7 +276,7 @@
                 requestFinished);
     }
 
-    // No router requests health checks; the fields are read so that a wrong one is found.
+    // No router requests health checks. The fields are read so that a malformed one is reported.
     private RouterEvent skipHealthCheck() {
         fields.readInt();
         decodeOutcome(fields.readShort());
@@ -272,7 +315,11 @@
             case 70 -> AttemptOutcome.CANCELLED;
             case 80 -> AttemptOutcome.NOT_STARTED;
             case 90 -> AttemptOutcome.CACHE_MISS;
-            default -> throw malformed("unknown outcome " + value);
+            default ->
+                    throw malformed(
+                            "expected an attempt outcome of 10, 20, 30, 40, 50, 60, 70, 80 or 90"
+                                    + " but received "
+                                    + value);
         };
     }
 }
--- a/src/main/java/brooklock/simulator/FieldBuffer.java
+++ b/src/main/java/brooklock/simulator/FieldBuffer.java
@@ -5,9 +5,9 @@
 import java.nio.ByteOrder;
 
 /**
- * Reads the little-endian fields of one record after another. Reading past the record throws {@link
- * BufferUnderflowException}; the {@code optional} methods read 0 there, since senders may leave off
- * the last fields of a record.
+ * Reads the little-endian fields of a sequence of records. Reading beyond the end of the record
+ * throws {@link BufferUnderflowException}; the {@code optional} methods return 0 at the end of the
+ * record, because senders may omit the last fields.
  */
 final class FieldBuffer {
     private final ByteBuffer buffer;
@@ -16,17 +16,17 @@
         buffer = ByteBuffer.wrap(body).order(ByteOrder.LITTLE_ENDIAN);
     }
 
-    /** Bytes of all records. */
+    /** Returns the length of all records in bytes. */
     int capacity() {
         return buffer.capacity();
     }
 
-    /** Moves to a field; it and what follows may extend to {@code limit}. */
+    /** Moves to a position and sets the end of the readable bytes to {@code limit}. */
     void moveTo(int position, int limit) {
         buffer.limit(limit).position(position);
     }
 
-    /** Sets the end of the record. */
+    /** Sets the end of the present record. */
     void limit(int limit) {
         buffer.limit(limit);
     }
--- a/src/main/java/brooklock/simulator/MalformedFrameException.java
+++ b/src/main/java/brooklock/simulator/MalformedFrameException.java
@@ -1,6 +1,9 @@
 package brooklock.simulator;
 
-/** Input that is not of the wire's form; the message says what is wrong and where. */
+/**
+ * Thrown if input of the simulator does not have the wire format. The message states what is wrong
+ * and, if known, where.
+ */
 public final class MalformedFrameException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/brooklock/simulator/SettingsDecoder.java
+++ b/src/main/java/brooklock/simulator/SettingsDecoder.java
@@ -10,8 +10,8 @@
 import java.util.List;
 
 /**
- * Decodes the router's settings from JSON, as the simulator and the operators' platform write them.
- * An absent field reads as 0, false or empty.
+ * Decodes the router's settings from JSON, in the form that the simulator and the operators'
+ * platform write. A missing field is read as 0, false or empty.
  */
 public final class SettingsDecoder {
     private static final String LIMITS = "limits";
@@ -41,7 +41,7 @@
     private static final String DISCOVERY = "discovery";
     private static final String TICK_NS = "tickNs";
 
-    /** What the caches add to the settings of a plain balancer. */
+    /** The object with the settings for caches; the others apply to any load balancer. */
     private static final String EXTRA = "extra";
 
     private static final String PARENT_INITIAL_CAPACITY = "parentStartsAt";
@@ -57,7 +57,7 @@
     private static final String DIRECT_ORIGIN_ALLOWED = "passThroughOk";
     private static final String TRANSFER_KB_PER_SECOND = "oneFlowKbPerS";
 
-    /** The machine kind where there are no parents, or no origin. */
+    /** The kind of parents, or of the origin, in a deployment without them. */
     private static final int NO_KIND = -1;
 
     private SettingsDecoder() {}
@@ -65,8 +65,10 @@
     /**
      * Decodes settings.
      *
-     * @throws IllegalArgumentException if a word is unknown
-     * @throws IllegalStateException if a value has another type than it should
+     * @param settings the settings as a JSON object
+     * @return the settings of a router
+     * @throws IllegalArgumentException if the idempotency of a class is unknown
+     * @throws IllegalStateException if a value does not have the expected type
      */
     public static RouterSettings decode(JsonObject settings) {
         JsonObject extra = object(settings, EXTRA);
@@ -131,7 +133,10 @@
             case "read_like" -> Idempotency.IDEMPOTENT;
             case "idempotency_key" -> Idempotency.IDEMPOTENCY_KEY;
             case "non_idempotent" -> Idempotency.NOT_IDEMPOTENT;
-            default -> throw new IllegalArgumentException("unknown effect '" + value + "'");
+            default ->
+                    throw new IllegalArgumentException(
+                            "expected the effect read_like, idempotency_key or non_idempotent but"
+                                    + " received '%.40s'".formatted(value));
         };
     }
 
--- a/src/main/java/brooklock/simulator/SimulatorHost.java
+++ b/src/main/java/brooklock/simulator/SimulatorHost.java
@@ -15,11 +15,11 @@
 import java.util.Map;
 
 /**
- * Runs instances of {@link Router} for a simulator: one reply a batch, one router an instance,
- * nothing shared between instances.
+ * Runs {@link Router} instances for a simulator. Each batch of records gets one reply; instances
+ * share no state. Not thread-safe.
  */
 public final class SimulatorHost {
-    /** Length and clock before each batch. */
+    /** Length of a batch's header: the length of its records and the clock. */
     private static final int HEADER_BYTES = 12;
 
     private final Map<Integer, Router> instances = new HashMap<>();
@@ -27,7 +27,10 @@
     /**
      * Serves batches until the input ends between two frames.
      *
-     * @throws MalformedFrameException if the input is not of the wire's form; it cannot be read on
+     * @param in the stream of batches
+     * @param out the stream to which replies are written; it is flushed after each reply
+     * @throws MalformedFrameException if the input does not have the wire format; the position in
+     *     the stream is lost then
      * @throws IOException if reading or writing fails
      */
     public void serve(InputStream in, OutputStream out) throws IOException {
@@ -46,12 +49,15 @@
                                 + " bytes");
             }
             ByteBuffer fields = ByteBuffer.wrap(header).order(ByteOrder.LITTLE_ENDIAN);
-            // The length counts everything after itself and the clock.
+            // The length does not include the header.
             int length = fields.getInt();
             long nowNs = fields.getLong();
             if (length < 0) {
                 throw new MalformedFrameException(
-                        "frame length " + Integer.toUnsignedString(length) + " is too long");
+                        "expected a frame length of at most "
+                                + Integer.MAX_VALUE
+                                + " bytes but received "
+                                + Integer.toUnsignedString(length));
             }
             byte[] body = in.readNBytes(length);
             if (body.length < length) {
@@ -63,7 +69,7 @@
         }
     }
 
-    /** Decides one batch and returns the frame of the reply. */
+    /** Processes the records of one batch and returns the frame of the reply. */
     byte[] decideBatch(long nowNs, byte[] body) {
         EventDecoder decoder = new EventDecoder(body);
         ActionEncoder encoder = new ActionEncoder();
@@ -100,7 +106,7 @@
         void decide(List<RouterAction> actions);
     }
 
-    // A fault of one router is reported for its instance; the others go on.
+    // An exception of one router is reported for its instance; the other instances continue.
     private static void decide(int instance, ActionEncoder encoder, Decision decision) {
         List<RouterAction> actions = new ArrayList<>();
         try {
--- a/src/main/java/brooklock/simulator/package-info.java
+++ b/src/main/java/brooklock/simulator/package-info.java
@@ -1,9 +1,9 @@
 /**
  * The adapter to the users' simulator: {@link brooklock.simulator.SimulatorHost} runs {@link
- * brooklock.routing.Router}s on a stream of binary frames. The wire's own words are mapped to the
- * router's terms in the codec classes and appear nowhere else; every decision is the router's.
+ * brooklock.routing.Router}s on a stream of binary frames. The codec classes map the names of the
+ * wire format to the router's terms; no other class uses them. All decisions are the router's.
  *
- * <p>Depends on {@code routing} and the JSON parser alone, so that the command {@code wirehost}
- * loads nothing of the rest. Used by one thread.
+ * <p>Depends only on {@code routing} and the JSON parser, so that the command {@code wirehost}
+ * loads no other classes. Not thread-safe: one thread uses all objects of a host.
  */
 package brooklock.simulator;
--- a/src/test/java/brooklock/routing/CacheSelectorTest.java
+++ b/src/test/java/brooklock/routing/CacheSelectorTest.java
@@ -15,11 +15,11 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** Which edge cache a request goes to. */
+/** Tests which edge cache a request goes to. */
 class CacheSelectorTest {
     /**
-     * A cache leaves the list. Only its own objects may move: the others have their copies where
-     * they are.
+     * A cache leaves the list. Only the objects that it served may move, because the other caches
+     * have the copies of theirs.
      */
     @Test
     void losingOneCacheMovesOnlyItsObjects() {
@@ -40,9 +40,9 @@
     }
 
     /**
-     * One cache after the other is ejected, the nearest to an object first. The next in the
-     * rendezvous order takes over each time, also far down the list, where the caches are sorted
-     * and no longer picked one by one.
+     * One cache after the other is ejected, in the rendezvous order of an object. The next cache in
+     * that order must be selected each time, also at positions where the caches are sorted and no
+     * longer selected one by one.
      */
     @Test
     void theNextCacheInRendezvousOrderIsSelectedHoweverManyAreEjected() {
--- a/src/test/java/brooklock/routing/ConcurrencyLimitTest.java
+++ b/src/test/java/brooklock/routing/ConcurrencyLimitTest.java
@@ -6,7 +6,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** The limit on the work in flight on one link. */
+/** Tests the limit on the work in flight on one link. */
 class ConcurrencyLimitTest {
     private static final double REQUEST_NS = 10 * MS;
 
@@ -20,8 +20,8 @@
     }
 
     /**
-     * A link jams: all its responses are late. The limit shrinks, yet two mean requests always stay
-     * admitted, because only their responses can show that the jam is over.
+     * All responses of a link are late. The limit must fall, but not below two mean requests,
+     * because only their responses can show that the congestion has ended.
      */
     @Test
     void aCongestedLinkStaysOpenForTwoMeanRequests() {
@@ -33,10 +33,10 @@
         limit.acquire(REQUEST_NS);
         assertTrue(limit.admits(REQUEST_NS, 0));
         limit.acquire(REQUEST_NS);
-        assertFalse(limit.admits(REQUEST_NS, 0), "a third waits");
+        assertFalse(limit.admits(REQUEST_NS, 0), "a third request is not admitted");
     }
 
-    /** The jam is over: responses in time widen the limit again while it is used. */
+    /** The congestion has ended: responses in time must raise the limit again while it is used. */
     @Test
     void responsesInTimeRaiseTheLimitAgain() {
         ConcurrencyLimit limit = ConcurrencyLimit.forCache();
@@ -48,8 +48,9 @@
     }
 
     /**
-     * Four hundred dispatchers share an origin that fails, so each one's part of its floor is far
-     * less than a request. One request is admitted, then the limit pauses until its mean is kept.
+     * Four hundred dispatchers share an origin that fails, so the minimum of each one's limit is
+     * far below one request. One request must be admitted, followed by a pause until the mean work
+     * in flight is down to the limit.
      */
     @Test
     void aLimitSmallerThanARequestAdmitsOneAndThenPauses() {
@@ -60,13 +61,13 @@
         limit.acquire(REQUEST_NS);
         assertFalse(limit.admits(REQUEST_NS, 0), "one is in flight");
         limit.release(REQUEST_NS, 0);
-        assertFalse(limit.admits(REQUEST_NS, 989 * MS), "the mean is not kept yet");
+        assertFalse(limit.admits(REQUEST_NS, 989 * MS), "the mean is still above the limit");
         assertTrue(limit.admits(REQUEST_NS, 991 * MS));
     }
 
     /**
-     * The sizes of responses are not known, and large ones take long. They show whether the link is
-     * late, but must not shut it.
+     * Responses of unknown size may be late only because they are large. They must count for the
+     * congestion of a link but must not lower its limit.
      */
     @Test
     void responsesOfUnknownSizeDoNotChangeTheLimit() {
--- a/src/test/java/brooklock/routing/EndpointTableTest.java
+++ b/src/test/java/brooklock/routing/EndpointTableTest.java
@@ -11,10 +11,11 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Which endpoints are used after a change of the list. */
+/** Tests which endpoints are used after a change of the endpoint list. */
 class EndpointTableTest {
     /**
-     * A cache and a parent drain. From that event on neither gets a request or is named for a fill.
+     * A cache and a parent start draining. From that event on neither may get a request or be named
+     * as a fill source.
      */
     @Test
     void aDrainingEndpointIsNoLongerUsedAsTargetOrFillSource() {
@@ -29,7 +30,10 @@
         }
     }
 
-    /** A full list no longer names an endpoint: it is gone, though no change ever said so. */
+    /**
+     * A full list no longer contains an endpoint. The endpoint is gone even though no change
+     * reported it.
+     */
     @Test
     void anEndpointMissingFromAFullListIsGone() {
         RouterFixture fixture = new RouterFixture().withEndpoints();
@@ -47,8 +51,8 @@
     }
 
     /**
-     * The subscription to the list failed. The last list stays in force, and a new subscription is
-     * requested.
+     * The subscription to the endpoint list fails. The last list must stay in use, and a new
+     * subscription must be requested.
      */
     @Test
     void aFailedSubscriptionIsRenewedAndTheListStays() {
--- a/src/test/java/brooklock/routing/FillAdmissionTest.java
+++ b/src/test/java/brooklock/routing/FillAdmissionTest.java
@@ -14,11 +14,11 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** How far requests may reach while links are jammed. */
+/** Tests which tiers requests may use while links are congested. */
 class FillAdmissionTest {
     /**
-     * Fills come late: the link into the zone is jammed. Requests look for a cached copy first, so
-     * that hits are served however jammed the fills are.
+     * Fills are late because the link into the zone is congested. Requests must be limited to
+     * cached copies first, so that hits are still served.
      */
     @Test
     void requestsAreLimitedToCachedCopiesWhileTheFillLinkIsCongested() {
@@ -33,8 +33,8 @@
     }
 
     /**
-     * Clients leave early and connections come up late. Neither says that a link is slow, so no
-     * limit may shut and requests reach as far as before.
+     * Clients disconnect early and connections are established late. Neither shows that a link is
+     * slow, so no limit may be lowered and fills must stay admitted.
      */
     @Test
     void disconnectedClientsAndAttemptsNeverStartedLowerNoLimit() {
@@ -63,13 +63,14 @@
         for (int i = 0; i < 20; i++) {
             RequestReceived request = withoutSize(fixture.newRequest(PAGE, 12_000 + i));
             StartAttempt attempt = firstAttempt(fixture.onEvent(request));
-            assertTrue(attempt.fillsOnMiss(), "a fill is allowed with the request");
+            assertTrue(attempt.fillsOnMiss(), "the attempt allows a fill");
         }
     }
 
     /**
-     * The origin fails. Each dispatcher keeps its limit open for a few requests to notice the end;
-     * of hundreds of dispatchers these would be a load again, so each has only its part.
+     * The origin fails. Each dispatcher keeps admitting a few requests to it to detect its
+     * recovery. With hundreds of dispatchers these would be a considerable load, so each dispatcher
+     * gets only its share of them.
      */
     @Test
     void theMinimaOfAllDispatchersAtTheOriginAddUpToFewRequests() {
@@ -78,8 +79,8 @@
     }
 
     /**
-     * The origin's limit is narrower than one request. What little it takes goes to objects that
-     * are requested again; others wait.
+     * The origin's limit is smaller than one request. Its capacity must go to objects that are
+     * requested again; others are not admitted to it.
      */
     @Test
     void onlyHotObjectsAreFilledWhileTheOriginLimitIsSmallerThanARequest() {
--- a/src/test/java/brooklock/routing/FillSourceSelectorTest.java
+++ b/src/test/java/brooklock/routing/FillSourceSelectorTest.java
@@ -10,11 +10,11 @@
 import brooklock.routing.RouterAction.StartAttempt;
 import org.junit.jupiter.api.Test;
 
-/** Where a miss is filled from. */
+/** Tests which fill source is selected for a miss. */
 class FillSourceSelectorTest {
     /**
-     * All parents reject fills, because the origin behind them is overloaded. Direct fills would
-     * push the origin further, so the parents are still named.
+     * All parents reject fills because the origin behind them is overloaded. Direct fills would
+     * increase its load, so the parents must still be selected.
      */
     @Test
     void ejectedParentsAreSelectedBeforeTheOrigin() {
@@ -31,8 +31,8 @@
     }
 
     /**
-     * The parents are dead: fills fail within the time of a connection. Here the origin is not the
-     * cause, and without it nothing would be served.
+     * The parents are down: fills fail within the connect timeout. The origin is not the cause, and
+     * without it no request would be served.
      */
     @Test
     void theOriginIsSelectedIfAllParentsAreUnreachable() {
--- a/src/test/java/brooklock/routing/HedgingPolicyTest.java
+++ b/src/test/java/brooklock/routing/HedgingPolicyTest.java
@@ -18,7 +18,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** When a second attempt goes out beside the first. */
+/** Tests when a second attempt is started beside the first. */
 class HedgingPolicyTest {
     @Test
     void noRequestIsHedgedIfHedgingIsNotAllowed() {
@@ -26,12 +26,16 @@
                 new RouterFixture(RouterFixture.settings(false, IdempotencyScope.ALL))
                         .withEndpoints();
         List<RouterAction> actions = fixture.onEvent(fixture.newRequest(PAGE, 42));
-        assertEquals(1, actionsOfType(actions, SetTimer.class).size(), "the deadline's alone");
+        assertEquals(
+                1,
+                actionsOfType(actions, SetTimer.class).size(),
+                "only the timer of the final response");
     }
 
     /**
-     * Endpoints fall silent: requests pile up there without a word. Those are hedged. A single late
-     * request is not, as its second attempt would load a jammed link twice.
+     * Endpoints become unresponsive, so that several requests stay open without any outcome. Those
+     * requests must be hedged. A single late request must not, because a second attempt would load
+     * a congested link twice.
      */
     @Test
     void aRequestIsHedgedIfItsEndpointIsUnresponsiveButNotIfItIsOnlyLate() {
@@ -42,7 +46,7 @@
         fixture.now = hedgeTimer.atNs();
         assertNull(
                 firstAttempt(fixture.onEvent(new TimerFired(hedgeTimer.token()))),
-                "late, but not at a silent endpoint");
+                "late, but not at an unresponsive endpoint");
         List<SetTimer> timers = new ArrayList<>();
         for (int i = 0; i < 30; i++) {
             timers.addAll(
@@ -60,9 +64,9 @@
     }
 
     /**
-     * Responses get lost on the network while their caches respond to others. Once that is seen,
-     * such requests are sent again to the same cache, which has the copy; and no limit shuts, for
-     * no link was late.
+     * Responses are lost on the network while their caches respond to other requests. Once the rate
+     * of lost responses is known, such requests must be sent again to the same cache, which has the
+     * copy. No limit may be lowered, because no link was late.
      */
     @Test
     void aRequestWhoseResponseIsLostIsHedgedAtTheSameCache() {
@@ -89,12 +93,12 @@
                             true));
         }
         assertNotNull(hedgeOf(fixture, 600));
-        assertNotNull(fixture.startRequest(PAGE, 700), "what is lost shuts no limit");
+        assertNotNull(fixture.startRequest(PAGE, 700), "lost responses lower no limit");
     }
 
     /**
-     * Sends a request, has its cache respond to another, and returns the hedged attempt that
-     * follows, or null.
+     * Passes a request to the router, has its cache respond to another one, and returns the hedged
+     * attempt that follows, or null if there is none.
      */
     private static StartAttempt hedgeOf(RouterFixture fixture, long object) {
         List<RouterAction> actions = fixture.onEvent(fixture.newRequest(PAGE, object));
--- a/src/test/java/brooklock/routing/HotListTest.java
+++ b/src/test/java/brooklock/routing/HotListTest.java
@@ -15,7 +15,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Which objects are cached at the edge, and with which priority. */
+/** Tests which objects are cached at the edge, and with which priority. */
 class HotListTest {
     @Test
     void anObjectIsCachedFromItsSecondRequestOn() {
@@ -39,13 +39,13 @@
         assertEquals(
                 0,
                 fixture.serveRequest(PAGE, 42).cachePriority(),
-                "a whole interval passed without it");
+                "a whole interval has passed without a request for it");
     }
 
     /**
-     * A dispatcher has just started and has no list yet, so every object looks as if it were
-     * requested once. Copies are cached all the same, at the lowest priority, until the first
-     * interval has passed.
+     * A dispatcher has just started and has no hot list yet, so every object seems to be requested
+     * only once. Until the first interval has passed, copies must be cached nonetheless, at the
+     * lowest priority.
      */
     @Test
     void copiesAreCachedAtTheLowestPriorityInTheFirstInterval() {
@@ -73,8 +73,8 @@
     }
 
     /**
-     * A client is rejected and comes again. Its retry is no second interest in the object, so the
-     * object must not take a place in a cache.
+     * A client repeats a rejected request. The retry does not show that the object is requested
+     * more often, so it must not be cached.
      */
     @Test
     void theRetryOfARejectedRequestDoesNotMakeItsObjectHot() {
@@ -88,7 +88,7 @@
         assertEquals(0, fixture.serveRequest(PAGE, 42).cachePriority());
     }
 
-    /** One object takes most of the traffic. On one cache it would fill that cache's link alone. */
+    /** One object gets most of the requests. On a single cache it would fill that cache's link. */
     @Test
     void aVeryHotObjectIsSpreadOverMoreCaches() {
         RouterFixture fixture = new RouterFixture().withEndpoints();
--- a/src/test/java/brooklock/routing/OutlierDetectorTest.java
+++ b/src/test/java/brooklock/routing/OutlierDetectorTest.java
@@ -14,11 +14,11 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** When endpoints are ejected, and whom errors are attributed to. */
+/** Tests when endpoints are ejected and to which endpoints errors are attributed. */
 class OutlierDetectorTest {
     /**
-     * One cache responds with errors at once, so it looks less loaded than all others and would
-     * draw requests.
+     * One cache responds with errors at once. It looks less loaded than the others and would
+     * attract requests.
      */
     @Test
     void aCacheThatFailsFastIsEjectedAfterAFewErrors() {
@@ -43,7 +43,8 @@
 
     /**
      * Clients send requests that every endpoint answers with an error. The endpoints are healthy:
-     * none may be ejected, no object may move, and each such request ends after three endpoints.
+     * none may be ejected, no object may move to another cache, and each such request must end
+     * after at most three endpoints.
      */
     @Test
     void requestsThatNoEndpointCanServeEjectNone() {
@@ -73,7 +74,10 @@
         assertEquals(0, moved);
     }
 
-    /** A fill source rejects a fill. The next attempt names another: the cache is not at fault. */
+    /**
+     * A fill source rejects a fill. The error is not the cache's, so the next attempt must name
+     * another fill source.
+     */
     @Test
     void aFailedFillIsAttributedToTheFillSource() {
         RouterFixture fixture = new RouterFixture().withEndpoints();
@@ -91,7 +95,7 @@
 
     /**
      * The origin fails behind the parent for the objects of one cache. That cache is healthy and
-     * keeps its share.
+     * must keep its share of the requests.
      */
     @Test
     void anOriginThatFailsBehindTheParentDoesNotEjectTheCache() {
@@ -117,8 +121,8 @@
     }
 
     /**
-     * A parent fails for minutes. With a health check a second it would get most of this
-     * dispatcher's fills, so the pause between checks grows.
+     * A parent fails for minutes. With a health check each second it would get most of this
+     * dispatcher's fills, so the pause between health checks must grow.
      */
     @Test
     void aParentThatKeepsFailingIsCheckedAtGrowingIntervals() {
@@ -149,7 +153,7 @@
         assertTrue(late >= 1 && late <= 6, "health checks in 40 s: " + late);
     }
 
-    /** A parent's link ages: its fills come, but late. It is ejected before it breaks off. */
+    /** A parent responds to fills, but late. It must be ejected before its fills fail. */
     @Test
     void aSlowParentIsEjectedBeforeItFails() {
         RouterFixture fixture = new RouterFixture().withEndpoints();
--- a/src/test/java/brooklock/routing/PurgeLogTest.java
+++ b/src/test/java/brooklock/routing/PurgeLogTest.java
@@ -8,11 +8,12 @@
 import brooklock.routing.RouterEvent.PurgeReceived;
 import org.junit.jupiter.api.Test;
 
-/** Which copies may be served after a purge. */
+/** Tests which copies may be served after a purge. */
 class PurgeLogTest {
     /**
-     * An object is purged, and caches apply that in their own time. Until the last has, attempts
-     * ask for a copy younger than the purge, so that an old one is filled anew and not served.
+     * An object is purged, and caches apply the purge at different times. Until all have, attempts
+     * must require a copy younger than the purge, so that an old one is filled again and not
+     * served.
      */
     @Test
     void noCopyOlderThanAPurgeMayBeServed() {
@@ -26,8 +27,9 @@
         assertEquals(
                 1,
                 fixture.startRequest(PAGE, 43).maxAgeNs(),
-                "a group's purge holds for all its objects");
+                "the purge of a group applies to all its objects");
         fixture.now += 7000 * MS;
-        assertEquals(0, fixture.startRequest(PAGE, 43).maxAgeNs(), "by now no older copy is left");
+        assertEquals(
+                0, fixture.startRequest(PAGE, 43).maxAgeNs(), "every cache has applied the purge");
     }
 }
--- a/src/test/java/brooklock/routing/RandomTraffic.java
+++ b/src/test/java/brooklock/routing/RandomTraffic.java
@@ -22,7 +22,10 @@
 import java.util.Set;
 import java.util.TreeMap;
 
-/** A seeded random sequence of events, checked against the rules that hold for one router alone. */
+/**
+ * Passes a random sequence of events, determined by a seed, to one router and checks its actions
+ * against the rules that a single router must keep.
+ */
 final class RandomTraffic {
     private final Random random;
     private final RouterFixture fixture = new RouterFixture().withEndpoints();
@@ -34,7 +37,7 @@
     private final Map<Long, Long> mayHaveExecutedSince = new HashMap<>();
     private final Map<Long, Long> firstSentAt = new HashMap<>();
     private final Set<Long> unavailableEndpoints = new HashSet<>();
-    private final Map<Long, Long> purgedAt = new HashMap<>();
+    private final Map<Long, Long> purgeTimes = new HashMap<>();
 
     RandomTraffic(long seed) {
         random = new Random(seed);
@@ -50,7 +53,7 @@
             } else if (choice == 1) {
                 long object = 1L + random.nextInt(30);
                 handle(new PurgeReceived(object, 3, 50 * RouterFixture.MS));
-                purgedAt.put(object, fixture.now - 50 * RouterFixture.MS);
+                purgeTimes.put(object, fixture.now - 50 * RouterFixture.MS);
             } else if (choice < 32) {
                 RequestReceived request =
                         fixture.newRequest(
@@ -161,7 +164,7 @@
         assertTrue(number <= 6);
         firstSentAt.putIfAbsent(attempt.id(), fixture.now);
         checkIdempotency(request);
-        Long purgedAt = purgedAt.get(request.object());
+        Long purgedAt = purgeTimes.get(request.object());
         if (purgedAt != null && fixture.now < purgedAt + 6000 * RouterFixture.MS) {
             assertTrue(attempt.maxAgeNs() > 0 && attempt.maxAgeNs() <= fixture.now - purgedAt);
         }
--- a/src/test/java/brooklock/routing/RetryBudgetTest.java
+++ b/src/test/java/brooklock/routing/RetryBudgetTest.java
@@ -5,11 +5,11 @@
 
 import org.junit.jupiter.api.Test;
 
-/** The share of extra attempts. */
+/** Tests the limit on extra attempts. */
 class RetryBudgetTest {
     /**
-     * Every request fails and wants a retry. After the few saved ones, only a fifth of the requests
-     * get one, so the endpoints that are left get little more than they did.
+     * Every request fails and needs a retry. Once the saved attempts are used up, only a fifth of
+     * the requests may get one, so that the load on the remaining endpoints hardly rises.
      */
     @Test
     void extraAttemptsStayAFifthOfTheRequestsWhenAllFail() {
@@ -30,7 +30,10 @@
         assertEquals(200, extra, 1);
     }
 
-    /** A quiet hour saves no more than a burst may use: a long save would undo the bound. */
+    /**
+     * A long time without failures must not save more attempts than one burst may use, or the limit
+     * would have no effect.
+     */
     @Test
     void savedAttemptsAreBounded() {
         RetryBudget budget = new RetryBudget();
--- a/src/test/java/brooklock/routing/RetryPolicyTest.java
+++ b/src/test/java/brooklock/routing/RetryPolicyTest.java
@@ -18,7 +18,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Whether a request may be sent again, and what its final response may promise. */
+/** Tests whether a request may be sent again, and which final response it gets. */
 class RetryPolicyTest {
     @Test
     void anIdempotentRequestGoesToTheNextCacheAfterAnError() {
@@ -37,8 +37,8 @@
     }
 
     /**
-     * The connection is reset while a request runs that must not run twice. Nobody knows whether it
-     * did, so it is neither sent again nor rejected as harmless.
+     * The connection is reset while a request that must not be executed twice is in flight. It may
+     * have been executed, so it must neither be sent again nor be rejected.
      */
     @Test
     void aRequestThatIsNotIdempotentFailsOnceItMayHaveBeenExecuted() {
@@ -51,8 +51,9 @@
     }
 
     /**
-     * Endpoints remember a key for two seconds. A repeat that starts later would be executed again,
-     * so none is sent, and one that waits for its connection must not start after it.
+     * Endpoints remember an idempotency key for two seconds and would execute a later repeat again.
+     * No repeat may be sent after that time, and one that waits for its connection must not start
+     * after it.
      */
     @Test
     void aRequestWithAnIdempotencyKeyIsNotRepeatedAfterItsWindow() {
@@ -76,8 +77,8 @@
     }
 
     /**
-     * Only the endpoints of a cell share keys. The client's own retry may reach another cell and be
-     * executed again, so the request must not be rejected as harmless.
+     * Only the endpoints of a cell share keys. A retry by the client may reach another cell and be
+     * executed again, so the request must not be rejected.
      */
     @Test
     void aRequestWithAKeyOfCellScopeFailsOnceItMayHaveBeenExecuted() {
--- a/src/test/java/brooklock/routing/RouterFixture.java
+++ b/src/test/java/brooklock/routing/RouterFixture.java
@@ -12,7 +12,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** Drives one {@link Router} by hand: a clock, an endpoint list, requests and outcomes. */
+/** Drives one {@link Router} with a manual clock, an endpoint list, requests and outcomes. */
 final class RouterFixture {
     static final long MS = 1_000_000L;
     static final int CACHE = 0;
@@ -88,7 +88,8 @@
     }
 
     /**
-     * Four caches 11 to 14 in zone 1, one in zone 2, parents 801 and 802 in the hub, the origin.
+     * Adds four caches 11 to 14 in zone 1, a cache in zone 2, the parents 801 and 802 in zone 0,
+     * which are near, and the origin.
      */
     RouterFixture withEndpoints() {
         List<Endpoint> endpoints = new ArrayList<>();
@@ -103,7 +104,7 @@
         return this;
     }
 
-    /** A cache of the router's own zone. */
+    /** Returns an entry for a cache in the router's own zone. */
     static Endpoint cache(long id, EndpointState state, long startedAtNs) {
         return new Endpoint(id, 1, CACHE, state, 1, startedAtNs);
     }
@@ -136,12 +137,15 @@
                 ++lastRequestId, classIndex, object, 0, 3, 50, false, now + 3000 * MS);
     }
 
-    /** Sends a request in and returns its attempt, or null. */
+    /** Passes a new request to the router and returns its attempt, or null if none is started. */
     StartAttempt startRequest(int classIndex, long object) {
         return firstAttempt(onEvent(newRequest(classIndex, object)));
     }
 
-    /** Sends a request in and has it served at once, in time. */
+    /**
+     * Passes a new request to the router, completes its attempt at once as a cache hit in time, and
+     * returns the attempt, or null if none is started.
+     */
     StartAttempt serveRequest(int classIndex, long object) {
         StartAttempt attempt = startRequest(classIndex, object);
         if (attempt != null) {
@@ -150,7 +154,7 @@
         return attempt;
     }
 
-    /** Ends the newest attempt of a request. */
+    /** Completes the latest attempt of a request and returns the resulting actions. */
     List<RouterAction> complete(
             StartAttempt attempt, AttemptOutcome outcome, CacheStatus status, long durationMs) {
         return onEvent(
@@ -165,13 +169,13 @@
                         outcome == AttemptOutcome.OK));
     }
 
-    /** The first attempt among actions, or null. */
+    /** Returns the first attempt among the actions, or null if there is none. */
     static StartAttempt firstAttempt(List<RouterAction> actions) {
         List<StartAttempt> attempts = actionsOfType(actions, StartAttempt.class);
         return attempts.isEmpty() ? null : attempts.get(0);
     }
 
-    /** The actions of one type, in order. */
+    /** Returns the actions of one type, in order. */
     static <T> List<T> actionsOfType(List<RouterAction> actions, Class<T> type) {
         return actions.stream().filter(type::isInstance).map(type::cast).toList();
     }
--- a/src/test/java/brooklock/routing/RouterTest.java
+++ b/src/test/java/brooklock/routing/RouterTest.java
@@ -22,11 +22,12 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
-/** One request from its acceptance to its final response, and what holds for all of them. */
+/** Tests the course of a request from its acceptance to its final response. */
 class RouterTest {
     /**
-     * No response comes by the client's deadline. Shortly before, the request gets its final
-     * response, its attempt is cancelled, and its late outcome starts nothing.
+     * No response arrives by the client's deadline. Shortly before the deadline the request must
+     * get its final response and its attempt must be cancelled; the late outcome of the attempt
+     * must start nothing.
      */
     @Test
     void theFinalResponseTimerEndsTheRequest() {
@@ -96,10 +97,9 @@
     }
 
     /**
-     * A whole life: accepted, its cache lacks the object while fills are jammed, filled from
-     * further on, failed, retried elsewhere, hedged, given up at its deadline. Each event's actions
-     * come in a fixed order, and those that carry them out rely on it: a request's timers before
-     * and after its attempt, its final response before the cancellations.
+     * The course of a request: its first attempt fails, it is retried at another cache, hedged, and
+     * rejected at its deadline. Callers rely on the order of the actions of each event: a request's
+     * timers before and after its attempt, and its final response before the cancellations.
      */
     @Test
     void theActionsOfARequestAreInOrder() {
@@ -124,7 +124,7 @@
         fixture.now = Math.max(fixture.now, hedgeTimer.atNs());
         actions = fixture.onEvent(new TimerFired(hedgeTimer.token()));
         StartAttempt third = firstAttempt(actions);
-        assertEquals(List.of(third), actions, "hedged: its endpoint is silent");
+        assertEquals(List.of(third), actions, "hedged: its endpoint is unresponsive");
         assertNotEquals(second.endpoint(), third.endpoint());
 
         fixture.now = finalResponseTimer.atNs();
@@ -139,12 +139,12 @@
         assertEquals(
                 List.of(new CancelAttempt(request.id(), 2)),
                 completeAt(fixture, second, 1),
-                "what is still open is cancelled once more, and nothing is started");
+                "the attempt still open is cancelled once more, and none is started");
         assertEquals(List.of(), completeAt(fixture, third, 2), "nothing follows");
         assertEquals(List.of(), fixture.onEvent(new ClientDisconnected(request.id())));
     }
 
-    /** Leaves two more attempts at an endpoint unanswered until it is taken for silent. */
+    /** Leaves two more attempts at an endpoint open until it counts as unresponsive. */
     private static void makeUnresponsive(RouterFixture fixture, long endpoint) {
         int open = 0;
         for (int object = 1000; open < 2 && object < 2000; object++) {
--- a/src/test/java/brooklock/routing/SlowStartTest.java
+++ b/src/test/java/brooklock/routing/SlowStartTest.java
@@ -10,11 +10,11 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** How much an endpoint gets that is warming up. */
+/** Tests how many requests an endpoint gets while it is warming up. */
 class SlowStartTest {
     /**
-     * A cache has just started, with a fifth of its capacity. Its full share would make it
-     * collapse.
+     * A cache has just started with a fifth of its capacity. Its full share of the requests would
+     * make it collapse.
      */
     @Test
     void aCacheThatIsWarmingUpGetsASmallShareThatGrows() {
@@ -29,8 +29,8 @@
     }
 
     /**
-     * A cache dies and is back before the endpoint list says so. Its lost connections show it, so
-     * it gets a slow start all the same.
+     * A cache restarts before the endpoint list reports it. The restart must be inferred from its
+     * lost connections and start a slow start.
      */
     @Test
     void aCacheWhoseConnectionsAreResetWarmsUpWhenItRespondsAgain() {
@@ -57,8 +57,8 @@
     }
 
     /**
-     * All warm caches of the zone leave while one is warming up. Their load is measured as the rate
-     * of those that took it, not of the one that is left: its budget must not jump.
+     * All warm caches of the zone leave while another is warming up. The measured rate is that of
+     * the warm caches, so the budget of the remaining one must not jump.
      */
     @Test
     void aCacheThatIsWarmingUpGetsNoMoreWhenItsWarmPeersLeave() {
@@ -80,8 +80,7 @@
     }
 
     /**
-     * A parent has just started. Fills go to the other one as far as its budget does not cover
-     * them.
+     * A parent has just started. Fills that its budget does not cover must go to the other parent.
      */
     @Test
     void aParentThatIsWarmingUpIsPassedOver() {
@@ -99,8 +98,8 @@
     }
 
     /**
-     * One cache, then a rack of three, starts under a hundred dispatchers that exchange no message.
-     * Their budgets hold in sum: none of the caches gets more than the overload multiple of its
+     * One cache, and then three at once, restart under a hundred dispatchers that exchange no
+     * messages. Together their budgets must keep each cache below the overload multiple of its
      * capacity.
      */
     @Test
@@ -121,11 +120,11 @@
             assertTrue(
                     warming <= 2 * 4 * warm * (0.2 + 0.8 * 4 / 15),
                     restarted + " restarted: " + warming + " of " + warm);
-            assertTrue(warming > 0, "they are used as far as the budget goes");
+            assertTrue(warming > 0, "caches that are warming up are used within their budgets");
         }
     }
 
-    /** Lets the router measure what warm caches and parents take. */
+    /** Has the router measure the work that warm caches and parents serve. */
     private static void measureRates(RouterFixture fixture) {
         for (int i = 0; i < 4000; i++) {
             fixture.now += 5 * MS;
@@ -147,8 +146,9 @@
     }
 
     /**
-     * Each router gets two requests a second for so long, served at once; counts those to [from,
-     * to).
+     * Sends two requests a second, served at once, through each router for the given number of
+     * seconds. Returns the number of those sent to the endpoints from {@code from} to {@code to},
+     * exclusive.
      */
     private static int countAttemptsTo(
             List<RouterFixture> dispatchers, long from, long to, int seconds, int offset) {
--- a/src/test/java/brooklock/simulator/ActionEncoderTest.java
+++ b/src/test/java/brooklock/simulator/ActionEncoderTest.java
@@ -8,7 +8,7 @@
 import java.nio.ByteOrder;
 import org.junit.jupiter.api.Test;
 
-/** Actions as the simulator reads them, byte by byte. */
+/** Tests the encoding of actions byte by byte. */
 class ActionEncoderTest {
     @Test
     void actionsAreEncodedInTheWireFormat() {
--- a/src/test/java/brooklock/simulator/EventDecoderTest.java
+++ b/src/test/java/brooklock/simulator/EventDecoderTest.java
@@ -13,7 +13,7 @@
 import brooklock.routing.RouterEvent.RequestReceived;
 import org.junit.jupiter.api.Test;
 
-/** Records as the simulator writes them, byte by byte. */
+/** Tests the decoding of records byte by byte. */
 class EventDecoderTest {
     private static EventDecoder decoder(String hex) {
         EventDecoder decoder = new EventDecoder(TestRecords.hex(hex));
--- a/src/test/java/brooklock/simulator/SimulatorHostTest.java
+++ b/src/test/java/brooklock/simulator/SimulatorHostTest.java
@@ -16,7 +16,7 @@
 import java.util.Arrays;
 import org.junit.jupiter.api.Test;
 
-/** Batches and replies, and input that is not of the wire's form. */
+/** Tests batches and replies, and input that does not have the wire format. */
 class SimulatorHostTest {
     private static final byte[] EMPTY_REPLY = hex("00000000");
 
@@ -58,7 +58,9 @@
     void anUnknownCodeIsReported() {
         assertTrue(
                 malformedMessage(frame(record(99, hex("03000000"))))
-                        .contains("record at byte 0: unknown event code 99"));
+                        .contains(
+                                "record at byte 0: expected an event code from 16 to 26 but received"
+                                        + " 99"));
     }
 
     @Test
@@ -78,10 +80,12 @@
                 malformedMessage(frame(startRecord(3, "{\"lanes\": 1,"))).contains("(settings)"));
         assertTrue(
                 malformedMessage(frame(startRecord(3, "{\"lanes\": [{\"effect\": \"odd\"}]}")))
-                        .contains("unknown effect 'odd'"));
+                        .contains(
+                                "expected the effect read_like, idempotency_key or non_idempotent"
+                                        + " but received 'odd'"));
     }
 
-    /** A request of a class that does not exist makes the router fail; the host goes on. */
+    /** A request of a class that does not exist makes the router fail. The host continues. */
     @Test
     void aFailureOfTheRouterIsReportedForItsInstance() throws IOException {
         byte[] request =
--- a/src/test/java/brooklock/simulator/TestRecords.java
+++ b/src/test/java/brooklock/simulator/TestRecords.java
@@ -6,7 +6,7 @@
 import java.util.Arrays;
 import java.util.HexFormat;
 
-/** Builds the bytes of records and frames. */
+/** Builds the bytes of records and frames for tests. */
 final class TestRecords {
     static final String SETTINGS =
             """
@@ -18,7 +18,7 @@
 
     private TestRecords() {}
 
-    /** Bytes written as hexadecimal digits, with spaces anywhere. */
+    /** Returns the bytes that a text has as hexadecimal digits, with white space anywhere. */
     static byte[] hex(String text) {
         return HexFormat.of().parseHex(text.replaceAll("\\s", ""));
     }
@@ -31,7 +31,7 @@
                 .array();
     }
 
-    /** A record that starts an instance. */
+    /** Returns a record that starts an instance. */
     static byte[] startRecord(int instance, String settings) {
         byte[] text = settings.getBytes(StandardCharsets.UTF_8);
         return record(
