--- a/src/main/java/brooklock/routing/CacheSelector.java
+++ b/src/main/java/brooklock/routing/CacheSelector.java
@@ -12,21 +12,24 @@
  * <p>The caches are tried in the order of {@link RendezvousHash}. A cache is passed over if the
  * request has tried it, if it is ejected, if its load exceeds the bound, or if its slow-start
  * budget does not cover the request. Without the bound on the load, one popular copy could fill a
- * cache's link and make its hits late while its peers are idle. Requests that a cache may not
- * accept go to the next one in the order.
+ * cache's link and make its hits late while its peers are idle. If a cache is passed over, the next
+ * one in the order is tried.
  *
  * <p>If all caches are passed over, only slow start still applies: the least loaded of the caches
- * that it allows is selected, ejected ones after the others and those that the request has tried
- * last.
+ * that it allows is selected. Ejected caches come after the others, and caches that the request has
+ * tried come last.
  */
 final class CacheSelector {
     /**
-     * A cache is passed over if its load is above this multiple of its peers' mean work in flight
-     * ...
+     * Multiple of the caches' mean work in flight above which, with {@link #LOAD_SLACK_REQUESTS}
+     * added, a cache is passed over.
      */
     private static final double LOAD_BOUND_FACTOR = 1.1;
 
-    /** ... plus this many mean requests, so that small loads do not move requests. */
+    /**
+     * Mean requests that are added to the bound of the load, so that small loads do not move
+     * requests.
+     */
     private static final double LOAD_SLACK_REQUESTS = 2;
 
     /**
@@ -97,8 +100,7 @@
     /**
      * Scores all caches for a copy.
      *
-     * @return the bound of the load, which is work in flight divided by weight, that no selected
-     *     cache should exceed
+     * @return the load, as work in flight divided by weight, above which a cache is passed over
      */
     private double scoreAll(long copyHash) {
         double totalWorkNs = 0;
@@ -118,8 +120,8 @@
 
     /**
      * Moves the cache with the highest score among those from the given index on to that index and
-     * returns it. Usually only the first few are needed, so the list is ordered only as far as they
-     * go, and in place: its order is the starting point for the next request.
+     * returns it. Usually only the first few caches are needed, so the others are left unsorted.
+     * The list itself is reordered, and its order is the starting point for the next request.
      */
     private RoutedEndpoint moveBestTo(int index) {
         if (index == SELECTION_PASSES) {
@@ -135,8 +137,8 @@
     }
 
     /**
-     * Returns the least loaded cache that slow start allows, ejected ones after the others and
-     * those that the request has tried last, or null if slow start allows none.
+     * Returns the least loaded cache that slow start allows, or null if it allows none. Ejected
+     * caches come after the others, and caches that the request has tried come last.
      */
     private RoutedEndpoint leastLoaded(PendingRequest request, long now) {
         RoutedEndpoint best = null;
--- a/src/main/java/brooklock/routing/ConcurrencyLimit.java
+++ b/src/main/java/brooklock/routing/ConcurrencyLimit.java
@@ -27,10 +27,16 @@
     /** Tolerated share of late responses at the origin. */
     private static final double TOLERATED_ORIGIN_LATE_SHARE = 0.3;
 
-    /** Minimum of a limit in the router's own zone, in mean requests. */
+    /**
+     * Minimum of a limit in the router's own zone, in mean requests, so that some are always
+     * admitted.
+     */
     private static final double MIN_REQUESTS = 2;
 
-    /** Minimum of the limits of all dispatchers together at the origin, in mean requests. */
+    /**
+     * Minimum of the limits of all dispatchers together at the origin, in mean requests, so that
+     * some are always admitted.
+     */
     private static final double MIN_ORIGIN_REQUESTS = 4;
 
     /**
@@ -83,8 +89,7 @@
     }
 
     /**
-     * Returns whether the running share of late responses is so high that the link should get no
-     * avoidable work.
+     * Returns whether so many responses are late that avoidable work should be kept off the link.
      */
     boolean isCongested() {
         return lateShare >= CONGESTED_LATE_SHARE;
@@ -100,9 +105,9 @@
 
     /**
      * Returns whether work may start. If the limit is smaller than one request, a single request is
-     * admitted on an idle link, because nothing would be served otherwise. No other is admitted for
-     * a pause after it, which is so long that the mean work in flight over the request and the
-     * pause equals the limit.
+     * admitted on an idle link, because nothing would be served otherwise. In a pause after it no
+     * other is admitted; the pause is so long that the mean work in flight over request and pause
+     * equals the limit.
      */
     boolean admits(double workNs, long now) {
         return inFlightNs + workNs <= limitNs || (inFlightNs <= 0 && now >= pausedUntilNs);
--- a/src/main/java/brooklock/routing/EndpointTable.java
+++ b/src/main/java/brooklock/routing/EndpointTable.java
@@ -13,7 +13,7 @@
  * <p>Inputs: endpoint lists and changes of them, in the order of their events.
  *
  * <p>The lists that selection reads contain only ready endpoints, so an endpoint that is draining
- * or gone gets neither requests nor fills from the event that reports it. Otherwise endpoints that
+ * or gone gets no more requests or fills once an event has reported it. Otherwise endpoints that
  * shut down would cause errors during each deployment. The state of an endpoint is kept until its
  * last attempt has ended, so that its load is still known if it returns before that.
  */
--- a/src/main/java/brooklock/routing/FillAdmission.java
+++ b/src/main/java/brooklock/routing/FillAdmission.java
@@ -10,13 +10,13 @@
  * learned from outcomes.
  *
  * <p>Each attempt reserves work on the link of its endpoint, on the zone's fill link and at the
- * origin. On the fill link and at the origin it reserves only the share that is expected to miss
- * before them. If a link has no capacity left, the request is admitted only to the tiers before
+ * origin. On the latter two it reserves only the share of the work that is expected to miss in the
+ * tiers before. If a link has no capacity left, the request is admitted only to the tiers before
  * that link; after a miss it may go further if there is capacity by then. If no tier is left that
  * could serve it, the load is shed: the {@link Router} rejects or fails the request at once.
  *
- * <p>Without this, misses that cannot be filled would hold up hits, and caches would respond late
- * although they have the object. A cached copy needs only the cache's own link.
+ * <p>Without this, misses that cannot be filled would delay hits: caches would respond late even if
+ * they have the object. Serving a cached copy needs only the cache's own link.
  */
 final class FillAdmission {
     /** Initial miss ratio of caches and of parents, until it is measured. */
--- a/src/main/java/brooklock/routing/HedgingPolicy.java
+++ b/src/main/java/brooklock/routing/HedgingPolicy.java
@@ -3,7 +3,7 @@
 import brooklock.routing.RouterEvent.AttemptCompleted;
 
 /**
- * Hedged requests: decides when a second attempt is started beside the first, whose response was
+ * Hedged requests: decides when a second attempt is started beside a first one whose response was
  * lost.
  *
  * <p>Inputs: outcomes, whether the endpoint of an open attempt has had other outcomes since, and
--- a/src/main/java/brooklock/routing/HotList.java
+++ b/src/main/java/brooklock/routing/HotList.java
@@ -98,9 +98,10 @@
     }
 
     /**
-     * Removes a rejected request from the count, because its retry must not make the object hot.
+     * Removes a request that was rejected or failed from the count, because its retry must not make
+     * the object hot.
      */
-    static void removeRejectedRequest(ObjectDemand demand) {
+    static void removeUnservedRequest(ObjectDemand demand) {
         demand.requests = Math.max(0, demand.requests - 1);
     }
 
--- a/src/main/java/brooklock/routing/OutlierDetector.java
+++ b/src/main/java/brooklock/routing/OutlierDetector.java
@@ -22,8 +22,8 @@
  * are passed over. The origin is used regardless of its health.
  *
  * <p>An error is attributed to its endpoint only if a later attempt served the request, or if the
- * request ends with this as its only unattributed error. Otherwise requests that no endpoint can
- * serve would eject healthy endpoints one after the other, which a single client could cause.
+ * request is rejected or failed and this was its only error. Otherwise requests that no endpoint
+ * can serve would eject healthy endpoints one after the other, which a single client could cause.
  */
 final class OutlierDetector {
     /** Weight of one failure in the error rate. */
--- a/src/main/java/brooklock/routing/PurgeLog.java
+++ b/src/main/java/brooklock/routing/PurgeLog.java
@@ -17,8 +17,8 @@
  */
 final class PurgeLog {
     /**
-     * Time in nanoseconds by which purges are kept longer and required copies are younger than
-     * necessary.
+     * Margin in nanoseconds by which purges are kept longer, and copies must be younger, than
+     * strictly required.
      */
     private static final long MARGIN_NS = 1_000_000L;
 
--- a/src/main/java/brooklock/routing/RequestTimers.java
+++ b/src/main/java/brooklock/routing/RequestTimers.java
@@ -22,7 +22,10 @@
     private final Map<Long, RequestTimer> timers = new HashMap<>();
     private long lastToken;
 
-    /** Sets a timer for {@code atNs}, or for the next nanosecond if that time has passed. */
+    /**
+     * Appends an action that sets a timer for {@code atNs}, or for the next nanosecond if that time
+     * has passed.
+     */
     void set(
             long atNs,
             PendingRequest request,
--- a/src/main/java/brooklock/routing/RetryBudget.java
+++ b/src/main/java/brooklock/routing/RetryBudget.java
@@ -10,8 +10,8 @@
  * been saved.
  *
  * <p>Two kinds of attempts are not counted, because the maximum number of attempts of a request
- * bounds them: the hedged request to replace an attempt at an ejected endpoint, and the attempt
- * that uses a further tier after a cache miss.
+ * bounds them: the hedged attempt of a request whose endpoint is ejected, and the attempt that uses
+ * a further tier after a cache miss.
  */
 final class RetryBudget {
     /** Extra attempts earned by each request. */
--- a/src/main/java/brooklock/routing/Router.java
+++ b/src/main/java/brooklock/routing/Router.java
@@ -125,7 +125,7 @@
             return;
         }
         endpoints.update(list, now);
-        slowStart.onListChanged();
+        slowStart.invalidateWarmWeights();
     }
 
     // ---- Requests
@@ -223,8 +223,8 @@
     }
 
     /**
-     * Charges the use of an endpoint as target or fill source to its slow-start budget and records
-     * it as a health check.
+     * Charges the use of an endpoint as target or fill source to its slow-start budget. If the
+     * endpoint is ejected, the use is its health check.
      */
     private void chargeUse(RoutedEndpoint endpoint, PendingRequest request) {
         slowStart.charge(endpoint, request);
@@ -388,7 +388,7 @@
         } else {
             actions.add(new FailRequest(request.id()));
         }
-        HotList.removeRejectedRequest(request.demand);
+        HotList.removeUnservedRequest(request.demand);
         finish(request);
     }
 
--- a/src/main/java/brooklock/routing/SlowStart.java
+++ b/src/main/java/brooklock/routing/SlowStart.java
@@ -17,9 +17,9 @@
  * passed over.
  *
  * <p>Without slow start, an endpoint that receives its full share right after its start may
- * collapse and restart again and again. Dispatchers need no messages for this: together they cannot
- * send a warm peer more than its capacity, so the sum of their budgets stays below the multiple
- * that overloads an endpoint.
+ * collapse and restart again and again. Dispatchers exchange no messages for this: together they
+ * cannot send a warm peer more than its capacity, so the sum of their budgets stays below the
+ * multiple that overloads an endpoint.
  */
 public final class SlowStart {
     /** Share of the overload multiple that all dispatchers together plan to use. */
@@ -82,19 +82,19 @@
     }
 
     /**
-     * Recomputes the weight of the warm endpoints at the next use, because the endpoint list has
-     * changed.
+     * Marks the weights of the warm endpoints as outdated, so that they are recomputed at their
+     * next use. Must be called when the endpoint list changes or an endpoint restarts.
      */
-    void onListChanged() {
-        caches.warmUntilNs = Long.MIN_VALUE;
-        parents.warmUntilNs = Long.MIN_VALUE;
+    void invalidateWarmWeights() {
+        caches.warmWeightValidUntilNs = Long.MIN_VALUE;
+        parents.warmWeightValidUntilNs = Long.MIN_VALUE;
     }
 
     /** Treats an endpoint as restarted, with an empty budget. */
     void restart(RoutedEndpoint endpoint, long now) {
         endpoint.startedAtNs = now;
         endpoint.slowStartBudgetNs = 0;
-        onListChanged();
+        invalidateWarmWeights();
     }
 
     /**
@@ -103,25 +103,29 @@
      */
     boolean budgetCovers(RoutedEndpoint endpoint, PendingRequest request, long now) {
         PeerGroup peers = peerGroupOf(endpoint);
-        double capacity = peers.capacityShareOf(endpoint, now);
-        if (capacity >= 1 || (!endpoint.isCache && !endpoint.isParent)) {
+        double capacityShare = peers.capacityShareOf(endpoint, now);
+        if (capacityShare >= 1 || (!endpoint.isCache && !endpoint.isParent)) {
             return true;
         }
-        double cost = workEstimator.classMeanNs(request);
-        refill(endpoint, peers, capacity, cost, now);
-        return endpoint.slowStartBudgetNs >= cost;
+        double costNs = workEstimator.classMeanNs(request);
+        refill(endpoint, peers, capacityShare, costNs, now);
+        return endpoint.slowStartBudgetNs >= costNs;
     }
 
     /**
-     * Adds what the budget has earned since its last refill. The maximum is never less than one
-     * request.
+     * Adds what the budget has earned since its last refill. The maximum of the budget is at least
+     * the cost of one request.
      */
     private void refill(
-            RoutedEndpoint endpoint, PeerGroup peers, double capacity, double costNs, long now) {
+            RoutedEndpoint endpoint,
+            PeerGroup peers,
+            double capacityShare,
+            double costNs,
+            long now) {
         // While no peer is warm, the last measured rate applies: decay would exhaust the budgets.
         long measuredAt = peers.warmWeight(now) > 0 ? now : peers.servedRate.updatedAtNs();
         double warmPeerRate = peers.servedRate.ratePerNs(measuredAt) * endpoint.weight;
-        double refillRate = warmPeerRate * capacity * peers.plannedCapacityMultiple;
+        double refillRate = warmPeerRate * capacityShare * peers.plannedCapacityMultiple;
         double maxBudgetNs = Math.max(refillRate * overloadWindowNs / 2, costNs);
         long refilledAtNs = Math.max(endpoint.slowStartUpdatedAtNs, endpoint.startedAtNs);
         endpoint.slowStartBudgetNs =
@@ -171,7 +175,7 @@
         final double plannedCapacityMultiple;
         final DecayingRate servedRate = new DecayingRate(RATE_TIME_CONSTANT_NS);
         double warmWeight;
-        long warmUntilNs = Long.MIN_VALUE;
+        long warmWeightValidUntilNs = Long.MIN_VALUE;
 
         PeerGroup(
                 List<RoutedEndpoint> endpoints,
@@ -198,17 +202,18 @@
          * a restart or the end of a warm-up changes it.
          */
         double warmWeight(long now) {
-            if (now >= warmUntilNs) {
+            if (now >= warmWeightValidUntilNs) {
                 // DoubleStream.sum compensates rounding errors; a plain loop would differ from it.
                 warmWeight =
                         endpoints.stream()
                                 .filter(endpoint -> capacityShareOf(endpoint, now) >= 1)
                                 .mapToDouble(endpoint -> endpoint.weight)
                                 .sum();
-                warmUntilNs = Long.MAX_VALUE;
+                warmWeightValidUntilNs = Long.MAX_VALUE;
                 for (RoutedEndpoint endpoint : endpoints) {
                     if (capacityShareOf(endpoint, now) < 1) {
-                        warmUntilNs = Math.min(warmUntilNs, endpoint.startedAtNs + warmUpNs);
+                        warmWeightValidUntilNs =
+                                Math.min(warmWeightValidUntilNs, endpoint.startedAtNs + warmUpNs);
                     }
                 }
             }
--- a/src/main/java/brooklock/routing/WorkEstimator.java
+++ b/src/main/java/brooklock/routing/WorkEstimator.java
@@ -41,8 +41,8 @@
     }
 
     /**
-     * Returns the mean work of the request's class in nanoseconds, in which the budgets of
-     * endpoints that are warming up are counted.
+     * Returns the mean work of the request's class in nanoseconds, which is charged to slow-start
+     * budgets.
      */
     double classMeanNs(PendingRequest request) {
         return classMeanNs[request.event.classIndex()];
@@ -62,8 +62,8 @@
         boolean sizeDeclared = request.event.sizeKb() > 0;
         if (sizeDeclared || completed.cacheStatus() == CacheStatus.HIT) {
             double workNs = sizeDeclared ? request.workNs : completed.durationNs();
-            int index = request.event.classIndex();
-            classMeanNs[index] += MEAN_WEIGHT * (workNs - classMeanNs[index]);
+            int classIndex = request.event.classIndex();
+            classMeanNs[classIndex] += MEAN_WEIGHT * (workNs - classMeanNs[classIndex]);
             ObjectDemand demand = request.demand;
             demand.workNs = demand.workNs == 0 ? workNs : Math.min(demand.workNs, workNs);
         }
--- a/src/main/java/brooklock/simulator/EventDecoder.java
+++ b/src/main/java/brooklock/simulator/EventDecoder.java
@@ -299,7 +299,7 @@
     }
 
     private void skipLoadReport() {
-        for (int left = fields.optionalByte(); left > 0; left--) {
+        for (int remaining = fields.optionalByte(); remaining > 0; remaining--) {
             fields.readFloat();
         }
     }
--- a/src/main/java/brooklock/simulator/SettingsDecoder.java
+++ b/src/main/java/brooklock/simulator/SettingsDecoder.java
@@ -41,7 +41,10 @@
     private static final String DISCOVERY = "discovery";
     private static final String TICK_NS = "tickNs";
 
-    /** The object with the settings for caches; the others apply to any load balancer. */
+    /**
+     * Key of the object that holds the settings of caches; the other keys apply to any load
+     * balancer.
+     */
     private static final String EXTRA = "extra";
 
     private static final String PARENT_INITIAL_CAPACITY = "parentStartsAt";
--- a/src/main/java/brooklock/simulator/SimulatorHost.java
+++ b/src/main/java/brooklock/simulator/SimulatorHost.java
@@ -29,8 +29,8 @@
      *
      * @param in the stream of batches
      * @param out the stream to which replies are written; it is flushed after each reply
-     * @throws MalformedFrameException if the input does not have the wire format; the position in
-     *     the stream is lost then
+     * @throws MalformedFrameException if the input does not have the wire format; the stream cannot
+     *     be read any further then
      * @throws IOException if reading or writing fails
      */
     public void serve(InputStream in, OutputStream out) throws IOException {
@@ -64,13 +64,13 @@
                 throw new MalformedFrameException(
                         "truncated frame: body has " + body.length + " of " + length + " bytes");
             }
-            out.write(decideBatch(nowNs, body));
+            out.write(processBatch(nowNs, body));
             out.flush();
         }
     }
 
     /** Processes the records of one batch and returns the frame of the reply. */
-    byte[] decideBatch(long nowNs, byte[] body) {
+    byte[] processBatch(long nowNs, byte[] body) {
         EventDecoder decoder = new EventDecoder(body);
         ActionEncoder encoder = new ActionEncoder();
         while (decoder.nextRecord()) {
@@ -83,7 +83,7 @@
         int instance = decoder.instance();
         if (decoder.isStart()) {
             RouterSettings settings = decoder.settings();
-            decide(
+            callRouter(
                     instance,
                     encoder,
                     actions -> {
@@ -97,20 +97,20 @@
             Router router = instances.get(instance);
             RouterEvent event = decoder.event();
             if (router != null && event != null) {
-                decide(instance, encoder, actions -> router.onEvent(nowNs, event, actions));
+                callRouter(instance, encoder, actions -> router.onEvent(nowNs, event, actions));
             }
         }
     }
 
-    private interface Decision {
-        void decide(List<RouterAction> actions);
+    private interface RouterCall {
+        void run(List<RouterAction> actions);
     }
 
     // An exception of one router is reported for its instance; the other instances continue.
-    private static void decide(int instance, ActionEncoder encoder, Decision decision) {
+    private static void callRouter(int instance, ActionEncoder encoder, RouterCall call) {
         List<RouterAction> actions = new ArrayList<>();
         try {
-            decision.decide(actions);
+            call.run(actions);
             actions.forEach(action -> encoder.add(instance, action));
         } catch (RuntimeException e) {
             StackTraceElement[] trace = e.getStackTrace();
