--- a/src/main/java/brooklock/routing/DecayingRate.java
+++ b/src/main/java/brooklock/routing/DecayingRate.java
@@ -28,8 +28,8 @@
     }
 
     /**
-     * Returns the mean amount per nanosecond, taken over the time constant, at the given time in
-     * nanoseconds.
+     * Returns the decayed sum divided by the time constant, that is, the mean amount per
+     * nanosecond, at the given time in nanoseconds.
      */
     public double ratePerNs(long now) {
         return sum(now) / timeConstantNs;
--- a/src/main/java/brooklock/routing/Router.java
+++ b/src/main/java/brooklock/routing/Router.java
@@ -23,20 +23,17 @@
  * and updates the routing policies.
  *
  * <p>{@link HotList} counts each request. {@link CacheSelector} and {@link FillSourceSelector}
- * select its endpoint and its fill source, and {@link FillAdmission} decides which tiers it may use
- * under the present load. When an attempt ends, the policies are updated in the order documented at
- * {@link #updatePolicies}; then the request is finished, retried (see {@link RetryPolicy}),
- * rejected or failed.
+ * select its endpoint and fill source, and {@link FillAdmission} decides which tiers it may use
+ * under the present load. When an attempt ends, the policies are updated in the order of {@link
+ * #updatePolicies}; then the request is finished, retried (see {@link RetryPolicy}), rejected or
+ * failed.
  *
  * <p>Times are nanoseconds of the caller's clock. The router reads no clock and draws no random
  * numbers, so the same events always produce the same actions. {@link #start} is called before the
  * first event. Not thread-safe.
  */
 public final class Router {
-    /**
-     * Timer ticks by which the final response precedes the client's deadline, because timers may
-     * fire late.
-     */
+    /** Timer ticks from the final response to the client's deadline: timers may fire late. */
     private static final int FINAL_RESPONSE_TICKS = 2;
 
     private final RouterSettings settings;
@@ -72,12 +69,7 @@
         purges = new PurgeLog(settings);
     }
 
-    /**
-     * Starts the router.
-     *
-     * @param now the current time, in nanoseconds
-     * @param actions the list to which the first actions are appended
-     */
+    /** Starts the router at {@code now}, in nanoseconds, and appends its first actions. */
     public void start(long now, List<RouterAction> actions) {
         beginEvent(now, actions);
         hotList.start(now);
@@ -87,12 +79,8 @@
     }
 
     /**
-     * Handles one event.
-     *
-     * @param now the current time, in nanoseconds
-     * @param event the event to handle
-     * @param actions the list to which the resulting actions are appended, in the order in which
-     *     they are to be carried out
+     * Handles an event at {@code now}, in nanoseconds, and appends the resulting actions in the
+     * order in which they are to be carried out.
      */
     public void onEvent(long now, RouterEvent event, List<RouterAction> actions) {
         beginEvent(now, actions);
@@ -158,10 +146,8 @@
     // ---- Start of attempts
 
     /**
-     * Starts an attempt. If no attempt is admitted and none is open, the request is rejected or
-     * failed. A request that has used up its attempts is left unchanged.
-     *
-     * @return whether an attempt was started
+     * Starts an attempt and returns whether one was started. If none is admitted and none is open,
+     * the request is rejected or failed; if it has no attempt left, it is unchanged.
      */
     private boolean startAttempt(PendingRequest request) {
         if (!retryPolicy.hasAttemptsLeft(request)) {
@@ -222,10 +208,7 @@
                         RetryPolicy.startTimeoutNs(request, timeoutNs, now)));
     }
 
-    /**
-     * Charges the use of an endpoint as target or fill source to its slow-start budget. If the
-     * endpoint is ejected, the use is its health check.
-     */
+    /** Charges a use as target or fill source; it is the health check of an ejected endpoint. */
     private void chargeUse(RoutedEndpoint endpoint, PendingRequest request) {
         slowStart.charge(endpoint, request);
         outliers.onUsed(endpoint, now);
@@ -259,16 +242,12 @@
      * <ol>
      *   <li>the rate of lost responses, while the attempt still counts as open;
      *   <li>the open attempts of the request and of the endpoint;
-     *   <li>the limits of the endpoint, the fill link and the origin, from which the attempt's work
-     *       is released;
-     *   <li>lost connections, of the endpoint and then of the fill source, which may restart a slow
-     *       start;
-     *   <li>the error rate of the endpoint, then of the endpoints to which earlier errors are
-     *       attributed, then of the fill source;
-     *   <li>the rate at which a warm cache serves, with the class's mean work before this response;
+     *   <li>the limits of endpoint, fill link and origin, from which its work is released;
+     *   <li>lost connections of endpoint, then fill source, which may restart a slow start;
+     *   <li>error rates: of the endpoint, of those with earlier errors, of the fill source;
+     *   <li>the rate of a warm cache, with the class's mean work before this response;
      *   <li>the mean work of the class and of the object;
-     *   <li>the rate at which a warm parent fills, or the refund of its budget, with the updated
-     *       mean work;
+     *   <li>the rate of a warm parent, or the refund of its budget, with the new mean work;
      *   <li>the concurrency limits and the miss ratios.
      * </ol>
      */
@@ -313,19 +292,18 @@
     }
 
     /**
-     * Starts another attempt or ends the request. After a cache miss of an attempt that was not
-     * admitted to the origin, the next attempt may use a further tier and needs no retry budget.
-     * Any other attempt needs the consent of the retry policy and of the retry budget.
+     * Starts another attempt or ends the request. After a cache miss of an attempt not admitted to
+     * the origin, the next may use a further tier without retry budget. Any other attempt needs the
+     * consent of the retry policy and the retry budget.
      */
     private void retryOrEnd(PendingRequest request, AttemptOutcome outcome) {
         if (request.openAttempts > 0) {
             return;
         }
-        Attempt lastAttempt = request.lastAttempt();
-        if (lastAttempt.admittedTier != AdmittedTier.ORIGIN
-                && outcome == AttemptOutcome.CACHE_MISS) {
+        Attempt previous = request.lastAttempt();
+        if (previous.admittedTier != AdmittedTier.ORIGIN && outcome == AttemptOutcome.CACHE_MISS) {
             request.cacheMissed = true;
-            request.parentMissed |= lastAttempt.admittedTier == AdmittedTier.PARENT;
+            request.parentMissed |= previous.admittedTier == AdmittedTier.PARENT;
             if (startAttempt(request) || request.finished) {
                 return;
             }
@@ -354,8 +332,8 @@
     }
 
     /**
-     * Hedges a request whose endpoint has been ejected, or one whose response was lost if the retry
-     * budget allows an attempt.
+     * Hedges a request if its endpoint is ejected, or if its response is lost and the retry budget
+     * allows an attempt.
      */
     private void hedge(PendingRequest request) {
         Attempt attempt = request.lastAttempt();
@@ -373,10 +351,7 @@
 
     // ---- End of requests
 
-    /**
-     * Sends the final response: the request is rejected if a retry by the client is harmless, else
-     * it fails.
-     */
+    /** Rejects the request if a retry by the client is harmless, else fails it. */
     private void rejectOrFail(PendingRequest request) {
         if (request.failedEndpoints.size() == 1) {
             outliers.attributeErrors(request, now);
@@ -392,10 +367,7 @@
         finish(request);
     }
 
-    /**
-     * Finishes the request: a response that has started is the final one, and its attempt is not
-     * cancelled.
-     */
+    /** Finishes the request with the response that has started; its attempt is not cancelled. */
     private void onResponseStarted(ResponseStarted event) {
         PendingRequest request = requests.get(event.id());
         if (request != null && event.attempt() < request.attempts.size()) {
--- a/src/test/java/brooklock/routing/ConcurrencyLimitTest.java
+++ b/src/test/java/brooklock/routing/ConcurrencyLimitTest.java
@@ -59,7 +59,7 @@
         assertFalse(limit.isAtLeast(REQUEST_NS));
         assertTrue(limit.admits(REQUEST_NS, 0));
         limit.acquire(REQUEST_NS);
-        assertFalse(limit.admits(REQUEST_NS, 0), "one is in flight");
+        assertFalse(limit.admits(REQUEST_NS, 0), "a request is in flight");
         limit.release(REQUEST_NS, 0);
         assertFalse(limit.admits(REQUEST_NS, 989 * MS), "the mean is still above the limit");
         assertTrue(limit.admits(REQUEST_NS, 991 * MS));
--- a/src/test/java/brooklock/routing/RandomTraffic.java
+++ b/src/test/java/brooklock/routing/RandomTraffic.java
@@ -159,7 +159,7 @@
         assertFalse(
                 unavailableEndpoints.contains(attempt.endpoint())
                         || unavailableEndpoints.contains(attempt.fillSource()),
-                "sent to an endpoint that leaves");
+                "the endpoint or the fill source is draining or gone");
         int number = attemptCounts.merge(attempt.id(), 1, Integer::sum);
         assertTrue(number <= 6);
         firstSentAt.putIfAbsent(attempt.id(), fixture.now);
@@ -215,6 +215,6 @@
         assertEquals(
                 true,
                 openRequests.remove(id) != null && finishedRequests.add(id),
-                "a second final response");
+                "more than one final response");
     }
 }
--- a/src/test/java/brooklock/routing/RetryPolicyTest.java
+++ b/src/test/java/brooklock/routing/RetryPolicyTest.java
@@ -62,7 +62,7 @@
         fixture.now += 100 * MS;
         StartAttempt repeat =
                 firstAttempt(fixture.complete(first, AttemptOutcome.ERROR, CacheStatus.NONE, 100));
-        assertNotNull(repeat, "inside its window");
+        assertNotNull(repeat, "the key's window has not ended");
         assertEquals(
                 3000 * MS, first.startWithinNs(), "a first attempt may start until the deadline");
         assertEquals(1900 * MS, repeat.startWithinNs(), "a repeat may start until its window ends");
--- a/src/test/java/brooklock/routing/RouterTest.java
+++ b/src/test/java/brooklock/routing/RouterTest.java
@@ -93,7 +93,7 @@
                                 fixture.onEvent(fixture.newRequest(NOT_IDEMPOTENT, 1)),
                                 RejectRequest.class)
                         .size(),
-                "it was never executed");
+                "the request was never executed");
     }
 
     /**
@@ -135,12 +135,13 @@
                         new CancelAttempt(request.id(), 1),
                         new CancelAttempt(request.id(), 2)),
                 actions,
-                "the final response, then the open attempts by number");
+                "the final response, then cancellations in the order of the attempts");
         assertEquals(
                 List.of(new CancelAttempt(request.id(), 2)),
                 completeAt(fixture, second, 1),
                 "the attempt still open is cancelled once more, and none is started");
-        assertEquals(List.of(), completeAt(fixture, third, 2), "nothing follows");
+        assertEquals(
+                List.of(), completeAt(fixture, third, 2), "a finished request causes no actions");
         assertEquals(List.of(), fixture.onEvent(new ClientDisconnected(request.id())));
     }
 
