--- a/src/main/java/brooklock/routing/CacheSelector.java
+++ b/src/main/java/brooklock/routing/CacheSelector.java
@@ -4,34 +4,49 @@
 import java.util.List;
 
 /**
- * Bounded-load rendezvous selection of the edge cache of a request.
+ * Selects the edge cache of a request by rendezvous hashing with bounded loads.
  *
- * <p>Inputs: the caches of the own zone, the work in flight at each, {@link OutlierDetector},
- * {@link SlowStart} and how often the object is requested.
+ * <p>Inputs: the caches of the router's own zone, the work in flight at each, {@link
+ * OutlierDetector}, {@link SlowStart} and how often the object is requested.
  *
- * <p>The caches are tried in the order of {@link RendezvousHash}. One is passed over that the
- * request has tried, that is ejected, that carries more than its share, or whose slow-start budget
- * does not cover the request. The bound on the share prevents that one popular copy fills a cache's
- * link while its peers idle, which shows as late hits at one cache. It holds because what a cache
- * may not take goes on to the next in the order.
+ * <p>The caches are tried in the order of {@link RendezvousHash}. A cache is passed over if the
+ * request has tried it, if it is ejected, if its load exceeds the bound, or if its slow-start
+ * budget does not cover the request. Without the bound on the load, one popular copy could fill a
+ * cache's link and make its hits late while its peers are idle. If a cache is passed over, the next
+ * one in the order is tried.
  *
- * <p>Where all are passed over, only slow start still binds: of the caches that it allows the least
- * loaded is chosen, an ejected one after the others and one that the request has tried last.
+ * <p>If all caches are passed over, only slow start still applies: the least loaded of the caches
+ * that it allows is selected. Ejected caches come after the others, and caches that the request has
+ * tried come last.
  */
 final class CacheSelector {
-    /** A cache is passed over above this multiple of its peers' mean work in flight ... */
-    private static final double LOAD_BOUND = 1.1;
+    /**
+     * Multiple of the caches' mean work in flight above which, with {@link #LOAD_SLACK_REQUESTS}
+     * added, a cache is passed over.
+     */
+    private static final double LOAD_BOUND_FACTOR = 1.1;
 
-    /** ... and this many mean requests more, so that small numbers move nothing. */
+    /**
+     * Mean requests that are added to the bound of the load, so that small loads do not move
+     * requests.
+     */
     private static final double LOAD_SLACK_REQUESTS = 2;
 
-    /** Caches picked one by one before the rest is sorted, which costs about as many passes. */
+    /**
+     * Number of caches that are selected one by one before the rest is sorted: sorting costs about
+     * as many passes.
+     */
     private static final int SELECTION_PASSES = 8;
 
-    /** Added to the load, ns, of a cache that the request has tried: far above any load. */
+    /**
+     * Added to the load in nanoseconds of a cache that the request has tried: far above any load.
+     */
     private static final double TRIED_PENALTY_NS = 1e15;
 
-    /** Added to the load, ns, of an ejected cache: above any load, below the other penalty. */
+    /**
+     * Added to the load in nanoseconds of an ejected cache: above any load, below the other
+     * penalty.
+     */
     private static final double EJECTED_PENALTY_NS = 1e12;
 
     private static final Comparator<RoutedEndpoint> BY_SCORE =
@@ -57,25 +72,25 @@
     }
 
     /**
-     * The cache for the request; where all are passed over, the least loaded that slow start
-     * allows, even an ejected one. Null only where slow start allows none.
+     * Returns the cache for the request. If all caches are passed over, returns the least loaded
+     * one that slow start allows, or null if it allows none.
      */
     RoutedEndpoint select(PendingRequest request, long now) {
-        double bound =
+        double maxLoad =
                 scoreAll(RendezvousHash.copyHash(request.event.object(), request.event.part()));
         RoutedEndpoint best = null;
-        int left = HotList.cacheCount(request.demand);
+        int remaining = HotList.cacheCount(request.demand);
         for (int i = 0; i < caches.size(); i++) {
-            RoutedEndpoint cache = bringNearest(i);
+            RoutedEndpoint cache = moveBestTo(i);
             double load = loadOf(cache);
             if (request.hasTried(cache)
                     || !outliers.isUsable(cache, now)
-                    || load > bound
-                    || !slowStart.canAfford(cache, request, now)) {
+                    || load > maxLoad
+                    || !slowStart.budgetCovers(cache, request, now)) {
                 continue;
             }
             best = best == null || load < loadOf(best) ? cache : best;
-            if (--left == 0) {
+            if (--remaining == 0) {
                 break;
             }
         }
@@ -83,55 +98,62 @@
     }
 
     /**
-     * Scores all caches for a copy; returns the work in flight by weight that none should exceed.
+     * Scores all caches for a copy.
+     *
+     * @return the load, as work in flight divided by weight, above which a cache is passed over
      */
-    private double scoreAll(long copy) {
-        double load = 0;
-        double weight = 0;
+    private double scoreAll(long copyHash) {
+        double totalWorkNs = 0;
+        double totalWeight = 0;
         for (int i = 0; i < caches.size(); i++) {
             RoutedEndpoint cache = caches.get(i);
             cache.rendezvousScore =
                     weighted
-                            ? RendezvousHash.score(copy, cache.id(), cache.weight)
-                            : RendezvousHash.uniform(copy, cache.id());
-            load += cache.limit.inFlightNs();
-            weight += cache.weight;
+                            ? RendezvousHash.score(copyHash, cache.id(), cache.weight)
+                            : RendezvousHash.uniformScore(copyHash, cache.id());
+            totalWorkNs += cache.limit.inFlightNs();
+            totalWeight += cache.weight;
         }
-        return LOAD_BOUND * load / weight
-                + LOAD_SLACK_REQUESTS * workEstimator.meanNs() / weight * caches.size();
+        return LOAD_BOUND_FACTOR * totalWorkNs / totalWeight
+                + LOAD_SLACK_REQUESTS * workEstimator.meanNs() / totalWeight * caches.size();
     }
 
     /**
-     * Puts the best of the caches from a place on at that place. Few are looked at, so only those
-     * are ordered, in the list itself: its order is the next request's start.
+     * Moves the cache with the highest score among those from the given index on to that index and
+     * returns it. Usually only the first few caches are needed, so the others are left unsorted.
+     * The list itself is reordered, and its order is the starting point for the next request.
      */
-    private RoutedEndpoint bringNearest(int place) {
-        if (place == SELECTION_PASSES) {
-            caches.subList(place, caches.size()).sort(BY_SCORE);
-        } else if (place < SELECTION_PASSES) {
-            int best = place;
-            for (int i = place + 1; i < caches.size(); i++) {
+    private RoutedEndpoint moveBestTo(int index) {
+        if (index == SELECTION_PASSES) {
+            caches.subList(index, caches.size()).sort(BY_SCORE);
+        } else if (index < SELECTION_PASSES) {
+            int best = index;
+            for (int i = index + 1; i < caches.size(); i++) {
                 best = caches.get(i).rendezvousScore > caches.get(best).rendezvousScore ? i : best;
             }
-            caches.set(place, caches.set(best, caches.get(place)));
+            caches.set(index, caches.set(best, caches.get(index)));
         }
-        return caches.get(place);
+        return caches.get(index);
     }
 
-    /** Where all are passed over: the least loaded that the slow start allows, tried ones last. */
+    /**
+     * Returns the least loaded cache that slow start allows, or null if it allows none. Ejected
+     * caches come after the others, and caches that the request has tried come last.
+     */
     private RoutedEndpoint leastLoaded(PendingRequest request, long now) {
         RoutedEndpoint best = null;
         for (int i = 0; i < caches.size(); i++) {
             RoutedEndpoint cache = caches.get(i);
-            if (slowStart.canAfford(cache, request, now)
-                    && (best == null || compare(request, best, cache, now) > 0)) {
+            if (slowStart.budgetCovers(cache, request, now)
+                    && (best == null || compareFallbacks(request, best, cache, now) > 0)) {
                 best = cache;
             }
         }
         return best;
     }
 
-    private int compare(PendingRequest request, RoutedEndpoint a, RoutedEndpoint b, long now) {
+    private int compareFallbacks(
+            PendingRequest request, RoutedEndpoint a, RoutedEndpoint b, long now) {
         int order = Double.compare(penalizedLoad(request, a, now), penalizedLoad(request, b, now));
         return order != 0 ? order : BY_SCORE.compare(a, b);
     }
