--- a/src/main/java/brooklock/authorization/FairShares.java
+++ b/src/main/java/brooklock/authorization/FairShares.java
@@ -3,47 +3,48 @@
 import java.util.Collection;
 
 /**
- * Divides a capacity among tenants by weighted max-min fairness: a tenant with less demand than its
- * share leaves the rest to the others.
+ * Divides a capacity among tenants by weighted max-min fairness: the part of its share that a
+ * tenant does not demand is divided among the others.
  */
 final class FairShares {
     /**
-     * Growth per interval that is left open, so that demand and capacity that come back are found.
+     * The factor by which shares may exceed the measured demand or capacity, so that both can grow
+     * again from one interval to the next.
      */
     static final double GROWTH_FACTOR = 1.1;
 
-    // Shares are only enforced while the demand of a tenant, by its weight, exceeds this multiple
-    // of the others' demand. Where all demands are alike the router's own rejections are fair, and
-    // shares would only cost service, cache hits among it.
+    // Shares are enforced only while the demand per weight of some tenant exceeds this multiple of
+    // the demand per weight of the others. Where demands are similar, the router's own rejections
+    // are fair, and shares would only reject requests that could be served, such as cache hits.
     private static final double EXCESS_DEMAND_RATIO = 1.5;
-    private static final double UNDECIDED = -1;
+    private static final double UNASSIGNED = -1;
     private static final double MIN_WEIGHT_SUM = 1e-9;
 
     private FairShares() {}
 
     /**
-     * Sets the fair share of each tenant.
+     * Sets the fair share of each tenant; infinite for all if no tenant has excess demand.
      *
-     * @param capacity what is shared, in requests per interval
+     * @param capacity the capacity to divide, in requests per interval
      */
     static void allocate(Collection<TenantUsage> tenants, double capacity) {
         double remaining = capacity;
-        double weights = 0;
+        double weightSum = 0;
         for (TenantUsage usage : tenants) {
-            usage.fairShare = UNDECIDED;
-            weights += usage.demand > 0 ? usage.tenant.weight() : 0;
+            usage.fairShare = UNASSIGNED;
+            weightSum += usage.demand > 0 ? usage.tenant.weight() : 0;
         }
         boolean changed = true;
-        while (changed && weights > 0) {
+        while (changed && weightSum > 0) {
             changed = false;
-            double perWeight = remaining / weights;
+            double sharePerWeight = remaining / weightSum;
             for (TenantUsage usage : tenants) {
                 if (usage.fairShare < 0
                         && usage.demand > 0
-                        && usage.demand <= perWeight * usage.tenant.weight()) {
+                        && usage.demand <= sharePerWeight * usage.tenant.weight()) {
                     usage.fairShare = usage.demand * GROWTH_FACTOR + 1;
                     remaining -= usage.demand;
-                    weights -= usage.tenant.weight();
+                    weightSum -= usage.tenant.weight();
                     changed = true;
                 }
             }
@@ -51,7 +52,7 @@
         for (TenantUsage usage : tenants) {
             if (usage.fairShare < 0) {
                 usage.fairShare =
-                        remaining / Math.max(MIN_WEIGHT_SUM, weights) * usage.tenant.weight();
+                        remaining / Math.max(MIN_WEIGHT_SUM, weightSum) * usage.tenant.weight();
             }
         }
         if (tenants.stream().noneMatch(usage -> hasExcessDemand(usage, tenants))) {
--- a/src/main/java/brooklock/routing/FillAdmission.java
+++ b/src/main/java/brooklock/routing/FillAdmission.java
@@ -3,22 +3,23 @@
 import brooklock.routing.RouterEvent.AttemptCompleted;
 
 /**
- * How far a request may reach by the load: to its cache's copy only, to a parent, to the origin, or
- * not at all.
+ * Decides under the present load which tiers a request may use: the cached copy of its cache, a
+ * parent, the origin, or none.
  *
  * <p>Inputs: the work of the request, the limits of the links, the hot list, and the miss ratios
  * learned from outcomes.
  *
- * <p>Each attempt reserves work on its endpoint's link, on the zone's fill link and at the origin,
- * on the latter two by the share of requests that get so far. Where a link has no capacity left the
- * request goes only as far as there is, and further on a miss if there is by then. Where it would
- * reach nothing new, the load is shed: the {@link Router} rejects the request or fails it at once.
+ * <p>Each attempt reserves work on the link of its endpoint, on the zone's fill link and at the
+ * origin. On the latter two it reserves only the share of the work that is expected to miss in the
+ * tiers before. If a link has no capacity left, the request is admitted only to the tiers before
+ * that link; after a miss it may go further if there is capacity by then. If no tier is left that
+ * could serve it, the load is shed: the {@link Router} rejects or fails the request at once.
  *
- * <p>This prevents that misses which cannot be filled hold up hits, which shows as late responses
- * from caches that have the object. It holds because a cached copy needs only the cache's own link.
+ * <p>Without this, misses that cannot be filled would delay hits: caches would respond late even if
+ * they have the object. Serving a cached copy needs only the cache's own link.
  */
 final class FillAdmission {
-    /** Miss ratio of caches and of parents until they are measured. */
+    /** Initial miss ratio of caches and of parents, until it is measured. */
     private static final double INITIAL_MISS_RATIO = 0.3;
 
     /** Weight of a new sample in a miss ratio. */
@@ -35,55 +36,64 @@
         this.outliers = outliers;
     }
 
-    /** Whether fills come late lately. */
-    boolean isFillLate() {
-        return fillLimit.isLate();
+    /** Returns whether the zone's fill link is congested. */
+    boolean isFillLinkCongested() {
+        return fillLimit.isCongested();
     }
 
-    /** How far the request may reach now; objects off the hot list wait for a narrow origin. */
-    AdmittedTier reach(PendingRequest request, RoutedEndpoint target, long now) {
-        double work = request.workNs;
+    /**
+     * Returns the furthest tier that the request may use. While the origin's limit is smaller than
+     * the request, only hot objects are admitted to the origin.
+     */
+    AdmittedTier admit(PendingRequest request, RoutedEndpoint target, long now) {
+        double workNs = request.workNs;
         if (!target.isCache) {
-            return fillLimit.admits(work, now) ? AdmittedTier.ORIGIN : AdmittedTier.NONE;
+            return fillLimit.admits(workNs, now) ? AdmittedTier.ORIGIN : AdmittedTier.NONE;
         }
-        boolean fill = fillLimit.admits(work * (request.missed ? 1 : missRatio), now);
-        boolean origin =
-                originLimit.admits(work * originShare(request), now)
-                        && (request.hot || originLimit.admitsAlone(work));
-        if (!target.limit.admits(work, now)
-                || (request.missed && !fill)
-                || (request.parentMissed && !origin)) {
+        boolean fillAdmitted =
+                fillLimit.admits(workNs * (request.cacheMissed ? 1 : missRatio), now);
+        boolean originAdmitted =
+                originLimit.admits(workNs * expectedOriginShare(request), now)
+                        && (request.objectHot || originLimit.isAtLeast(workNs));
+        if (!target.limit.admits(workNs, now)
+                || (request.cacheMissed && !fillAdmitted)
+                || (request.parentMissed && !originAdmitted)) {
             return AdmittedTier.NONE;
         }
-        return !fill ? AdmittedTier.CACHE : origin ? AdmittedTier.ORIGIN : AdmittedTier.PARENT;
+        return !fillAdmitted
+                ? AdmittedTier.CACHE
+                : originAdmitted ? AdmittedTier.ORIGIN : AdmittedTier.PARENT;
     }
 
-    /** Share of the request's work that is expected at the origin, by the misses known so far. */
-    private double originShare(PendingRequest request) {
+    /**
+     * Returns the share of the request's work that is expected at the origin, given the misses
+     * known so far.
+     */
+    private double expectedOriginShare(PendingRequest request) {
         if (request.parentMissed) {
             return 1;
         }
-        return request.missed ? parentMissRatio : missRatio * parentMissRatio;
+        return request.cacheMissed ? parentMissRatio : missRatio * parentMissRatio;
     }
 
-    /** Reserves an attempt's work on the three links. */
+    /** Reserves an attempt's work on the endpoint's link, on the fill link and at the origin. */
     void acquire(PendingRequest request, Attempt attempt) {
         attempt.endpointWorkNs = request.workNs;
         attempt.endpoint.limit.acquire(attempt.endpointWorkNs);
-        boolean certain = request.missed || !request.isCacheableAt(attempt.endpoint);
+        boolean fillCertain = request.cacheMissed || !request.isCacheableAt(attempt.endpoint);
         attempt.fillWorkNs =
-                attempt.reach == AdmittedTier.CACHE || request.requestClass.passThrough()
+                attempt.admittedTier == AdmittedTier.CACHE || request.requestClass.passThrough()
                         ? 0
-                        : certain ? request.workNs : request.workNs * missRatio;
+                        : fillCertain ? request.workNs : request.workNs * missRatio;
         attempt.originWorkNs =
-                attempt.reach != AdmittedTier.ORIGIN
+                attempt.admittedTier != AdmittedTier.ORIGIN
                         ? 0
                         : attempt.fillWorkNs * (request.parentMissed ? 1 : parentMissRatio);
         fillLimit.acquire(attempt.fillWorkNs);
         originLimit.acquire(attempt.originWorkNs);
     }
 
-    /** Releases an attempt's work; a second call releases nothing. */
+    /** Releases an attempt's work. A second call has no effect. */
     void release(Attempt attempt, long now) {
         attempt.endpoint.limit.release(attempt.endpointWorkNs, now);
         fillLimit.release(attempt.fillWorkNs, now);
@@ -94,8 +104,9 @@
     }
 
     /**
-     * Learns from an outcome. What never started, or was cancelled before its objective, says
-     * nothing of a link: its client left, or its connection came up late.
+     * Updates the limits and miss ratios with an outcome. An attempt that never started, or that
+     * was cancelled before its latency objective, says nothing about a link: its connection was
+     * established late, or its client disconnected.
      */
     void onCompleted(
             PendingRequest request,
@@ -104,9 +115,9 @@
             boolean responseLost,
             double meanWorkNs,
             long now) {
-        boolean early = now < request.objectiveAtNs;
+        boolean beforeObjective = now < request.objectiveAtNs;
         if (completed.outcome().neverStarted()
-                || (completed.outcome() == AttemptOutcome.CANCELLED && early)) {
+                || (completed.outcome() == AttemptOutcome.CANCELLED && beforeObjective)) {
             return;
         }
         boolean onTime = completed.outcome() == AttemptOutcome.OK && request.isOnTime(completed);
@@ -116,19 +127,23 @@
             (isHit(attempt, completed) ? attempt.endpoint.limit : fillLimit)
                     .onUnsizedResponse(onTime);
         } else {
-            ConcurrencyLimit limit = limitJudgedBy(attempt, completed, early || responseLost);
+            ConcurrencyLimit limit =
+                    limitToUpdate(attempt, completed, beforeObjective || responseLost);
             if (limit != null) {
                 limit.onResponse(onTime, request.workNs, meanWorkNs);
             }
         }
-        learnMissRatios(request, attempt, completed);
+        updateMissRatios(request, attempt, completed);
     }
 
     /**
-     * A hit judges the cache's own link, a parent's copy the fill link, what the origin had to give
-     * the origin.
+     * Returns the limit that an outcome updates, or null if it updates none: the limit of the
+     * cache's own link for a hit, of the fill link for a copy from a parent or a response from an
+     * endpoint that is not a cache, and of the origin for a copy from the origin or a failed fill
+     * that reached its fill source. Any other failure, unless it is excused, updates the limit of
+     * the cache's link if only the cached copy was allowed, else that of the fill link.
      */
-    private ConcurrencyLimit limitJudgedBy(
+    private ConcurrencyLimit limitToUpdate(
             Attempt attempt, AttemptCompleted completed, boolean excused) {
         boolean ok = completed.outcome() == AttemptOutcome.OK;
         CacheStatus status = completed.cacheStatus();
@@ -139,24 +154,24 @@
             return fillLimit;
         }
         if ((ok && status == CacheStatus.FILLED_BY_ORIGIN)
-                || (status.isFillSourceFailure() && !outliers.isFillSourceUnreached(completed))) {
+                || (status.isFillSourceFailure() && !outliers.isFillSourceUnreachable(completed))) {
             return originLimit;
         }
         if (ok || excused) {
             return null;
         }
-        return attempt.reach == AdmittedTier.CACHE ? attempt.endpoint.limit : fillLimit;
+        return attempt.admittedTier == AdmittedTier.CACHE ? attempt.endpoint.limit : fillLimit;
     }
 
-    private void learnMissRatios(
+    private void updateMissRatios(
             PendingRequest request, Attempt attempt, AttemptCompleted completed) {
         if (completed.outcome() != AttemptOutcome.OK
-                || attempt.reach != AdmittedTier.ORIGIN
+                || attempt.admittedTier != AdmittedTier.ORIGIN
                 || !attempt.endpoint.isCache) {
             return;
         }
         boolean hit = completed.cacheStatus() == CacheStatus.HIT;
-        if (!request.missed) {
+        if (!request.cacheMissed) {
             missRatio += MISS_RATIO_WEIGHT * ((hit ? 0 : 1) - missRatio);
         }
         if (!request.parentMissed && !hit) {
--- a/src/test/java/brooklock/routing/EndpointTableTest.java
+++ b/src/test/java/brooklock/routing/EndpointTableTest.java
@@ -11,25 +11,29 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Which endpoints are used after a change of the list. */
+/** Tests which endpoints are used after a change of the endpoint list. */
 class EndpointTableTest {
     /**
-     * A cache and a parent drain. From that event on neither gets a request or is named for a fill.
+     * A cache and a parent start draining. From that event on neither may get a request or be named
+     * as a fill source.
      */
     @Test
-    void aDrainingEndpointIsLeftAtOnceAsTargetAndAsFillSource() {
+    void aDrainingEndpointIsNoLongerUsedAsTargetOrFillSource() {
         RouterFixture fixture = new RouterFixture().withEndpoints();
         fixture.changeEndpoints(
                 RouterFixture.cache(12, EndpointState.DRAINING, 0),
                 RouterFixture.parent(801, EndpointState.DRAINING, 0));
         for (long object = 1; object <= 200; object++) {
-            StartAttempt attempt = fixture.requestServed(PAGE, object);
+            StartAttempt attempt = fixture.serveRequest(PAGE, object);
             assertNotEquals(12, attempt.endpoint());
             assertEquals(802, attempt.fillSource());
         }
     }
 
-    /** A full list no longer names an endpoint: it is gone, though no change ever said so. */
+    /**
+     * A full list no longer contains an endpoint. The endpoint is gone even though no change
+     * reported it.
+     */
     @Test
     void anEndpointMissingFromAFullListIsGone() {
         RouterFixture fixture = new RouterFixture().withEndpoints();
@@ -40,15 +44,15 @@
                                 RouterFixture.cache(11, EndpointState.READY, 0),
                                 RouterFixture.parent(802, EndpointState.READY, 0))));
         for (long object = 1; object <= 50; object++) {
-            StartAttempt attempt = fixture.requestServed(PAGE, object);
+            StartAttempt attempt = fixture.serveRequest(PAGE, object);
             assertEquals(11, attempt.endpoint());
             assertEquals(802, attempt.fillSource());
         }
     }
 
     /**
-     * The subscription to the list failed. The last list stays in force, and a new subscription is
-     * requested.
+     * The subscription to the endpoint list fails. The last list must stay in use, and a new
+     * subscription must be requested.
      */
     @Test
     void aFailedSubscriptionIsRenewedAndTheListStays() {
@@ -56,6 +60,6 @@
         assertEquals(
                 List.of(new WatchEndpoints()),
                 fixture.onEvent(new EndpointListReceived(EndpointListKind.FAILED, List.of())));
-        assertNotNull(fixture.request(PAGE, 42));
+        assertNotNull(fixture.startRequest(PAGE, 42));
     }
 }
--- a/src/test/java/brooklock/routing/FillSourceSelectorTest.java
+++ b/src/test/java/brooklock/routing/FillSourceSelectorTest.java
@@ -3,25 +3,25 @@
 import static brooklock.routing.RouterFixture.MS;
 import static brooklock.routing.RouterFixture.ORIGIN_ID;
 import static brooklock.routing.RouterFixture.PAGE;
-import static brooklock.routing.RouterFixture.attemptIn;
+import static brooklock.routing.RouterFixture.firstAttempt;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import brooklock.routing.RouterAction.StartAttempt;
 import org.junit.jupiter.api.Test;
 
-/** Where a miss is filled from. */
+/** Tests which fill source is selected for a miss. */
 class FillSourceSelectorTest {
     /**
-     * All parents reject fills, because the origin behind them is overloaded. Direct fills would
-     * push the origin further, so the parents are still named.
+     * All parents reject fills because the origin behind them is overloaded. Direct fills would
+     * increase its load, so the parents must still be selected.
      */
     @Test
-    void ejectedParentsAreNamedBeforeTheOrigin() {
+    void ejectedParentsAreSelectedBeforeTheOrigin() {
         RouterFixture fixture = new RouterFixture().withEndpoints();
         for (int i = 0; i < 40; i++) {
             fixture.now += 5 * MS;
-            StartAttempt attempt = fixture.request(PAGE, i);
+            StartAttempt attempt = fixture.startRequest(PAGE, i);
             if (attempt != null) {
                 assertNotEquals(ORIGIN_ID, attempt.fillSource());
                 fixture.complete(
@@ -31,19 +31,19 @@
     }
 
     /**
-     * The parents are dead: fills fail within the time of a connection. Here the origin is not the
-     * cause, and without it nothing would be served.
+     * The parents are down: fills fail within the connect timeout. The origin is not the cause, and
+     * without it no request would be served.
      */
     @Test
-    void parentsThatAreNotReachedMakeWayForTheOrigin() {
+    void theOriginIsSelectedIfAllParentsAreUnreachable() {
         RouterFixture fixture = new RouterFixture().withEndpoints();
         boolean fromOrigin = false;
         for (int i = 0; i < 40 && !fromOrigin; i++) {
             fixture.now += 5 * MS;
-            StartAttempt attempt = fixture.request(PAGE, i);
+            StartAttempt attempt = fixture.startRequest(PAGE, i);
             fromOrigin = attempt.fillSource() == ORIGIN_ID;
             StartAttempt next =
-                    attemptIn(
+                    firstAttempt(
                             fixture.complete(
                                     attempt,
                                     fromOrigin ? AttemptOutcome.OK : AttemptOutcome.OVERLOADED,
--- a/src/test/java/brooklock/simulator/ActionEncoderTest.java
+++ b/src/test/java/brooklock/simulator/ActionEncoderTest.java
@@ -8,10 +8,10 @@
 import java.nio.ByteOrder;
 import org.junit.jupiter.api.Test;
 
-/** Actions as the simulator reads them, byte by byte. */
+/** Tests the encoding of actions byte by byte. */
 class ActionEncoderTest {
     @Test
-    void actionsAreEncodedAsTheWireHasThem() {
+    void actionsAreEncodedInTheWireFormat() {
         ActionEncoder encoder = new ActionEncoder();
         encoder.add(
                 3,
