--- a/src/main/java/brooklock/membership/EndpointListCodec.java
+++ b/src/main/java/brooklock/membership/EndpointListCodec.java
@@ -12,7 +12,8 @@
 import java.util.Set;
 
 /**
- * The text form of an endpoint list, as the control listener receives and sends it:
+ * Encodes and decodes the text form of an endpoint list that the control listener receives and
+ * sends:
  *
  * <pre>
  * list full [source NAME epoch E number N]
@@ -21,11 +22,11 @@
  * end COUNT
  * </pre>
  *
- * <p>The last line counts the endpoints, so that a list that was cut short is detected. A list is
- * accepted whole or not at all.
+ * <p>The last line states the number of endpoints, so that a truncated list is detected. A list is
+ * accepted whole or rejected whole. All methods are static, free of side effects and thread-safe.
  */
 public final class EndpointListCodec {
-    /** Endpoints in one list at most. */
+    /** Maximum number of endpoints in one list. */
     public static final int MAX_ENDPOINTS = 4096;
 
     private static final String FULL = "full";
@@ -36,9 +37,10 @@
     private EndpointListCodec() {}
 
     /**
-     * Decodes a list.
+     * Decodes an endpoint list.
      *
-     * @throws MalformedEndpointListException with the line and the reason
+     * @throws MalformedEndpointListException if any part of the list is invalid; the message is
+     *     {@code line N: REASON} where the fault belongs to one line
      */
     public static WatchEvent decode(String text) {
         String[] lines = text.split("\n");
@@ -47,19 +49,22 @@
                 || !header[0].equals("list")
                 || (!header[1].equals(FULL) && !header[1].equals(DELTA))) {
             throw new MalformedEndpointListException(
-                    1, "a list begins with 'list full' or 'list delta'");
+                    1,
+                    "expected 'list full' or 'list delta' but received '%.40s'"
+                            .formatted(lines[0]));
         }
         int count = lines.length - 2;
         if (!lines[lines.length - 1].equals("end " + count) || !text.endsWith("\n")) {
             throw new MalformedEndpointListException(
                     lines.length,
-                    "the list does not end with 'end "
-                            + count
-                            + "': it was cut short or its hosts were miscounted");
+                    ("expected 'end %d' and a line break at the end of the list but received"
+                                    + " '%.40s': the list was truncated or its endpoints were"
+                                    + " miscounted")
+                            .formatted(Math.max(0, count), lines[lines.length - 1]));
         }
         if (count > MAX_ENDPOINTS) {
             throw new MalformedEndpointListException(
-                    "a list holds " + MAX_ENDPOINTS + " hosts at most");
+                    "expected at most " + MAX_ENDPOINTS + " endpoints but received " + count);
         }
         List<ListedEndpoint> endpoints = decodeEndpoints(lines);
         try {
@@ -77,7 +82,8 @@
                 ListedEndpoint endpoint = decodeEndpoint(lines[i]);
                 if (!ids.add(endpoint.id())) {
                     throw new MalformedEndpointListException(
-                            "the host '" + endpoint.name() + "' stands here twice");
+                            "expected each endpoint once but received '%.40s' a second time"
+                                    .formatted(endpoint.name()));
                 }
                 endpoints.add(endpoint);
             } catch (IllegalArgumentException e) {
@@ -88,8 +94,8 @@
     }
 
     /**
-     * Decodes the version in a header, after the two words that every header begins with; null if
-     * there is none.
+     * Decodes the version in a header line, which follows the two words that every header begins
+     * with. Returns null if the header has no version.
      */
     private static EventVersion decodeVersion(String[] header) {
         int start = 2;
@@ -102,12 +108,15 @@
             int k = (i - start) / 2;
             if (k >= keys.length || !header[i].equals(keys[k]) || i + 1 == header.length) {
                 throw new MalformedEndpointListException(
-                        "a list's place is: source NAME epoch E number N, and for a delta follows M");
+                        ("expected 'source NAME epoch E number N', and 'follows M' in a delta,"
+                                        + " but received '%.40s' as word %d of %d")
+                                .formatted(header[i], i + 1, header.length));
             }
             values[k] = header[i + 1];
             if (k > 0 && !values[k].matches("\\d{1,15}")) {
                 throw new MalformedEndpointListException(
-                        "'" + values[k] + "' is not a whole number of up to 15 digits");
+                        "expected 1 to 15 digits after '%s' but received '%.40s'"
+                                .formatted(keys[k], values[k]));
             }
         }
         return new EventVersion(
@@ -120,20 +129,26 @@
     /**
      * Decodes the line of one endpoint.
      *
-     * @throws IllegalArgumentException with the reason, without the line's number
+     * @throws IllegalArgumentException if the line is invalid; the message states the reason
+     *     without the line number
      */
     static ListedEndpoint decodeEndpoint(String line) {
         String[] fields = splitWords(line);
         if (fields.length != ENDPOINT_FIELDS) {
             throw new MalformedEndpointListException(
-                    "a host is: name kind zone address state weight started-ms");
+                    "expected 'NAME KIND ZONE ADDRESS:PORT STATE WEIGHT STARTED-MS' but received "
+                            + fields.length
+                            + " words");
         }
         InetSocketAddress address = decodeAddress(fields[3]);
         double weight =
                 fields[5].matches("\\d{1,9}(\\.\\d{1,9})?") ? Double.parseDouble(fields[5]) : 0;
         if (weight <= 0 || !fields[6].matches("\\d{1,15}")) {
             throw new MalformedEndpointListException(
-                    "a weight is above 0, a start is ms since 1970 or 0");
+                    ("expected a decimal weight above 0, with up to 9 digits on either side of"
+                                    + " the point, and a start of 1 to 15 digits (ms since 1970, or"
+                                    + " 0) but received weight '%.40s' and start '%.40s'")
+                            .formatted(fields[5], fields[6]));
         }
         return new ListedEndpoint(
                 fields[0],
@@ -146,14 +161,17 @@
                 Long.parseLong(fields[6]));
     }
 
-    // Numeric addresses only: a name would have to be resolved, which blocks.
+    // Accepts numeric addresses only: resolving a host name would block the calling thread.
     private static InetSocketAddress decodeAddress(String text) {
         int colon = text.lastIndexOf(':');
         if (colon < 0
                 || !text.substring(colon + 1).matches("\\d{1,5}")
                 || Integer.parseInt(text.substring(colon + 1)) > MAX_PORT
                 || !text.substring(0, colon).matches("[0-9a-fA-F:.]+")) {
-            throw new MalformedEndpointListException("'" + text + "' is not an address and a port");
+            throw new MalformedEndpointListException(
+                    ("expected a numeric IP address and a port of at most 65535, as in"
+                                    + " 127.0.0.1:8080, but received '%.40s'")
+                            .formatted(text));
         }
         return new InetSocketAddress(
                 text.substring(0, colon), Integer.parseInt(text.substring(colon + 1)));
@@ -163,7 +181,11 @@
         return line.trim().split("[ \t]+");
     }
 
-    /** Returns the constant whose name, in lower case, is the given word. */
+    /**
+     * Returns the enum constant whose name in lower case equals the given word.
+     *
+     * @throws MalformedEndpointListException if there is no such constant
+     */
     static <E extends Enum<E>> E parseConstant(Class<E> type, String word) {
         for (E constant : type.getEnumConstants()) {
             if (lowerCaseName(constant).equals(word)) {
@@ -171,13 +193,15 @@
             }
         }
         throw new MalformedEndpointListException(
-                "'"
-                        + word
-                        + "' is not one of "
-                        + List.of(type.getEnumConstants()).toString().toLowerCase(Locale.ROOT));
+                "expected one of %s but received '%.40s'"
+                        .formatted(
+                                List.of(type.getEnumConstants())
+                                        .toString()
+                                        .toLowerCase(Locale.ROOT),
+                                word));
     }
 
-    /** Encodes a list. */
+    /** Encodes an event as the text of an endpoint list, with a header and an end line. */
     public static String encode(WatchEvent event) {
         StringBuilder text = new StringBuilder("list ").append(event.full() ? FULL : DELTA);
         if (event.version() != null) {
@@ -188,7 +212,7 @@
         return text.append("end ").append(event.endpoints().size()).append('\n').toString();
     }
 
-    /** Encodes one endpoint as a line, without its end. */
+    /** Encodes one endpoint as a line, without the line break. */
     static String encode(ListedEndpoint endpoint) {
         return String.join(
                 " ",
@@ -203,12 +227,13 @@
                 Long.toString(endpoint.startedMs()));
     }
 
-    // The decoder reads no exponent.
+    // Double.toString uses an exponent for very large and very small weights, which the decoder
+    // rejects.
     private static String plainDecimal(double weight) {
         return new BigDecimal(Double.toString(weight)).toPlainString();
     }
 
-    /** Returns a constant's name in lower case, as lists spell it. */
+    /** Returns the name of an enum constant in lower case, as endpoint lists spell it. */
     static String lowerCaseName(Enum<?> constant) {
         return constant.name().toLowerCase(Locale.ROOT);
     }
--- a/src/main/java/brooklock/membership/EndpointListFile.java
+++ b/src/main/java/brooklock/membership/EndpointListFile.java
@@ -8,23 +8,24 @@
 import java.util.Optional;
 
 /**
- * The saved endpoint list. It is all that a dispatcher knows when it restarts after a crash, so a
- * file is replaced whole and a damaged one is rejected whole. Blocks on file I/O: not for the
- * routing thread nor for I/O threads.
+ * The file in which the endpoint list is saved. After a crash it is the only record of removals and
+ * overrides, so the file is replaced atomically and a damaged file is rejected whole.
+ *
+ * <p>The methods block on file I/O and must not be called on the routing thread or on I/O threads.
  */
 public final class EndpointListFile {
     private final Path path;
 
-    /** Creates an accessor for the file at a path; the file need not exist. */
+    /** Creates a new accessor for the file at the given path. The file need not exist. */
     public EndpointListFile(Path path) {
         this.path = path;
     }
 
     /**
-     * Reads the state that was saved last, for {@link Membership#restore}; empty if there is no
-     * file.
+     * Reads the state that was saved last, as input for {@link Membership#restore}. Returns empty
+     * if the file does not exist.
      *
-     * @throws IOException if the file cannot be read, or is not a whole list
+     * @throws IOException if the file cannot be read, is truncated or is damaged
      */
     public Optional<Membership.State> load() throws IOException {
         if (!Files.exists(path)) {
@@ -39,9 +40,9 @@
     }
 
     /**
-     * Replaces the file; when this returns the state is on the disk.
+     * Replaces the content of the file. The state is on disk when this method returns.
      *
-     * @throws IOException if it cannot be written; the file is then as it was
+     * @throws IOException if the file cannot be written; its previous content is then unchanged
      */
     public void save(Membership.State state) throws IOException {
         AtomicFile.replace(path, EndpointRegistryCodec.encode(state), true);
--- a/src/main/java/brooklock/membership/EndpointMerge.java
+++ b/src/main/java/brooklock/membership/EndpointMerge.java
@@ -5,17 +5,21 @@
 import java.util.Optional;
 
 /**
- * Merges what all sources and the operators say of one endpoint. The result does not depend on the
- * order of arrival: the most restrictive state wins, and the remaining fields come from one source
- * chosen by its name.
+ * Merges the descriptions of one endpoint by all sources with the operators' override. The result
+ * does not depend on the order in which events arrived: the most restrictive state wins, the latest
+ * start wins, and the remaining fields come from one source that is chosen by its name. Stateless.
  */
 final class EndpointMerge {
     private EndpointMerge() {}
 
     /**
-     * Returns an endpoint as it is in force: address, weight and zone from the source that takes
-     * precedence, the most restrictive state of any source and of the override, the latest start
-     * that any source knows of. Empty if no source names it.
+     * Returns the endpoint in force: address, weight and zone from the source that takes
+     * precedence, the most restrictive state among all sources and the override, and the latest
+     * start that any source states. Returns empty if no source names the endpoint.
+     *
+     * @param id the endpoint's id
+     * @param sources all sources by name
+     * @param override the operators' override; {@link EndpointState#READY} if there is none
      */
     static Optional<ListedEndpoint> merge(
             long id, Map<String, EventSource> sources, EndpointState override) {
@@ -50,7 +54,11 @@
                         startedMs));
     }
 
-    /** Ordered sources come first, by name; then lists without versions; the settings last. */
+    /**
+     * Returns whether one source takes precedence over another. Versioned sources take precedence
+     * in the order of their names, then comes the source of unversioned events, and the settings
+     * come last.
+     */
     private static boolean takesPrecedence(String source, String other) {
         boolean ordered = !source.startsWith("*");
         boolean otherOrdered = !other.startsWith("*");
@@ -60,7 +68,10 @@
         return ordered ? source.compareTo(other) < 0 : other.equals(EventSource.SETTINGS);
     }
 
-    /** Returns the more restrictive of two states: gone before draining before ready. */
+    /**
+     * Returns the more restrictive of two states. Gone is more restrictive than draining, which is
+     * more restrictive than ready.
+     */
     static EndpointState mostRestrictive(EndpointState a, EndpointState b) {
         if (a == EndpointState.GONE || b == EndpointState.GONE) {
             return EndpointState.GONE;
--- a/src/main/java/brooklock/membership/EndpointRegistry.java
+++ b/src/main/java/brooklock/membership/EndpointRegistry.java
@@ -12,15 +12,14 @@
 import java.util.function.LongUnaryOperator;
 
 /**
- * The endpoint list in force, shared between threads, and its translation into events of the
- * router.
+ * Publishes the endpoint list in force to all threads and translates it into events for the router.
  *
- * <p>{@link #apply} and the translations are called on the routing thread only, which owns the
- * {@link Membership}. Any thread may call the other methods: they read the snapshot that the last
- * change published.
+ * <p>{@link #apply}, {@link #toEndpointList} and {@link #fullEndpointList} may be called on the
+ * routing thread only, which owns the {@link Membership}. The other methods may be called on any
+ * thread; they read the snapshot that the last change published.
  */
 public final class EndpointRegistry {
-    /** The start of one endpoint, as the list states it. */
+    /** Identifies one start of an endpoint by the wall time that the endpoint list states. */
     private record Start(long endpointId, long startedMs) {}
 
     private final List<String> zones;
@@ -30,10 +29,10 @@
     private volatile Membership.State state = Membership.State.EMPTY;
 
     /**
-     * Creates an empty registry.
+     * Creates a new, empty registry.
      *
      * @param zones names of the zones, in the order of the router's zone numbers
-     * @param wallMsToRoutingNs converts wall time, in ms since 1970, to the router's clock, in ns
+     * @param wallMsToRoutingNs converts a wall time, in ms since 1970, to the router's clock, in ns
      */
     public EndpointRegistry(List<String> zones, LongUnaryOperator wallMsToRoutingNs) {
         this.zones = zones;
@@ -41,13 +40,13 @@
         membership = new Membership(zones);
     }
 
-    /** A change of the list. */
+    /** A change of the endpoint list, such as a watch event or an operator command. */
     public interface Change {
-        /** Makes the change, on the routing thread. */
+        /** Applies the change to the membership; called on the routing thread. */
         UpdateResult apply(Membership membership);
     }
 
-    /** Makes a change and publishes the new snapshot before it returns. */
+    /** Applies a change and publishes the new snapshot before it returns. */
     public UpdateResult apply(Change change) {
         UpdateResult result = change.apply(membership);
         state = membership.state();
@@ -55,8 +54,11 @@
     }
 
     /**
-     * Returns the event that announces an update to the router; empty if the update has changed
+     * Returns the event that announces an update to the router, or empty if the update changed
      * nothing.
+     *
+     * @param result the result of the update
+     * @param kind how the router is to interpret the list
      */
     public Optional<EndpointListReceived> toEndpointList(
             UpdateResult result, EndpointListKind kind) {
@@ -65,7 +67,7 @@
                 : Optional.of(translate(result.affected(), kind));
     }
 
-    /** Returns an event with every endpoint in force. */
+    /** Returns a router event that contains every endpoint in force. */
     public EndpointListReceived fullEndpointList(EndpointListKind kind) {
         return translate(endpoints().values(), kind);
     }
@@ -89,8 +91,8 @@
         return new EndpointListReceived(kind, translated);
     }
 
-    // Each start is converted once: if the wall clock is set between two events, a second
-    // conversion would give another time, and the router would take it for a restart.
+    // Each start is converted only once. If the wall clock were set between two events, a second
+    // conversion would yield a different time, which the router would treat as a restart.
     private long startedAtNs(ListedEndpoint endpoint) {
         if (endpoint.startedMs() == 0) {
             return 0;
@@ -105,22 +107,22 @@
         return endpoint != null && endpoint.startedMs() == start.startedMs();
     }
 
-    /** The state in force; immutable. */
+    /** Returns the state in force, which is immutable. */
     public Membership.State state() {
         return state;
     }
 
-    /** The endpoints in force by id, with those that are gone; immutable. */
+    /** Returns the endpoints in force by id, including those that are gone; immutable. */
     public Map<Long, ListedEndpoint> endpoints() {
         return state.endpoints();
     }
 
-    /** Returns an endpoint by its id, or null if it is not known. */
+    /** Returns the endpoint with the given id, or null if it is not known. */
     public ListedEndpoint find(long id) {
         return state.endpoints().get(id);
     }
 
-    /** Whether an endpoint may get requests and be named as a fill source. */
+    /** Returns whether an endpoint may receive requests and be used as a fill source. */
     public boolean isReady(long id) {
         ListedEndpoint endpoint = find(id);
         return endpoint != null && endpoint.state() == EndpointState.READY;
--- a/src/main/java/brooklock/membership/EndpointRegistryCodec.java
+++ b/src/main/java/brooklock/membership/EndpointRegistryCodec.java
@@ -7,7 +7,7 @@
 import org.pcollections.PMap;
 
 /**
- * The text form of a {@link Membership.State} in the saved endpoint list:
+ * Encodes and decodes the text form of a {@link Membership.State} in the saved endpoint list:
  *
  * <pre>
  * members 2
@@ -16,8 +16,9 @@
  * end LINES CHECKSUM
  * </pre>
  *
- * <p>The last line makes a file that was cut short or damaged unreadable as a whole. Lists that
- * were saved before events had versions (in the form of {@link EndpointListCodec}) are read too.
+ * <p>The last line holds a checksum, so that a truncated or damaged file is rejected whole. Lists
+ * that were saved before events had versions, in the form of {@link EndpointListCodec}, are decoded
+ * too. All methods are static, free of side effects and thread-safe.
  */
 final class EndpointRegistryCodec {
     private static final String HEADER = "members 2";
@@ -28,6 +29,7 @@
 
     private EndpointRegistryCodec() {}
 
+    /** Encodes the sources and overrides of a state, followed by the line with the checksum. */
     static String encode(Membership.State state) {
         StringBuilder text = new StringBuilder(HEADER).append('\n');
         for (EventSource source : state.sources().values()) {
@@ -50,10 +52,11 @@
     }
 
     /**
-     * Decodes a saved list. The result has sources and overrides only; {@link Membership#restore}
-     * merges them.
+     * Decodes a saved list. The result of the current format contains sources and overrides only;
+     * {@link Membership#restore} merges them into the endpoints in force.
      *
-     * @throws IllegalArgumentException with the reason
+     * @throws IllegalArgumentException if the list is truncated, damaged or malformed; the message
+     *     states the reason
      */
     static Membership.State decode(String text) {
         if (!text.startsWith(HEADER + "\n")) {
@@ -77,7 +80,10 @@
                 ListedEndpoint endpoint = EndpointListCodec.decodeEndpoint(lines[i]);
                 source = source.withEndpoints(source.endpoints().plus(endpoint.id(), endpoint));
             } else {
-                throw new MalformedEndpointListException(i + 1, "a host before any source");
+                throw new MalformedEndpointListException(
+                        i + 1,
+                        "expected a 'source' line before the first endpoint but received '%.40s'"
+                                .formatted(lines[i]));
             }
             sources = sources.plus(source.name(), source);
         }
--- a/src/main/java/brooklock/membership/EventOrder.java
+++ b/src/main/java/brooklock/membership/EventOrder.java
@@ -4,16 +4,20 @@
 import java.util.Optional;
 
 /**
- * Decides whether a versioned event is the next one of its source. Events arrive on any number of
- * connections, so the order of arrival says nothing; without this check an overtaken event would
- * bring back an endpoint that a newer one has removed.
+ * Checks whether a versioned event may follow the last applied event of its source. Events arrive
+ * on any number of connections, so the order of arrival is not the order in which they were sent.
+ * Without this check a delayed event would restore an endpoint that a newer event has removed.
+ * Stateless.
  */
 final class EventOrder {
     private EventOrder() {}
 
     /**
-     * Returns why a versioned event must not be applied, or empty if it is the next one of its
-     * source.
+     * Returns the result with which a versioned event is rejected, or empty if the event may be
+     * applied.
+     *
+     * @param source the state of the event's source
+     * @param event an event with a version
      */
     static Optional<UpdateResult> check(EventSource source, WatchEvent event) {
         EventVersion version = event.version();
@@ -30,8 +34,9 @@
             boolean conflict = event.full() && !source.hasSameEndpoints(event);
             return rejected(conflict ? Status.CONFLICT : Status.DUPLICATE, source);
         }
-        // A delta from an earlier base than the one in force is a gap too: an endpoint that changed
-        // and changed back between the two is not in it, and would keep its state of before.
+        // A delta whose base is older than the sequence number in force is a gap too. An endpoint
+        // that changed after that base, and has since changed back, is missing from such a delta.
+        // If the first of these changes is in force, the endpoint would keep that outdated state.
         return event.full() || version.baseSequence() == source.sequence()
                 ? Optional.empty()
                 : rejected(Status.GAP, source);
--- a/src/main/java/brooklock/membership/EventSource.java
+++ b/src/main/java/brooklock/membership/EventSource.java
@@ -5,15 +5,17 @@
 import org.pcollections.TreePMap;
 
 /**
- * The state of one source: the version of its last event and what it says of each endpoint.
- * Immutable.
+ * The state of one source: the version of its last event and its latest description of each
+ * endpoint. Immutable.
  *
  * @param name the source's name
- * @param epoch epoch of its last event; 0 if its events have no version, or its order was reset
- * @param sequence sequence number of its last event; 0 as for {@code epoch}
- * @param lastHeardMs wall time of its last event, in ms since 1970; for display only
- * @param endpoints each endpoint that it has named, as it named it last; one that it removed is
- *     listed as gone, so that another source that has not yet noticed the removal does not undo it
+ * @param epoch epoch of the last event; 0 if the source's events have no version, or if its order
+ *     was reset
+ * @param sequence sequence number of the last event; 0 under the same conditions as {@code epoch}
+ * @param lastHeardMs wall time of the last event, in ms since 1970; for display only
+ * @param endpoints the latest description of each endpoint that the source has named, by id; an
+ *     endpoint that the source removed is kept as gone, so that another source that has not yet
+ *     noticed the removal does not undo it
  */
 public record EventSource(
         String name,
@@ -22,21 +24,22 @@
         long lastHeardMs,
         PSortedMap<Long, ListedEndpoint> endpoints) {
     /**
-     * The source of the endpoints in the settings; it is dropped as soon as another source sends a
-     * full list.
+     * Name of the source of the endpoints in the settings. The source is dropped as soon as another
+     * source sends a full list.
      */
     public static final String SETTINGS = "*settings";
 
-    /** The source of all events without a version. */
+    /** Name of the source to which all events without a version are assigned. */
     public static final String UNVERSIONED = "*unnumbered";
 
-    /** Returns a source that has sent nothing. */
+    /** Returns a source that has not sent any event. */
     static EventSource initial(String name) {
         return new EventSource(name, 0, 0, 0, TreePMap.empty());
     }
 
     /**
-     * Whether its events have versions. The names of those that have none begin with an asterisk.
+     * Returns whether the events of this source have versions. The names of sources without
+     * versions begin with an asterisk.
      */
     boolean isOrdered() {
         return !name.startsWith("*");
@@ -47,7 +50,8 @@
     }
 
     /**
-     * Returns this source with its order reset: the next full list is accepted whatever its epoch.
+     * Returns this source with its order reset, so that its next full list is accepted whatever its
+     * epoch.
      */
     EventSource withOrderReset() {
         return new EventSource(name, 0, 0, lastHeardMs, endpoints);
@@ -58,9 +62,11 @@
     }
 
     /**
-     * Returns this source after an event, whose version the caller has checked. A full list marks
-     * what it leaves out as gone; gone endpoints are forgotten only when the limit of a list is
-     * reached.
+     * Returns this source after an event. The caller has checked the event's version. A full list
+     * marks the endpoints that it does not name as gone. Endpoints that are gone are dropped only
+     * when {@link EndpointListCodec#MAX_ENDPOINTS} is exceeded.
+     *
+     * @param wallMs wall time at which the event arrived, in ms since 1970
      */
     EventSource withEvent(WatchEvent event, long wallMs) {
         PSortedMap<Long, ListedEndpoint> next = endpoints;
@@ -84,7 +90,10 @@
                 next);
     }
 
-    /** Whether a full list names the same endpoints, in the same states, as this source does. */
+    /**
+     * Returns whether a full list describes the same endpoints as this source, apart from those
+     * that are gone.
+     */
     boolean hasSameEndpoints(WatchEvent fullList) {
         EventSource other = initial(name).withEvent(fullList, 0);
         return withoutGone(endpoints).equals(withoutGone(other.endpoints));
@@ -101,7 +110,7 @@
         return remaining;
     }
 
-    /** Returns name and version in the words of the control protocol and the state page. */
+    /** Returns the name and version as the control protocol and the state page spell them. */
     @Override
     public String toString() {
         return isOrdered()
--- a/src/main/java/brooklock/membership/EventVersion.java
+++ b/src/main/java/brooklock/membership/EventVersion.java
@@ -1,44 +1,52 @@
 package brooklock.membership;
 
 /**
- * The place of a watch event in the order of its source. Versions of one source compare by epoch,
- * then by sequence number; versions of different sources do not compare.
+ * The position of a watch event in the order of its source. Versions of one source are ordered by
+ * epoch, then by sequence number; versions of different sources are not comparable.
  *
  * @param source name of the source
- * @param epoch the source's incarnation, 1 or more; grows with each start of the source (its start
- *     time in ms will do)
- * @param sequence 1 or more; grows with each change inside an epoch; the list is current as of this
- *     number
- * @param baseSequence for a delta, the sequence number that it was made from and that must be in
- *     force; 0 for a full list
+ * @param epoch the source's incarnation, at least 1; increases with each start of the source, so
+ *     its start time in ms is a valid epoch
+ * @param sequence sequence number of the event, at least 1; increases with each change within an
+ *     epoch, and the list is current as of this number
+ * @param baseSequence for a delta, the sequence number that it was derived from and that must be in
+ *     force for it to apply; 0 for a full list
  */
 public record EventVersion(String source, long epoch, long sequence, long baseSequence) {
-    /** Length limit of a source's name, in characters. */
+    /** Maximum length of a source name, in characters. */
     public static final int MAX_SOURCE_NAME_LENGTH = 63;
 
     /**
-     * Checks the fields.
+     * Creates a new version.
      *
-     * @throws IllegalArgumentException with a reason for the sender
+     * @throws IllegalArgumentException if a field is out of its range; the message is meant for the
+     *     sender
      */
     public EventVersion {
         if (!source.matches("[A-Za-z0-9][A-Za-z0-9._-]{0," + (MAX_SOURCE_NAME_LENGTH - 1) + "}")) {
             throw new IllegalArgumentException(
-                    "a source's name is up to "
-                            + MAX_SOURCE_NAME_LENGTH
-                            + " letters, digits, dots, dashes: '"
-                            + source
-                            + "'");
+                    ("expected a source name of 1 to %d letters, digits, dots, dashes and"
+                                    + " underscores that begins with a letter or digit but received"
+                                    + " '%.40s'")
+                            .formatted(MAX_SOURCE_NAME_LENGTH, source));
         }
         if (epoch < 1 || sequence < 1) {
-            throw new IllegalArgumentException("an epoch and a number are 1 or more");
+            throw new IllegalArgumentException(
+                    "expected an epoch and a number of at least 1 but received epoch "
+                            + epoch
+                            + " and number "
+                            + sequence);
         }
         if (baseSequence < 0 || baseSequence >= sequence) {
-            throw new IllegalArgumentException("a delta follows a number before its own");
+            throw new IllegalArgumentException(
+                    "expected a delta to follow a number below its own number "
+                            + sequence
+                            + " but received "
+                            + baseSequence);
         }
     }
 
-    /** Returns the version in the words of the control protocol. */
+    /** Returns the version as the control protocol spells it. */
     @Override
     public String toString() {
         return "source "
--- a/src/main/java/brooklock/membership/ListedEndpoint.java
+++ b/src/main/java/brooklock/membership/ListedEndpoint.java
@@ -5,16 +5,16 @@
 import java.net.InetSocketAddress;
 
 /**
- * One endpoint as an endpoint list describes it.
+ * The description of one endpoint in an endpoint list. Immutable.
  *
- * @param name its name, unique in the deployment
- * @param id its identifier, derived from the name
- * @param kind cache, parent or origin
- * @param zone name of its zone
- * @param address where it accepts connections
- * @param state whether it may get requests
- * @param weight its capacity relative to its peers, above 0
- * @param startedMs wall time of its last start, in ms since 1970; 0 means long ago
+ * @param name the endpoint's name, unique in the deployment
+ * @param id the identifier derived from the name
+ * @param kind whether the endpoint is a cache, a parent or an origin
+ * @param zone name of the zone
+ * @param address address and port on which the endpoint accepts connections
+ * @param state whether the endpoint may receive requests
+ * @param weight capacity relative to its peers, above 0
+ * @param startedMs wall time of the last start, in ms since 1970; 0 means long ago
  */
 public record ListedEndpoint(
         String name,
@@ -25,7 +25,7 @@
         EndpointState state,
         double weight,
         long startedMs) {
-    /** Returns the same endpoint in another state. */
+    /** Returns a copy of this endpoint with the given state. */
     public ListedEndpoint withState(EndpointState newState) {
         return new ListedEndpoint(name, id, kind, zone, address, newState, weight, startedMs);
     }
--- a/src/main/java/brooklock/membership/MalformedEndpointListException.java
+++ b/src/main/java/brooklock/membership/MalformedEndpointListException.java
@@ -1,6 +1,9 @@
 package brooklock.membership;
 
-/** The text of an endpoint list is invalid. The message is meant for whoever sent the list. */
+/**
+ * Thrown when the text of an endpoint list is invalid. The message is returned to the sender of the
+ * list.
+ */
 public final class MalformedEndpointListException extends IllegalArgumentException {
     private static final long serialVersionUID = 1L;
 
@@ -9,9 +12,10 @@
     }
 
     /**
-     * Creates an exception for one line.
+     * Creates a new exception for one line of the list.
      *
-     * @param line number of the line, from 1
+     * @param line number of the line, counted from 1
+     * @param reason what was expected and what was received
      */
     MalformedEndpointListException(int line, String reason) {
         super("line " + line + ": " + reason);
--- a/src/main/java/brooklock/membership/Membership.java
+++ b/src/main/java/brooklock/membership/Membership.java
@@ -15,28 +15,28 @@
 import org.pcollections.TreePMap;
 
 /**
- * The endpoint list in force, merged from watch events and operator overrides. The rules stand in
- * the description of the package. Pure: no I/O, no clock. Not thread-safe; the {@link State} that
- * it hands out is immutable.
+ * Maintains the endpoint list in force, merged from watch events and operator overrides by the
+ * rules in the description of this package. Performs no I/O and reads no clock. Not thread-safe,
+ * but the {@link State} that it returns is immutable.
  */
 public final class Membership {
-    /** Versioned sources that are remembered at most; events of a further one are rejected. */
+    /** Maximum number of versioned sources; events of a further source are rejected. */
     public static final int MAX_SOURCES = 16;
 
     /**
-     * Everything that is known at one moment; immutable.
+     * An immutable snapshot of the membership.
      *
      * @param sources the sources by name
      * @param overrides the states that operators have set, by endpoint id; never {@link
      *     EndpointState#READY}
-     * @param endpoints the endpoints in force by id; those that are gone stay until their room is
-     *     needed, because attempts to them may still be in flight
+     * @param endpoints the endpoints in force by id; those that are gone remain until the limit of
+     *     the list is reached, because attempts to them may still be in flight
      */
     public record State(
             PMap<String, EventSource> sources,
             PMap<Long, EndpointState> overrides,
             PSortedMap<Long, ListedEndpoint> endpoints) {
-        /** No source has sent anything. */
+        /** The state in which no source has sent an event. */
         public static final State EMPTY =
                 new State(HashTreePMap.empty(), HashTreePMap.empty(), TreePMap.empty());
     }
@@ -45,7 +45,7 @@
     private State state = State.EMPTY;
 
     /**
-     * Creates an empty list.
+     * Creates a new membership without sources or endpoints.
      *
      * @param zones names of the zones; an event with an endpoint of another zone is rejected
      */
@@ -53,7 +53,7 @@
         this.zones = Set.copyOf(zones);
     }
 
-    /** The state now; immutable. */
+    /** Returns the current state, which is immutable. */
     public State state() {
         return state;
     }
@@ -61,9 +61,9 @@
     // ---- Watch events
 
     /**
-     * Applies an event whole or not at all.
+     * Applies an event whole or rejects it whole.
      *
-     * @param wallMs wall time of its arrival, in ms since 1970; kept for display only
+     * @param wallMs wall time at which the event arrived, in ms since 1970; kept for display only
      */
     public UpdateResult apply(long wallMs, WatchEvent event) {
         for (ListedEndpoint endpoint : event.endpoints()) {
@@ -117,9 +117,9 @@
     }
 
     /**
-     * Applies the endpoints of the settings; they are in force until a source sends a full list.
+     * Applies the endpoints of the settings, which are in force until a source sends a full list.
      *
-     * @param wallMs wall time, in ms since 1970
+     * @param wallMs current wall time, in ms since 1970; kept for display only
      */
     public UpdateResult applySettings(long wallMs, List<ListedEndpoint> endpoints) {
         EventSource settings =
@@ -131,7 +131,7 @@
                 settings.toString());
     }
 
-    /** Continues from a saved state; endpoints in zones that no longer exist are left out. */
+    /** Restores a saved state. Endpoints in zones that no longer exist are left out. */
     public UpdateResult restore(State saved) {
         PMap<String, EventSource> sources = saved.sources;
         for (EventSource source : saved.sources.values()) {
@@ -146,11 +146,11 @@
         return commitAll(sources, saved.overrides, "as saved");
     }
 
-    // ---- Operators' commands
+    // ---- Operator commands
 
     /**
-     * Sets an operator's override on one endpoint. {@link EndpointState#READY} withdraws it, after
-     * which the sources alone decide again.
+     * Sets an operator's override on one endpoint. {@link EndpointState#READY} withdraws the
+     * override, after which the sources alone determine the endpoint's state.
      */
     public UpdateResult setOverride(String endpointName, EndpointState override) {
         Optional<ListedEndpoint> named =
@@ -192,8 +192,8 @@
     }
 
     /**
-     * Resets a source's order: its next full list is accepted whatever its epoch. Its endpoints
-     * stay in force.
+     * Resets the order of a source, so that its next full list is accepted whatever its epoch. The
+     * source's endpoints stay in force.
      */
     public UpdateResult resetSource(String sourceName) {
         EventSource source = sourceName == null ? null : state.sources.get(sourceName);
@@ -205,7 +205,10 @@
                 Status.APPLIED, "its next full list is taken whatever its epoch", List.of(), false);
     }
 
-    /** Forgets a source and everything that it has sent; endpoints that it alone named are gone. */
+    /**
+     * Removes a source and all its endpoint descriptions. Endpoints that no other source names
+     * become gone.
+     */
     public UpdateResult forgetSource(String sourceName) {
         if (sourceName == null || !state.sources.containsKey(sourceName)) {
             return unknownSource(sourceName);
@@ -229,10 +232,12 @@
     }
 
     /**
-     * Merges the changed endpoints and makes the result the state, unless the list would exceed its
-     * limit.
+     * Merges the changed endpoints and replaces the state, unless the list would exceed {@link
+     * EndpointListCodec#MAX_ENDPOINTS}.
      *
-     * @param complete whether {@code changed} holds every endpoint
+     * @param changed ids of the endpoints to merge
+     * @param complete whether {@code changed} contains every endpoint
+     * @param detail text for the sender of the update
      */
     private UpdateResult commit(
             PMap<String, EventSource> sources,
@@ -268,7 +273,9 @@
         return new UpdateResult(Status.APPLIED, detail, List.copyOf(affected), complete);
     }
 
-    // An override goes with its endpoint.
+    // Drops the overrides of endpoints that are no longer listed; they would otherwise accumulate
+    // and
+    // could not be saved, because only the list knows the endpoint's name.
     private static PMap<Long, EndpointState> overridesOf(
             PSortedMap<Long, ListedEndpoint> endpoints, PMap<Long, EndpointState> overrides) {
         PMap<Long, EndpointState> kept = overrides;
--- a/src/main/java/brooklock/membership/PurgeTimes.java
+++ b/src/main/java/brooklock/membership/PurgeTimes.java
@@ -4,14 +4,15 @@
 import java.util.Map;
 
 /**
- * The time of each purge on the router's clock. A purge that is repeated, or arrives late on
- * another connection, gets the time of its first arrival. Without this, a wall clock that was set
- * in between would make the repeat purge more or fewer copies than the first one did. Pure; owned
- * by the routing thread.
+ * Remembers the time of each purge on the router's clock. A purge that is repeated, or arrives
+ * again on another connection, keeps the time of its first arrival. Otherwise a wall clock that was
+ * set in between would make the repeated purge remove more or fewer copies than the first one.
+ * Performs no I/O and reads no clock. Not thread-safe: the routing thread owns it.
  */
 public final class PurgeTimes {
     /**
-     * Purges remembered at most; the oldest is forgotten first and counts as new if it is repeated.
+     * Maximum number of purges that are remembered. The oldest is dropped first and counts as new
+     * if it is repeated.
      */
     public static final int MAX_PURGES = 4096;
 
@@ -26,11 +27,12 @@
             };
 
     /**
-     * Returns how long ago a purge was, in ns.
+     * Returns the age of a purge, in ns.
      *
-     * @param purge what is purged and at which time, as the request states both
-     * @param nowNs the router's clock
-     * @param wallAgeNs how long ago it was by the wall clock now; used on its first arrival only
+     * @param purge identifies the purge by what is purged and at which time, as the request states
+     *     both
+     * @param nowNs current time on the router's clock
+     * @param wallAgeNs age of the purge by the current wall clock; used on its first arrival only
      */
     public long ageNs(String purge, long nowNs, long wallAgeNs) {
         return nowNs - purgedAtNs.computeIfAbsent(purge, first -> nowNs - wallAgeNs);
--- a/src/main/java/brooklock/membership/WatchEvent.java
+++ b/src/main/java/brooklock/membership/WatchEvent.java
@@ -3,31 +3,34 @@
 import java.util.List;
 
 /**
- * An endpoint list, or a change of one, as a source sends it.
+ * An event in which a source sends a full endpoint list or a change to one. Immutable.
  *
- * @param version its place in the source's order; null for an event without one, which counts as
- *     newer than whatever arrived before it
- * @param full whether endpoints that it does not name are gone; otherwise it names the changes only
- * @param endpoints the endpoints that it names
+ * @param version position of the event in the order of its source; null for an unversioned event,
+ *     which counts as newer than every event that arrived before it
+ * @param full whether the event is a full list, so that endpoints it does not name are gone; a
+ *     delta names only the endpoints that changed
+ * @param endpoints the endpoints that the event names
  */
 public record WatchEvent(EventVersion version, boolean full, List<ListedEndpoint> endpoints) {
     /**
-     * Copies the endpoints.
+     * Creates a new event with a copy of the given endpoints.
      *
-     * @throws IllegalArgumentException if a full list has a base version, or a versioned delta has
-     *     none
+     * @throws IllegalArgumentException if a full list has a base sequence number, or a versioned
+     *     delta has none
      */
     public WatchEvent {
         if (version != null && full != (version.baseSequence() == 0)) {
             throw new IllegalArgumentException(
                     full
-                            ? "a full list follows nothing"
-                            : "a numbered delta names the number that it follows");
+                            ? "expected a full list without 'follows' but received follows "
+                                    + version.baseSequence()
+                            : "expected a numbered delta to state 'follows M' but received no such"
+                                    + " number");
         }
         endpoints = List.copyOf(endpoints);
     }
 
-    /** Returns an event without a version. */
+    /** Creates a new event without a version. */
     public static WatchEvent unversioned(boolean full, List<ListedEndpoint> endpoints) {
         return new WatchEvent(null, full, endpoints);
     }
--- a/src/main/java/brooklock/warming/CacheState.java
+++ b/src/main/java/brooklock/warming/CacheState.java
@@ -8,20 +8,22 @@
 import java.util.Set;
 
 /**
- * What this dispatcher knows of one cache, both as one that is warming up and as a peer that others
- * are filled from.
+ * The state that this dispatcher keeps for one cache, both as a cache that is warming up and as a
+ * peer that other caches are filled from. Not thread-safe: the routing thread owns it. {@link
+ * #onListed} must be called before any other method.
  */
 final class CacheState {
-    // A cache's capacity is back long before its copies are: for so long after its start its misses
-    // go to a peer first.
+    // After a start a cache regains its capacity long before its copies. During this period its
+    // misses are sent to a peer first.
     private static final long REFILL_NS = 120_000_000_000L;
-    // Lost connections in a row that mean a restart, by the same rule as the router's.
+    // Number of consecutive connection failures that count as a restart; the router uses the same
+    // rule.
     private static final int MAX_CONNECTION_FAILURES = 3;
     private static final int MAX_CACHED_PARTS = 20_000;
-    // Peers of the cache's own zone are tried first while they hit at least this share as often as
-    // those elsewhere.
+    // Peers of the cache's own zone are tried first while their hit ratio is at least this fraction
+    // of the hit ratio of peers in other zones.
     private static final double SAME_ZONE_PREFERENCE = 0.5;
-    // Which budget of a cache a permit phase is for.
+    // Distinguish the permit phases of the two budgets of a cache.
     private static final int PEER_PHASE = 1;
     private static final int PREFETCH_PHASE = 2;
 
@@ -30,16 +32,17 @@
     private final HitRatio sameZoneFills = new HitRatio();
     private final HitRatio otherZoneFills = new HitRatio();
     private CacheEndpoint endpoint;
-    // By the endpoint list or by its lost connections, whichever is later.
+    // The last start, as stated by the endpoint list or detected by connection failures, whichever
+    // is later.
     private long startedNs;
     private int connectionFailures;
-    // Both null unless the cache has started lately.
+    // Both are null unless the cache was within REFILL_NS of its start when the start was recorded.
     private SlowStartRamp ramp;
     private PrefetchBudget prefetchBudget;
     private PeerLoadLimit loadLimit;
-    // Negative before the first report.
+    // Negative until the first report after a start.
     private double hitRatio = -1;
-    // What was prefetched or filled there since its start.
+    // The parts that were prefetched or filled at this cache since its start.
     private Set<PartKey> cachedParts = new HashSet<>();
     private double announcedShare = 1;
 
@@ -48,7 +51,7 @@
         this.dispatcherName = dispatcherName;
     }
 
-    /** Takes in the cache as the endpoint list describes it now. */
+    /** Updates the cache from the current endpoint list, which may state a new start. */
     void onListed(CacheEndpoint listed, long nowNs) {
         boolean first = endpoint == null;
         endpoint = listed;
@@ -57,7 +60,10 @@
         }
     }
 
-    /** The cache has started: its copies are gone, and what it reported dates from before. */
+    /**
+     * Resets all state at a start of the cache: its copies are gone, and its earlier reports no
+     * longer apply.
+     */
     private void onStart(long startNs, long nowNs) {
         startedNs = startNs;
         ramp = null;
@@ -66,7 +72,7 @@
         hitRatio = -1;
         connectionFailures = 0;
         cachedParts = new HashSet<>();
-        // A cache that started long ago needs no slow start; 0 means long ago.
+        // A cache that started long ago needs no slow start; 0 stands for long ago.
         if (startNs > 0 && nowNs - startNs < REFILL_NS) {
             ramp = new SlowStartRamp(startNs, nowNs);
             prefetchBudget =
@@ -75,13 +81,13 @@
         }
     }
 
-    // Another phase at each dispatcher, so that their permits spread over time.
+    // The phase differs between dispatchers, so that their permits are spread over time.
     private double permitPhase(int which) {
         return StableHash.toUnitInterval(
                 StableHash.hash(dispatcherName, endpoint.endpointId() + which, startedNs));
     }
 
-    /** Takes in a load report; one from before the cache's last start is ignored. */
+    /** Applies a load report. A report from before the last start of the cache is ignored. */
     void onReport(LoadReport report) {
         if (!report.isPlausible() || report.requestSentNs() < startedNs) {
             return;
@@ -94,12 +100,12 @@
         }
     }
 
-    /** The cache has answered, so its connections work. */
+    /** Records a response of the cache, which shows that its connections work. */
     void onResponse() {
         connectionFailures = 0;
     }
 
-    /** The cache shows that it is overloaded. */
+    /** Records a sign of overload at the cache. Has no effect unless the cache started recently. */
     void onOverload(long nowNs) {
         if (ramp != null) {
             ramp.onOverload(nowNs);
@@ -108,12 +114,12 @@
     }
 
     /**
-     * The cache has rejected a request, failed it or not answered; see {@link
+     * Records that the cache rejected a request, failed it or did not respond; see {@link
      * CacheWarming#onFailure}.
      */
     void onFailure(boolean connectionLost, long nowNs) {
         connectionFailures = connectionLost ? connectionFailures + 1 : 0;
-        // A cache that fails is no peer, whatever it reports.
+        // A failing cache is not used as a peer, even if it reports free capacity.
         loadLimit.onFailure(nowNs);
         if (connectionFailures >= MAX_CONNECTION_FAILURES) {
             onStart(nowNs, nowNs);
@@ -122,12 +128,12 @@
         }
     }
 
-    /** This cache was filled, or not, from a peer. */
+    /** Records whether a peer held a part that this cache requested from it. */
     void onFillFrom(CacheState peer, boolean filled, long nowNs) {
         (isInZoneOf(peer) ? sameZoneFills : otherZoneFills).recordOutcome(filled, nowNs);
     }
 
-    /** A part was requested from this cache as a peer. */
+    /** Records the result of a request in which this cache served as the peer. */
     void onPeerResult(PeerResult result, long nowNs) {
         switch (result) {
             case FILLED -> loadLimit.onFilled();
@@ -137,7 +143,7 @@
         }
     }
 
-    /** A prefetch at this cache has ended. */
+    /** Records the end of a prefetch at this cache; a late prefetch pauses prefetching. */
     void onPrefetchDone(boolean late, long nowNs) {
         if (prefetchBudget != null) {
             prefetchBudget.release();
@@ -158,13 +164,16 @@
     }
 
     /**
-     * Continues from a snapshot of before a restart of this dispatcher, which counts by its weight
-     * from 0 to 1.
+     * Restores the shares from a snapshot that was made before a restart of this dispatcher.
+     *
+     * @param weight influence of the snapshot, from 0 to 1
      */
     void restore(SnapshotEntry entry, double weight, long nowNs) {
         loadLimit.restore(entry.peerFraction() * weight);
         if (ramp != null) {
-            // The share was low for a reason; the older the snapshot is, the less of that counts.
+            // A share below 1 records an earlier overload, which matters less the older the
+            // snapshot
+            // is. The weight therefore scales the reduction and not the share.
             ramp.restore(1 - (1 - entry.loadShare()) * weight, nowNs);
         }
     }
@@ -185,41 +194,47 @@
         return endpoint.ready();
     }
 
-    /** Wall time of the last start that the list states, in ms since 1970. */
+    /** Returns the wall time of the last start that the endpoint list states, in ms since 1970. */
     long startedMs() {
         return endpoint.startedMs();
     }
 
-    /** Whether the cache has its whole capacity; it may still lack its copies. */
+    /** Returns whether the cache has its full capacity. It may still lack its copies. */
     boolean isWarm(long nowNs) {
         return startedNs == 0 || nowNs - startedNs >= limits.warmUpNs();
     }
 
-    /** Whether the cache has started so lately that it needs a slow start. */
+    /** Returns whether the last start was recent enough when recorded to require a slow start. */
     boolean hasStartedLately() {
         return ramp != null;
     }
 
-    /** Whether its copies may not be back yet by the time since its start alone. */
+    /**
+     * Returns whether the time since the last start is too short to assume that all copies are
+     * back.
+     */
     boolean mayLackCopies(long nowNs) {
         return ramp != null && nowNs - startedNs < REFILL_NS;
     }
 
-    /** Share of its capacity that the cache has now. */
+    /** Returns the share of its full capacity that the cache has now, from 0 to 1. */
     double capacity(long nowNs) {
         return limits.capacityAt(nowNs - startedNs);
     }
 
-    /** The hit ratio that it reported last; negative if it has reported none since its start. */
+    /**
+     * Returns the last reported hit ratio, or a negative number if there is none since the start.
+     */
     double hitRatio() {
         return hitRatio;
     }
 
-    /** The share of its load that it is to get now; 1 if it has not started lately. */
+    /** Returns the share of its load that the cache should receive now; 1 without a slow start. */
     double loadShare(long nowNs) {
         return ramp == null ? 1 : ramp.share(nowNs);
     }
 
+    /** Returns the share that was last announced to the router. */
     double announcedShare() {
         return announcedShare;
     }
@@ -232,12 +247,15 @@
         return loadLimit;
     }
 
-    /** The budget for prefetches at this cache; null if it has not started lately. */
+    /** Returns the budget for prefetches at this cache, or null without a slow start. */
     PrefetchBudget prefetchBudget() {
         return prefetchBudget;
     }
 
-    /** Whether peers in other zones have recently held so much more that they are tried first. */
+    /**
+     * Returns whether peers in other zones have recently held so many more of the requested parts
+     * that they are tried first.
+     */
     boolean prefersOtherZones(long nowNs) {
         return sameZoneFills.estimate(nowNs)
                 < SAME_ZONE_PREFERENCE * otherZoneFills.estimate(nowNs);
--- a/src/main/java/brooklock/warming/CacheTable.java
+++ b/src/main/java/brooklock/warming/CacheTable.java
@@ -11,29 +11,30 @@
 import java.util.TreeMap;
 
 /**
- * The caches of the endpoint list, what is summarized over all of them, and this dispatcher's own
- * traffic to them.
+ * The caches of the endpoint list, with summaries over all of them and the rate of this
+ * dispatcher's own traffic to them. Not thread-safe: the routing thread owns it.
  */
 final class CacheTable {
-    /** The span of measured rates, in ns: longer than a burst, shorter than a cache's start. */
+    /** Averaging span of rates, in ns: longer than a burst, shorter than the warm-up of a cache. */
     static final double RATE_SPAN_NS = 8e9;
 
-    // Share of its peers' hit ratio at which a cache counts as refilled.
+    // Fraction of the mean hit ratio in its zone from which on a cache counts as refilled.
     private static final double REFILLED_FRACTION = 0.9;
-    // Summaries run over all caches, so they are made a few times a second and not for each
+    // A summary iterates over all caches, so it is refreshed a few times a second instead of for
+    // each
     // request.
     private static final long SUMMARY_INTERVAL_NS = 100_000_000L;
 
     private final WarmingLimits limits;
     private final int ownZone;
     private final String dispatcherName;
-    // Sorted, so that each iteration has the same order.
+    // Sorted by id, so that the order of iteration is deterministic.
     private final TreeMap<Long, CacheState> caches = new TreeMap<>();
     private int listVersion;
     private final Map<Integer, Double> hitRatioByZone = new HashMap<>();
     private int warmCacheCount;
     private long summaryDueNs;
-    // Requests to one warm cache of the own zone.
+    // Mean rate of this dispatcher's requests to one warm cache of its own zone.
     private final DecayingRate warmCacheRate = new DecayingRate(RATE_SPAN_NS);
 
     CacheTable(WarmingLimits limits, int ownZone, String dispatcherName) {
@@ -42,7 +43,7 @@
         this.dispatcherName = dispatcherName;
     }
 
-    /** Replaces the list of caches; one that is not named is forgotten. */
+    /** Replaces the list of caches. The state of caches that the list does not name is dropped. */
     void onEndpointList(List<CacheEndpoint> endpoints, long nowNs) {
         Set<Long> named = new HashSet<>();
         for (CacheEndpoint endpoint : endpoints) {
@@ -56,26 +57,27 @@
         summaryDueNs = nowNs;
     }
 
-    /** Returns a cache, or null if the list does not name it. */
+    /** Returns the cache with the given id, or null if the list does not name it. */
     CacheState find(long id) {
         return caches.get(id);
     }
 
-    /** All caches by ascending id. */
+    /** Returns all caches by ascending id. */
     Collection<CacheState> all() {
         return caches.values();
     }
 
-    /** Changes with each endpoint list. */
+    /** Returns a number that changes with each endpoint list. */
     int listVersion() {
         return listVersion;
     }
 
+    /** Returns whether a cache is in the zone of this dispatcher. */
     boolean isLocal(CacheState cache) {
         return cache.zone() == ownZone;
     }
 
-    /** Counts a response of a cache as traffic of this dispatcher. */
+    /** Counts a response of a warm local cache towards this dispatcher's own traffic. */
     void recordResponse(CacheState cache, long nowNs) {
         if (cache.isWarm(nowNs) && isLocal(cache)) {
             refreshSummary(nowNs);
@@ -83,12 +85,15 @@
         }
     }
 
-    /** This dispatcher's part of what a warm cache can serve, in requests per ns. */
+    /** Returns this dispatcher's portion of the capacity of a warm cache, in requests per ns. */
     double dispatcherSharePerNs(long nowNs) {
         return limits.dispatcherSharePerNs(warmCacheRate.perNs(nowNs));
     }
 
-    /** Whether a cache lacks the copies that it had before its last start. */
+    /**
+     * Returns whether a cache still lacks the copies that it had before its last start, judged by
+     * the time since the start and by its hit ratio compared with its zone.
+     */
     boolean needsRefill(CacheState cache, long nowNs) {
         if (!cache.mayLackCopies(nowNs)) {
             return false;
--- a/src/main/java/brooklock/warming/CacheWarming.java
+++ b/src/main/java/brooklock/warming/CacheWarming.java
@@ -9,75 +9,79 @@
 import java.util.function.BiPredicate;
 
 /**
- * Brings caches that have started lately up to their full load. It receives what the dispatcher
- * sees and decides three things: the share of its load that such a cache gets, the peer that a miss
- * there is filled from, and what is prefetched.
+ * Controls the warm-up of caches that started recently. From the events that the dispatcher
+ * observes it decides three things: the share of its load that such a cache receives, the peer from
+ * which a miss there is filled, and which parts are prefetched.
  *
- * <p>Deterministic and bounded, without a clock of its own: {@code nowNs} is the dispatcher's
- * monotonic clock in ns. Not thread-safe: the routing thread owns it.
+ * <p>Deterministic, with bounded work per call and without a clock of its own: every {@code nowNs}
+ * is a time on the dispatcher's monotonic clock, in ns. Not thread-safe: the routing thread owns
+ * it.
  *
- * @param <T> what the dispatcher needs to request a part by itself
+ * @param <T> the information that the dispatcher needs to request a part on its own
  */
 public final class CacheWarming<T> {
-    /** Age at which a snapshot is worthless, in ns. */
+    /**
+     * Maximum age of a snapshot that is still used, in ns; its influence falls to 0 by this age.
+     */
     private static final long MAX_SNAPSHOT_AGE_NS = 20_000_000_000L;
 
-    /** Change of a share that is announced. */
+    /** Minimum change of a share that is announced to the router; returning to 1 always is. */
     private static final double MIN_SHARE_CHANGE = SlowStartRamp.MIN_SHARE / 2;
 
-    // Sets the order of hot parts apart from the hashes of permit phases.
+    // Seeds the order of equally hot parts; differs from the values that seed the permit phases.
     private static final int HOT_PARTS_SEED = 3;
 
     /**
-     * The weight of a cache for a part. It must be the router's own hash: by another order requests
-     * would go to peers that never held the part.
+     * Computes the rendezvous hash weight of a cache for a part. It must be the same function as
+     * the router's: with any other order, fills would be sent to peers that never held the part.
      */
     public interface EndpointScore {
-        /** Returns the weight; of two caches the one with the greater weight is nearer. */
+        /** Returns the weight of a cache. The cache with the greatest weight owns the part. */
         double score(long object, int part, long endpointId);
     }
 
     /**
      * A cache of the endpoint list.
      *
-     * @param endpointId its id, not 0
-     * @param zone index of its zone
-     * @param ready whether it may get requests
-     * @param startedNs its last start on the dispatcher's clock; 0 means long ago
-     * @param startedMs the same as the list states it, in ms since 1970; stays the same when the
-     *     dispatcher restarts
+     * @param endpointId the cache's id, not 0
+     * @param zone index of the cache's zone
+     * @param ready whether the cache may receive requests
+     * @param startedNs time of the last start on the dispatcher's clock; 0 means long ago
+     * @param startedMs time of the last start as the list states it, in ms since 1970; unlike
+     *     {@code startedNs} it is the same after a restart of the dispatcher
      */
     public record CacheEndpoint(
             long endpointId, int zone, boolean ready, long startedNs, long startedMs) {}
 
     /**
-     * A part to be fetched by a cache from a peer, and from nowhere else.
+     * A part that a cache is to fetch from a peer, and from no other source.
      *
-     * @param endpointId the cache
-     * @param sourceId the peer
-     * @param object the object
-     * @param part the part of the object
-     * @param request what is needed to request it
+     * @param endpointId id of the cache
+     * @param sourceId id of the peer
+     * @param object id of the object
+     * @param part index of the part within the object
+     * @param request the information needed to request the part
      */
     public record Prefetch<T>(long endpointId, long sourceId, long object, int part, T request) {}
 
-    /** What became of the request of a part from a peer. */
+    /** The result of a request for a part to a peer. */
     public enum PeerResult {
-        /** It held the part. */
+        /** The peer held the part. */
         FILLED,
-        /** It did not hold the part. */
+        /** The peer did not hold the part. */
         MISSED,
-        /** It rejected the request, or its connection was lost. */
+        /** The peer rejected the request, or the connection to it was lost. */
         FAILED
     }
 
     /**
-     * One cache in a snapshot.
+     * The state of one cache in a snapshot.
      *
-     * @param endpointId the cache
-     * @param startedMs its start, in ms since 1970; the entry holds for this incarnation only
-     * @param loadShare the share of its load that it got, 0 to 1
-     * @param peerFraction the adaptive fraction of its load limit as a peer, 0 to 1
+     * @param endpointId id of the cache
+     * @param startedMs time of the cache's start, in ms since 1970; the entry is valid for this
+     *     incarnation only
+     * @param loadShare the share of its load that the cache received, from 0 to 1
+     * @param peerFraction the adaptive fraction of the cache's load limit as a peer, from 0 to 1
      */
     public record SnapshotEntry(
             long endpointId, long startedMs, double loadShare, double peerFraction) {}
@@ -87,11 +91,13 @@
     private final PrefetchPlanner<T> prefetches;
 
     /**
-     * Creates a state in which no cache is known.
+     * Creates a new instance without any caches.
      *
+     * @param limits the limits of warming from the settings
+     * @param score the router's hash weight
      * @param zone index of the dispatcher's own zone
-     * @param name the dispatcher's name, which seeds its hashes: permits and prefetches of
-     *     dispatchers with different names do not coincide
+     * @param name the dispatcher's name, which seeds its hashes so that the permits and prefetches
+     *     of different dispatchers do not coincide
      */
     public CacheWarming(
             WarmingLimits limits, EndpointScore score, int zone, String name, long nowNs) {
@@ -103,19 +109,19 @@
 
     // ---- Events
 
-    /** The endpoint list has changed; caches that it does not name are gone. */
+    /** Replaces the list of caches. Caches that it does not name are dropped. */
     public void onEndpointList(List<CacheEndpoint> endpoints, long nowNs) {
         caches.onEndpointList(endpoints, nowNs);
     }
 
-    /** A client has requested a part that a cache will store. */
+    /** Records that a client requested a part that a cache will store. */
     public void onRequest(long object, int part, T request, long nowNs) {
         prefetches.onRequest(new PartKey(object, part), request, nowNs);
     }
 
     /**
-     * An endpoint has reported its load; endpoints that are no caches, and implausible reports, are
-     * ignored.
+     * Applies a load report of an endpoint. Implausible reports, and reports of endpoints that are
+     * not caches, are ignored.
      */
     public void onReport(long endpointId, LoadReport report) {
         CacheState cache = caches.find(endpointId);
@@ -124,7 +130,7 @@
         }
     }
 
-    /** A cache has served a part and kept it, so it need not be prefetched. */
+    /** Records that a cache served and stored a part, so that the part is not prefetched again. */
     public void onFilled(long endpointId, long object, int part) {
         CacheState cache = caches.find(endpointId);
         if (cache != null && cache.hasStartedLately()) {
@@ -133,10 +139,10 @@
     }
 
     /**
-     * A cache has answered a client's request.
+     * Records that a cache responded to a client's request.
      *
-     * @param hit whether from a copy that it had
-     * @param late whether later than the latency objective of the class
+     * @param hit whether the response was served from a cached copy
+     * @param late whether the response exceeded the latency objective of its request class
      */
     public void onResponse(long endpointId, boolean hit, boolean late, long nowNs) {
         CacheState cache = caches.find(endpointId);
@@ -146,16 +152,17 @@
         cache.onResponse();
         caches.recordResponse(cache, nowNs);
         if (late && hit) {
-            // A late hit is due to the cache itself; a late miss may be due to its fill source.
+            // A late hit is caused by the cache itself, a late miss possibly by its fill source.
             cache.onOverload(nowNs);
         }
     }
 
     /**
-     * A cache has rejected a request for lack of capacity, failed it, or not answered.
+     * Records that a cache rejected a request for lack of capacity, failed it or did not respond.
      *
-     * @param connectionLost whether its connection was lost or refused; some of these in a row
-     *     count as a restart of the cache, whatever the endpoint list says
+     * @param connectionLost whether the connection was lost or refused; several consecutive
+     *     connection failures count as a restart of the cache, even if the endpoint list states
+     *     none
      */
     public void onFailure(long endpointId, boolean connectionLost, long nowNs) {
         CacheState cache = caches.find(endpointId);
@@ -164,7 +171,7 @@
         }
     }
 
-    /** A peer was selected but not used, because the cache had a copy. */
+    /** Records that a selected peer was not used because the cache already had a copy. */
     public void onPeerUnused(long peerId) {
         CacheState peer = caches.find(peerId);
         if (peer != null) {
@@ -172,7 +179,7 @@
         }
     }
 
-    /** A part that a cache lacks was requested from a peer, for a client or for a prefetch. */
+    /** Records the result of a request from a cache to a peer, for a client or for a prefetch. */
     public void onPeerResult(long endpointId, long peerId, PeerResult result, long nowNs) {
         CacheState peer = caches.find(peerId);
         if (peer == null) {
@@ -186,9 +193,9 @@
     }
 
     /**
-     * A prefetch has ended, whatever came of it.
+     * Records the end of a prefetch, whether it succeeded or not.
      *
-     * @param late whether it was late or rejected
+     * @param late whether the prefetch was late or rejected
      */
     public void onPrefetchDone(Prefetch<T> prefetch, boolean late, long nowNs) {
         CacheState cache = caches.find(prefetch.endpointId());
@@ -200,8 +207,8 @@
     // ---- Decisions
 
     /**
-     * Returns the shares of caches that have changed enough to be announced to the router, by id, 0
-     * to 1.
+     * Returns the load shares, from 0 to 1 by cache id, that changed enough to be announced to the
+     * router, and records them as announced.
      */
     public Map<Long, Double> changedShares(long nowNs) {
         Map<Long, Double> changed = new TreeMap<>();
@@ -217,20 +224,22 @@
         return changed;
     }
 
-    /** Returns the share of an endpoint that was announced last; 1 for one that is no cache. */
+    /** Returns the last announced load share of an endpoint; 1 if the endpoint is not a cache. */
     public double loadShare(long endpointId) {
         CacheState cache = caches.find(endpointId);
         return cache == null ? 1 : cache.announcedShare();
     }
 
-    // Caches of other zones get their clients' requests from dispatchers there.
+    // The share of a cache in another zone is always 1: its clients' requests are sent by the
+    // dispatchers of that zone.
     private double loadShare(CacheState cache, long nowNs) {
         return caches.isLocal(cache) ? cache.loadShare(nowNs) : 1;
     }
 
     /**
-     * Returns the id of the peer that a miss of a part at a cache is filled from first, or 0 if it
-     * is filled as usual. The peer counts as used until {@link #onPeerUnused}.
+     * Returns the id of the peer from which a cache should first try to fill a missing part, or 0
+     * if the part is to be filled as usual. Acquires a permit of the peer, which {@link
+     * #onPeerUnused} returns.
      */
     public long selectFillPeer(long endpointId, long object, int part, long nowNs) {
         CacheState cache = caches.find(endpointId);
@@ -246,10 +255,11 @@
     }
 
     /**
-     * Returns the prefetches to send now. Each counts as in flight until {@link #onPrefetchDone}.
+     * Returns the prefetches to send now. Each of them counts as in flight until {@link
+     * #onPrefetchDone} is called for it.
      *
-     * @param allowed whether a copy of an object may be passed on now; false while copies from
-     *     before a purge may be left
+     * @param allowed tests whether a copy of an object may be passed on now; false while copies
+     *     from before a purge may remain
      */
     public List<Prefetch<T>> nextPrefetches(long nowNs, BiPredicate<Long, T> allowed) {
         return prefetches.next(nowNs, allowed);
@@ -257,7 +267,7 @@
 
     // ---- Snapshot
 
-    /** Returns what a restarted dispatcher can continue from. */
+    /** Returns the state from which a restarted dispatcher continues. */
     public List<SnapshotEntry> snapshot(long nowNs) {
         List<SnapshotEntry> entries = new ArrayList<>();
         for (CacheState cache : caches.all()) {
@@ -272,10 +282,11 @@
     }
 
     /**
-     * Continues from a snapshot. An entry counts less the older it is, and not at all if the cache
-     * has started since.
+     * Restores a snapshot. The older the snapshot is, the less its entries count. An entry is
+     * ignored if its cache has started since.
      *
-     * @param ageNs age of the snapshot; negative if the wall clock was set back, then it is ignored
+     * @param ageNs age of the snapshot, in ns; a negative age, which means that the wall clock was
+     *     set back, makes the snapshot ignored
      */
     public void restore(List<SnapshotEntry> entries, long ageNs, long nowNs) {
         if (ageNs < 0 || ageNs > MAX_SNAPSHOT_AGE_NS) {
--- a/src/main/java/brooklock/warming/HitRatio.java
+++ b/src/main/java/brooklock/warming/HitRatio.java
@@ -2,7 +2,7 @@
 
 import brooklock.routing.DecayingRate;
 
-/** How often peers of one kind recently held what was requested from them. */
+/** Estimates how often peers of one group recently held the parts that were requested from them. */
 final class HitRatio {
     private final DecayingRate requests = new DecayingRate(CacheTable.RATE_SPAN_NS);
     private final DecayingRate hits = new DecayingRate(CacheTable.RATE_SPAN_NS);
@@ -12,7 +12,7 @@
         hits.add(hit ? 1 : 0, nowNs);
     }
 
-    /** The estimated share of hits by the rule of succession: one half while nothing is known. */
+    /** Returns the hit ratio by the rule of succession, which is one half without any requests. */
     double estimate(long nowNs) {
         return (hits.sum(nowNs) + 1) / (requests.sum(nowNs) + 2);
     }
--- a/src/main/java/brooklock/warming/HotParts.java
+++ b/src/main/java/brooklock/warming/HotParts.java
@@ -7,32 +7,33 @@
 import java.util.Map;
 
 /**
- * The parts that clients requested in the previous interval and in this one, as candidates for
- * prefetching. The rule is that of the router's hot list, applied to parts of objects.
+ * Tracks the parts that clients requested in the previous and in the current interval, as
+ * candidates for prefetching. Applies the rule of the router's hot list to parts of objects. Not
+ * thread-safe.
  *
- * @param <T> what is needed to request a part
+ * @param <T> the information needed to request a part
  */
 final class HotParts<T> {
-    /** The interval, in ns: that of the router's hot list. */
+    /** Length of an interval, in ns; the same as for the router's hot list. */
     static final long INTERVAL_NS = 10_000_000_000L;
 
     /**
-     * Parts remembered of one interval at most; the oldest is forgotten first. Bounds the time of a
-     * sort.
+     * Maximum number of parts per interval; the oldest is dropped first. The limit bounds the time
+     * of a sort.
      */
     static final int MAX_PARTS = 8_000;
 
-    /** Identifies a part of an object. */
+    /** Identifies one part of an object. */
     record PartKey(long object, int part) {}
 
-    /** A part that clients requested. */
+    /** A requested part with its request count and its owning cache. */
     static final class HotPart<T> {
         private final PartKey key;
         private final T request;
         private final long tieBreak;
         private int requestCount;
-        // The cache that the part belongs to, and the version of the endpoint list for which that
-        // was found.
+        // The cache that owns the part by hash, and the version of the endpoint list for which the
+        // owner was computed.
         private long ownerId;
         private int ownerListVersion = -1;
 
@@ -70,17 +71,17 @@
     private long intervalEndNs;
 
     /**
-     * Creates an empty list.
+     * Creates a new tracker without any parts.
      *
-     * @param seed orders equally hot parts; another one at each dispatcher, so that they begin with
-     *     different parts
+     * @param seed determines the order of equally hot parts; differs between dispatchers, so that
+     *     they begin prefetching with different parts
      */
     HotParts(long seed, long nowNs) {
         this.seed = seed;
         intervalEndNs = nowNs + INTERVAL_NS;
     }
 
-    /** Counts a client's request. */
+    /** Counts a client's request for a part. */
     void recordRequest(PartKey key, T request, long nowNs) {
         rotateInterval(nowNs);
         HotPart<T> part = currentInterval.get(key);
@@ -107,9 +108,9 @@
     }
 
     /**
-     * Returns the parts that were requested in the previous interval, or at least twice in this
-     * one; the hottest first by powers of two of their requests, equally hot ones in this
-     * dispatcher's own order.
+     * Returns the parts that were requested in the previous interval, or at least twice in the
+     * current one. The parts are in descending order of their request count rounded down to a power
+     * of two; parts with equal rounded counts are in an order specific to this dispatcher.
      */
     List<HotPart<T>> hottest(long nowNs) {
         rotateInterval(nowNs);
--- a/src/main/java/brooklock/warming/LoadReport.java
+++ b/src/main/java/brooklock/warming/LoadReport.java
@@ -1,23 +1,26 @@
 package brooklock.warming;
 
 /**
- * What an endpoint reports of its own load in a response.
+ * The load of an endpoint as it reports it in a response. Immutable. Times are on the dispatcher's
+ * monotonic clock.
  *
- * @param utilization share of its link in use
- * @param inFlight requests in flight there
- * @param hitRatio its recent share of cache hits, 0 to 1
- * @param requestSentNs when the request was sent that the report answers; what an endpoint reported
- *     to an earlier request may date from before its last start
- * @param receivedNs when the report was received
+ * @param utilization share of the endpoint's link in use; 1 means fully used
+ * @param inFlight number of requests in flight at the endpoint
+ * @param hitRatio recent cache hit ratio, from 0 to 1
+ * @param requestSentNs time at which the request of this response was sent, in ns; a report for a
+ *     request that was sent before the endpoint's last start describes the previous incarnation
+ * @param receivedNs time at which the report was received, in ns
  */
 public record LoadReport(
         double utilization, int inFlight, double hitRatio, long requestSentNs, long receivedNs) {
-    // A link that transfers share may be reported as more than full; beyond this the figure is no
-    // share.
+    // A link that several transfers share may be reported as more than fully used. A value above
+    // this
+    // limit is not a utilization.
     private static final double MAX_UTILIZATION = 100;
 
     /**
-     * Whether every figure is in its range; a report with a missing figure or NaN is not plausible.
+     * Returns whether every value is within its range. A report in which a value is missing or NaN
+     * is not plausible.
      */
     public boolean isPlausible() {
         return utilization >= 0
--- a/src/main/java/brooklock/warming/PacedBudget.java
+++ b/src/main/java/brooklock/warming/PacedBudget.java
@@ -1,26 +1,29 @@
 package brooklock.warming;
 
 /**
- * Permits that are issued one after the other at a given rate. Each budget starts at a phase of its
- * own, and an unused permit expires. Without this, many dispatchers that all become active at the
- * same moment would all spend what they have saved up and overload a cache together. Within a
- * window W all of them spend no more than their summed rate issues in W plus one permit lifetime.
+ * Issues permits one at a time at a given rate. Each budget starts at its own phase, and an unused
+ * permit expires. Otherwise many dispatchers that become active at the same moment would all spend
+ * their accumulated permits and overload a cache together. Within a window W all dispatchers
+ * together spend at most the permits that their summed rate issues in W plus one permit lifetime.
+ * Not thread-safe.
  */
 final class PacedBudget {
     private final long permitLifetimeNs;
-    // The integral part counts permits, the fraction is the next one's progress.
+    // The integral part is the number of permits, the fraction is the progress of the next permit.
     private double permits;
     private long updatedAtNs;
 
     /**
-     * Creates a budget without a permit.
+     * Creates a new budget without a permit.
      *
      * @param phase progress of the first permit, from 0 (inclusive) to 1 (exclusive)
-     * @param permitLifetimeNs how long an unused permit lasts
+     * @param permitLifetimeNs time after which an unused permit expires, in ns
+     * @throws IllegalArgumentException if the phase is out of its range
      */
     PacedBudget(double phase, long permitLifetimeNs, long nowNs) {
         if (!(phase >= 0 && phase < 1)) {
-            throw new IllegalArgumentException("phase out of range: " + phase);
+            throw new IllegalArgumentException(
+                    "expected a phase from 0 (inclusive) to 1 (exclusive) but received " + phase);
         }
         this.permitLifetimeNs = permitLifetimeNs;
         permits = phase;
@@ -28,9 +31,10 @@
     }
 
     /**
-     * Issues permits up to now and returns whether there is one; {@link #acquire} takes it.
+     * Issues the permits that are due, drops expired ones and returns whether a permit is
+     * available. {@link #acquire} takes the permit.
      *
-     * @param ratePerNs permits per ns since the last call
+     * @param ratePerNs rate at which permits are issued since the previous call, in permits per ns
      */
     boolean canAcquire(double ratePerNs, long nowNs) {
         double rate = Math.max(0, ratePerNs);
@@ -39,19 +43,20 @@
         double excess = permits - 1;
         double issuedPerLifetime = rate * permitLifetimeNs;
         if (excess >= 1 || excess > issuedPerLifetime) {
-            // The oldest permit has expired. Of those issued since, the newest is kept unless it
-            // has expired as well.
+            // The oldest permit has expired. Of the permits issued since then, only the newest is
+            // kept, unless it has expired as well.
             excess -= Math.floor(excess);
             permits = excess <= issuedPerLifetime ? 1 + excess : excess;
         }
         return permits >= 1;
     }
 
+    /** Takes one permit. The caller has checked that one is available. */
     void acquire() {
         permits--;
     }
 
-    /** Returns a permit that was acquired and not used. */
+    /** Gives back a permit that was acquired but not used. */
     void refund() {
         permits++;
     }
--- a/src/main/java/brooklock/warming/PeerLoadLimit.java
+++ b/src/main/java/brooklock/warming/PeerLoadLimit.java
@@ -1,20 +1,21 @@
 package brooklock.warming;
 
 /**
- * How much load warming may put on one peer. The limit is this dispatcher's part of the share of
- * the peer's free capacity that the settings allow, times a fraction that adapts: it grows while
- * the peer reports free capacity and is cut, in the end to nothing, when the peer's own clients
- * need it. So all dispatchers together stay below that share, however many they are and whatever
- * the peer reports.
+ * Limits the load that warming other caches puts on one peer. The limit is this dispatcher's
+ * portion of the share of the peer's free capacity that the settings allow, times an adaptive
+ * fraction. The fraction grows while the peer reports free capacity, and is cut, down to 0, when
+ * the peer's own clients need the capacity. All dispatchers together therefore stay below the
+ * allowed share, regardless of their number and of what the peer reports. Not thread-safe.
  */
 final class PeerLoadLimit {
-    /** A peer whose last report is older than this counts as one without a report. */
+    /** Age from which on the last report of a peer is disregarded, in ns. */
     static final long STALE_REPORT_NS = 3_000_000_000L;
 
-    // Enough for a healthy peer to be used at once, and room to adapt both ways.
+    // High enough to use a healthy peer at once, and leaves a margin to adapt in both directions.
     private static final double INITIAL_FRACTION = 0.5;
-    // A peer in another zone reports only in its responses, so without a report it still gets a
-    // little.
+    // A peer in another zone reports its load only in its responses. Without a few requests it
+    // could
+    // never report and would never be used.
     private static final double UNREPORTED_FRACTION = 0.1;
     private static final double LOW_UTILIZATION = 0.6;
     private static final double HIGH_UTILIZATION = 0.75;
@@ -22,7 +23,7 @@
     private static final double CUT_FACTOR = 0.5;
     private static final long BASE_BACKOFF_NS = 1_000_000_000L;
     private static final int MAX_BACKOFF_DOUBLINGS = 5;
-    // Misses in a row that show that the peer does not hold what is wanted.
+    // Number of consecutive misses that show that the peer does not hold the requested parts.
     private static final int MAX_CONSECUTIVE_MISSES = 20;
 
     private final PacedBudget budget;
@@ -30,22 +31,22 @@
     private long backoffUntilNs;
     private int consecutiveFailures;
     private int consecutiveMisses;
-    // Negative before the first report.
+    // Negative until the first report.
     private double utilization = -1;
     private long reportedAtNs;
 
     /**
-     * Creates a limit for a peer that has reported nothing.
+     * Creates a new limit for a peer without a load report.
      *
-     * @param phase see {@link PacedBudget}
-     * @param permitLifetimeNs see {@link PacedBudget}
+     * @param phase progress of the first permit; see {@link PacedBudget}
+     * @param permitLifetimeNs time after which an unused permit expires, in ns
      */
     PeerLoadLimit(double phase, long permitLifetimeNs, long nowNs) {
         budget = new PacedBudget(phase, permitLifetimeNs, nowNs);
         fraction = new AdaptiveShare(INITIAL_FRACTION, nowNs);
     }
 
-    /** Takes in a report of the peer's load; an implausible one is ignored. */
+    /** Applies a load report of the peer. An implausible report is ignored. */
     void onReport(LoadReport report) {
         if (!report.isPlausible()) {
             return;
@@ -58,13 +59,13 @@
         }
     }
 
-    /** The peer filled a request. */
+    /** Records that the peer served a requested part. */
     void onFilled() {
         consecutiveFailures = 0;
         consecutiveMisses = 0;
     }
 
-    /** The peer did not hold the part. */
+    /** Records that the peer did not hold a requested part. */
     void onMiss(long nowNs) {
         consecutiveFailures = 0;
         consecutiveMisses++;
@@ -74,7 +75,7 @@
         }
     }
 
-    /** The peer rejected a request, or its connection was lost. */
+    /** Records that the peer rejected or failed a request, or that its connection was lost. */
     void onFailure(long nowNs) {
         fraction.set(0);
         fraction.restartGrowth(nowNs);
@@ -87,12 +88,12 @@
     }
 
     /**
-     * Returns whether one more part may be requested from the peer; {@link #acquire} takes the
-     * permit.
+     * Advances the adaptive fraction, issues the permits that are due and returns whether one more
+     * part may be requested from the peer. {@link #acquire} takes the permit.
      *
-     * @param dispatcherSharePerNs this dispatcher's part of a warm cache's capacity, in requests
-     *     per ns
-     * @param peerShare share of the free capacity that the settings allow, 0 to 1
+     * @param dispatcherSharePerNs this dispatcher's portion of the capacity of a warm cache, in
+     *     requests per ns
+     * @param peerShare share of the free capacity that the settings allow, from 0 to 1
      */
     boolean canAcquire(double dispatcherSharePerNs, double peerShare, long nowNs) {
         boolean reported = utilization >= 0 && nowNs - reportedAtNs < STALE_REPORT_NS;
@@ -112,23 +113,24 @@
         return utilization < LOW_UTILIZATION ? 1 : fraction.value();
     }
 
+    /** Takes one permit. The caller has checked that one is available. */
     void acquire() {
         budget.acquire();
     }
 
     /**
-     * Returns the permit of a peer that was named and then not used, because the cache had a copy.
+     * Gives back the permit of a peer that was selected but not used because the cache had a copy.
      */
     void refund() {
         budget.refund();
     }
 
-    /** The adaptive fraction, 0 to 1. */
+    /** Returns the adaptive fraction, from 0 to 1. */
     double fraction() {
         return fraction.value();
     }
 
-    /** Continues at the fraction of before a restart of this dispatcher. */
+    /** Restores the fraction from before a restart of this dispatcher, limited to 0 to 1. */
     void restore(double previousFraction) {
         fraction.set(Math.min(1, Math.max(0, previousFraction)));
     }
--- a/src/main/java/brooklock/warming/PeerSelector.java
+++ b/src/main/java/brooklock/warming/PeerSelector.java
@@ -5,8 +5,8 @@
 import java.util.Optional;
 
 /**
- * Selects the peer that a part is filled from. Inputs: the router's own hash order, zones, states
- * and each peer's {@link PeerLoadLimit}.
+ * Selects the peer from which a part is filled, by the router's hash order, the zones and states of
+ * the caches, and the {@link PeerLoadLimit} of each peer. Not thread-safe.
  */
 final class PeerSelector {
     private final WarmingLimits limits;
@@ -21,11 +21,15 @@
 
     /**
      * Returns the peer to try first for a part that a cache lacks, or empty if no peer has
-     * capacity. The caller takes a permit of the peer's limit if it uses the peer.
+     * capacity. The caller acquires a permit of the peer's limit if it uses the peer.
      *
-     * <p>Candidates are the two nearest by hash of the cache's own zone, which took over its parts
-     * while it was gone, and the nearest of the other zones, which holds the part for its own
-     * clients. The kind that has recently held more is preferred.
+     * <p>Candidates are the two caches of the target's own zone with the greatest hash weights,
+     * which served the target's parts while it was down, and the cache of the other zones with the
+     * greatest weight, which holds the part for its own clients. The zones whose peers have
+     * recently had the higher hit ratio are preferred, with a bias towards the target's own zone.
+     *
+     * @param target the cache that lacks the part
+     * @param key the part
      */
     Optional<CacheState> select(CacheState target, PartKey key, long nowNs) {
         CacheState nearest = null;
--- a/src/main/java/brooklock/warming/PrefetchBudget.java
+++ b/src/main/java/brooklock/warming/PrefetchBudget.java
@@ -3,15 +3,16 @@
 import brooklock.routing.SlowStart;
 
 /**
- * How many parts may be prefetched at one cache that is warming up. Clients get up to {@link
- * SlowStart#plannedMultiple} of the cache's present capacity; prefetching gets half of what is left
- * up to the overload multiple, and never more than half of the capacity. So clients and prefetching
- * together stay below every overload multiple.
+ * Limits the prefetches at one cache that is warming up. Clients use up to {@link
+ * SlowStart#plannedMultiple} of the cache's present capacity. Prefetching uses half of the
+ * remainder up to the overload multiple, and never more than half of the capacity. Clients and
+ * prefetching together therefore stay below every overload multiple. Not thread-safe.
  */
 final class PrefetchBudget {
-    // Not all that the router leaves: permits from just before the window, and chance, come on top.
+    // Below 1, because permits from just before the overload window and random variation add to the
+    // planned load.
     private static final double SHARE_OF_REST = 0.5;
-    // However large the multiple: clients come first.
+    // Applies even to a large overload multiple, because clients have priority.
     private static final double MAX_CAPACITY_SHARE = 0.5;
     private static final double HIGH_UTILIZATION = 0.5;
     private static final long PAUSE_NS = 2_000_000_000L;
@@ -19,29 +20,29 @@
 
     private final PacedBudget budget;
     private long pausedUntilNs;
-    // Negative before the first report.
+    // Negative until the first report.
     private double utilization = -1;
     private long reportedAtNs;
     private int inFlight;
 
     /**
-     * Creates a budget for a cache that has reported nothing, which allows nothing.
+     * Creates a new budget, which permits no prefetch until the cache has reported its load.
      *
-     * @param phase see {@link PacedBudget}
-     * @param permitLifetimeNs see {@link PacedBudget}
+     * @param phase progress of the first permit; see {@link PacedBudget}
+     * @param permitLifetimeNs time after which an unused permit expires, in ns
      */
     PrefetchBudget(double phase, long permitLifetimeNs, long nowNs) {
         budget = new PacedBudget(phase, permitLifetimeNs, nowNs);
     }
 
-    /** Takes in a plausible report of the cache's load. */
+    /** Applies a load report of the cache. The caller has checked that it is plausible. */
     void onReport(LoadReport report) {
         utilization = report.utilization();
         reportedAtNs = report.receivedNs();
     }
 
     /**
-     * Pauses prefetching after the first sign of overload: a late response, a rejection, a lost
+     * Pauses prefetching after a sign of overload, such as a late response, a rejection or a lost
      * connection.
      */
     void pause(long nowNs) {
@@ -49,8 +50,10 @@
     }
 
     /**
-     * Share of its full capacity that all dispatchers together may prefetch at a cache of a current
-     * capacity.
+     * Returns the share of a cache's full capacity that the prefetches of all dispatchers together
+     * may use.
+     *
+     * @param capacity share of its full capacity that the cache has now
      */
     static double maxPrefetchShare(WarmingLimits limits, double capacity) {
         double multiple = limits.overloadMultiple();
@@ -60,11 +63,12 @@
     }
 
     /**
-     * Returns whether one part may be prefetched; {@link #acquire} takes the permit.
+     * Issues the permits that are due and returns whether one part may be prefetched. {@link
+     * #acquire} takes the permit.
      *
-     * @param capacity share of its capacity that the cache has now
-     * @param dispatcherSharePerNs this dispatcher's part of a warm cache's capacity, in requests
-     *     per ns
+     * @param capacity share of its full capacity that the cache has now
+     * @param dispatcherSharePerNs this dispatcher's portion of the capacity of a warm cache, in
+     *     requests per ns
      */
     boolean canAcquire(
             WarmingLimits limits, double capacity, double dispatcherSharePerNs, long nowNs) {
@@ -73,18 +77,19 @@
                         && utilization < HIGH_UTILIZATION
                         && nowNs - reportedAtNs < PeerLoadLimit.STALE_REPORT_NS
                         && nowNs >= pausedUntilNs;
-        // While nothing is allowed no permits are issued, so that a pause saves nothing up.
+        // No permits are issued during a pause; they would accumulate and be spent at its end.
         double rate = allowed ? dispatcherSharePerNs * maxPrefetchShare(limits, capacity) : 0;
         boolean permitted = budget.canAcquire(rate, nowNs);
         return allowed && inFlight < MAX_IN_FLIGHT && permitted;
     }
 
+    /** Takes one permit and counts a prefetch as in flight. */
     void acquire() {
         budget.acquire();
         inFlight++;
     }
 
-    /** A prefetch has ended. */
+    /** Records that a prefetch in flight has ended. */
     void release() {
         inFlight = Math.max(0, inFlight - 1);
     }
--- a/src/main/java/brooklock/warming/PrefetchPlanner.java
+++ b/src/main/java/brooklock/warming/PrefetchPlanner.java
@@ -14,14 +14,14 @@
 import java.util.function.BiPredicate;
 
 /**
- * Plans prefetches: the hottest parts that belong by hash to a cache that lacks its copies, each
- * from a peer that holds it, within the cache's {@link PrefetchBudget} and the peer's {@link
- * PeerLoadLimit}.
+ * Plans prefetches for caches that lack their copies. A cache prefetches the hottest parts that it
+ * owns by hash, each from a peer that is expected to hold it, within the cache's {@link
+ * PrefetchBudget} and the peer's {@link PeerLoadLimit}. Not thread-safe.
  *
- * @param <T> what is needed to request a part
+ * @param <T> the information needed to request a part
  */
 final class PrefetchPlanner<T> {
-    // Bounds of the work of one call, and of the parts queued for one cache.
+    // Bound the work of one call and the number of parts queued for one cache.
     private static final int MAX_PARTS_EXAMINED = 64;
     private static final int MAX_PARTS_SKIPPED = 8;
     private static final int MAX_QUEUED_PARTS = 256;
@@ -50,12 +50,12 @@
         this.hotParts = hotParts;
     }
 
-    /** A client has requested a part that a cache will store. */
+    /** Records that a client requested a part that a cache will store. */
     void onRequest(PartKey key, T request, long nowNs) {
         hotParts.recordRequest(key, request, nowNs);
     }
 
-    /** Returns the prefetches to send now and counts them as in flight. */
+    /** Returns the prefetches to send now, counts them as in flight and acquires their permits. */
     List<Prefetch<T>> next(long nowNs, BiPredicate<Long, T> allowed) {
         List<CacheState> targets =
                 caches.all().stream().filter(cache -> isTarget(cache, nowNs)).toList();
@@ -120,8 +120,9 @@
     }
 
     /**
-     * Queues the hottest parts at the caches they belong to: some more at each call, all anew at
-     * each refresh.
+     * Adds the hottest parts to the queues of the caches that own them. Each call examines a
+     * bounded number of further parts; each refresh discards the queues and starts from the hottest
+     * part.
      */
     private void fillQueues(List<CacheState> targets, long nowNs) {
         if (nowNs >= hottestRefreshNs) {
@@ -146,7 +147,7 @@
         }
     }
 
-    /** Returns the id of the local cache that a part belongs to by hash; 0 if there is none. */
+    /** Returns the id of the ready local cache that owns a part by hash, or 0 if there is none. */
     private long owningCache(PartKey key) {
         return caches.all().stream()
                 .filter(cache -> cache.isReady() && caches.isLocal(cache))
--- a/src/main/java/brooklock/warming/SlowStartRamp.java
+++ b/src/main/java/brooklock/warming/SlowStartRamp.java
@@ -1,26 +1,28 @@
 package brooklock.warming;
 
 /**
- * The share of its load that one cache gets while it warms up, from {@link #MIN_SHARE} to 1.
+ * Computes the share of its load that one cache receives while it warms up, from {@link #MIN_SHARE}
+ * to 1.
  *
- * <p>It begins at 1, which means all that the router's own slow start allows. Inputs: the cache's
- * load reports and signs of overload seen by this dispatcher. An overload halves the share, reports
- * of free capacity let it grow again. Because the share only lowers the router's bound, an
- * implausible report can slow a start down and overload nothing.
+ * <p>The share starts at 1, which stands for the full load that the router's own slow start allows.
+ * It is adjusted by the cache's load reports and by signs of overload that this dispatcher
+ * observes: an overload halves the share, and reports of free capacity let it grow again. Because
+ * the share only lowers the router's bound, a wrong report can slow down a start but cannot
+ * overload the cache. Not thread-safe.
  */
 final class SlowStartRamp {
-    /** Least share: without any request no further report would arrive. */
+    /** Minimum share. Without any requests the cache would send no further reports. */
     static final double MIN_SHARE = 0.1;
 
     private static final double CUT_FACTOR = 0.5;
     private static final double HIGH_UTILIZATION = 0.9;
     private static final double LOW_UTILIZATION = 0.7;
-    // A report older than this no longer lets the share grow; after a longer silence the share
-    // grows without any.
+    // A report older than STALE_REPORT_NS no longer lets the share grow. Once the last report is
+    // older than SILENCE_NS, the share grows without reports.
     private static final long STALE_REPORT_NS = 2_000_000_000L;
     private static final long SILENCE_NS = 6_000_000_000L;
-    // Reports in a row with the same utilization to the digit, but other requests in flight, that
-    // show a stuck figure.
+    // Number of consecutive reports with exactly the same utilization but a changed number of
+    // requests in flight after which the utilization is considered stuck.
     private static final int STUCK_REPORTS = 20;
 
     private final long startedNs;
@@ -29,22 +31,22 @@
     private int unchangedReports;
 
     /**
-     * Creates a ramp at its full share.
+     * Creates a new ramp with a share of 1.
      *
-     * @param startedNs when the cache started
+     * @param startedNs time at which the cache started, in ns
      */
     SlowStartRamp(long startedNs, long nowNs) {
         this.startedNs = startedNs;
         share = new AdaptiveShare(1, nowNs);
     }
 
-    /** Continues at the share of before a restart of this dispatcher. */
+    /** Restores the share from before a restart of this dispatcher, at least {@link #MIN_SHARE}. */
     void restore(double previousShare, long nowNs) {
         share.set(Math.min(1, Math.max(MIN_SHARE, previousShare)));
         share.restartGrowth(nowNs);
     }
 
-    /** Takes in a report; one from before the start, out of order or out of range is ignored. */
+    /** Applies a report. Reports from before the start, out of order or implausible are ignored. */
     void onReport(LoadReport report) {
         if (!report.isPlausible()
                 || report.requestSentNs() < startedNs
@@ -70,18 +72,18 @@
         return unchangedReports >= STUCK_REPORTS;
     }
 
-    /** The cache rejected a request, or answered late what it had cached. */
+    /** Cuts the share after a sign of overload at the cache. */
     void onOverload(long nowNs) {
         share.cut(CUT_FACTOR, MIN_SHARE, nowNs);
     }
 
-    /** Returns the share now. */
+    /** Returns the current share, after the growth steps that are due. */
     double share(long nowNs) {
         boolean credible =
                 lastReport != null && nowNs - lastReport.receivedNs() <= SILENCE_NS && !isStuck();
         if (!credible) {
-            // Only the router's bound is left, which is a share of 1; a cut still lasts for the
-            // time of its growth.
+            // Without a credible report only the router's bound applies, which is a share of 1. The
+            // share approaches 1 by the usual steps, so that an earlier cut does not end at once.
             share.grow(1, nowNs);
         } else if (lastReport.utilization() < LOW_UTILIZATION
                 && nowNs - lastReport.receivedNs() <= STALE_REPORT_NS) {
--- a/src/main/java/brooklock/warming/StableHash.java
+++ b/src/main/java/brooklock/warming/StableHash.java
@@ -2,14 +2,16 @@
 
 import com.dynatrace.hash4j.hashing.Hashing;
 
-/** Hashes that look random and are the same at each run. */
+/** Computes well-distributed hashes that are the same in every run of the program. */
 final class StableHash {
     private StableHash() {}
 
+    /** Returns the hash of a number. */
     static long hash(long value) {
         return Hashing.komihash5_0().hashStream().putLong(value).getAsLong();
     }
 
+    /** Returns the hash of a name and two numbers. */
     static long hash(String name, long first, long second) {
         return Hashing.komihash5_0()
                 .hashStream()
--- a/src/main/java/brooklock/warming/WarmingLimits.java
+++ b/src/main/java/brooklock/warming/WarmingLimits.java
@@ -3,19 +3,20 @@
 import brooklock.routing.SlowStart;
 
 /**
- * What the settings allow, and the capacity of caches that are warming up.
+ * The limits of warming from the settings, and the capacity of a cache that is warming up.
+ * Immutable.
  *
- * @param crossZone whether caches of all zones may fill one another, not only those of the own zone
+ * @param crossZone whether caches may be filled from peers in other zones
  * @param peerShare share of a peer's free capacity that all dispatchers together may use, above 0
- *     and up to 1
- * @param warmCapacityPerNs requests per ns, of mean size, that a warm cache can serve; 0 if not
- *     known, then this dispatcher's own traffic to a warm cache stands for its part
- * @param dispatcherCount dispatchers that may send requests
+ *     and at most 1
+ * @param warmCapacityPerNs requests of mean size that a warm cache can serve per ns; 0 if unknown,
+ *     in which case this dispatcher's own traffic to a warm cache is used as its portion
+ * @param dispatcherCount number of dispatchers that may send requests, above 0
  * @param initialCapacity share of its capacity that a cache has right after its start, above 0 and
- *     up to 1
- * @param warmUpNs time from a cache's start until it has its whole capacity
- * @param overloadMultiple multiple of its current capacity that overloads a cache
- * @param overloadWindowNs the window over which that load is measured
+ *     at most 1
+ * @param warmUpNs time from a cache's start until it has its full capacity, in ns, above 0
+ * @param overloadMultiple multiple of its current capacity that overloads a cache, at least 0
+ * @param overloadWindowNs window over which that load is measured, in ns, above 0
  */
 public record WarmingLimits(
         boolean crossZone,
@@ -27,7 +28,7 @@
         double overloadMultiple,
         long overloadWindowNs) {
     /**
-     * Checks the ranges.
+     * Creates new limits.
      *
      * @throws IllegalArgumentException if a value is out of its range
      */
@@ -39,29 +40,48 @@
                 || warmUpNs <= 0
                 || overloadMultiple < 0
                 || overloadWindowNs <= 0) {
-            throw new IllegalArgumentException("warming limits out of range");
+            throw new IllegalArgumentException(
+                    ("expected peerShare and initialCapacity above 0 and up to 1, dispatcherCount,"
+                                    + " warmUpNs and overloadWindowNs above 0, warmCapacityPerNs"
+                                    + " and overloadMultiple of at least 0 but received peerShare"
+                                    + " %s, initialCapacity %s, dispatcherCount %s, warmUpNs %s,"
+                                    + " overloadWindowNs %s, warmCapacityPerNs %s,"
+                                    + " overloadMultiple %s")
+                            .formatted(
+                                    peerShare,
+                                    initialCapacity,
+                                    dispatcherCount,
+                                    warmUpNs,
+                                    overloadWindowNs,
+                                    warmCapacityPerNs,
+                                    overloadMultiple));
         }
     }
 
     /**
-     * This dispatcher's part of a warm cache's capacity, in requests per ns; the parts of all
-     * dispatchers together are no more than the capacity.
+     * Returns this dispatcher's portion of the capacity of a warm cache, in requests per ns. The
+     * portions of all dispatchers together do not exceed the capacity.
      *
-     * @param ownRatePerNs requests per ns that this dispatcher itself sends to a warm cache
+     * @param ownRatePerNs rate at which this dispatcher sends requests to a warm cache, in requests
+     *     per ns
      */
     public double dispatcherSharePerNs(double ownRatePerNs) {
         return warmCapacityPerNs > 0 ? warmCapacityPerNs / dispatcherCount : ownRatePerNs;
     }
 
     /**
-     * How long an unused permit lasts, in ns: half the window, so that permits of two windows do
-     * not add up in one.
+     * Returns the time after which an unused permit expires, in ns. It is half the overload window,
+     * so that the permits of two windows cannot be spent in one.
      */
     long permitLifetimeNs() {
         return overloadWindowNs / 2;
     }
 
-    /** Share of its capacity that a cache has for certain at an age, given in ns. */
+    /**
+     * Returns the share of its full capacity that a cache has at least at the given age.
+     *
+     * @param ageNs time since the cache's start, in ns
+     */
     public double capacityAt(long ageNs) {
         return SlowStart.capacityAt(ageNs, initialCapacity, warmUpNs);
     }
--- a/src/main/java/brooklock/warming/WarmingSnapshotCodec.java
+++ b/src/main/java/brooklock/warming/WarmingSnapshotCodec.java
@@ -6,7 +6,7 @@
 import java.util.List;
 
 /**
- * The text form of a warming snapshot:
+ * Encodes and decodes the text form of a warming snapshot:
  *
  * <pre>
  * warming 1 SAVED-AT-MS
@@ -14,10 +14,11 @@
  * end LINES CHECKSUM
  * </pre>
  *
- * <p>One that was cut short or damaged is rejected whole.
+ * <p>A truncated or damaged snapshot is rejected whole. All methods are static, free of side
+ * effects and thread-safe.
  */
 public final class WarmingSnapshotCodec {
-    /** Caches in one snapshot at most; further ones are left out. */
+    /** Maximum number of caches in one snapshot; further caches are left out. */
     public static final int MAX_ENTRIES = 4096;
 
     private static final String HEADER = "warming 1 ";
@@ -25,8 +26,8 @@
     /**
      * A decoded snapshot.
      *
-     * @param savedAtMs wall time at which it was made, in ms since 1970
-     * @param entries the caches
+     * @param savedAtMs wall time at which the snapshot was made, in ms since 1970
+     * @param entries the states of the caches
      */
     public record WarmingSnapshot(long savedAtMs, List<SnapshotEntry> entries) {}
 
@@ -35,7 +36,7 @@
     /**
      * Encodes a snapshot.
      *
-     * @param savedAtMs wall time now, in ms since 1970
+     * @param savedAtMs current wall time, in ms since 1970
      */
     public static String encode(long savedAtMs, List<SnapshotEntry> entries) {
         StringBuilder text = new StringBuilder(HEADER).append(savedAtMs).append('\n');
@@ -51,12 +52,16 @@
     /**
      * Decodes a snapshot.
      *
-     * @throws IllegalArgumentException if it is damaged, too long, or of another version
+     * @throws IllegalArgumentException if the text is truncated, damaged, too long or in the format
+     *     of another version
      */
     public static WarmingSnapshot decode(String text) {
         String[] lines = ChecksummedText.verifiedLines(text);
         if (lines.length - 1 > MAX_ENTRIES || !lines[0].matches(HEADER + "\\d{1,15}")) {
-            throw new IllegalArgumentException("it is of another version, or too long");
+            throw new IllegalArgumentException(
+                    ("expected the header 'warming 1 SAVED-AT-MS' and at most %d entries but"
+                                    + " received '%.40s' and %d entries")
+                            .formatted(MAX_ENTRIES, lines[0], lines.length - 1));
         }
         List<SnapshotEntry> entries = new ArrayList<>();
         for (int i = 1; i < lines.length; i++) {
