--- a/src/main/java/brooklock/membership/EndpointListFile.java
+++ b/src/main/java/brooklock/membership/EndpointListFile.java
@@ -33,7 +33,7 @@
         }
         try {
             return Optional.of(
-                    EndpointRegistryCodec.decode(Files.readString(path, StandardCharsets.UTF_8)));
+                    MembershipStateCodec.decode(Files.readString(path, StandardCharsets.UTF_8)));
         } catch (IllegalArgumentException e) {
             throw new IOException(path + ": " + e.getMessage(), e);
         }
@@ -45,6 +45,6 @@
      * @throws IOException if the file cannot be written; its previous content is then unchanged
      */
     public void save(Membership.State state) throws IOException {
-        AtomicFile.replace(path, EndpointRegistryCodec.encode(state), true);
+        AtomicFile.replace(path, MembershipStateCodec.encode(state), true);
     }
 }
--- a/src/main/java/brooklock/membership/EndpointRegistry.java
+++ b/src/main/java/brooklock/membership/EndpointRegistry.java
@@ -14,7 +14,7 @@
 /**
  * Publishes the endpoint list in force to all threads and translates it into events for the router.
  *
- * <p>{@link #apply}, {@link #toEndpointList} and {@link #fullEndpointList} may be called on the
+ * <p>{@link #apply}, {@link #toListEvent} and {@link #fullListEvent} may be called on the
  * routing thread only, which owns the {@link Membership}. The other methods may be called on any
  * thread; they read the snapshot that the last change published.
  */
@@ -60,7 +60,7 @@
      * @param result the result of the update
      * @param kind how the router is to interpret the list
      */
-    public Optional<EndpointListReceived> toEndpointList(
+    public Optional<EndpointListReceived> toListEvent(
             UpdateResult result, EndpointListKind kind) {
         return result.affected().isEmpty() && !result.coversWholeList()
                 ? Optional.empty()
@@ -68,7 +68,7 @@
     }
 
     /** Returns a router event that contains every endpoint in force. */
-    public EndpointListReceived fullEndpointList(EndpointListKind kind) {
+    public EndpointListReceived fullListEvent(EndpointListKind kind) {
         return translate(endpoints().values(), kind);
     }
 
--- a/src/main/java/brooklock/membership/EventSource.java
+++ b/src/main/java/brooklock/membership/EventSource.java
@@ -12,7 +12,7 @@
  * @param epoch epoch of the last event; 0 if the source's events have no version, or if its order
  *     was reset
  * @param sequence sequence number of the last event; 0 under the same conditions as {@code epoch}
- * @param lastHeardMs wall time of the last event, in ms since 1970; for display only
+ * @param lastEventMs wall time of the last event, in ms since 1970; for display only
  * @param endpoints the latest description of each endpoint that the source has named, by id; an
  *     endpoint that the source removed is kept as gone, so that another source that has not yet
  *     noticed the removal does not undo it
@@ -21,7 +21,7 @@
         String name,
         long epoch,
         long sequence,
-        long lastHeardMs,
+        long lastEventMs,
         PSortedMap<Long, ListedEndpoint> endpoints) {
     /**
      * Name of the source of the endpoints in the settings. The source is dropped as soon as another
@@ -54,11 +54,11 @@
      * epoch.
      */
     EventSource withOrderReset() {
-        return new EventSource(name, 0, 0, lastHeardMs, endpoints);
+        return new EventSource(name, 0, 0, lastEventMs, endpoints);
     }
 
     EventSource withEndpoints(PSortedMap<Long, ListedEndpoint> newEndpoints) {
-        return new EventSource(name, epoch, sequence, lastHeardMs, newEndpoints);
+        return new EventSource(name, epoch, sequence, lastEventMs, newEndpoints);
     }
 
     /**
--- a/src/main/java/brooklock/membership/EndpointRegistryCodec.java
+++ b/src/main/java/brooklock/membership/MembershipStateCodec.java
@@ -20,14 +20,14 @@
  * that were saved before events had versions, in the form of {@link EndpointListCodec}, are decoded
  * too. All methods are static, free of side effects and thread-safe.
  */
-final class EndpointRegistryCodec {
+final class MembershipStateCodec {
     private static final String HEADER = "members 2";
     private static final String SOURCE = "source";
     private static final int SOURCE_FIELDS = 5;
     private static final String OVERRIDE = "hand";
     private static final int OVERRIDE_FIELDS = 3;
 
-    private EndpointRegistryCodec() {}
+    private MembershipStateCodec() {}
 
     /** Encodes the sources and overrides of a state, followed by the line with the checksum. */
     static String encode(Membership.State state) {
@@ -36,7 +36,7 @@
             text.append(SOURCE).append(' ').append(source.name());
             text.append(' ').append(source.epoch());
             text.append(' ').append(source.sequence());
-            text.append(' ').append(source.lastHeardMs()).append('\n');
+            text.append(' ').append(source.lastEventMs()).append('\n');
             for (ListedEndpoint endpoint : source.endpoints().values()) {
                 text.append(EndpointListCodec.encode(endpoint)).append('\n');
             }
--- a/src/main/java/brooklock/warming/CacheState.java
+++ b/src/main/java/brooklock/warming/CacheState.java
@@ -29,8 +29,8 @@
 
     private final WarmingLimits limits;
     private final String dispatcherName;
-    private final HitRatio sameZoneFills = new HitRatio();
-    private final HitRatio otherZoneFills = new HitRatio();
+    private final HitRatioEstimator sameZoneFills = new HitRatioEstimator();
+    private final HitRatioEstimator otherZoneFills = new HitRatioEstimator();
     private CacheEndpoint endpoint;
     // The last start, as stated by the endpoint list or detected by connection failures, whichever
     // is later.
--- a/src/main/java/brooklock/warming/CacheTable.java
+++ b/src/main/java/brooklock/warming/CacheTable.java
@@ -87,7 +87,7 @@
 
     /** Returns this dispatcher's portion of the capacity of a warm cache, in requests per ns. */
     double dispatcherSharePerNs(long nowNs) {
-        return limits.dispatcherSharePerNs(warmCacheRate.perNs(nowNs));
+        return limits.dispatcherSharePerNs(warmCacheRate.ratePerNs(nowNs));
     }
 
     /**
--- a/src/main/java/brooklock/warming/CacheWarming.java
+++ b/src/main/java/brooklock/warming/CacheWarming.java
@@ -57,12 +57,12 @@
      * A part that a cache is to fetch from a peer, and from no other source.
      *
      * @param endpointId id of the cache
-     * @param sourceId id of the peer
+     * @param peerId id of the peer
      * @param object id of the object
      * @param part index of the part within the object
      * @param request the information needed to request the part
      */
-    public record Prefetch<T>(long endpointId, long sourceId, long object, int part, T request) {}
+    public record Prefetch<T>(long endpointId, long peerId, long object, int part, T request) {}
 
     /** The result of a request for a part to a peer. */
     public enum PeerResult {
@@ -131,7 +131,7 @@
     }
 
     /** Records that a cache served and stored a part, so that the part is not prefetched again. */
-    public void onFilled(long endpointId, long object, int part) {
+    public void onPartCached(long endpointId, long object, int part) {
         CacheState cache = caches.find(endpointId);
         if (cache != null && cache.hasStartedLately()) {
             cache.markCached(new PartKey(object, part));
@@ -210,10 +210,10 @@
      * Returns the load shares, from 0 to 1 by cache id, that changed enough to be announced to the
      * router, and records them as announced.
      */
-    public Map<Long, Double> changedShares(long nowNs) {
+    public Map<Long, Double> pollChangedShares(long nowNs) {
         Map<Long, Double> changed = new TreeMap<>();
         for (CacheState cache : caches.all()) {
-            double share = loadShare(cache, nowNs);
+            double share = announcedLoadShare(cache, nowNs);
             double announced = cache.announcedShare();
             boolean recovered = share == 1 && announced != 1;
             if (recovered || Math.abs(share - announced) >= MIN_SHARE_CHANGE) {
@@ -225,14 +225,14 @@
     }
 
     /** Returns the last announced load share of an endpoint; 1 if the endpoint is not a cache. */
-    public double loadShare(long endpointId) {
+    public double announcedLoadShare(long endpointId) {
         CacheState cache = caches.find(endpointId);
         return cache == null ? 1 : cache.announcedShare();
     }
 
     // The share of a cache in another zone is always 1: its clients' requests are sent by the
     // dispatchers of that zone.
-    private double loadShare(CacheState cache, long nowNs) {
+    private double announcedLoadShare(CacheState cache, long nowNs) {
         return caches.isLocal(cache) ? cache.loadShare(nowNs) : 1;
     }
 
@@ -275,7 +275,7 @@
                     new SnapshotEntry(
                             cache.id(),
                             cache.startedMs(),
-                            loadShare(cache, nowNs),
+                            announcedLoadShare(cache, nowNs),
                             cache.loadLimit().fraction()));
         }
         return entries;
--- a/src/main/java/brooklock/warming/PrefetchBudget.java
+++ b/src/main/java/brooklock/warming/PrefetchBudget.java
@@ -4,7 +4,7 @@
 
 /**
  * Limits the prefetches at one cache that is warming up. Clients use up to {@link
- * SlowStart#plannedMultiple} of the cache's present capacity. Prefetching uses half of the
+ * SlowStart#plannedCapacityMultiple} of the cache's present capacity. Prefetching uses half of the
  * remainder up to the overload multiple, and never more than half of the capacity. Clients and
  * prefetching together therefore stay below every overload multiple. Not thread-safe.
  */
@@ -57,7 +57,7 @@
      */
     static double maxPrefetchShare(WarmingLimits limits, double capacity) {
         double multiple = limits.overloadMultiple();
-        double router = SlowStart.plannedMultiple(multiple);
+        double router = SlowStart.plannedCapacityMultiple(multiple);
         double share = Math.min(MAX_CAPACITY_SHARE, SHARE_OF_REST * Math.max(0, multiple - router));
         return capacity * share;
     }
--- a/src/main/java/brooklock/warming/WarmingLimits.java
+++ b/src/main/java/brooklock/warming/WarmingLimits.java
@@ -83,6 +83,6 @@
      * @param ageNs time since the cache's start, in ns
      */
     public double capacityAt(long ageNs) {
-        return SlowStart.capacityAt(ageNs, initialCapacity, warmUpNs);
+        return SlowStart.capacityShareAt(ageNs, initialCapacity, warmUpNs);
     }
 }
