--- a/src/main/java/brooklock/membership/EndpointListCodec.java
+++ b/src/main/java/brooklock/membership/EndpointListCodec.java
@@ -105,18 +105,20 @@
         String[] keys = {"source", "epoch", "number", "follows"};
         String[] values = {null, "0", "0", "0"};
         for (int i = start; i < header.length; i += 2) {
-            int k = (i - start) / 2;
-            if (k >= keys.length || !header[i].equals(keys[k]) || i + 1 == header.length) {
+            int keyIndex = (i - start) / 2;
+            if (keyIndex >= keys.length
+                    || !header[i].equals(keys[keyIndex])
+                    || i + 1 == header.length) {
                 throw new MalformedEndpointListException(
                         ("expected 'source NAME epoch E number N', and 'follows M' in a delta,"
                                         + " but received '%.40s' as word %d of %d")
                                 .formatted(header[i], i + 1, header.length));
             }
-            values[k] = header[i + 1];
-            if (k > 0 && !values[k].matches("\\d{1,15}")) {
+            values[keyIndex] = header[i + 1];
+            if (keyIndex > 0 && !values[keyIndex].matches("\\d{1,15}")) {
                 throw new MalformedEndpointListException(
                         "expected 1 to 15 digits after '%s' but received '%.40s'"
-                                .formatted(keys[k], values[k]));
+                                .formatted(keys[keyIndex], values[keyIndex]));
             }
         }
         return new EventVersion(
--- a/src/main/java/brooklock/membership/EndpointMerge.java
+++ b/src/main/java/brooklock/membership/EndpointMerge.java
@@ -72,11 +72,11 @@
      * Returns the more restrictive of two states. Gone is more restrictive than draining, which is
      * more restrictive than ready.
      */
-    static EndpointState mostRestrictive(EndpointState a, EndpointState b) {
-        if (a == EndpointState.GONE || b == EndpointState.GONE) {
+    static EndpointState mostRestrictive(EndpointState state, EndpointState other) {
+        if (state == EndpointState.GONE || other == EndpointState.GONE) {
             return EndpointState.GONE;
         }
-        return a == EndpointState.DRAINING || b == EndpointState.DRAINING
+        return state == EndpointState.DRAINING || other == EndpointState.DRAINING
                 ? EndpointState.DRAINING
                 : EndpointState.READY;
     }
--- a/src/main/java/brooklock/membership/EndpointRegistry.java
+++ b/src/main/java/brooklock/membership/EndpointRegistry.java
@@ -14,9 +14,9 @@
 /**
  * Publishes the endpoint list in force to all threads and translates it into events for the router.
  *
- * <p>{@link #apply}, {@link #toListEvent} and {@link #fullListEvent} may be called on the
- * routing thread only, which owns the {@link Membership}. The other methods may be called on any
- * thread; they read the snapshot that the last change published.
+ * <p>{@link #apply}, {@link #toListEvent} and {@link #fullListEvent} may be called on the routing
+ * thread only, which owns the {@link Membership}. The other methods may be called on any thread;
+ * they read the snapshot that the last change published.
  */
 public final class EndpointRegistry {
     /** Identifies one start of an endpoint by the wall time that the endpoint list states. */
@@ -60,8 +60,7 @@
      * @param result the result of the update
      * @param kind how the router is to interpret the list
      */
-    public Optional<EndpointListReceived> toListEvent(
-            UpdateResult result, EndpointListKind kind) {
+    public Optional<EndpointListReceived> toListEvent(UpdateResult result, EndpointListKind kind) {
         return result.affected().isEmpty() && !result.coversWholeList()
                 ? Optional.empty()
                 : Optional.of(translate(result.affected(), kind));
--- a/src/main/java/brooklock/membership/EventSource.java
+++ b/src/main/java/brooklock/membership/EventSource.java
@@ -45,7 +45,7 @@
         return !name.startsWith("*");
     }
 
-    EventSource withLastHeard(long wallMs) {
+    EventSource withLastEventMs(long wallMs) {
         return new EventSource(name, epoch, sequence, wallMs, endpoints);
     }
 
--- a/src/main/java/brooklock/membership/Membership.java
+++ b/src/main/java/brooklock/membership/Membership.java
@@ -84,11 +84,11 @@
             Optional<UpdateResult> rejection = EventOrder.check(before, event);
             if (rejection.isPresent()) {
                 if (rejection.get().status() == Status.DUPLICATE) {
-                    replaceSource(before.withLastHeard(wallMs));
+                    replaceSource(before.withLastEventMs(wallMs));
                 }
                 return rejection.get();
             }
-            if (!state.sources.containsKey(name) && orderedSources() >= MAX_SOURCES) {
+            if (!state.sources.containsKey(name) && countOrderedSources() >= MAX_SOURCES) {
                 return UpdateResult.unchanged(
                         Status.REJECTED,
                         "there are " + MAX_SOURCES + " sources already; forget one first");
@@ -104,7 +104,7 @@
         return commit(sources, state.overrides, changed, false, after.toString());
     }
 
-    private long orderedSources() {
+    private long countOrderedSources() {
         return state.sources.values().stream().filter(EventSource::isOrdered).count();
     }
 
@@ -135,13 +135,13 @@
     public UpdateResult restore(State saved) {
         PMap<String, EventSource> sources = saved.sources;
         for (EventSource source : saved.sources.values()) {
-            PSortedMap<Long, ListedEndpoint> known = source.endpoints();
+            PSortedMap<Long, ListedEndpoint> retained = source.endpoints();
             for (ListedEndpoint endpoint : source.endpoints().values()) {
                 if (!zones.contains(endpoint.zone())) {
-                    known = known.minus(endpoint.id());
+                    retained = retained.minus(endpoint.id());
                 }
             }
-            sources = sources.plus(source.name(), source.withEndpoints(known));
+            sources = sources.plus(source.name(), source.withEndpoints(retained));
         }
         return commitAll(sources, saved.overrides, "as saved");
     }
@@ -153,15 +153,15 @@
      * override, after which the sources alone determine the endpoint's state.
      */
     public UpdateResult setOverride(String endpointName, EndpointState override) {
-        Optional<ListedEndpoint> named =
+        Optional<ListedEndpoint> found =
                 state.endpoints.values().stream()
                         .filter(endpoint -> endpoint.name().equals(endpointName))
                         .findFirst();
-        if (named.isEmpty()) {
+        if (found.isEmpty()) {
             return UpdateResult.unchanged(
                     Status.UNKNOWN, "no host of the name '" + endpointName + "' is on the list");
         }
-        long id = named.get().id();
+        long id = found.get().id();
         PMap<Long, EndpointState> overrides =
                 override == EndpointState.READY
                         ? state.overrides.minus(id)
@@ -170,14 +170,14 @@
         if (!result.applied()) {
             return result;
         }
-        EndpointState now = state.endpoints.get(id).state();
-        String detail = endpointName + " is " + now.name().toLowerCase(Locale.ROOT);
-        if (now == override) {
+        EndpointState currentState = state.endpoints.get(id).state();
+        String detail = endpointName + " is " + currentState.name().toLowerCase(Locale.ROOT);
+        if (currentState == override) {
             return new UpdateResult(Status.APPLIED, detail, result.affected(), false);
         }
         return new UpdateResult(
                 override == EndpointState.READY ? Status.STILL_RESTRICTED : Status.APPLIED,
-                detail + ", as " + sourceOfState(id, now) + " says",
+                detail + ", as " + sourceOfState(id, currentState) + " says",
                 result.affected(),
                 false);
     }
@@ -226,9 +226,9 @@
 
     private UpdateResult commitAll(
             PMap<String, EventSource> sources, PMap<Long, EndpointState> overrides, String detail) {
-        Set<Long> all = new HashSet<>(state.endpoints.keySet());
-        sources.values().forEach(source -> all.addAll(source.endpoints().keySet()));
-        return commit(sources, overrides, all, true, detail);
+        Set<Long> allIds = new HashSet<>(state.endpoints.keySet());
+        sources.values().forEach(source -> allIds.addAll(source.endpoints().keySet()));
+        return commit(sources, overrides, allIds, true, detail);
     }
 
     /**
@@ -236,14 +236,14 @@
      * EndpointListCodec#MAX_ENDPOINTS}.
      *
      * @param changed ids of the endpoints to merge
-     * @param complete whether {@code changed} contains every endpoint
+     * @param coversWholeList whether {@code changed} contains every endpoint
      * @param detail text for the sender of the update
      */
     private UpdateResult commit(
             PMap<String, EventSource> sources,
             PMap<Long, EndpointState> overrides,
             Collection<Long> changed,
-            boolean complete,
+            boolean coversWholeList,
             String detail) {
         PSortedMap<Long, ListedEndpoint> next = state.endpoints;
         for (Long id : changed) {
@@ -263,20 +263,20 @@
                     Status.REJECTED,
                     "the list would hold over " + EndpointListCodec.MAX_ENDPOINTS + " hosts");
         }
-        state = new State(sources, overridesOf(next, overrides), next);
+        state = new State(sources, retainListedOverrides(next, overrides), next);
         List<ListedEndpoint> affected = new ArrayList<>();
-        for (Long id : complete ? next.keySet() : changed) {
+        for (Long id : coversWholeList ? next.keySet() : changed) {
             if (next.containsKey(id)) {
                 affected.add(next.get(id));
             }
         }
-        return new UpdateResult(Status.APPLIED, detail, List.copyOf(affected), complete);
+        return new UpdateResult(Status.APPLIED, detail, List.copyOf(affected), coversWholeList);
     }
 
     // Drops the overrides of endpoints that are no longer listed; they would otherwise accumulate
     // and
     // could not be saved, because only the list knows the endpoint's name.
-    private static PMap<Long, EndpointState> overridesOf(
+    private static PMap<Long, EndpointState> retainListedOverrides(
             PSortedMap<Long, ListedEndpoint> endpoints, PMap<Long, EndpointState> overrides) {
         PMap<Long, EndpointState> kept = overrides;
         for (Long id : overrides.keySet()) {
--- a/src/main/java/brooklock/membership/PurgeTimes.java
+++ b/src/main/java/brooklock/membership/PurgeTimes.java
@@ -35,6 +35,6 @@
      * @param wallAgeNs age of the purge by the current wall clock; used on its first arrival only
      */
     public long ageNs(String purge, long nowNs, long wallAgeNs) {
-        return nowNs - purgedAtNs.computeIfAbsent(purge, first -> nowNs - wallAgeNs);
+        return nowNs - purgedAtNs.computeIfAbsent(purge, key -> nowNs - wallAgeNs);
     }
 }
--- a/src/main/java/brooklock/warming/CacheState.java
+++ b/src/main/java/brooklock/warming/CacheState.java
@@ -15,28 +15,28 @@
 final class CacheState {
     // After a start a cache regains its capacity long before its copies. During this period its
     // misses are sent to a peer first.
-    private static final long REFILL_NS = 120_000_000_000L;
+    private static final long REFILL_PERIOD_NS = 120_000_000_000L;
     // Number of consecutive connection failures that count as a restart; the router uses the same
     // rule.
-    private static final int MAX_CONNECTION_FAILURES = 3;
+    private static final int RESTART_FAILURE_THRESHOLD = 3;
     private static final int MAX_CACHED_PARTS = 20_000;
     // Peers of the cache's own zone are tried first while their hit ratio is at least this fraction
     // of the hit ratio of peers in other zones.
     private static final double SAME_ZONE_PREFERENCE = 0.5;
     // Distinguish the permit phases of the two budgets of a cache.
-    private static final int PEER_PHASE = 1;
-    private static final int PREFETCH_PHASE = 2;
+    private static final int PEER_BUDGET = 1;
+    private static final int PREFETCH_BUDGET = 2;
 
     private final WarmingLimits limits;
     private final String dispatcherName;
-    private final HitRatioEstimator sameZoneFills = new HitRatioEstimator();
-    private final HitRatioEstimator otherZoneFills = new HitRatioEstimator();
+    private final HitRatioEstimator sameZoneHitRatio = new HitRatioEstimator();
+    private final HitRatioEstimator otherZoneHitRatio = new HitRatioEstimator();
     private CacheEndpoint endpoint;
     // The last start, as stated by the endpoint list or detected by connection failures, whichever
     // is later.
     private long startedNs;
     private int connectionFailures;
-    // Both are null unless the cache was within REFILL_NS of its start when the start was recorded.
+    // Both are null unless the start was less than REFILL_PERIOD_NS ago when it was recorded.
     private SlowStartRamp ramp;
     private PrefetchBudget prefetchBudget;
     private PeerLoadLimit loadLimit;
@@ -44,7 +44,7 @@
     private double hitRatio = -1;
     // The parts that were prefetched or filled at this cache since its start.
     private Set<PartKey> cachedParts = new HashSet<>();
-    private double announcedShare = 1;
+    private double announcedLoadShare = 1;
 
     CacheState(WarmingLimits limits, String dispatcherName) {
         this.limits = limits;
@@ -53,10 +53,10 @@
 
     /** Updates the cache from the current endpoint list, which may state a new start. */
     void onListed(CacheEndpoint listed, long nowNs) {
-        boolean first = endpoint == null;
+        boolean isNew = endpoint == null;
         endpoint = listed;
-        if (first || listed.startedNs() > startedNs) {
-            onStart(listed.startedNs(), nowNs);
+        if (isNew || listed.startedNs() > startedNs) {
+            resetForStart(listed.startedNs(), nowNs);
         }
     }
 
@@ -64,27 +64,27 @@
      * Resets all state at a start of the cache: its copies are gone, and its earlier reports no
      * longer apply.
      */
-    private void onStart(long startNs, long nowNs) {
+    private void resetForStart(long startNs, long nowNs) {
         startedNs = startNs;
         ramp = null;
         prefetchBudget = null;
-        loadLimit = new PeerLoadLimit(permitPhase(PEER_PHASE), limits.permitLifetimeNs(), nowNs);
+        loadLimit = new PeerLoadLimit(permitPhase(PEER_BUDGET), limits.permitLifetimeNs(), nowNs);
         hitRatio = -1;
         connectionFailures = 0;
         cachedParts = new HashSet<>();
         // A cache that started long ago needs no slow start; 0 stands for long ago.
-        if (startNs > 0 && nowNs - startNs < REFILL_NS) {
+        if (startNs > 0 && nowNs - startNs < REFILL_PERIOD_NS) {
             ramp = new SlowStartRamp(startNs, nowNs);
             prefetchBudget =
                     new PrefetchBudget(
-                            permitPhase(PREFETCH_PHASE), limits.permitLifetimeNs(), nowNs);
+                            permitPhase(PREFETCH_BUDGET), limits.permitLifetimeNs(), nowNs);
         }
     }
 
     // The phase differs between dispatchers, so that their permits are spread over time.
-    private double permitPhase(int which) {
+    private double permitPhase(int budgetNumber) {
         return StableHash.toUnitInterval(
-                StableHash.hash(dispatcherName, endpoint.endpointId() + which, startedNs));
+                StableHash.hash(dispatcherName, endpoint.endpointId() + budgetNumber, startedNs));
     }
 
     /** Applies a load report. A report from before the last start of the cache is ignored. */
@@ -121,16 +121,16 @@
         connectionFailures = connectionLost ? connectionFailures + 1 : 0;
         // A failing cache is not used as a peer, even if it reports free capacity.
         loadLimit.onFailure(nowNs);
-        if (connectionFailures >= MAX_CONNECTION_FAILURES) {
-            onStart(nowNs, nowNs);
+        if (connectionFailures >= RESTART_FAILURE_THRESHOLD) {
+            resetForStart(nowNs, nowNs);
         } else {
             onOverload(nowNs);
         }
     }
 
     /** Records whether a peer held a part that this cache requested from it. */
-    void onFillFrom(CacheState peer, boolean filled, long nowNs) {
-        (isInZoneOf(peer) ? sameZoneFills : otherZoneFills).recordOutcome(filled, nowNs);
+    void onPeerFill(CacheState peer, boolean filled, long nowNs) {
+        (isInZoneOf(peer) ? sameZoneHitRatio : otherZoneHitRatio).recordOutcome(filled, nowNs);
     }
 
     /** Records the result of a request in which this cache served as the peer. */
@@ -205,7 +205,7 @@
     }
 
     /** Returns whether the last start was recent enough when recorded to require a slow start. */
-    boolean hasStartedLately() {
+    boolean hasSlowStart() {
         return ramp != null;
     }
 
@@ -214,7 +214,7 @@
      * back.
      */
     boolean mayLackCopies(long nowNs) {
-        return ramp != null && nowNs - startedNs < REFILL_NS;
+        return ramp != null && nowNs - startedNs < REFILL_PERIOD_NS;
     }
 
     /** Returns the share of its full capacity that the cache has now, from 0 to 1. */
@@ -230,17 +230,17 @@
     }
 
     /** Returns the share of its load that the cache should receive now; 1 without a slow start. */
-    double loadShare(long nowNs) {
-        return ramp == null ? 1 : ramp.share(nowNs);
+    double currentLoadShare(long nowNs) {
+        return ramp == null ? 1 : ramp.updatedShare(nowNs);
     }
 
     /** Returns the share that was last announced to the router. */
-    double announcedShare() {
-        return announcedShare;
+    double announcedLoadShare() {
+        return announcedLoadShare;
     }
 
-    void announce(double share) {
-        announcedShare = share;
+    void setAnnouncedLoadShare(double share) {
+        announcedLoadShare = share;
     }
 
     PeerLoadLimit loadLimit() {
@@ -257,7 +257,7 @@
      * that they are tried first.
      */
     boolean prefersOtherZones(long nowNs) {
-        return sameZoneFills.estimate(nowNs)
-                < SAME_ZONE_PREFERENCE * otherZoneFills.estimate(nowNs);
+        return sameZoneHitRatio.estimate(nowNs)
+                < SAME_ZONE_PREFERENCE * otherZoneHitRatio.estimate(nowNs);
     }
 }
--- a/src/main/java/brooklock/warming/CacheTable.java
+++ b/src/main/java/brooklock/warming/CacheTable.java
@@ -45,14 +45,14 @@
 
     /** Replaces the list of caches. The state of caches that the list does not name is dropped. */
     void onEndpointList(List<CacheEndpoint> endpoints, long nowNs) {
-        Set<Long> named = new HashSet<>();
+        Set<Long> listedIds = new HashSet<>();
         for (CacheEndpoint endpoint : endpoints) {
-            named.add(endpoint.endpointId());
+            listedIds.add(endpoint.endpointId());
             caches.computeIfAbsent(
                             endpoint.endpointId(), id -> new CacheState(limits, dispatcherName))
                     .onListed(endpoint, nowNs);
         }
-        caches.keySet().retainAll(named);
+        caches.keySet().retainAll(listedIds);
         listVersion++;
         summaryDueNs = nowNs;
     }
@@ -86,8 +86,8 @@
     }
 
     /** Returns this dispatcher's portion of the capacity of a warm cache, in requests per ns. */
-    double dispatcherSharePerNs(long nowNs) {
-        return limits.dispatcherSharePerNs(warmCacheRate.ratePerNs(nowNs));
+    double dispatcherCapacityPerNs(long nowNs) {
+        return limits.dispatcherCapacityPerNs(warmCacheRate.ratePerNs(nowNs));
     }
 
     /**
@@ -99,12 +99,12 @@
             return false;
         }
         refreshSummary(nowNs);
-        double peers = hitRatioByZone.getOrDefault(cache.zone(), -1.0);
+        double zoneHitRatio = hitRatioByZone.getOrDefault(cache.zone(), -1.0);
         boolean refilled =
                 cache.isWarm(nowNs)
                         && cache.hitRatio() >= 0
-                        && peers >= 0
-                        && cache.hitRatio() >= REFILLED_FRACTION * peers;
+                        && zoneHitRatio >= 0
+                        && cache.hitRatio() >= REFILLED_FRACTION * zoneHitRatio;
         return !refilled;
     }
 
@@ -115,13 +115,13 @@
         summaryDueNs = nowNs + SUMMARY_INTERVAL_NS;
         warmCacheCount = 0;
         hitRatioByZone.clear();
-        Map<Integer, Integer> reporting = new HashMap<>();
+        Map<Integer, Integer> reportingByZone = new HashMap<>();
         for (CacheState cache : caches.values()) {
             if (isLocal(cache) && cache.isReady() && cache.isWarm(nowNs)) {
                 warmCacheCount++;
             }
-            if (!cache.hasStartedLately() && cache.hitRatio() >= 0) {
-                int count = reporting.merge(cache.zone(), 1, Integer::sum);
+            if (!cache.hasSlowStart() && cache.hitRatio() >= 0) {
+                int count = reportingByZone.merge(cache.zone(), 1, Integer::sum);
                 hitRatioByZone.merge(
                         cache.zone(),
                         cache.hitRatio(),
--- a/src/main/java/brooklock/warming/CacheWarming.java
+++ b/src/main/java/brooklock/warming/CacheWarming.java
@@ -87,8 +87,8 @@
             long endpointId, long startedMs, double loadShare, double peerFraction) {}
 
     private final CacheTable caches;
-    private final PeerSelector peers;
-    private final PrefetchPlanner<T> prefetches;
+    private final PeerSelector peerSelector;
+    private final PrefetchPlanner<T> prefetchPlanner;
 
     /**
      * Creates a new instance without any caches.
@@ -102,9 +102,9 @@
     public CacheWarming(
             WarmingLimits limits, EndpointScore score, int zone, String name, long nowNs) {
         caches = new CacheTable(limits, zone, name);
-        peers = new PeerSelector(limits, score, caches);
+        peerSelector = new PeerSelector(limits, score, caches);
         HotParts<T> hotParts = new HotParts<>(StableHash.hash(name, HOT_PARTS_SEED, 0), nowNs);
-        prefetches = new PrefetchPlanner<>(limits, caches, peers, score, hotParts);
+        prefetchPlanner = new PrefetchPlanner<>(limits, caches, peerSelector, score, hotParts);
     }
 
     // ---- Events
@@ -116,7 +116,7 @@
 
     /** Records that a client requested a part that a cache will store. */
     public void onRequest(long object, int part, T request, long nowNs) {
-        prefetches.onRequest(new PartKey(object, part), request, nowNs);
+        prefetchPlanner.onRequest(new PartKey(object, part), request, nowNs);
     }
 
     /**
@@ -133,7 +133,7 @@
     /** Records that a cache served and stored a part, so that the part is not prefetched again. */
     public void onPartCached(long endpointId, long object, int part) {
         CacheState cache = caches.find(endpointId);
-        if (cache != null && cache.hasStartedLately()) {
+        if (cache != null && cache.hasSlowStart()) {
             cache.markCached(new PartKey(object, part));
         }
     }
@@ -187,7 +187,7 @@
         }
         CacheState cache = caches.find(endpointId);
         if (cache != null && result != PeerResult.FAILED) {
-            cache.onFillFrom(peer, result == PeerResult.FILLED, nowNs);
+            cache.onPeerFill(peer, result == PeerResult.FILLED, nowNs);
         }
         peer.onPeerResult(result, nowNs);
     }
@@ -213,11 +213,11 @@
     public Map<Long, Double> pollChangedShares(long nowNs) {
         Map<Long, Double> changed = new TreeMap<>();
         for (CacheState cache : caches.all()) {
-            double share = announcedLoadShare(cache, nowNs);
-            double announced = cache.announcedShare();
+            double share = currentLoadShare(cache, nowNs);
+            double announced = cache.announcedLoadShare();
             boolean recovered = share == 1 && announced != 1;
             if (recovered || Math.abs(share - announced) >= MIN_SHARE_CHANGE) {
-                cache.announce(share);
+                cache.setAnnouncedLoadShare(share);
                 changed.put(cache.id(), share);
             }
         }
@@ -227,13 +227,13 @@
     /** Returns the last announced load share of an endpoint; 1 if the endpoint is not a cache. */
     public double announcedLoadShare(long endpointId) {
         CacheState cache = caches.find(endpointId);
-        return cache == null ? 1 : cache.announcedShare();
+        return cache == null ? 1 : cache.announcedLoadShare();
     }
 
     // The share of a cache in another zone is always 1: its clients' requests are sent by the
     // dispatchers of that zone.
-    private double announcedLoadShare(CacheState cache, long nowNs) {
-        return caches.isLocal(cache) ? cache.loadShare(nowNs) : 1;
+    private double currentLoadShare(CacheState cache, long nowNs) {
+        return caches.isLocal(cache) ? cache.currentLoadShare(nowNs) : 1;
     }
 
     /**
@@ -246,7 +246,7 @@
         if (cache == null || !caches.needsRefill(cache, nowNs)) {
             return 0;
         }
-        Optional<CacheState> peer = peers.select(cache, new PartKey(object, part), nowNs);
+        Optional<CacheState> peer = peerSelector.select(cache, new PartKey(object, part), nowNs);
         if (peer.isEmpty()) {
             return 0;
         }
@@ -258,11 +258,11 @@
      * Returns the prefetches to send now. Each of them counts as in flight until {@link
      * #onPrefetchDone} is called for it.
      *
-     * @param allowed tests whether a copy of an object may be passed on now; false while copies
+     * @param copyAllowed tests whether a copy of an object may be passed on now; false while copies
      *     from before a purge may remain
      */
-    public List<Prefetch<T>> nextPrefetches(long nowNs, BiPredicate<Long, T> allowed) {
-        return prefetches.next(nowNs, allowed);
+    public List<Prefetch<T>> nextPrefetches(long nowNs, BiPredicate<Long, T> copyAllowed) {
+        return prefetchPlanner.next(nowNs, copyAllowed);
     }
 
     // ---- Snapshot
@@ -275,7 +275,7 @@
                     new SnapshotEntry(
                             cache.id(),
                             cache.startedMs(),
-                            announcedLoadShare(cache, nowNs),
+                            currentLoadShare(cache, nowNs),
                             cache.loadLimit().fraction()));
         }
         return entries;
--- a/src/main/java/brooklock/warming/HotParts.java
+++ b/src/main/java/brooklock/warming/HotParts.java
@@ -55,7 +55,7 @@
             return ownerId;
         }
 
-        boolean hasOwnerOf(int listVersion) {
+        boolean hasOwnerFor(int listVersion) {
             return ownerListVersion == listVersion;
         }
 
@@ -83,7 +83,7 @@
 
     /** Counts a client's request for a part. */
     void recordRequest(PartKey key, T request, long nowNs) {
-        rotateInterval(nowNs);
+        rotateIntervalIfDue(nowNs);
         HotPart<T> part = currentInterval.get(key);
         if (part == null) {
             HotPart<T> previous = previousInterval.get(key);
@@ -98,7 +98,7 @@
         part.requestCount++;
     }
 
-    private void rotateInterval(long nowNs) {
+    private void rotateIntervalIfDue(long nowNs) {
         if (nowNs < intervalEndNs) {
             return;
         }
@@ -113,18 +113,18 @@
      * of two; parts with equal rounded counts are in an order specific to this dispatcher.
      */
     List<HotPart<T>> hottest(long nowNs) {
-        rotateInterval(nowNs);
-        Map<PartKey, HotPart<T>> all = new LinkedHashMap<>(previousInterval);
-        all.putAll(currentInterval);
+        rotateIntervalIfDue(nowNs);
+        Map<PartKey, HotPart<T>> candidates = new LinkedHashMap<>(previousInterval);
+        candidates.putAll(currentInterval);
         List<HotPart<T>> hot = new ArrayList<>();
-        for (HotPart<T> part : all.values()) {
+        for (HotPart<T> part : candidates.values()) {
             if (part.requestCount > 1 || previousInterval.containsKey(part.key)) {
                 hot.add(part);
             }
         }
-        Comparator<HotPart<T>> byHeat =
+        Comparator<HotPart<T>> byRequestCount =
                 Comparator.comparingInt(part -> Integer.numberOfLeadingZeros(part.requestCount));
-        hot.sort(byHeat.thenComparingLong(part -> part.tieBreak));
+        hot.sort(byRequestCount.thenComparingLong(part -> part.tieBreak));
         return hot;
     }
 }
--- a/src/main/java/brooklock/warming/PacedBudget.java
+++ b/src/main/java/brooklock/warming/PacedBudget.java
@@ -36,7 +36,7 @@
      *
      * @param ratePerNs rate at which permits are issued since the previous call, in permits per ns
      */
-    boolean canAcquire(double ratePerNs, long nowNs) {
+    boolean refillAndCheck(double ratePerNs, long nowNs) {
         double rate = Math.max(0, ratePerNs);
         permits += rate * Math.max(0, nowNs - updatedAtNs);
         updatedAtNs = Math.max(updatedAtNs, nowNs);
--- a/src/main/java/brooklock/warming/PeerLoadLimit.java
+++ b/src/main/java/brooklock/warming/PeerLoadLimit.java
@@ -91,11 +91,11 @@
      * Advances the adaptive fraction, issues the permits that are due and returns whether one more
      * part may be requested from the peer. {@link #acquire} takes the permit.
      *
-     * @param dispatcherSharePerNs this dispatcher's portion of the capacity of a warm cache, in
+     * @param dispatcherCapacityPerNs this dispatcher's portion of the capacity of a warm cache, in
      *     requests per ns
      * @param peerShare share of the free capacity that the settings allow, from 0 to 1
      */
-    boolean canAcquire(double dispatcherSharePerNs, double peerShare, long nowNs) {
+    boolean refillAndCheck(double dispatcherCapacityPerNs, double peerShare, long nowNs) {
         boolean reported = utilization >= 0 && nowNs - reportedAtNs < STALE_REPORT_NS;
         fraction.grow(maxFraction(reported), nowNs);
         double available =
@@ -103,7 +103,7 @@
                         ? Math.max(0, 1 - utilization) * fraction.value()
                         : Math.min(fraction.value(), UNREPORTED_FRACTION);
         return nowNs >= backoffUntilNs
-                && budget.canAcquire(dispatcherSharePerNs * peerShare * available, nowNs);
+                && budget.refillAndCheck(dispatcherCapacityPerNs * peerShare * available, nowNs);
     }
 
     private double maxFraction(boolean reported) {
--- a/src/main/java/brooklock/warming/PeerSelector.java
+++ b/src/main/java/brooklock/warming/PeerSelector.java
@@ -33,34 +33,34 @@
      */
     Optional<CacheState> select(CacheState target, PartKey key, long nowNs) {
         CacheState nearest = null;
-        CacheState second = null;
-        CacheState otherZone = null;
+        CacheState secondNearest = null;
+        CacheState nearestInOtherZone = null;
         double nearestScore = 0;
-        double secondScore = 0;
-        double otherZoneScore = 0;
+        double secondNearestScore = 0;
+        double nearestInOtherZoneScore = 0;
         for (CacheState peer : caches.all()) {
             if (!isEligible(peer, target, nowNs)) {
                 continue;
             }
             double peerScore = score.score(key.object(), key.part(), peer.id());
             if (!peer.isInZoneOf(target)) {
-                if (otherZone == null || peerScore > otherZoneScore) {
-                    otherZone = peer;
-                    otherZoneScore = peerScore;
+                if (nearestInOtherZone == null || peerScore > nearestInOtherZoneScore) {
+                    nearestInOtherZone = peer;
+                    nearestInOtherZoneScore = peerScore;
                 }
             } else if (nearest == null || peerScore > nearestScore) {
-                second = nearest;
-                secondScore = nearestScore;
+                secondNearest = nearest;
+                secondNearestScore = nearestScore;
                 nearest = peer;
                 nearestScore = peerScore;
-            } else if (second == null || peerScore > secondScore) {
-                second = peer;
-                secondScore = peerScore;
+            } else if (secondNearest == null || peerScore > secondNearestScore) {
+                secondNearest = peer;
+                secondNearestScore = peerScore;
             }
         }
-        return otherZone != null && target.prefersOtherZones(nowNs)
-                ? firstWithCapacity(nowNs, otherZone, nearest, second)
-                : firstWithCapacity(nowNs, nearest, second, otherZone);
+        return nearestInOtherZone != null && target.prefersOtherZones(nowNs)
+                ? firstWithCapacity(nowNs, nearestInOtherZone, nearest, secondNearest)
+                : firstWithCapacity(nowNs, nearest, secondNearest, nearestInOtherZone);
     }
 
     private boolean isEligible(CacheState peer, CacheState target, long nowNs) {
@@ -72,11 +72,11 @@
     }
 
     private Optional<CacheState> firstWithCapacity(long nowNs, CacheState... candidates) {
-        double dispatcherSharePerNs = caches.dispatcherSharePerNs(nowNs);
+        double dispatcherCapacityPerNs = caches.dispatcherCapacityPerNs(nowNs);
         for (CacheState peer : candidates) {
             if (peer != null
                     && peer.loadLimit()
-                            .canAcquire(dispatcherSharePerNs, limits.peerShare(), nowNs)) {
+                            .refillAndCheck(dispatcherCapacityPerNs, limits.peerShare(), nowNs)) {
                 return Optional.of(peer);
             }
         }
--- a/src/main/java/brooklock/warming/PrefetchBudget.java
+++ b/src/main/java/brooklock/warming/PrefetchBudget.java
@@ -11,7 +11,7 @@
 final class PrefetchBudget {
     // Below 1, because permits from just before the overload window and random variation add to the
     // planned load.
-    private static final double SHARE_OF_REST = 0.5;
+    private static final double REMAINDER_SHARE = 0.5;
     // Applies even to a large overload multiple, because clients have priority.
     private static final double MAX_CAPACITY_SHARE = 0.5;
     private static final double HIGH_UTILIZATION = 0.5;
@@ -57,8 +57,11 @@
      */
     static double maxPrefetchShare(WarmingLimits limits, double capacity) {
         double multiple = limits.overloadMultiple();
-        double router = SlowStart.plannedCapacityMultiple(multiple);
-        double share = Math.min(MAX_CAPACITY_SHARE, SHARE_OF_REST * Math.max(0, multiple - router));
+        double plannedMultiple = SlowStart.plannedCapacityMultiple(multiple);
+        double share =
+                Math.min(
+                        MAX_CAPACITY_SHARE,
+                        REMAINDER_SHARE * Math.max(0, multiple - plannedMultiple));
         return capacity * share;
     }
 
@@ -67,19 +70,19 @@
      * #acquire} takes the permit.
      *
      * @param capacity share of its full capacity that the cache has now
-     * @param dispatcherSharePerNs this dispatcher's portion of the capacity of a warm cache, in
+     * @param dispatcherCapacityPerNs this dispatcher's portion of the capacity of a warm cache, in
      *     requests per ns
      */
-    boolean canAcquire(
-            WarmingLimits limits, double capacity, double dispatcherSharePerNs, long nowNs) {
+    boolean refillAndCheck(
+            WarmingLimits limits, double capacity, double dispatcherCapacityPerNs, long nowNs) {
         boolean allowed =
                 utilization >= 0
                         && utilization < HIGH_UTILIZATION
                         && nowNs - reportedAtNs < PeerLoadLimit.STALE_REPORT_NS
                         && nowNs >= pausedUntilNs;
         // No permits are issued during a pause; they would accumulate and be spent at its end.
-        double rate = allowed ? dispatcherSharePerNs * maxPrefetchShare(limits, capacity) : 0;
-        boolean permitted = budget.canAcquire(rate, nowNs);
+        double rate = allowed ? dispatcherCapacityPerNs * maxPrefetchShare(limits, capacity) : 0;
+        boolean permitted = budget.refillAndCheck(rate, nowNs);
         return allowed && inFlight < MAX_IN_FLIGHT && permitted;
     }
 
--- a/src/main/java/brooklock/warming/PrefetchPlanner.java
+++ b/src/main/java/brooklock/warming/PrefetchPlanner.java
@@ -29,23 +29,23 @@
 
     private final WarmingLimits limits;
     private final CacheTable caches;
-    private final PeerSelector peers;
+    private final PeerSelector peerSelector;
     private final EndpointScore score;
     private final HotParts<T> hotParts;
-    private List<HotPart<T>> hottest = List.of();
-    private long hottestRefreshNs;
-    private int nextHottest;
+    private List<HotPart<T>> hottestParts = List.of();
+    private long nextRefreshNs;
+    private int nextHottestIndex;
     private final Map<CacheState, ArrayDeque<HotPart<T>>> queues = new LinkedHashMap<>();
 
     PrefetchPlanner(
             WarmingLimits limits,
             CacheTable caches,
-            PeerSelector peers,
+            PeerSelector peerSelector,
             EndpointScore score,
             HotParts<T> hotParts) {
         this.limits = limits;
         this.caches = caches;
-        this.peers = peers;
+        this.peerSelector = peerSelector;
         this.score = score;
         this.hotParts = hotParts;
     }
@@ -56,7 +56,7 @@
     }
 
     /** Returns the prefetches to send now, counts them as in flight and acquires their permits. */
-    List<Prefetch<T>> next(long nowNs, BiPredicate<Long, T> allowed) {
+    List<Prefetch<T>> next(long nowNs, BiPredicate<Long, T> copyAllowed) {
         List<CacheState> targets =
                 caches.all().stream().filter(cache -> isTarget(cache, nowNs)).toList();
         if (targets.isEmpty()) {
@@ -67,7 +67,7 @@
         for (CacheState target : targets) {
             ArrayDeque<HotPart<T>> queue = queues.get(target);
             if (queue != null) {
-                addPrefetches(target, queue, allowed, prefetches, nowNs);
+                addPrefetches(target, queue, copyAllowed, prefetches, nowNs);
             }
         }
         return prefetches;
@@ -83,23 +83,24 @@
     private void addPrefetches(
             CacheState target,
             ArrayDeque<HotPart<T>> queue,
-            BiPredicate<Long, T> allowed,
+            BiPredicate<Long, T> copyAllowed,
             List<Prefetch<T>> prefetches,
             long nowNs) {
-        double dispatcherSharePerNs = caches.dispatcherSharePerNs(nowNs);
+        double dispatcherCapacityPerNs = caches.dispatcherCapacityPerNs(nowNs);
         int skipped = 0;
         while (!queue.isEmpty()
                 && skipped < MAX_PARTS_SKIPPED
                 && target.prefetchBudget()
-                        .canAcquire(limits, target.capacity(nowNs), dispatcherSharePerNs, nowNs)) {
+                        .refillAndCheck(
+                                limits, target.capacity(nowNs), dispatcherCapacityPerNs, nowNs)) {
             HotPart<T> part = queue.poll();
             PartKey key = part.key();
             if (target.hasCached(key)) {
                 continue;
             }
             Optional<CacheState> peer =
-                    allowed.test(key.object(), part.request())
-                            ? peers.select(target, key, nowNs)
+                    copyAllowed.test(key.object(), part.request())
+                            ? peerSelector.select(target, key, nowNs)
                             : Optional.empty();
             if (peer.isEmpty()) {
                 queue.add(part);
@@ -125,17 +126,17 @@
      * part.
      */
     private void fillQueues(List<CacheState> targets, long nowNs) {
-        if (nowNs >= hottestRefreshNs) {
-            hottest = hotParts.hottest(nowNs);
-            hottestRefreshNs = nowNs + HOT_PARTS_REFRESH_NS;
-            nextHottest = 0;
+        if (nowNs >= nextRefreshNs) {
+            hottestParts = hotParts.hottest(nowNs);
+            nextRefreshNs = nowNs + HOT_PARTS_REFRESH_NS;
+            nextHottestIndex = 0;
             queues.clear();
             targets.forEach(target -> queues.put(target, new ArrayDeque<>()));
         }
         int examined = 0;
-        while (examined < MAX_PARTS_EXAMINED && nextHottest < hottest.size()) {
-            HotPart<T> part = hottest.get(nextHottest++);
-            if (!part.hasOwnerOf(caches.listVersion())) {
+        while (examined < MAX_PARTS_EXAMINED && nextHottestIndex < hottestParts.size()) {
+            HotPart<T> part = hottestParts.get(nextHottestIndex++);
+            if (!part.hasOwnerFor(caches.listVersion())) {
                 part.setOwner(owningCache(part.key()), caches.listVersion());
                 examined++;
             }
--- a/src/main/java/brooklock/warming/SlowStartRamp.java
+++ b/src/main/java/brooklock/warming/SlowStartRamp.java
@@ -18,12 +18,12 @@
     private static final double HIGH_UTILIZATION = 0.9;
     private static final double LOW_UTILIZATION = 0.7;
     // A report older than STALE_REPORT_NS no longer lets the share grow. Once the last report is
-    // older than SILENCE_NS, the share grows without reports.
+    // older than REPORT_TIMEOUT_NS, the share grows without reports.
     private static final long STALE_REPORT_NS = 2_000_000_000L;
-    private static final long SILENCE_NS = 6_000_000_000L;
+    private static final long REPORT_TIMEOUT_NS = 6_000_000_000L;
     // Number of consecutive reports with exactly the same utilization but a changed number of
     // requests in flight after which the utilization is considered stuck.
-    private static final int STUCK_REPORTS = 20;
+    private static final int STUCK_REPORT_COUNT = 20;
 
     private final long startedNs;
     private final AdaptiveShare share;
@@ -55,7 +55,7 @@
         }
         countUnchanged(report);
         lastReport = report;
-        if (report.utilization() > HIGH_UTILIZATION && !isStuck()) {
+        if (report.utilization() > HIGH_UTILIZATION && !isUtilizationStuck()) {
             onOverload(report.receivedNs());
         }
     }
@@ -68,8 +68,8 @@
         }
     }
 
-    private boolean isStuck() {
-        return unchangedReports >= STUCK_REPORTS;
+    private boolean isUtilizationStuck() {
+        return unchangedReports >= STUCK_REPORT_COUNT;
     }
 
     /** Cuts the share after a sign of overload at the cache. */
@@ -78,9 +78,11 @@
     }
 
     /** Returns the current share, after the growth steps that are due. */
-    double share(long nowNs) {
+    double updatedShare(long nowNs) {
         boolean credible =
-                lastReport != null && nowNs - lastReport.receivedNs() <= SILENCE_NS && !isStuck();
+                lastReport != null
+                        && nowNs - lastReport.receivedNs() <= REPORT_TIMEOUT_NS
+                        && !isUtilizationStuck();
         if (!credible) {
             // Without a credible report only the router's bound applies, which is a share of 1. The
             // share approaches 1 by the usual steps, so that an earlier cut does not end at once.
--- a/src/main/java/brooklock/warming/WarmingLimits.java
+++ b/src/main/java/brooklock/warming/WarmingLimits.java
@@ -65,7 +65,7 @@
      * @param ownRatePerNs rate at which this dispatcher sends requests to a warm cache, in requests
      *     per ns
      */
-    public double dispatcherSharePerNs(double ownRatePerNs) {
+    public double dispatcherCapacityPerNs(double ownRatePerNs) {
         return warmCapacityPerNs > 0 ? warmCapacityPerNs / dispatcherCount : ownRatePerNs;
     }
 
--- a/src/test/java/brooklock/membership/EndpointListCodecTest.java
+++ b/src/test/java/brooklock/membership/EndpointListCodecTest.java
@@ -14,13 +14,13 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The text form of endpoint lists on the control listener. */
+/** Tests the text form of endpoint lists on the control listener. */
 class EndpointListCodecTest {
-    // A sender may die in the middle of a list. Half a list, taken as a whole one, would remove all
-    // other endpoints.
+    // A sender may crash in the middle of a list. If a truncated list were accepted as a full list,
+    // all endpoints that it no longer names would be removed.
     @Test
-    @DisplayName("a list is decoded as it was encoded, and no cut of it is accepted")
-    void roundTripAndEveryCut() {
+    @DisplayName("an encoded list is decoded unchanged, and every truncation of it is rejected")
+    void roundTripAndEveryTruncation() {
         String text =
                 EndpointListCodec.encode(
                         full(
@@ -32,9 +32,9 @@
         assertEquals(2, EndpointListCodec.decode(text).endpoints().size());
         assertEquals(text, EndpointListCodec.encode(EndpointListCodec.decode(text)));
         for (int length = 0; length < text.length(); length++) {
-            String cut = text.substring(0, length);
+            String truncated = text.substring(0, length);
             assertThrows(
-                    MalformedEndpointListException.class, () -> EndpointListCodec.decode(cut), cut);
+                    MalformedEndpointListException.class, () -> EndpointListCodec.decode(truncated), truncated);
         }
     }
 
@@ -47,7 +47,8 @@
         "north, north extra",
         "127.0.0.1, localhost!"
     })
-    @DisplayName("a list with one invalid field is rejected whole, with the number of its line")
+    @DisplayName(
+            "a list with one invalid field is rejected whole, and the error states the line number")
     void invalidField(String valid, String invalid) {
         String text = EndpointListCodec.encode(WatchEvent.unversioned(false, List.of(ready("c1"))));
         assertTrue(text.contains(valid), text);
@@ -57,17 +58,24 @@
 
     @ParameterizedTest
     @CsvSource({
-        "source r, an epoch and a",
-        "source r epoch 1, an epoch and a",
-        "source r epoch 1 number 2, a numbered delta names",
-        "source r epoch 1 number 2 follows 2, a delta fol",
-        "source r epoch 1 number -2 follows 1, '''-2'' is not'",
-        "epoch 1 number 2 follows 1, a list's place is",
-        "source r/ epoch 1 number 2 follows 1, a source's name",
-        "source r epoch 1 number 2 follows 1 x, a list's",
-        "source r epoch 9999999999999999 number 2 follows 1, '''9999999999999999'' is not'"
+        "source r, expected an epoch and a number of at least 1 but received epoch 0 and number 0",
+        "source r epoch 1, expected an epoch and a number of at least 1 but received epoch 1 and"
+                + " number 0",
+        "source r epoch 1 number 2, expected a numbered delta to state 'follows M' but received no",
+        "source r epoch 1 number 2 follows 2, expected a delta to follow a number below its own number 2"
+                + " but received 2",
+        "source r epoch 1 number -2 follows 1, expected 1 to 15 digits after 'number' but received"
+                + " '-2'",
+        "epoch 1 number 2 follows 1, 'expected ''source NAME epoch E number N'', and ''follows M'' in"
+                + " a delta, but received ''epoch'' as word 3 of 8'",
+        "source r/ epoch 1 number 2 follows 1, 'expected a source name of 1 to 63 letters, digits, dots,"
+                + " dashes and underscores that begins with a letter or digit but received ''r/'''",
+        "source r epoch 1 number 2 follows 1 x, 'expected ''source NAME epoch E number N'', and"
+                + " ''follows M'' in a delta, but received ''x'' as word 11 of 11'",
+        "source r epoch 9999999999999999 number 2 follows 1, expected 1 to 15 digits after 'epoch' but"
+                + " received '9999999999999999'"
     })
-    @DisplayName("a version is whole, or the list is rejected")
+    @DisplayName("a list with an incomplete or invalid version is rejected")
     void invalidVersion(String version, String reason) {
         String message = messageOf(emptyDelta().replace("delta", "delta " + version));
         assertTrue(message.startsWith("line 1: " + reason), message);
--- a/src/test/java/brooklock/membership/EndpointListFileTest.java
+++ b/src/test/java/brooklock/membership/EndpointListFileTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The saved endpoint list: whole or rejected. */
+/** Tests that the saved endpoint list is restored whole or rejected whole. */
 class EndpointListFileTest {
     @TempDir Path dir;
     private Path path;
@@ -47,7 +47,7 @@
     }
 
     @Test
-    @DisplayName("a dispatcher continues from what it saved, with versions and overrides")
+    @DisplayName("a saved state is restored with its versions and overrides")
     void restore() throws IOException {
         Membership before = saved();
         Membership after = TestEndpoints.membership();
@@ -55,11 +55,12 @@
         assertEquals(before.state(), after.state());
     }
 
-    // A dispatcher was killed while it wrote, or the disk has lost a bit. A list that is only
-    // partly right would send requests to endpoints that were removed; the settings' endpoints, or
-    // none, are the safer choice.
+    // A file is damaged if the dispatcher was killed while writing it, or if the disk flipped a
+    // bit.
+    // A partly correct list would send requests to endpoints that were removed; starting from the
+    // settings' endpoints, or from none, is safer.
     @Test
-    @DisplayName("a file with one bit flipped, or cut anywhere, is rejected whole")
+    @DisplayName("a file with one flipped bit, or truncated at any byte, is rejected whole")
     void damaged() throws IOException {
         saved();
         byte[] whole = Files.readAllBytes(path);
@@ -69,12 +70,12 @@
             Files.write(path, flipped);
             assertThrows(IOException.class, file::load, "bit flipped at " + i);
             Files.write(path, Arrays.copyOf(whole, i));
-            assertThrows(IOException.class, file::load, "cut at " + i);
+            assertThrows(IOException.class, file::load, "truncated at " + i);
         }
     }
 
     @Test
-    @DisplayName("a list that was saved before events had versions is read")
+    @DisplayName("a list that was saved before events had versions is loaded")
     void unversionedFile() throws IOException {
         Files.writeString(path, "list full\nc1 cache north 127.0.0.1:9000 draining 1.5 0\nend 1\n");
         EventSource source = file.load().orElseThrow().sources().get(EventSource.UNVERSIONED);
--- a/src/test/java/brooklock/membership/EndpointRegistryTest.java
+++ b/src/test/java/brooklock/membership/EndpointRegistryTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.api.DisplayName;
 import org.junit.jupiter.api.Test;
 
-/** The list that threads share, and what the router is told of it. */
+/** Tests the published endpoint list and the events that are made of it for the router. */
 class EndpointRegistryTest {
     private static Optional<EndpointListReceived> apply(
             EndpointRegistry registry, boolean full, ListedEndpoint... endpoints) {
@@ -29,19 +29,18 @@
                         membership ->
                                 membership.apply(
                                         1, WatchEvent.unversioned(full, List.of(endpoints))));
-        return registry.toListEvent(
-                result, full ? EndpointListKind.FULL : EndpointListKind.DELTA);
+        return registry.toListEvent(result, full ? EndpointListKind.FULL : EndpointListKind.DELTA);
     }
 
     private static Endpoint only(Optional<EndpointListReceived> event) {
         return event.orElseThrow().endpoints().get(0);
     }
 
-    // An endpoint's start is stated as wall time. When the wall clock is set, a second conversion
-    // gives another time of the router's clock, and the router would warm up an endpoint that never
-    // restarted.
+    // An endpoint list states starts as wall time. If a start were converted again after the wall
+    // clock was set, its time on the router's clock would differ, and the router would warm up an
+    // endpoint that never restarted.
     @Test
-    @DisplayName("a start keeps its time on the router's clock though the wall clock is set")
+    @DisplayName("a start keeps its time on the router's clock when the wall clock is set")
     void startIsConvertedOnce() {
         AtomicLong shiftNs = new AtomicLong();
         EndpointRegistry registry =
@@ -56,7 +55,7 @@
 
     @Test
     @DisplayName(
-            "what a full list leaves out is gone; a list with an unknown zone is rejected whole")
+            "endpoints missing from a full list are gone; a list with an unknown zone is rejected whole")
     void fullLists() {
         EndpointRegistry registry = new EndpointRegistry(List.of("north"), ms -> ms);
         apply(registry, true, ready("c1"), ready("c2"));
@@ -73,6 +72,8 @@
                         1,
                         0);
         assertEquals(Optional.empty(), apply(registry, true, elsewhere));
-        assertTrue(registry.isReady(EndpointId.of("c2")), "nothing of it was applied");
+        assertTrue(
+                registry.isReady(EndpointId.of("c2")),
+                "no endpoint of the rejected list was applied");
     }
 }
--- a/src/test/java/brooklock/membership/MembershipPropertyTest.java
+++ b/src/test/java/brooklock/membership/MembershipPropertyTest.java
@@ -17,25 +17,26 @@
 import net.jqwik.api.Property;
 
 /**
- * Two sources change their lists and restart; their events are lost, repeated, delayed and
- * reordered; operators set overrides; the dispatcher restarts from its saved list. At each step the
- * endpoints in force are those of the newest event of each source that has arrived, restricted by
- * the overrides.
+ * Tests membership with two sources that change their lists and restart. Their events are lost,
+ * repeated, delayed and reordered, operators set overrides, and the dispatcher restarts from its
+ * saved list. At each step the endpoints in force must match the newest event of each source that
+ * has arrived, restricted by the overrides.
  */
 class MembershipPropertyTest {
     private static final List<EndpointState> STATES = List.of(EndpointState.values());
-    // Each of the first two belongs to one source, which leaves it out of its full lists once it is
-    // gone.
+    // Each of the first two endpoints belongs to one source, which omits it from its full lists
+    // once
+    // it is gone.
     private static final List<String> NAMES = List.of("a-1", "b-1", "c1", "c2", "c3");
 
-    /** A source with the history of its lists. */
+    /** A source that records the history of its lists. */
     private static final class SimulatedSource {
         private final String name;
         private final Map<Long, TreeMap<Long, Map<String, EndpointState>>> history =
                 new HashMap<>();
         private long epoch = 1;
         private long sequence;
-        // Survives a restart of the source, unlike its sequence numbers.
+        // Survives a restart of the source, unlike its sequence number.
         private Map<String, EndpointState> current = new TreeMap<>();
 
         SimulatedSource(String name) {
@@ -44,23 +45,23 @@
 
         /**
          * Changes some endpoints, sometimes after a restart, and returns the event that announces
-         * it.
+         * the changes.
          */
         WatchEvent nextEvent(Random random) {
             if (sequence > 0 && random.nextInt(10) == 0) {
                 epoch++;
                 sequence = 0;
             }
-            TreeMap<Long, Map<String, EndpointState>> ofEpoch =
+            TreeMap<Long, Map<String, EndpointState>> historyOfEpoch =
                     history.computeIfAbsent(epoch, key -> new TreeMap<>());
             current = new TreeMap<>(current);
             for (int i = random.nextInt(3); i >= 0; i--) {
-                int which = random.nextInt(4);
+                int choice = random.nextInt(4);
                 current.put(
-                        which == 3 ? name + "-1" : NAMES.get(2 + which),
+                        choice == 3 ? name + "-1" : NAMES.get(2 + choice),
                         STATES.get(random.nextInt(3)));
             }
-            ofEpoch.put(++sequence, current);
+            historyOfEpoch.put(++sequence, current);
             long base =
                     sequence == 1 || random.nextInt(3) == 0
                             ? 0
@@ -71,7 +72,7 @@
                         boolean named =
                                 base == 0
                                         ? state != EndpointState.GONE || !endpoint.startsWith(name)
-                                        : state != ofEpoch.get(base).get(endpoint);
+                                        : state != historyOfEpoch.get(base).get(endpoint);
                         if (named) {
                             endpoints.add(endpoint(endpoint, state, 0));
                         }
@@ -88,7 +89,7 @@
     }
 
     @Property(tries = 400, seed = "19")
-    void theNewestEventThatArrivedIsInForce(@ForAll long seed) {
+    void newestArrivedEventIsInForce(@ForAll long seed) {
         Simulation simulation = new Simulation(new Random(seed));
         for (int step = 0; step < 120; step++) {
             simulation.step(step);
@@ -96,7 +97,7 @@
         }
     }
 
-    /** The sources, their events in transit, and what has to be in force. */
+    /** The sources, their events in transit, and the expected versions and overrides. */
     private static final class Simulation {
         private final Random random;
         private Membership membership = TestEndpoints.membership();
@@ -135,7 +136,9 @@
             membership = restarted;
         }
 
-        /** Delivers any event in transit, which may stay in transit and so arrive again. */
+        /**
+         * Delivers a random event in transit, which may remain in transit and be delivered again.
+         */
         private void deliver(int step) {
             if (inTransit.isEmpty()) {
                 return;
@@ -178,8 +181,8 @@
                 if (expected == null) {
                     assertTrue(actual == null || actual == EndpointState.GONE, name + " " + actual);
                 } else if (actual != null || expected != EndpointState.GONE) {
-                    // An endpoint that was only ever known as gone may be unknown: no list has
-                    // named it here.
+                    // An endpoint that is expected to be gone may also be unknown, if no delivered
+                    // event has named it.
                     EndpointState override = overrides.getOrDefault(name, EndpointState.READY);
                     assertEquals(
                             EndpointMerge.mostRestrictive(expected, override),
--- a/src/test/java/brooklock/membership/MembershipTest.java
+++ b/src/test/java/brooklock/membership/MembershipTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.api.Nested;
 import org.junit.jupiter.api.Test;
 
-/** What is in force after watch events and operators' commands. */
+/** Tests which endpoints are in force after watch events and operator commands. */
 class MembershipTest {
     private final Membership membership = TestEndpoints.membership();
 
@@ -26,16 +26,18 @@
         return membership.apply(1, event).status();
     }
 
-    // A source sends its events over several connections, so an older one can arrive after a newer
-    // one. Applied in the order of arrival it would bring back an endpoint that was removed, and
-    // requests would go there.
+    // A source sends its events over several connections, so an older event can arrive after a
+    // newer
+    // one. Applied in the order of arrival, it would restore an endpoint that was removed, and
+    // requests would be sent to it.
     @Nested
-    @DisplayName("The order of one source's events")
+    @DisplayName("Events of one source")
     class EventOrdering {
         @Test
-        @DisplayName("a delta needs the list that it was made from")
+        @DisplayName("a delta applies only to the list that it was derived from")
         void gap() {
-            assertEquals(Status.GAP, apply(delta("r", 5, 2, 1, ready("c1"))), "no list yet");
+            assertEquals(
+                    Status.GAP, apply(delta("r", 5, 2, 1, ready("c1"))), "no list has arrived");
             assertEquals(Status.APPLIED, apply(full("r", 5, 10, ready("c1"), ready("c2"))));
             assertEquals(Status.APPLIED, apply(delta("r", 5, 11, 10, gone("c1"))));
             Membership.State before = membership.state();
@@ -43,7 +45,7 @@
             assertEquals(
                     Status.GAP,
                     apply(delta("r", 5, 14, 10, ready("c2"))),
-                    "c1 left and came back in between");
+                    "c1 was removed and restored between 10 and 14");
             assertEquals(before, membership.state());
             assertEquals(Status.APPLIED, apply(delta("r", 5, 14, 11, ready("c1"))));
             assertEquals(EndpointState.READY, stateOf(membership, "c1"));
@@ -51,7 +53,7 @@
 
         @Test
         @DisplayName(
-                "an older event, a repeat and a conflict change nothing and state what is in force")
+                "an older, repeated or conflicting event changes nothing, and the result states what is in force")
         void outOfOrder() {
             apply(full("r", 5, 10, ready("c1"), ready("c2")));
             apply(delta("r", 5, 11, 10, gone("c1")));
@@ -63,7 +65,7 @@
             assertEquals(
                     Status.DUPLICATE,
                     apply(full("r", 5, 11, ready("c2"))),
-                    "the same, as a full list");
+                    "the same endpoints as a full list");
             assertEquals(
                     Status.CONFLICT,
                     apply(full("r", 5, 11, ready("c1"))),
@@ -72,7 +74,8 @@
         }
 
         @Test
-        @DisplayName("a new epoch begins with a full list and ends the one before for good")
+        @DisplayName(
+                "a new epoch begins with a full list, after which events of the previous epoch are rejected")
         void epochs() {
             apply(full("r", 5, 10, ready("c1"), ready("c2")));
             Membership.State before = membership.state();
@@ -85,9 +88,9 @@
         }
     }
 
-    // An operator drains an endpoint for maintenance. The registry knows nothing of this; if its
-    // next list withdrew the override, requests would come back while somebody works on the
-    // machine.
+    // An operator drains an endpoint for maintenance, which the registry does not know. If the
+    // registry's next list withdrew the override, requests would be sent to the endpoint during the
+    // maintenance.
     @Test
     @DisplayName("an override restricts one endpoint until an operator withdraws it")
     void override() {
@@ -98,7 +101,7 @@
         assertEquals(
                 50,
                 membership.state().endpoints().get(EndpointId.of("c1")).startedMs(),
-                "other fields change as before");
+                "other fields are still updated");
         apply(delta("r", 1, 3, 2, endpoint("c1", EndpointState.GONE, 50)));
         assertEquals(
                 Status.STILL_RESTRICTED,
@@ -113,8 +116,9 @@
     @Nested
     @DisplayName("Several sources")
     class Sources {
-        // Two registries list the same endpoint, and one has removed it. The other has not noticed
-        // yet; its list must not undo the removal, whichever of the two events comes first.
+        // Two registries list the same endpoint, and one of them has removed it. The other has not
+        // noticed the removal yet. Its list must not undo the removal, in whichever order the two
+        // events arrive.
         @Test
         @DisplayName("are merged: the most restrictive state wins")
         void merged() {
@@ -124,14 +128,14 @@
             assertEquals(
                     EndpointState.GONE,
                     stateOf(membership, "c5"),
-                    "the settings hold until a source sends a full list");
+                    "the settings are in force until a source sends a full list");
             apply(full("b", 1, 1, ready("c2"), ready("c3")));
             assertEquals(EndpointState.READY, stateOf(membership, "c1"));
             apply(full("a", 1, 2, ready("c1")));
             assertEquals(
                     EndpointState.GONE,
                     stateOf(membership, "c2"),
-                    "b's silence does not undo the removal by a");
+                    "the list of b does not undo the removal by a");
         }
 
         @Test
@@ -160,7 +164,7 @@
 
     @Test
     @DisplayName(
-            "a list that exceeds the limit is rejected whole; endpoints that are gone make room")
+            "a list that exceeds the limit is rejected whole; endpoints that are gone do not count")
     void endpointLimit() {
         List<ListedEndpoint> many = new ArrayList<>();
         for (int i = 0; i < EndpointListCodec.MAX_ENDPOINTS; i++) {
--- a/src/test/java/brooklock/membership/SavedEndpointListSampleTest.java
+++ b/src/test/java/brooklock/membership/SavedEndpointListSampleTest.java
@@ -17,9 +17,9 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Endpoint lists that an earlier version has saved. A dispatcher that is updated starts from such a
- * file; if it could not read it, it would start without the removals and overrides that are in
- * force.
+ * Tests that endpoint lists saved by earlier versions are loaded. An updated dispatcher starts from
+ * such a file. If it could not load the file, it would start without the removals and overrides
+ * that are in force.
  */
 class SavedEndpointListSampleTest {
     @TempDir Path dir;
@@ -43,7 +43,7 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"settings-list.saved", "several-sources-list.saved"})
-    @DisplayName("a saved list is written back with the same bytes")
+    @DisplayName("a saved list is written back byte for byte")
     void rewrite(String name) throws IOException {
         Membership membership = restore(name);
         Path path = dir.resolve("written");
@@ -72,10 +72,10 @@
         assertEquals(EndpointState.GONE, stateOf(membership, "p1"));
     }
 
-    // The override is of an endpoint that no source names any more: it was in force as a removed
-    // one only.
+    // No source names the endpoint of the override any more; it was in force only as a removed
+    // endpoint.
     @Test
-    @DisplayName("an override of an endpoint that no source names is left out")
+    @DisplayName("an override of an endpoint that no source names is dropped")
     void overrideWithoutEndpoint() throws IOException {
         Membership membership = restore("registry-list.saved");
         EventSource registry = membership.state().sources().get("registry");
--- a/src/test/java/brooklock/membership/TestEndpoints.java
+++ b/src/test/java/brooklock/membership/TestEndpoints.java
@@ -7,7 +7,7 @@
 import java.net.InetSocketAddress;
 import java.util.List;
 
-/** Endpoints and watch events for the tests of this package; all in the zone "north". */
+/** Creates endpoints and watch events for the tests of this package; all in the zone "north". */
 final class TestEndpoints {
     private TestEndpoints() {}
 
@@ -46,7 +46,7 @@
                 new EventVersion(source, epoch, sequence, base), false, List.of(endpoints));
     }
 
-    /** The state of an endpoint in force, or null if it is unknown. */
+    /** Returns the state of an endpoint in force, or null if the endpoint is unknown. */
     static EndpointState stateOf(Membership membership, String name) {
         ListedEndpoint endpoint = membership.state().endpoints().get(EndpointId.of(name));
         return endpoint == null ? null : endpoint.state();
--- a/src/test/java/brooklock/membership/UpdateResultTest.java
+++ b/src/test/java/brooklock/membership/UpdateResultTest.java
@@ -8,7 +8,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What the sender of an update gets; registries act on the word and on the HTTP status. */
+/**
+ * Tests the response to the sender of an update. Registries act on the word and on the HTTP status.
+ */
 class UpdateResultTest {
     @ParameterizedTest
     @CsvSource({
--- a/src/test/java/brooklock/warming/PeerSelectionTest.java
+++ b/src/test/java/brooklock/warming/PeerSelectionTest.java
@@ -1,8 +1,8 @@
 package brooklock.warming;
 
 import static brooklock.warming.WarmingFixture.LIMITS;
-import static brooklock.warming.WarmingFixture.MS;
-import static brooklock.warming.WarmingFixture.S;
+import static brooklock.warming.WarmingFixture.MILLIS;
+import static brooklock.warming.WarmingFixture.SECONDS;
 import static brooklock.warming.WarmingFixture.cold;
 import static brooklock.warming.WarmingFixture.fleet;
 import static brooklock.warming.WarmingFixture.report;
@@ -20,15 +20,17 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Which peer a miss at a cache that has just started is filled from. Object 1 belongs to cache 1,
- * and to cache 2 while 1 is away.
+ * Tests from which peer a miss at a recently started cache is filled. Object 1 belongs to cache 1,
+ * and to cache 2 while cache 1 is down.
  */
 class PeerSelectionTest {
-    private static final long START = 100 * S;
+    private static final long START = 100 * SECONDS;
 
-    /** The first peer that is selected for object 1 at cache 1 within a time, or 0. */
+    /**
+     * Returns the first peer selected for object 1 at cache 1 between two times, or 0 if none is.
+     */
     private static long firstPeer(CacheWarming<String> warming, long from, long to) {
-        for (long now = from; now < to; now += 10 * MS) {
+        for (long now = from; now < to; now += 10 * MILLIS) {
             long peer = warming.selectFillPeer(1, 1, 0, now);
             if (peer != 0) {
                 return peer;
@@ -37,74 +39,79 @@
         return 0;
     }
 
-    // A cache restarts without its copies. Its misses all at once would overload the parent; the
-    // peer that took over its parts holds them, but must keep its capacity for its own clients.
+    // A cache restarts without its copies. If all its misses were sent to the parent, they would
+    // overload it. The peer that served the parts meanwhile holds them, but must keep enough
+    // capacity for its own clients.
     @Test
-    @DisplayName("a miss is filled from the peer that took over, while that has capacity")
+    @DisplayName("a miss is filled from the next peer by hash while that peer has capacity")
     void nearestPeerWithCapacity() {
         CacheWarming<String> warming = fleet(LIMITS, START);
-        assertEquals(2, firstPeer(warming, START, START + 3 * S), "the next to 1 by hash");
-        assertEquals(0, warming.selectFillPeer(2, 1, 0, START), "a warm cache needs none");
-        int asked = 0;
-        for (long at = START + 3 * S; at < START + 6 * S; at += 5 * MS) {
+        assertEquals(
+                2,
+                firstPeer(warming, START, START + 3 * SECONDS),
+                "cache 2 is next to cache 1 by hash");
+        assertEquals(0, warming.selectFillPeer(2, 1, 0, START), "a warm cache needs no peer");
+        int selections = 0;
+        for (long at = START + 3 * SECONDS; at < START + 6 * SECONDS; at += 5 * MILLIS) {
             warming.onReport(2, report(0.2, 0.9, at));
-            asked += warming.selectFillPeer(1, 1, 0, at) == 2 ? 1 : 0;
+            selections += warming.selectFillPeer(1, 1, 0, at) == 2 ? 1 : 0;
         }
-        // At most a fifth of the 250 requests a second that this dispatcher sends it.
-        assertTrue(asked > 3 && asked <= 150, "asked " + asked);
-        warming.onReport(2, report(0.95, 0.9, START + 6 * S));
+        // At most a fifth of the 250 requests per second that this dispatcher sends to the peer.
+        assertTrue(selections > 3 && selections <= 150, "selected " + selections + " times");
+        warming.onReport(2, report(0.95, 0.9, START + 6 * SECONDS));
         assertNotEquals(
                 2,
-                firstPeer(warming, START + 6 * S, START + 6 * S + 900 * MS),
-                "its own clients need it");
+                firstPeer(warming, START + 6 * SECONDS, START + 6 * SECONDS + 900 * MILLIS),
+                "the peer's own clients need its capacity");
     }
 
     @Test
-    @DisplayName("a peer that drains, is gone, or has just started itself is not selected")
+    @DisplayName("a peer that is draining, gone or recently started is not selected")
     void ineligiblePeers() {
         CacheWarming<String> warming = fleet(LIMITS, START);
         warming.onEndpointList(
                 List.of(
                         cold(1, START),
                         new CacheEndpoint(2, 0, false, 0, 0),
-                        cold(3, START - S),
+                        cold(3, START - SECONDS),
                         warm(5)),
                 START);
         warming.onReport(5, report(0.2, 0.9, START));
         assertEquals(
                 5,
-                firstPeer(warming, START, START + 3 * S),
-                "2 drains, 3 has just started, 4 is gone");
-        warming.onPeerResult(1, 5, PeerResult.FAILED, START + 3 * S);
-        for (long at = START + 3 * S; at < START + 4 * S; at += 50 * MS) {
+                firstPeer(warming, START, START + 3 * SECONDS),
+                "cache 2 is draining, cache 3 has just started, cache 4 is gone");
+        warming.onPeerResult(1, 5, PeerResult.FAILED, START + 3 * SECONDS);
+        for (long at = START + 3 * SECONDS; at < START + 4 * SECONDS; at += 50 * MILLIS) {
             warming.onReport(5, report(0.2, 0.9, at));
-            assertEquals(0, warming.selectFillPeer(1, 1, 0, at), "it has just failed");
+            assertEquals(0, warming.selectFillPeer(1, 1, 0, at), "the peer has just failed");
         }
     }
 
-    // A peer that is asked for nothing reports nothing. If it were excluded until its next report,
-    // one failure would exclude it for good.
+    // A peer that receives no requests sends no reports. If it were excluded until its next report,
+    // one failure would exclude it permanently.
     @Test
-    @DisplayName("a peer that failed is tried again though it reports nothing meanwhile")
-    void failedPeerComesBack() {
+    @DisplayName("a peer that failed is tried again even without a report in the meantime")
+    void failedPeerIsRetried() {
         CacheWarming<String> warming = fleet(LIMITS, START);
-        warming.onPeerResult(1, 2, PeerResult.FAILED, START + 5 * S);
-        warming.onPeerResult(1, 3, PeerResult.FAILED, START + 5 * S);
-        long asked = 0;
-        for (long at = START + 5 * S; at < START + 20 * S; at += 10 * MS) {
+        warming.onPeerResult(1, 2, PeerResult.FAILED, START + 5 * SECONDS);
+        warming.onPeerResult(1, 3, PeerResult.FAILED, START + 5 * SECONDS);
+        long selections = 0;
+        for (long at = START + 5 * SECONDS; at < START + 20 * SECONDS; at += 10 * MILLIS) {
             warming.onResponse(4, true, false, at);
-            asked += warming.selectFillPeer(1, 1, 0, at) == 2 ? 1 : 0;
+            selections += warming.selectFillPeer(1, 1, 0, at) == 2 ? 1 : 0;
         }
-        assertTrue(asked > 0);
+        assertTrue(selections > 0);
     }
 
-    // An overloaded cache answers health checks and reports low load, but rejects or times out
-    // every request.
+    // An overloaded cache may respond to health checks and report low load while it rejects or
+    // times
+    // out every request.
     @Test
-    @DisplayName("a peer that fails its clients is not selected, whatever it reports")
+    @DisplayName("a peer that fails client requests is not selected, whatever it reports")
     void failingPeerWithGoodReports() {
         CacheWarming<String> warming = fleet(LIMITS, START);
-        for (long at = START; at < START + 3 * S; at += 50 * MS) {
+        for (long at = START; at < START + 3 * SECONDS; at += 50 * MILLIS) {
             warming.onReport(2, report(0.2, 0.9, at));
             warming.onFailure(2, false, at);
             assertNotEquals(2, warming.selectFillPeer(1, 1, 0, at));
@@ -112,28 +119,29 @@
     }
 
     @Test
-    @DisplayName("peers that report nothing get a trickle at most")
+    @DisplayName("peers without a recent report are selected at a low rate only")
     void silentPeers() {
         CacheWarming<String> warming = fleet(LIMITS, START);
-        int asked = 0;
-        for (long at = START + 10 * S; at < START + 15 * S; at += 10 * MS) {
-            asked += warming.selectFillPeer(1, 1, 0, at) != 0 ? 1 : 0;
+        int selections = 0;
+        for (long at = START + 10 * SECONDS; at < START + 15 * SECONDS; at += 10 * MILLIS) {
+            selections += warming.selectFillPeer(1, 1, 0, at) != 0 ? 1 : 0;
         }
-        assertTrue(asked <= 14, "no report for ten seconds, asked " + asked);
+        assertTrue(selections <= 14, "no report for 10 s, selected " + selections + " times");
     }
 
-    // A whole zone has restarted, so no cache of it holds anything.
+    // All caches of the zone have restarted, so none of them holds any copies.
     @ParameterizedTest
     @CsvSource({"false, 0", "true, 77"})
     @DisplayName("peers of other zones are selected only where the settings allow it")
     void otherZones(boolean crossZone, long expected) {
-        WarmingLimits limits = new WarmingLimits(crossZone, 0.5, 0, 1, 0.2, 10 * S, 2.5, 1500 * MS);
+        WarmingLimits limits =
+                new WarmingLimits(crossZone, 0.5, 0, 1, 0.2, 10 * SECONDS, 2.5, 1500 * MILLIS);
         CacheWarming<String> warming = fleet(limits, START);
         warming.onEndpointList(
                 List.of(cold(1, START), cold(2, START), new CacheEndpoint(77, 1, true, 0, 0)),
                 START);
         long selected = 0;
-        for (long at = START; at < START + 5 * S; at += 20 * MS) {
+        for (long at = START; at < START + 5 * SECONDS; at += 20 * MILLIS) {
             warming.onReport(77, report(0.1, 0.9, at));
             selected = Math.max(selected, warming.selectFillPeer(1, 1, 0, at));
         }
--- a/src/test/java/brooklock/warming/SummedLoadPropertyTest.java
+++ b/src/test/java/brooklock/warming/SummedLoadPropertyTest.java
@@ -1,8 +1,8 @@
 package brooklock.warming;
 
-import static brooklock.warming.WarmingFixture.MS;
-import static brooklock.warming.WarmingFixture.S;
+import static brooklock.warming.WarmingFixture.MILLIS;
 import static brooklock.warming.WarmingFixture.SCORE;
+import static brooklock.warming.WarmingFixture.SECONDS;
 import static brooklock.warming.WarmingFixture.cold;
 import static brooklock.warming.WarmingFixture.report;
 import static brooklock.warming.WarmingFixture.warm;
@@ -19,14 +19,14 @@
 import net.jqwik.api.constraints.IntRange;
 
 /**
- * What up to 400 dispatchers, which share nothing, do together to one cache. A bound that holds for
- * each of them alone may be broken by their sum, most of all when they all begin at the same
- * moment.
+ * Tests the load that up to 400 dispatchers, which share no state, together put on one cache. Even
+ * if each dispatcher respects its bound, their sum may exceed the total, especially when all of
+ * them start at the same moment.
  */
 class SummedLoadPropertyTest {
-    private static final long START = 100 * S;
+    private static final long START = 100 * SECONDS;
 
-    /** Times of the last requests, within a window. */
+    /** Counts the requests within a sliding window of time. */
     private static final class SlidingWindow {
         private final ArrayDeque<Long> times = new ArrayDeque<>();
 
@@ -43,16 +43,19 @@
     }
 
     /**
-     * All prefetches at one cache that has just started; some reports are lost or implausible, the
-     * others say "idle".
+     * Checks the sum of all prefetches at one recently started cache. Some reports are lost or
+     * implausible; the others report no load.
      */
     @Property(tries = 10, seed = "23")
-    void prefetchesStayBelowWhatTheRouterLeaves(
+    void prefetchesStayWithinTheRemainingCapacity(
             @ForAll long seed, @ForAll @IntRange(min = 1, max = 400) int dispatchers) {
         Random random = new Random(seed);
         double multiple = 1.5 + 2 * random.nextDouble();
-        // Requests a second that each dispatcher sends each warm cache; very uneven.
-        double[] rates = random.doubles(dispatchers).map(u -> 40 * u * u * u).toArray();
+        // Requests per second that each dispatcher sends to each warm cache, unevenly distributed.
+        double[] rates =
+                random.doubles(dispatchers)
+                        .map(uniform -> 40 * uniform * uniform * uniform)
+                        .toArray();
         double capacity = Arrays.stream(rates).sum();
         WarmingLimits limits =
                 new WarmingLimits(
@@ -61,11 +64,12 @@
                         random.nextBoolean() ? capacity / 1e9 : 0,
                         dispatchers,
                         0.05 + 0.3 * random.nextDouble(),
-                        (4 + random.nextInt(12)) * S,
+                        (4 + random.nextInt(12)) * SECONDS,
                         multiple,
-                        1500 * MS);
-        // Clients ask from the start on, or all at once after dispatchers have long had nothing to
-        // do.
+                        1500 * MILLIS);
+        // Clients send requests from the start on, or all at once after the dispatchers were idle
+        // for
+        // some time.
         long requestsFrom =
                 random.nextBoolean()
                         ? START
@@ -75,10 +79,10 @@
             all.add(busyDispatcher("d" + i, limits, rates[i], random));
         }
         SlidingWindow window = new SlidingWindow();
-        double router = Math.min(1.3, 0.6 * multiple);
-        for (long now = START; now < START + limits.warmUpNs(); now += 100 * MS) {
+        double plannedMultiple = Math.min(1.3, 0.6 * multiple);
+        for (long now = START; now < START + limits.warmUpNs(); now += 100 * MILLIS) {
             for (CacheWarming<String> warming : all) {
-                if (now >= requestsFrom && now < requestsFrom + 100 * MS) {
+                if (now >= requestsFrom && now < requestsFrom + 100 * MILLIS) {
                     requestOwnObjectsOfCache1(warming, now);
                 }
                 reportIdleMostly(warming, now, random);
@@ -88,34 +92,37 @@
                     warming.onPrefetchDone(prefetch, false, now);
                 }
             }
-            double left =
-                    (multiple - router)
+            double remaining =
+                    (multiple - plannedMultiple)
                             * limits.capacityAt(now - START)
                             * capacity
                             * limits.overloadWindowNs()
                             / 1e9;
             int prefetches = window.countSince(now - limits.overloadWindowNs());
             assertTrue(
-                    prefetches <= left + 3,
+                    prefetches <= remaining + 3,
                     prefetches
                             + " of "
-                            + left
+                            + remaining
                             + " by "
                             + dispatchers
                             + " at "
-                            + (now - START) / MS
+                            + (now - START) / MILLIS
                             + " ms");
         }
     }
 
-    /** A dispatcher that has sent caches 1 to 3 requests for 20 s, before 1 restarts. */
+    /**
+     * Returns a dispatcher that has sent requests to the warm caches for 20 s before cache 1
+     * starts.
+     */
     private static CacheWarming<String> busyDispatcher(
             String name, WarmingLimits limits, double rate, Random random) {
-        long since = START - 20 * S;
+        long since = START - 20 * SECONDS;
         CacheWarming<String> warming = new CacheWarming<>(limits, SCORE, 0, name, since);
         warming.onEndpointList(List.of(warm(1), warm(2), warm(3)), since);
         for (double at = random.nextDouble() / rate; at < 20; at += 1 / (2 * rate)) {
-            warming.onResponse(2 + random.nextInt(2), true, false, since + (long) (at * S));
+            warming.onResponse(2 + random.nextInt(2), true, false, since + (long) (at * SECONDS));
         }
         warming.onEndpointList(List.of(cold(1, START), warm(2), warm(3)), START);
         return warming;
@@ -133,12 +140,12 @@
             int kind = random.nextInt(10);
             if (kind > 1) {
                 double utilization = kind == 2 ? -3 : 0;
-                warming.onReport(id, new LoadReport(utilization, 0, 0.9, nowNs - MS, nowNs));
+                warming.onReport(id, new LoadReport(utilization, 0, 0.9, nowNs - MILLIS, nowNs));
             }
         }
     }
 
-    /** All fills from one peer that reports, stuck, that it is idle. */
+    /** Checks the sum of all fills from one peer that always reports no load. */
     @Property(tries = 10, seed = "29")
     void fillsFromAPeerStayBelowItsShare(
             @ForAll long seed, @ForAll @IntRange(min = 1, max = 400) int dispatchers) {
@@ -151,42 +158,42 @@
                         capacity / 1e9,
                         dispatchers,
                         0.2,
-                        10 * S,
+                        10 * SECONDS,
                         2.5,
-                        1500 * MS);
+                        1500 * MILLIS);
         List<CacheWarming<String>> all = new ArrayList<>();
         for (int i = 0; i < dispatchers; i++) {
-            long since = START - 20 * S;
+            long since = START - 20 * SECONDS;
             CacheWarming<String> warming = new CacheWarming<>(limits, SCORE, 0, "d" + i, since);
             warming.onEndpointList(List.of(warm(1), warm(2)), since);
             warming.onEndpointList(List.of(cold(1, START), warm(2)), START);
             all.add(warming);
         }
         SlidingWindow window = new SlidingWindow();
-        int asked = 0;
-        // What a window permits, and what was permitted just before it.
+        int requested = 0;
+        // The permits of one window, and those issued within a permit lifetime before it.
         double max =
                 limits.peerShare()
                         * capacity
                         * (limits.overloadWindowNs() + limits.permitLifetimeNs())
                         / 1e9;
-        for (long now = START; now < START + 8 * S; now += 50 * MS) {
+        for (long now = START; now < START + 8 * SECONDS; now += 50 * MILLIS) {
             for (CacheWarming<String> warming : all) {
                 warming.onReport(2, report(0, 0.9, now));
-                // Misses come at random, and sometimes at all dispatchers together.
-                if (now % S == 0 || random.nextInt(10) == 0) {
+                // Misses occur at random, and periodically at all dispatchers at once.
+                if (now % SECONDS == 0 || random.nextInt(10) == 0) {
                     long peer = warming.selectFillPeer(1, 1, 0, now);
                     if (peer != 0 && random.nextInt(4) == 0) {
                         warming.onPeerUnused(peer);
                     } else if (peer != 0) {
                         window.add(now);
-                        asked++;
+                        requested++;
                     }
                 }
             }
             int fills = window.countSince(now - limits.overloadWindowNs() + 1);
             assertTrue(fills <= 1.3 * max + 3, fills + " of " + max + " by " + dispatchers);
         }
-        assertTrue(asked > 0.02 * limits.peerShare() * capacity, "asked " + asked);
+        assertTrue(requested > 0.02 * limits.peerShare() * capacity, "requested " + requested);
     }
 }
--- a/src/test/java/brooklock/warming/WarmingSnapshotSampleTest.java
+++ b/src/test/java/brooklock/warming/WarmingSnapshotSampleTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.DisplayName;
 import org.junit.jupiter.api.Test;
 
-/** A warming snapshot that an earlier version has written, as an updated dispatcher finds it. */
+/** Tests that an updated dispatcher loads a warming snapshot written by an earlier version. */
 class WarmingSnapshotSampleTest {
     private static String sample() throws IOException {
         try (InputStream in =
@@ -22,7 +22,7 @@
     }
 
     @Test
-    @DisplayName("is read, and written back with the same bytes")
+    @DisplayName("a saved snapshot is loaded, and written back byte for byte")
     void roundTrip() throws IOException {
         WarmingSnapshot snapshot = WarmingSnapshotCodec.decode(sample());
         assertEquals(1796275641813L, snapshot.savedAtMs());
@@ -35,17 +35,18 @@
                 sample(), WarmingSnapshotCodec.encode(snapshot.savedAtMs(), snapshot.entries()));
     }
 
-    // A dispatcher was killed while it wrote, or the disk has lost a bit.
+    // A snapshot is damaged if the dispatcher was killed while writing it, or if the disk flipped a
+    // bit.
     @Test
-    @DisplayName("is rejected whole if it is cut or a bit is flipped")
+    @DisplayName("a snapshot that is truncated or has a flipped bit is rejected whole")
     void damaged() throws IOException {
         String sample = sample();
         for (int i = 0; i < sample.length(); i++) {
-            String cut = sample.substring(0, i);
+            String truncated = sample.substring(0, i);
             assertThrows(
-                    IllegalArgumentException.class, () -> WarmingSnapshotCodec.decode(cut), cut);
+                    IllegalArgumentException.class, () -> WarmingSnapshotCodec.decode(truncated), truncated);
             char flipped = (char) (sample.charAt(i) ^ 1);
-            String damaged = cut + flipped + sample.substring(i + 1);
+            String damaged = truncated + flipped + sample.substring(i + 1);
             assertThrows(
                     IllegalArgumentException.class,
                     () -> WarmingSnapshotCodec.decode(damaged),
--- a/src/test/java/brooklock/warming/WarmingSnapshotTest.java
+++ b/src/test/java/brooklock/warming/WarmingSnapshotTest.java
@@ -1,7 +1,7 @@
 package brooklock.warming;
 
 import static brooklock.warming.WarmingFixture.LIMITS;
-import static brooklock.warming.WarmingFixture.S;
+import static brooklock.warming.WarmingFixture.SECONDS;
 import static brooklock.warming.WarmingFixture.cold;
 import static brooklock.warming.WarmingFixture.fleet;
 import static brooklock.warming.WarmingFixture.report;
@@ -18,19 +18,19 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * A dispatcher restarts while a cache warms up. Without a snapshot it would send the cache its full
- * share again, though that has just proved too much.
+ * Tests a restart of the dispatcher while a cache warms up. Without a snapshot the dispatcher would
+ * send the cache its full share again, which has just overloaded the cache.
  */
 class WarmingSnapshotTest {
-    private static final long START = 100 * S;
+    private static final long START = 100 * SECONDS;
     private List<SnapshotEntry> snapshot;
 
     @BeforeEach
     void overloadAndSave() {
         CacheWarming<String> warming = fleet(LIMITS, START);
-        warming.onReport(1, report(0.95, 0.1, START + S));
-        assertEquals(0.5, warming.pollChangedShares(START + S).get(1L));
-        snapshot = warming.snapshot(START + S);
+        warming.onReport(1, report(0.95, 0.1, START + SECONDS));
+        assertEquals(0.5, warming.pollChangedShares(START + SECONDS).get(1L));
+        snapshot = warming.snapshot(START + SECONDS);
     }
 
     @ParameterizedTest
@@ -38,17 +38,18 @@
     @DisplayName("a snapshot counts less the older it is")
     void age(long ageSeconds, double share) {
         CacheWarming<String> restarted = fleet(LIMITS, START);
-        restarted.restore(snapshot, ageSeconds * S, START + S);
-        assertEquals(share, restarted.pollChangedShares(START + S).getOrDefault(1L, 1.0), 0.01);
+        restarted.restore(snapshot, ageSeconds * SECONDS, START + SECONDS);
+        assertEquals(
+                share, restarted.pollChangedShares(START + SECONDS).getOrDefault(1L, 1.0), 0.01);
     }
 
     @Test
-    @DisplayName("a snapshot counts for nothing if the cache has started since")
+    @DisplayName("a snapshot entry is ignored if the cache has started since")
     void startedSince() {
         CacheWarming<String> restarted = fleet(LIMITS, START);
-        restarted.onEndpointList(List.of(cold(1, START + S / 2), warm(2)), START + S);
-        restarted.restore(snapshot, S, START + S);
+        restarted.onEndpointList(List.of(cold(1, START + SECONDS / 2), warm(2)), START + SECONDS);
+        restarted.restore(snapshot, SECONDS, START + SECONDS);
         assertEquals(1, restarted.announcedLoadShare(1));
-        assertTrue(restarted.pollChangedShares(START + S).isEmpty());
+        assertTrue(restarted.pollChangedShares(START + SECONDS).isEmpty());
     }
 }
