--- a/src/main/java/brooklock/membership/EventSource.java
+++ b/src/main/java/brooklock/membership/EventSource.java
@@ -12,7 +12,8 @@
  * @param epoch epoch of the last event; 0 if the source's events have no version, or if its order
  *     was reset
  * @param sequence sequence number of the last event; 0 under the same conditions as {@code epoch}
- * @param lastEventMs wall time of the last event, in ms since 1970; for display only
+ * @param lastEventMs wall time at which the last event or a repetition of it arrived, in ms since
+ *     1970; for display only
  * @param endpoints the latest description of each endpoint that the source has named, by id; an
  *     endpoint that the source removed is kept as gone, so that another source that has not yet
  *     noticed the removal does not undo it
@@ -45,6 +46,7 @@
         return !name.startsWith("*");
     }
 
+    /** Returns this source with the given arrival time of its last event, in ms since 1970. */
     EventSource withLastEventMs(long wallMs) {
         return new EventSource(name, epoch, sequence, wallMs, endpoints);
     }
@@ -57,6 +59,7 @@
         return new EventSource(name, 0, 0, lastEventMs, endpoints);
     }
 
+    /** Returns this source with the given endpoints, by id. */
     EventSource withEndpoints(PSortedMap<Long, ListedEndpoint> newEndpoints) {
         return new EventSource(name, epoch, sequence, lastEventMs, newEndpoints);
     }
--- a/src/main/java/brooklock/membership/Membership.java
+++ b/src/main/java/brooklock/membership/Membership.java
@@ -274,8 +274,7 @@
     }
 
     // Drops the overrides of endpoints that are no longer listed; they would otherwise accumulate
-    // and
-    // could not be saved, because only the list knows the endpoint's name.
+    // and could not be saved, because only the list knows the endpoint's name.
     private static PMap<Long, EndpointState> retainListedOverrides(
             PSortedMap<Long, ListedEndpoint> endpoints, PMap<Long, EndpointState> overrides) {
         PMap<Long, EndpointState> kept = overrides;
--- a/src/main/java/brooklock/warming/AdaptiveShare.java
+++ b/src/main/java/brooklock/warming/AdaptiveShare.java
@@ -9,8 +9,7 @@
     private static final double GROWTH_STEP = 0.1;
     private static final long GROWTH_INTERVAL_NS = 500_000_000L;
     // Prevents one overload from causing several cuts: responses that were in flight at the first
-    // cut
-    // still report the load from before it.
+    // cut still report the load from before it.
     private static final long MIN_CUT_INTERVAL_NS = 250_000_000L;
 
     private double value;
--- a/src/main/java/brooklock/warming/CacheState.java
+++ b/src/main/java/brooklock/warming/CacheState.java
@@ -153,12 +153,17 @@
         }
     }
 
+    /**
+     * Records that the cache holds a part. Beyond {@link #MAX_CACHED_PARTS} parts this has no
+     * effect; such a part may be prefetched again.
+     */
     void markCached(PartKey key) {
         if (cachedParts.size() < MAX_CACHED_PARTS) {
             cachedParts.add(key);
         }
     }
 
+    /** Returns whether the part is known to have been cached since the last start. */
     boolean hasCached(PartKey key) {
         return cachedParts.contains(key);
     }
@@ -172,8 +177,7 @@
         loadLimit.restore(entry.peerFraction() * weight);
         if (ramp != null) {
             // A share below 1 records an earlier overload, which matters less the older the
-            // snapshot
-            // is. The weight therefore scales the reduction and not the share.
+            // snapshot is. The weight therefore scales the reduction and not the share.
             ramp.restore(1 - (1 - entry.loadShare()) * weight, nowNs);
         }
     }
@@ -239,6 +243,7 @@
         return announcedLoadShare;
     }
 
+    /** Records the share that is announced to the router. */
     void setAnnouncedLoadShare(double share) {
         announcedLoadShare = share;
     }
--- a/src/main/java/brooklock/warming/CacheTable.java
+++ b/src/main/java/brooklock/warming/CacheTable.java
@@ -21,8 +21,7 @@
     // Fraction of the mean hit ratio in its zone from which on a cache counts as refilled.
     private static final double REFILLED_FRACTION = 0.9;
     // A summary iterates over all caches, so it is refreshed a few times a second instead of for
-    // each
-    // request.
+    // each request.
     private static final long SUMMARY_INTERVAL_NS = 100_000_000L;
 
     private final WarmingLimits limits;
--- a/src/main/java/brooklock/warming/LoadReport.java
+++ b/src/main/java/brooklock/warming/LoadReport.java
@@ -14,8 +14,7 @@
 public record LoadReport(
         double utilization, int inFlight, double hitRatio, long requestSentNs, long receivedNs) {
     // A link that several transfers share may be reported as more than fully used. A value above
-    // this
-    // limit is not a utilization.
+    // this limit is not a utilization.
     private static final double MAX_UTILIZATION = 100;
 
     /**
--- a/src/main/java/brooklock/warming/PeerLoadLimit.java
+++ b/src/main/java/brooklock/warming/PeerLoadLimit.java
@@ -14,8 +14,7 @@
     // High enough to use a healthy peer at once, and leaves a margin to adapt in both directions.
     private static final double INITIAL_FRACTION = 0.5;
     // A peer in another zone reports its load only in its responses. Without a few requests it
-    // could
-    // never report and would never be used.
+    // could never report and would never be used.
     private static final double UNREPORTED_FRACTION = 0.1;
     private static final double LOW_UTILIZATION = 0.6;
     private static final double HIGH_UTILIZATION = 0.75;
--- a/src/main/java/brooklock/warming/PrefetchPlanner.java
+++ b/src/main/java/brooklock/warming/PrefetchPlanner.java
@@ -55,7 +55,11 @@
         hotParts.recordRequest(key, request, nowNs);
     }
 
-    /** Returns the prefetches to send now, counts them as in flight and acquires their permits. */
+    /**
+     * Returns the prefetches to send now, counts them as in flight and acquires their permits.
+     *
+     * @param copyAllowed tests whether a copy of an object may be passed on now
+     */
     List<Prefetch<T>> next(long nowNs, BiPredicate<Long, T> copyAllowed) {
         List<CacheState> targets =
                 caches.all().stream().filter(cache -> isTarget(cache, nowNs)).toList();
--- a/src/test/java/brooklock/membership/EndpointListFileTest.java
+++ b/src/test/java/brooklock/membership/EndpointListFileTest.java
@@ -56,9 +56,8 @@
     }
 
     // A file is damaged if the dispatcher was killed while writing it, or if the disk flipped a
-    // bit.
-    // A partly correct list would send requests to endpoints that were removed; starting from the
-    // settings' endpoints, or from none, is safer.
+    // bit. A partly correct list would send requests to endpoints that were removed; starting from
+    // the settings' endpoints, or from none, is safer.
     @Test
     @DisplayName("a file with one flipped bit, or truncated at any byte, is rejected whole")
     void damaged() throws IOException {
--- a/src/test/java/brooklock/membership/MembershipPropertyTest.java
+++ b/src/test/java/brooklock/membership/MembershipPropertyTest.java
@@ -25,8 +25,7 @@
 class MembershipPropertyTest {
     private static final List<EndpointState> STATES = List.of(EndpointState.values());
     // Each of the first two endpoints belongs to one source, which omits it from its full lists
-    // once
-    // it is gone.
+    // once it is gone.
     private static final List<String> NAMES = List.of("a-1", "b-1", "c1", "c2", "c3");
 
     /** A source that records the history of its lists. */
--- a/src/test/java/brooklock/membership/MembershipTest.java
+++ b/src/test/java/brooklock/membership/MembershipTest.java
@@ -27,9 +27,8 @@
     }
 
     // A source sends its events over several connections, so an older event can arrive after a
-    // newer
-    // one. Applied in the order of arrival, it would restore an endpoint that was removed, and
-    // requests would be sent to it.
+    // newer one. Applied in the order of arrival, it would restore an endpoint that was removed,
+    // and requests would be sent to it.
     @Nested
     @DisplayName("Events of one source")
     class EventOrdering {
@@ -53,7 +52,8 @@
 
         @Test
         @DisplayName(
-                "an older, repeated or conflicting event changes nothing, and the result states what is in force")
+                "an older, repeated or conflicting event changes nothing, and the result states what"
+                        + " is in force")
         void outOfOrder() {
             apply(full("r", 5, 10, ready("c1"), ready("c2")));
             apply(delta("r", 5, 11, 10, gone("c1")));
@@ -75,7 +75,8 @@
 
         @Test
         @DisplayName(
-                "a new epoch begins with a full list, after which events of the previous epoch are rejected")
+                "a new epoch begins with a full list, after which events of the previous epoch are"
+                        + " rejected")
         void epochs() {
             apply(full("r", 5, 10, ready("c1"), ready("c2")));
             Membership.State before = membership.state();
--- a/src/test/java/brooklock/membership/PurgeTimesTest.java
+++ b/src/test/java/brooklock/membership/PurgeTimesTest.java
@@ -8,8 +8,7 @@
 /** Tests the time of a purge on the router's clock. */
 class PurgeTimesTest {
     // A purge is sent again over another connection after the wall clock was set. If it counted as
-    // a
-    // new purge, its time would differ, and it would remove more or fewer copies than intended.
+    // a new purge, its time would differ, and it would remove more or fewer copies than intended.
     @Test
     @DisplayName("a repeated purge keeps its time when the wall clock is set")
     void repeatedPurge() {
--- a/src/test/java/brooklock/warming/PeerSelectionTest.java
+++ b/src/test/java/brooklock/warming/PeerSelectionTest.java
@@ -105,8 +105,7 @@
     }
 
     // An overloaded cache may respond to health checks and report low load while it rejects or
-    // times
-    // out every request.
+    // times out every request.
     @Test
     @DisplayName("a peer that fails client requests is not selected, whatever it reports")
     void failingPeerWithGoodReports() {
--- a/src/test/java/brooklock/warming/SlowStartRampTest.java
+++ b/src/test/java/brooklock/warming/SlowStartRampTest.java
@@ -49,8 +49,7 @@
     }
 
     // The reported utilization of a cache is stuck at 1 although the cache works. If the reports
-    // were
-    // trusted, the cache's share would stay at its minimum forever.
+    // were trusted, the cache's share would stay at its minimum forever.
     @Test
     @DisplayName("a utilization that never changes is ignored")
     void stuckReports() {
--- a/src/test/java/brooklock/warming/SummedLoadPropertyTest.java
+++ b/src/test/java/brooklock/warming/SummedLoadPropertyTest.java
@@ -68,8 +68,7 @@
                         multiple,
                         1500 * MILLIS);
         // Clients send requests from the start on, or all at once after the dispatchers were idle
-        // for
-        // some time.
+        // for some time.
         long requestsFrom =
                 random.nextBoolean()
                         ? START
@@ -102,11 +101,11 @@
             assertTrue(
                     prefetches <= remaining + 3,
                     prefetches
-                            + " of "
+                            + " prefetches exceed the remaining capacity for "
                             + remaining
-                            + " by "
+                            + " with "
                             + dispatchers
-                            + " at "
+                            + " dispatchers at "
                             + (now - START) / MILLIS
                             + " ms");
         }
@@ -192,7 +191,14 @@
                 }
             }
             int fills = window.countSince(now - limits.overloadWindowNs() + 1);
-            assertTrue(fills <= 1.3 * max + 3, fills + " of " + max + " by " + dispatchers);
+            assertTrue(
+                    fills <= 1.3 * max + 3,
+                    fills
+                            + " fills exceed the limit of "
+                            + max
+                            + " with "
+                            + dispatchers
+                            + " dispatchers");
         }
         assertTrue(requested > 0.02 * limits.peerShare() * capacity, "requested " + requested);
     }
--- a/src/test/java/brooklock/warming/WarmingSnapshotSampleTest.java
+++ b/src/test/java/brooklock/warming/WarmingSnapshotSampleTest.java
@@ -44,7 +44,9 @@
         for (int i = 0; i < sample.length(); i++) {
             String truncated = sample.substring(0, i);
             assertThrows(
-                    IllegalArgumentException.class, () -> WarmingSnapshotCodec.decode(truncated), truncated);
+                    IllegalArgumentException.class,
+                    () -> WarmingSnapshotCodec.decode(truncated),
+                    truncated);
             char flipped = (char) (sample.charAt(i) ^ 1);
             String damaged = truncated + flipped + sample.substring(i + 1);
             assertThrows(
