--- a/src/test/java/brooklock/membership/EndpointListCodecTest.java
+++ b/src/test/java/brooklock/membership/EndpointListCodecTest.java
@@ -71,11 +71,12 @@
         "epoch 1 number 2 follows 1, 'expected ''source NAME epoch E number N'', and ''follows M''"
                 + " in a delta, but received ''epoch'' as word 3 of 8'",
         "source r/ epoch 1 number 2 follows 1, 'expected a source name of 1 to 63 letters, digits,"
-                + " dots, dashes and underscores that begins with a letter or digit but received ''r/'''",
+                + " dots, dashes and underscores that begins with a letter or digit but"
+                + " received ''r/'''",
         "source r epoch 1 number 2 follows 1 x, 'expected ''source NAME epoch E number N'', and"
                 + " ''follows M'' in a delta, but received ''x'' as word 11 of 11'",
-        "source r epoch 9999999999999999 number 2 follows 1, expected 1 to 15 digits after 'epoch' but"
-                + " received '9999999999999999'"
+        "source r epoch 9999999999999999 number 2 follows 1, expected 1 to 15 digits after 'epoch'"
+                + " but received '9999999999999999'"
     })
     @DisplayName("a list with an incomplete or invalid version is rejected")
     void invalidVersion(String version, String reason) {
--- a/src/test/java/brooklock/membership/EndpointRegistryTest.java
+++ b/src/test/java/brooklock/membership/EndpointRegistryTest.java
@@ -55,7 +55,7 @@
 
     @Test
     @DisplayName(
-            "endpoints missing from a full list are gone; a list with an unknown zone is rejected whole")
+            "endpoints missing from a full list are gone; a list with an unknown zone is rejected")
     void fullLists() {
         EndpointRegistry registry = new EndpointRegistry(List.of("north"), ms -> ms);
         apply(registry, true, ready("c1"), ready("c2"));
--- a/src/test/java/brooklock/membership/MembershipTest.java
+++ b/src/test/java/brooklock/membership/MembershipTest.java
@@ -52,8 +52,8 @@
 
         @Test
         @DisplayName(
-                "an older, repeated or conflicting event changes nothing, and the result states what"
-                        + " is in force")
+                "an older, repeated or conflicting event changes nothing, and the result states"
+                        + " what is in force")
         void outOfOrder() {
             apply(full("r", 5, 10, ready("c1"), ready("c2")));
             apply(delta("r", 5, 11, 10, gone("c1")));
--- a/src/test/java/brooklock/warming/PeerSelectionTest.java
+++ b/src/test/java/brooklock/warming/PeerSelectionTest.java
@@ -57,7 +57,7 @@
             selections += warming.selectFillPeer(1, 1, 0, at) == 2 ? 1 : 0;
         }
         // At most a fifth of the 250 requests per second that this dispatcher sends to the peer.
-        assertTrue(selections > 3 && selections <= 150, "selected " + selections + " times");
+        assertTrue(selections > 3 && selections <= 150, "peer selections: " + selections);
         warming.onReport(2, report(0.95, 0.9, START + 6 * SECONDS));
         assertNotEquals(
                 2,
@@ -125,7 +125,7 @@
         for (long at = START + 10 * SECONDS; at < START + 15 * SECONDS; at += 10 * MILLIS) {
             selections += warming.selectFillPeer(1, 1, 0, at) != 0 ? 1 : 0;
         }
-        assertTrue(selections <= 14, "no report for 10 s, selected " + selections + " times");
+        assertTrue(selections <= 14, "no report for 10 s, peer selections: " + selections);
     }
 
     // All caches of the zone have restarted, so none of them holds any copies.
--- a/src/test/java/brooklock/warming/SummedLoadPropertyTest.java
+++ b/src/test/java/brooklock/warming/SummedLoadPropertyTest.java
@@ -193,12 +193,7 @@
             int fills = window.countSince(now - limits.overloadWindowNs() + 1);
             assertTrue(
                     fills <= 1.3 * max + 3,
-                    fills
-                            + " fills exceed the limit of "
-                            + max
-                            + " with "
-                            + dispatchers
-                            + " dispatchers");
+                    fills + " fills exceed the limit of " + max + "; dispatchers: " + dispatchers);
         }
         assertTrue(requested > 0.02 * limits.peerShare() * capacity, "requested " + requested);
     }
