--- a/src/main/java/brooklock/warming/HotParts.java
+++ b/src/main/java/brooklock/warming/HotParts.java
@@ -7,32 +7,33 @@
 import java.util.Map;
 
 /**
- * The parts that clients requested in the previous interval and in this one, as candidates for
- * prefetching. The rule is that of the router's hot list, applied to parts of objects.
+ * Tracks the parts that clients requested in the previous and in the current interval, as
+ * candidates for prefetching. Applies the rule of the router's hot list to parts of objects. Not
+ * thread-safe.
  *
- * @param <T> what is needed to request a part
+ * @param <T> the information needed to request a part
  */
 final class HotParts<T> {
-    /** The interval, in ns: that of the router's hot list. */
+    /** Length of an interval, in ns; the same as for the router's hot list. */
     static final long INTERVAL_NS = 10_000_000_000L;
 
     /**
-     * Parts remembered of one interval at most; the oldest is forgotten first. Bounds the time of a
-     * sort.
+     * Maximum number of parts per interval; the oldest is dropped first. The limit bounds the time
+     * of a sort.
      */
     static final int MAX_PARTS = 8_000;
 
-    /** Identifies a part of an object. */
+    /** Identifies one part of an object. */
     record PartKey(long object, int part) {}
 
-    /** A part that clients requested. */
+    /** A requested part with its request count and its owning cache. */
     static final class HotPart<T> {
         private final PartKey key;
         private final T request;
         private final long tieBreak;
         private int requestCount;
-        // The cache that the part belongs to, and the version of the endpoint list for which that
-        // was found.
+        // The cache that owns the part by hash, and the version of the endpoint list for which the
+        // owner was computed.
         private long ownerId;
         private int ownerListVersion = -1;
 
@@ -54,7 +55,7 @@
             return ownerId;
         }
 
-        boolean hasOwnerOf(int listVersion) {
+        boolean hasOwnerFor(int listVersion) {
             return ownerListVersion == listVersion;
         }
 
@@ -70,19 +71,19 @@
     private long intervalEndNs;
 
     /**
-     * Creates an empty list.
+     * Creates a new tracker without any parts.
      *
-     * @param seed orders equally hot parts; another one at each dispatcher, so that they begin with
-     *     different parts
+     * @param seed determines the order of equally hot parts; differs between dispatchers, so that
+     *     they begin prefetching with different parts
      */
     HotParts(long seed, long nowNs) {
         this.seed = seed;
         intervalEndNs = nowNs + INTERVAL_NS;
     }
 
-    /** Counts a client's request. */
+    /** Counts a client's request for a part. */
     void recordRequest(PartKey key, T request, long nowNs) {
-        rotateInterval(nowNs);
+        rotateIntervalIfDue(nowNs);
         HotPart<T> part = currentInterval.get(key);
         if (part == null) {
             HotPart<T> previous = previousInterval.get(key);
@@ -97,7 +98,7 @@
         part.requestCount++;
     }
 
-    private void rotateInterval(long nowNs) {
+    private void rotateIntervalIfDue(long nowNs) {
         if (nowNs < intervalEndNs) {
             return;
         }
@@ -107,23 +108,23 @@
     }
 
     /**
-     * Returns the parts that were requested in the previous interval, or at least twice in this
-     * one; the hottest first by powers of two of their requests, equally hot ones in this
-     * dispatcher's own order.
+     * Returns the parts that were requested in the previous interval, or at least twice in the
+     * current one. The parts are in descending order of their request count rounded down to a power
+     * of two; parts with equal rounded counts are in an order specific to this dispatcher.
      */
     List<HotPart<T>> hottest(long nowNs) {
-        rotateInterval(nowNs);
-        Map<PartKey, HotPart<T>> all = new LinkedHashMap<>(previousInterval);
-        all.putAll(currentInterval);
+        rotateIntervalIfDue(nowNs);
+        Map<PartKey, HotPart<T>> candidates = new LinkedHashMap<>(previousInterval);
+        candidates.putAll(currentInterval);
         List<HotPart<T>> hot = new ArrayList<>();
-        for (HotPart<T> part : all.values()) {
+        for (HotPart<T> part : candidates.values()) {
             if (part.requestCount > 1 || previousInterval.containsKey(part.key)) {
                 hot.add(part);
             }
         }
-        Comparator<HotPart<T>> byHeat =
+        Comparator<HotPart<T>> byRequestCount =
                 Comparator.comparingInt(part -> Integer.numberOfLeadingZeros(part.requestCount));
-        hot.sort(byHeat.thenComparingLong(part -> part.tieBreak));
+        hot.sort(byRequestCount.thenComparingLong(part -> part.tieBreak));
         return hot;
     }
 }
