--- a/src/main/java/brooklock/platform/RpcEncoder.java
+++ b/src/main/java/brooklock/platform/RpcEncoder.java
@@ -18,15 +18,19 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Map;
 
-/** Encodes messages of MessagePack-RPC: responses, and the calls of the start-up warm-up. Pure. */
+/**
+ * Encodes MessagePack-RPC messages: responses to clients, and the calls of the start-up warm-up.
+ * Stateless and thread-safe.
+ */
 final class RpcEncoder {
-    // Room for everything but the body: fixed parts, an error's name, a few short fields.
+    // Buffer capacity for everything but the body: fixed elements, an error name and a few short
+    // fields.
     private static final int HEAD_CAPACITY_BYTES = 512;
     private static final long NS_PER_MS = 1_000_000L;
 
-    private static final int MESSAGE = FIXARRAY | 4;
-    private static final int PAIR = FIXARRAY | 2;
-    private static final int SINGLE = FIXARRAY | 1;
+    private static final int MESSAGE_ARRAY = FIXARRAY | 4;
+    private static final int PAIR_ARRAY = FIXARRAY | 2;
+    private static final int SINGLE_ARRAY = FIXARRAY | 1;
     private static final int CALL_TYPE = 0;
     private static final int RESPONSE_TYPE = 1;
 
@@ -36,7 +40,7 @@
 
     private RpcEncoder() {}
 
-    /** Encodes a response that carries an object. The body is not copied. */
+    /** Encodes a response with the bytes of an object. The body is not copied. */
     static ByteBuffer[] served(long messageId, byte[] body) {
         return result(messageId, body, NO_FIELDS);
     }
@@ -47,7 +51,7 @@
     }
 
     private static ByteBuffer[] result(long messageId, byte[] body, Map<String, String> fields) {
-        ByteBuffer head = beginResponse(messageId).put((byte) NIL).put((byte) PAIR);
+        ByteBuffer head = beginResponse(messageId).put((byte) NIL).put((byte) PAIR_ARRAY);
         putBytesHead(head, body.length);
         ByteBuffer tail = ByteBuffer.allocate(HEAD_CAPACITY_BYTES);
         putMap(tail, fields);
@@ -57,7 +61,8 @@
     /**
      * Encodes a rejection.
      *
-     * @param retryAfterNs when the client may retry, ns from now; 0 if nothing is said
+     * @param messageId the id of the call
+     * @param retryAfterNs the delay after which the client may retry, ns; 0 to name none
      */
     static ByteBuffer rejected(long messageId, long retryAfterNs) {
         return retryAfterNs > 0
@@ -68,13 +73,13 @@
                 : error(messageId, RpcError.REJECTED);
     }
 
-    /** Encodes an error. */
+    /** Encodes an error response without fields. */
     static ByteBuffer error(long messageId, RpcError error) {
         return error(messageId, error, NO_FIELDS);
     }
 
     private static ByteBuffer error(long messageId, RpcError error, Map<String, String> fields) {
-        ByteBuffer buffer = beginResponse(messageId).put((byte) PAIR);
+        ByteBuffer buffer = beginResponse(messageId).put((byte) PAIR_ARRAY);
         putText(buffer, error.wireName());
         putMap(buffer, fields);
         return buffer.put((byte) NIL).flip();
@@ -85,29 +90,31 @@
         ByteBuffer buffer =
                 beginResponse(messageId)
                         .put((byte) NIL)
-                        .put((byte) PAIR)
+                        .put((byte) PAIR_ARRAY)
                         .put((byte) (healthy ? TRUE : FALSE));
         putMap(buffer, NO_FIELDS);
         return buffer.flip();
     }
 
-    /** Encodes a health check. */
+    /** Encodes a health check, as a client sends it. */
     static ByteBuffer healthCheck(long messageId) {
         ByteBuffer buffer = beginCall(messageId, HEAD_CAPACITY_BYTES);
         putText(buffer, RpcDecoder.HEALTH_CHECK_METHOD);
-        return buffer.put((byte) SINGLE).put((byte) FIXMAP).flip();
+        return buffer.put((byte) SINGLE_ARRAY).put((byte) FIXMAP).flip();
     }
 
     /**
-     * Encodes a request.
+     * Encodes a request, as a client sends it.
      *
-     * @param method the name of its class
-     * @param namesAndValues its fields, each name followed by its value; at most 15 fields
+     * @param messageId the id of the call
+     * @param method the name of the request class
+     * @param namesAndValues the fields, each name followed by its value; at most 15 fields
+     * @param body the body; empty for none
      */
     static ByteBuffer call(long messageId, String method, String[] namesAndValues, byte[] body) {
         ByteBuffer buffer = beginCall(messageId, HEAD_CAPACITY_BYTES + body.length);
         putText(buffer, method);
-        buffer.put((byte) PAIR).put((byte) (FIXMAP | namesAndValues.length / 2));
+        buffer.put((byte) PAIR_ARRAY).put((byte) (FIXMAP | namesAndValues.length / 2));
         for (String text : namesAndValues) {
             putText(buffer, text);
         }
@@ -116,14 +123,15 @@
     }
 
     private static ByteBuffer beginCall(long messageId, int capacity) {
-        ByteBuffer buffer = ByteBuffer.allocate(capacity).put((byte) MESSAGE).put((byte) CALL_TYPE);
+        ByteBuffer buffer =
+                ByteBuffer.allocate(capacity).put((byte) MESSAGE_ARRAY).put((byte) CALL_TYPE);
         return putMessageId(buffer, messageId);
     }
 
     private static ByteBuffer beginResponse(long messageId) {
         ByteBuffer buffer =
                 ByteBuffer.allocate(HEAD_CAPACITY_BYTES)
-                        .put((byte) MESSAGE)
+                        .put((byte) MESSAGE_ARRAY)
                         .put((byte) RESPONSE_TYPE);
         return putMessageId(buffer, messageId);
     }
@@ -152,7 +160,7 @@
         }
     }
 
-    /** Appends a text of at most 255 bytes. */
+    /** Appends a text of at most 255 bytes in UTF-8. */
     static void putText(ByteBuffer buffer, String text) {
         byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
         if (bytes.length <= MAX_FIXSTR_BYTES) {
--- a/src/test/java/brooklock/platform/DiscoveredEndpointTableTest.java
+++ b/src/test/java/brooklock/platform/DiscoveredEndpointTableTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The endpoint list and the router's events of it. */
+/** Tests the endpoint list and the router events for its updates. */
 class DiscoveredEndpointTableTest {
     private final long[] routerTimeNs = {100};
     private final DiscoveredEndpointTable table =
@@ -28,16 +28,19 @@
     }
 
     private static EndpointListReceived apply(
-            DiscoveredEndpointTable to, boolean snapshot, DiscoveryEvent.Endpoint... endpoints) {
-        return to.apply(new DiscoveryEvent.EndpointListUpdate(1, snapshot, List.of(endpoints)));
+            DiscoveredEndpointTable target,
+            boolean snapshot,
+            DiscoveryEvent.Endpoint... endpoints) {
+        return target.apply(new DiscoveryEvent.EndpointListUpdate(1, snapshot, List.of(endpoints)));
     }
 
     /**
-     * Dispatchers that gave an endpoint different ids would hash its objects differently; one that
-     * moved an endpoint's start with each list would warm it up again and again.
+     * If dispatchers assigned different ids to an endpoint, they would hash objects to different
+     * endpoints. If the start time of an endpoint changed with each list, its slow start would be
+     * repeated with each list.
      */
     @Test
-    void endpointsHaveTheSameIdEverywhereAndStartOnce() {
+    void idsAgreeBetweenTablesAndStartTimesAreStable() {
         DiscoveryEvent.Endpoint a = endpoint("s-a", "127.0.0.1:1", "west", 1000);
         EndpointListReceived first =
                 apply(table, true, a, endpoint("s-b", "127.0.0.1:2", "nowhere", 0));
@@ -55,9 +58,11 @@
         assertNotEquals(100, restarted.endpoints().get(0).startedAtNs());
     }
 
-    /** An endpoint that leaves may be listed without its address, zone and kind. */
+    /**
+     * An endpoint that leaves may be listed without its address, zone and kind; it must be removed.
+     */
     @Test
-    void anEndpointLeavesAlsoWithoutItsAddress() {
+    void anEndpointCanLeaveWithoutAnAddress() {
         long id =
                 apply(table, true, endpoint("s-a", "127.0.0.1:1", "west", 0))
                         .endpoints()
@@ -73,7 +78,7 @@
         assertTrue(table.get(id).isGone());
         table.removeGone();
         assertNull(table.get(id));
-        assertEquals(0, table.presentCount());
+        assertEquals(0, table.listedCount());
     }
 
     @Test
@@ -87,10 +92,10 @@
         assertTrue(table.get(id).isGone());
     }
 
-    /** One endpoint that can't be used must not take the others of its list with it. */
+    /** An endpoint without a valid address must not cause the rest of its list to be dropped. */
     @ParameterizedTest
     @ValueSource(strings = {"", "a.host:1", "127.0.0.1", "127.0.0.256:1", "127.0.0.1:65536"})
-    void anEndpointWithoutAUsableAddressIsLeftOut(String address) {
+    void anEndpointWithoutAValidAddressIsIgnored(String address) {
         EndpointListReceived list =
                 apply(
                         table,
@@ -101,7 +106,7 @@
     }
 
     @Test
-    void anEndpointOfAnUnknownStateIsLeftOut() {
+    void anEndpointOfAnUnknownStateIsIgnored() {
         EndpointListReceived list =
                 apply(
                         table,
--- a/src/test/java/brooklock/platform/EndpointConnectionPoolTest.java
+++ b/src/test/java/brooklock/platform/EndpointConnectionPoolTest.java
@@ -21,7 +21,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Which connection an attempt uses, and what becomes of connections that are late or idle. */
+/** Tests the choice of a connection for an attempt, and slow, overdue and idle connections. */
 @Timeout(60)
 class EndpointConnectionPoolTest {
     private static final int TIMEOUT_MS = 2400;
@@ -58,11 +58,11 @@
 
     /**
      * An endpoint responds twice to the first attempt of a request, and the second attempt goes to
-     * the same endpoint under the same id. It must use another connection, or the late second
-     * response would be taken for its own.
+     * the same endpoint with the same id. It must use another connection, or the duplicate response
+     * to the first attempt would be mistaken for its own.
      */
     @Test
-    void aSecondResponseIsNotTakenForThatOfALaterAttempt() throws Exception {
+    void aDuplicateResponseIsNotMistakenForThatOfALaterAttempt() throws Exception {
         start(
                 64,
                 (event, actions) -> {
@@ -90,11 +90,11 @@
     }
 
     /**
-     * An endpoint confirms a copy with an entity tag that is not the client's. Taken at its word,
-     * the client would go on with an outdated copy.
+     * An endpoint confirms a copy with an entity tag other than the client's. If that were passed
+     * on, the client would keep using an outdated copy.
      */
     @Test
-    void aCopyIsConfirmedOnlyIfTheEndpointNamesItsTag() throws Exception {
+    void aCopyIsConfirmedOnlyByItsEntityTag() throws Exception {
         start(64, QueuedAttemptTest::decideOneAttempt);
         Map<String, String> fields = RpcTestClient.fields(0x19, 0x7f, TIMEOUT_MS);
         fields.put("etag", "4be0c1927d55a6f3");
@@ -106,52 +106,54 @@
     }
 
     /**
-     * The network is slow to bring up a second connection. The attempt that waits for it shares the
-     * first after an eighth of the connect timeout; the late connection serves the next attempt.
+     * A second connection is slow to be established. After an eighth of the connect timeout the
+     * attempt that waits for it must share the first connection; the slow one serves the next
+     * attempt.
      */
     @Test
-    void anAttemptSharesAConnectionIfItsOwnIsSlowToComeUp() throws Exception {
+    void anAttemptSharesAConnectionIfItsOwnIsSlow() throws Exception {
         start(64, QueuedAttemptTest::decideOneAttempt);
         DispatcherFixture.EndpointPeer first = fixture.connect(sendFirst(0x1d));
         assertEquals(0x1d, first.nextFrame().id());
         send(2, 0x1e, 0x7f);
-        DispatcherFixture.ConnectRequest late = fixture.nextConnectRequest();
+        DispatcherFixture.ConnectRequest connectRequest = fixture.nextConnectRequest();
         assertEquals(0x1e, first.nextFrame().id());
-        DispatcherFixture.EndpointPeer second = fixture.connect(late);
+        DispatcherFixture.EndpointPeer second = fixture.connect(connectRequest);
         send(3, 0x1f, 0x7f);
         assertEquals(0x1f, second.nextFrame().id());
         assertNull(fixture.connectRequests.peek());
     }
 
     /**
-     * A connection is not up by its timeout. Its attempt fails as not connected, and the connection
-     * is still waited for: once it is up, the next attempt uses it without a new one.
+     * A connection is not established within the connect timeout. Its attempt must fail as not
+     * connected, but the connection stays pending; once it is established, the next attempt uses it
+     * without opening another.
      */
     @Test
-    void aConnectionThatIsOverdueFailsItsAttemptAndServesTheNext() throws Exception {
+    void anOverdueConnectionFailsItsAttemptAndServesTheNext() throws Exception {
         start(64, QueuedAttemptTest::decideOneAttempt);
-        DispatcherFixture.ConnectRequest late = sendFirst(0x20);
+        DispatcherFixture.ConnectRequest connectRequest = sendFirst(0x20);
         AttemptCompleted completed = fixture.nextEvent(AttemptCompleted.class);
         assertEquals(AttemptOutcome.CONNECT_FAILED, completed.outcome());
         assertEquals("Internal", client.response().error());
-        DispatcherFixture.EndpointPeer endpoint = fixture.connect(late);
+        DispatcherFixture.EndpointPeer endpoint = fixture.connect(connectRequest);
         send(2, 0x2a, 0x7f);
         assertEquals(0x2a, endpoint.nextFrame().id());
         assertNull(fixture.connectRequests.peek());
     }
 
     /**
-     * An idle connection is chosen for an attempt whose time to start has passed already. It must
-     * go back to the idle ones, or it would be lost to the pool.
+     * An idle connection is selected for an attempt that may no longer start. The connection must
+     * become idle again, or it would be lost to the pool.
      */
     @Test
-    void aConnectionOfAnAttemptThatDoesNotStartIsThereForTheNext() throws Exception {
+    void aConnectionOfAnAttemptThatDoesNotStartIsReused() throws Exception {
         start(
                 64,
                 (event, actions) -> {
                     if (event instanceof RequestReceived received) {
                         actions.add(
-                                DispatcherFixture.attemptAction(
+                                DispatcherFixture.startAttemptAction(
                                         received.id(),
                                         "a",
                                         TIMEOUT_MS,
@@ -173,11 +175,12 @@
     }
 
     /**
-     * All descriptors are in use, one of them by an idle connection to another endpoint. That one
-     * is closed, so that a request to this endpoint need not wait until it is idle for too long.
+     * All descriptors are in use, one of them by an idle connection to another endpoint. That
+     * connection must be closed for the new request; otherwise the request would wait for the idle
+     * timeout.
      */
     @Test
-    void anIdleConnectionToAnotherEndpointGivesWay() throws Exception {
+    void anIdleConnectionToAnotherEndpointIsEvicted() throws Exception {
         start(
                 1,
                 (event, actions) -> {
@@ -188,23 +191,23 @@
                         actions.add(new RejectRequest(completed.id(), 0));
                     }
                 });
-        DispatcherFixture.ConnectRequest toA = sendFirst(0x1a);
+        DispatcherFixture.ConnectRequest requestToA = sendFirst(0x1a);
         fixture.updateList(EndpointState.READY, "b");
-        DispatcherFixture.EndpointPeer a = fixture.connect(toA);
-        a.nextFrame();
+        DispatcherFixture.EndpointPeer endpointA = fixture.connect(requestToA);
+        endpointA.nextFrame();
         send(2, 0x1b, 0x80);
         fixture.nextEvent(RequestReceived.class);
         fixture.nextEvent(RequestReceived.class);
         assertNull(fixture.connectRequests.peek());
-        a.respond(Frame.OK, 0x1a, "rev=1");
+        endpointA.respond(Frame.OK, 0x1a, "rev=1");
         assertNull(client.response().error());
         send(3, 0x1c, 0x80);
-        DispatcherFixture.EndpointPeer b = fixture.connect(fixture.nextConnectRequest());
-        assertTrue(a.closed.await(20, TimeUnit.SECONDS));
-        assertEquals(0x1b, b.nextFrame().id());
+        DispatcherFixture.EndpointPeer endpointB = fixture.connect(fixture.nextConnectRequest());
+        assertTrue(endpointA.closed.await(20, TimeUnit.SECONDS));
+        assertEquals(0x1b, endpointB.nextFrame().id());
     }
 
     private static RouterAction.StartAttempt attempt(long requestId, String endpoint) {
-        return DispatcherFixture.attemptAction(requestId, endpoint, TIMEOUT_MS, TIMEOUT_MS);
+        return DispatcherFixture.startAttemptAction(requestId, endpoint, TIMEOUT_MS, TIMEOUT_MS);
     }
 }
