--- a/src/main/java/brooklock/platform/ConnectionBudget.java
+++ b/src/main/java/brooklock/platform/ConnectionBudget.java
@@ -1,10 +1,22 @@
 package brooklock.platform;
 
-/** The connections that all endpoints may have together. Called on the I/O thread. */
+/**
+ * Bounds the number of connections to each endpoint and to all endpoints. All methods are called on
+ * the I/O thread; each new connection is preceded by {@link #permitsConnection} and then {@link
+ * #evictIdleIfFull}.
+ */
 interface ConnectionBudget {
-    /** Returns whether an endpoint that has so many connections may open one more. */
-    boolean permits(int connections);
+    /**
+     * Returns whether one more connection to an endpoint may be opened.
+     *
+     * @param currentConnections the number of connections that the endpoint has now
+     */
+    boolean permitsConnection(int currentConnections);
 
-    /** Makes room for one more connection, which is {@linkplain #permits permitted}. */
-    void makeRoom();
+    /**
+     * Closes the connection that has been idle for longest if all connections are in use, so that
+     * one more can be opened. Must be called only if that is {@linkplain #permitsConnection
+     * permitted}.
+     */
+    void evictIdleIfFull();
 }
--- a/src/main/java/brooklock/platform/FrameDecoder.java
+++ b/src/main/java/brooklock/platform/FrameDecoder.java
@@ -8,87 +8,113 @@
 import java.util.zip.CRC32;
 
 /**
- * Decodes frames, incrementally from any cut of bytes. Strict, with every length bounded before
- * memory is taken for it. Pure.
+ * Decodes frames incrementally, from input split at any byte. Rejects everything that is not a
+ * valid frame, and checks every length before memory is allocated for it. Performs no I/O; not
+ * thread-safe. A decoder must not be used again after it has thrown an exception.
  */
 public final class FrameDecoder {
-    /** Length of the checksum that ends a frame, bytes. */
+    /** Length of the checksum at the end of a frame, bytes. */
     static final int CHECKSUM_BYTES = 4;
 
-    private final int expectedMark;
+    private final int expectedMagic;
     private final int minCode;
     private final int maxCode;
     private int code;
-    private long id;
+    private long frameId;
     private ByteAccumulator fields;
     private ByteAccumulator body;
-    private boolean inFrame;
+    private boolean hasPartialFrame;
     private boolean fieldsComplete;
     private boolean bodyComplete;
 
-    /** Creates a decoder of what endpoints send. */
+    /** Creates a decoder of frames from endpoints. */
     public FrameDecoder() {
-        this(Frame.ENDPOINT_MARK, Frame.OK, Frame.HEALTHY);
+        this(Frame.ENDPOINT_MAGIC, Frame.OK, Frame.HEALTHY);
     }
 
     /**
-     * Creates a decoder.
+     * Creates a decoder of frames from either side.
      *
-     * @param expectedMark first byte of every frame
-     * @param minCode lowest code that is accepted
-     * @param maxCode highest code that is accepted
+     * @param expectedMagic the first byte of every frame
+     * @param minCode the lowest accepted code
+     * @param maxCode the highest accepted code
      */
-    FrameDecoder(int expectedMark, int minCode, int maxCode) {
-        this.expectedMark = expectedMark;
+    FrameDecoder(int expectedMagic, int minCode, int maxCode) {
+        this.expectedMagic = expectedMagic;
         this.minCode = minCode;
         this.maxCode = maxCode;
     }
 
     /**
-     * Reads up to the end of one frame.
+     * Decodes the next frame. Reads at most one frame from the buffer. Bytes of an incomplete
+     * header or checksum remain in the buffer and must precede the new bytes in the next call.
      *
      * @return the next frame, or null if more bytes are needed
-     * @throws MalformedMessageException if the bytes are none
+     * @throws MalformedMessageException if the input is not a valid frame
      */
-    public Frame next(ByteBuffer in) throws MalformedMessageException {
-        in.order(ByteOrder.BIG_ENDIAN);
-        if (!inFrame && !readHeader(in)) {
+    public Frame next(ByteBuffer input) throws MalformedMessageException {
+        input.order(ByteOrder.BIG_ENDIAN);
+        if (!hasPartialFrame && !readHeader(input)) {
             return null;
         }
-        fieldsComplete = fieldsComplete || fields.append(in);
-        bodyComplete = fieldsComplete && (bodyComplete || body.append(in));
-        if (!bodyComplete || in.remaining() < CHECKSUM_BYTES) {
+        fieldsComplete = fieldsComplete || fields.append(input);
+        bodyComplete = fieldsComplete && (bodyComplete || body.append(input));
+        if (!bodyComplete || input.remaining() < CHECKSUM_BYTES) {
             return null;
         }
         CRC32 checksum = new CRC32();
         checksum.update(fields.bytes());
         checksum.update(body.bytes());
-        if (in.getInt() != (int) checksum.getValue()) {
-            throw new MalformedMessageException("the checksum does not match");
+        if (input.getInt() != (int) checksum.getValue()) {
+            throw new MalformedMessageException(
+                    "the checksum does not match: expected 0x"
+                            + Integer.toHexString((int) checksum.getValue())
+                            + " at the end of a frame with code "
+                            + code
+                            + " but received 0x"
+                            + Integer.toHexString(input.getInt(input.position() - CHECKSUM_BYTES)));
         }
-        Frame frame = new Frame(code, id, parseFields(fields.bytes()), body.bytes());
-        inFrame = false;
+        Frame frame = new Frame(code, frameId, parseFields(fields.bytes()), body.bytes());
+        hasPartialFrame = false;
         fields = null;
         body = null;
         return frame;
     }
 
-    private boolean readHeader(ByteBuffer in) throws MalformedMessageException {
-        if (in.remaining() < Frame.HEADER_BYTES) {
+    private boolean readHeader(ByteBuffer input) throws MalformedMessageException {
+        if (input.remaining() < Frame.HEADER_BYTES) {
             return false;
         }
-        int mark = in.get() & 0xff;
-        code = in.get() & 0xff;
-        int fieldBytes = in.getShort() & 0xffff;
-        long bodyBytes = in.getInt() & 0xffffffffL;
-        id = in.getLong();
-        if (mark != expectedMark || code < minCode || code > maxCode) {
-            throw new MalformedMessageException("no header: mark " + mark + ", code " + code);
+        int magic = input.get() & 0xff;
+        code = input.get() & 0xff;
+        int fieldBytes = input.getShort() & 0xffff;
+        long bodyBytes = input.getInt() & 0xffffffffL;
+        frameId = input.getLong();
+        if (magic != expectedMagic || code < minCode || code > maxCode) {
+            throw new MalformedMessageException(
+                    "no header: expected magic byte "
+                            + expectedMagic
+                            + " and a code from "
+                            + minCode
+                            + " to "
+                            + maxCode
+                            + " but received magic byte "
+                            + magic
+                            + " and code "
+                            + code);
         }
-        inFrame = true;
+        hasPartialFrame = true;
         if (fieldBytes > Frame.MAX_FIELDS_BYTES || bodyBytes > Frame.MAX_BODY_BYTES) {
             throw new MalformedMessageException(
-                    "a frame of " + fieldBytes + " and " + bodyBytes + " bytes");
+                    "expected a frame header with at most "
+                            + Frame.MAX_FIELDS_BYTES
+                            + " bytes of fields and "
+                            + Frame.MAX_BODY_BYTES
+                            + " bytes of body but received lengths of "
+                            + fieldBytes
+                            + " and "
+                            + bodyBytes
+                            + " bytes");
         }
         fields = new ByteAccumulator(fieldBytes);
         body = new ByteAccumulator((int) bodyBytes);
@@ -97,34 +123,39 @@
         return true;
     }
 
-    /** Returns whether a frame has begun and not ended. */
-    public boolean inFrame() {
-        return inFrame;
+    /** Returns whether the header of a frame has been decoded but the frame is incomplete. */
+    public boolean hasPartialFrame() {
+        return hasPartialFrame;
     }
 
-    /** Returns the id of the frame that has begun. */
-    public long id() {
-        return id;
+    /** Returns the id of the frame whose header was decoded last. */
+    public long frameId() {
+        return frameId;
     }
 
     /**
-     * Parses fields, {@code name=value,name=value}.
+     * Parses fields of the form {@code name=value,name=value}.
      *
-     * @throws MalformedMessageException if a field has no name or comes twice
+     * @return the values by name
+     * @throws MalformedMessageException if a field has no name or no value, or occurs twice
      */
-    static Map<String, String> parseFields(byte[] text) throws MalformedMessageException {
-        Map<String, String> out = new HashMap<>();
-        if (text.length == 0) {
-            return out;
+    static Map<String, String> parseFields(byte[] bytes) throws MalformedMessageException {
+        Map<String, String> values = new HashMap<>();
+        if (bytes.length == 0) {
+            return values;
         }
-        for (String pair : new String(text, StandardCharsets.ISO_8859_1).split(",", -1)) {
+        for (String pair : new String(bytes, StandardCharsets.ISO_8859_1).split(",", -1)) {
             int separator = pair.indexOf('=');
             if (separator <= 0
-                    || out.put(pair.substring(0, separator), pair.substring(separator + 1))
+                    || values.put(pair.substring(0, separator), pair.substring(separator + 1))
                             != null) {
-                throw new MalformedMessageException("fields that can't be read");
+                throw new MalformedMessageException(
+                        "expected distinct fields of the form name=value but received a malformed or"
+                                + " repeated one of "
+                                + pair.length()
+                                + " characters");
             }
         }
-        return out;
+        return values;
     }
 }
--- a/src/main/java/brooklock/routing/Router.java
+++ b/src/main/java/brooklock/routing/Router.java
@@ -19,20 +19,21 @@
 import java.util.Map;
 
 /**
- * The entry point of all routing decisions of one dispatcher: dispatches events to the policies and
- * owns the open requests.
+ * Routes the requests of one dispatcher: handles each {@link RouterEvent}, keeps the open requests
+ * and updates the routing policies.
  *
- * <p>A request is counted by {@link HotList}; {@link CacheSelector} and {@link FillSourceSelector}
- * choose where it goes, {@link FillAdmission} how far. When its attempt ends, the policies learn in
- * the order of {@link #settle}; then it is finished, retried ({@link RetryPolicy}) or given up.
- * Events and actions are {@link RouterEvent} and {@link RouterAction}. Times are nanoseconds of the
- * event's clock; the same events give the same actions. Not thread-safe.
+ * <p>{@link HotList} counts each request. {@link CacheSelector} and {@link FillSourceSelector}
+ * select its endpoint and fill source, and {@link FillAdmission} decides which tiers it may use
+ * under the present load. When an attempt ends, the policies are updated in the order of {@link
+ * #updatePolicies}; then the request is finished, retried (see {@link RetryPolicy}), rejected or
+ * failed.
+ *
+ * <p>Times are nanoseconds of the caller's clock. The router reads no clock and draws no random
+ * numbers, so the same events always produce the same actions. {@link #start} is called before the
+ * first event. Not thread-safe.
  */
 public final class Router {
-    /**
-     * Timer ticks before the client's deadline at which the final response goes out: timers may be
-     * late.
-     */
+    /** Timer ticks from the final response to the client's deadline: timers may fire late. */
     private static final int FINAL_RESPONSE_TICKS = 2;
 
     private final RouterSettings settings;
@@ -53,7 +54,7 @@
     private long now;
     private List<RouterAction> actions;
 
-    /** Creates the router of one dispatcher; its state is empty. */
+    /** Creates a new router that has no endpoints and no requests yet. */
     public Router(RouterSettings settings) {
         this.settings = settings;
         endpoints = new EndpointTable(settings);
@@ -68,19 +69,22 @@
         purges = new PurgeLog(settings);
     }
 
-    /** Starts at a time, ns, and appends what is to be done first. */
+    /** Starts the router at {@code now}, in nanoseconds, and appends its first actions. */
     public void start(long now, List<RouterAction> actions) {
-        begin(now, actions);
+        beginEvent(now, actions);
         hotList.start(now);
         if (settings.watchesEndpointList()) {
             actions.add(new WatchEndpoints());
         }
     }
 
-    /** Decides about one event at a time, ns, and appends what is to be done, in order. */
+    /**
+     * Handles an event at {@code now}, in nanoseconds, and appends the resulting actions in the
+     * order in which they are to be carried out.
+     */
     public void onEvent(long now, RouterEvent event, List<RouterAction> actions) {
-        begin(now, actions);
-        hotList.advance(now);
+        beginEvent(now, actions);
+        hotList.advanceTo(now);
         if (event instanceof RequestReceived e) {
             onRequest(e);
         } else if (event instanceof AttemptCompleted e) {
@@ -98,7 +102,7 @@
         }
     }
 
-    private void begin(long now, List<RouterAction> actions) {
+    private void beginEvent(long now, List<RouterAction> actions) {
         this.now = now;
         this.actions = actions;
     }
@@ -109,10 +113,10 @@
             return;
         }
         endpoints.update(list, now);
-        slowStart.onListChanged();
+        slowStart.invalidateWarmWeights();
     }
 
-    // ---- A request is received
+    // ---- Requests
 
     private void onRequest(RequestReceived event) {
         PendingRequest request = accept(event);
@@ -128,7 +132,7 @@
     }
 
     private PendingRequest accept(RequestReceived event) {
-        ObjectDemand demand = hotList.count(event);
+        ObjectDemand demand = hotList.recordRequest(event);
         return new PendingRequest(
                 event,
                 settings.classes().get(event.classIndex()),
@@ -139,39 +143,39 @@
                 event.deadlineNs() - FINAL_RESPONSE_TICKS * settings.timerTickNs());
     }
 
-    // ---- An attempt starts
+    // ---- Start of attempts
 
     /**
-     * Starts an attempt, or gives the request up where it may reach nothing and no attempt is open.
-     * Returns whether one was started; one that has no attempt left is left as it is.
+     * Starts an attempt and returns whether one was started. If none is admitted and none is open,
+     * the request is rejected or failed; if it has no attempt left, it is unchanged.
      */
     private boolean startAttempt(PendingRequest request) {
-        if (!retryPolicy.hasAttemptLeft(request)) {
+        if (!retryPolicy.hasAttemptsLeft(request)) {
             return false;
         }
         boolean passThrough = request.requestClass.passThrough();
-        boolean direct = settings.directOriginAllowed();
+        boolean directOriginAllowed = settings.directOriginAllowed();
         RoutedEndpoint target = endpoints.origin();
         RoutedEndpoint fillSource = target;
-        if (!passThrough || !direct) {
+        if (!passThrough || !directOriginAllowed) {
             target = cacheSelector.select(request, now);
             fillSource = passThrough ? endpoints.origin() : fillSourceSelector.select(request, now);
-            if (target == null && direct) {
+            if (target == null && directOriginAllowed) {
                 target = fillSource;
                 fillSource = endpoints.origin();
             }
         }
         if (target != null) {
-            AdmittedTier reach =
-                    passThrough ? AdmittedTier.ORIGIN : admission.reach(request, target, now);
-            if (reach != AdmittedTier.NONE) {
-                boolean noFill = fillSource == null || reach == AdmittedTier.CACHE;
-                send(request, new Attempt(target, noFill ? target : fillSource, reach, now));
+            AdmittedTier tier =
+                    passThrough ? AdmittedTier.ORIGIN : admission.admit(request, target, now);
+            if (tier != AdmittedTier.NONE) {
+                boolean noFill = fillSource == null || tier == AdmittedTier.CACHE;
+                send(request, new Attempt(target, noFill ? target : fillSource, tier, now));
                 return true;
             }
         }
         if (request.openAttempts == 0) {
-            giveUp(request);
+            rejectOrFail(request);
         }
         return false;
     }
@@ -180,15 +184,15 @@
         RoutedEndpoint endpoint = attempt.endpoint;
         RoutedEndpoint fillSource = attempt.fillSource;
         if (request.attempts.isEmpty()) {
-            request.firstDecidedAtNs = now;
+            request.firstAttemptAtNs = now;
         }
         request.attempts.add(attempt);
         request.openAttempts++;
         outliers.onAttemptStarted(endpoint, now);
         admission.acquire(request, attempt);
-        charge(endpoint, request);
-        if (attempt.fills()) {
-            charge(fillSource, request);
+        chargeUse(endpoint, request);
+        if (attempt.fillsOnMiss()) {
+            chargeUse(fillSource, request);
         }
         long timeoutNs = Math.max(1, request.event.deadlineNs() - now);
         actions.add(
@@ -200,19 +204,17 @@
                         hotList.cachePriority(request, endpoint, now),
                         purges.maxAgeNs(request, now),
                         settings.collapsesRequests() && !request.requestClass.passThrough(),
-                        attempt.reach == AdmittedTier.PARENT && fillSource.isParent,
-                        RetryPolicy.startWithinNs(request, timeoutNs, now)));
+                        attempt.admittedTier == AdmittedTier.PARENT && fillSource.isParent,
+                        RetryPolicy.startTimeoutNs(request, timeoutNs, now)));
     }
 
-    /**
-     * Counts a use as target or fill source against the endpoint's budget and as its health check.
-     */
-    private void charge(RoutedEndpoint endpoint, PendingRequest request) {
-        slowStart.spend(endpoint, request);
+    /** Charges a use as target or fill source; it is the health check of an ejected endpoint. */
+    private void chargeUse(RoutedEndpoint endpoint, PendingRequest request) {
+        slowStart.charge(endpoint, request);
         outliers.onUsed(endpoint, now);
     }
 
-    // ---- An attempt ends
+    // ---- End of attempts
 
     private void onAttemptCompleted(AttemptCompleted completed) {
         PendingRequest request = requests.get(completed.id());
@@ -223,33 +225,34 @@
         if (attempt.completed) {
             return;
         }
-        settle(request, attempt, completed);
+        updatePolicies(request, attempt, completed);
         if (completed.requestFinished()) {
             finish(request);
         } else if (!request.finished) {
             request.mayHaveExecuted |= !completed.outcome().provesNotExecuted;
-            retryOrGiveUp(request, completed.outcome());
+            retryOrEnd(request, completed.outcome());
         }
-        forgetIfDone(request);
+        removeIfDone(request);
     }
 
     /**
-     * The one order in which the policies learn from an attempt that ends. Each step reads what
-     * those before have written:
+     * Updates the policies with the outcome of an attempt. The order is fixed because each step
+     * reads what the steps before it have written:
      *
      * <ol>
      *   <li>the rate of lost responses, while the attempt still counts as open;
-     *   <li>the attempt is no longer open, at its request and at its endpoint;
-     *   <li>its work leaves the limits of its endpoint, of the fills and of the origin;
-     *   <li>connections lost at the endpoint, then at the fill source, may start a slow start;
-     *   <li>error rates, of the endpoint first, then of those blamed, then of the fill source;
-     *   <li>the rate that a warm cache served, by the class's mean work of before;
-     *   <li>the mean work of class and object;
-     *   <li>the rate that a warm parent filled, or its refund, by the new mean work;
-     *   <li>the limits and the miss ratios.
+     *   <li>the open attempts of the request and of the endpoint;
+     *   <li>the limits of endpoint, fill link and origin, from which its work is released;
+     *   <li>lost connections of endpoint, then fill source, which may restart a slow start;
+     *   <li>error rates: of the endpoint, of those with earlier errors, of the fill source;
+     *   <li>the rate of a warm cache, with the class's mean work before this response;
+     *   <li>the mean work of the class and of the object;
+     *   <li>the rate of a warm parent, or the refund of its budget, with the new mean work;
+     *   <li>the concurrency limits and the miss ratios.
      * </ol>
      */
-    private void settle(PendingRequest request, Attempt attempt, AttemptCompleted completed) {
+    private void updatePolicies(
+            PendingRequest request, Attempt attempt, AttemptCompleted completed) {
         RoutedEndpoint endpoint = attempt.endpoint;
         RoutedEndpoint fillSource = attempt.fillSource;
         AttemptOutcome outcome = completed.outcome();
@@ -260,11 +263,11 @@
         request.openAttempts--;
         outliers.onAttemptEnded(endpoint);
         admission.release(attempt, now);
-        learnConnection(
+        recordConnectionOutcome(
                 endpoint,
                 outcome == AttemptOutcome.RESET || outcome == AttemptOutcome.CONNECT_FAILED);
         if (status.isFilled() || status.isFillSourceFailure()) {
-            learnConnection(fillSource, outliers.isFillSourceUnreached(completed));
+            recordConnectionOutcome(fillSource, outliers.isFillSourceUnreachable(completed));
         }
         outliers.onCompleted(request, attempt, completed, now);
         if (ok && endpoint.isCache) {
@@ -275,45 +278,46 @@
         }
         if (fillSource.isParent && status.isFilled()) {
             slowStart.onServed(fillSource, request, now);
-        } else if (fillSource.isParent && attempt.fills() && ok) {
+        } else if (fillSource.isParent && attempt.fillsOnMiss() && ok) {
             slowStart.refund(fillSource, request);
         }
         admission.onCompleted(
                 request, attempt, completed, responseLost, workEstimator.meanNs(), now);
     }
 
-    private void learnConnection(RoutedEndpoint endpoint, boolean failed) {
+    private void recordConnectionOutcome(RoutedEndpoint endpoint, boolean failed) {
         if (outliers.onConnectionOutcome(endpoint, failed)) {
             slowStart.restart(endpoint, now);
         }
     }
 
     /**
-     * One more attempt: further on after a miss, elsewhere where the retry rules allow it; else the
-     * end.
+     * Starts another attempt or ends the request. After a cache miss of an attempt not admitted to
+     * the origin, the next may use a further tier without retry budget. Any other attempt needs the
+     * consent of the retry policy and the retry budget.
      */
-    private void retryOrGiveUp(PendingRequest request, AttemptOutcome outcome) {
+    private void retryOrEnd(PendingRequest request, AttemptOutcome outcome) {
         if (request.openAttempts > 0) {
             return;
         }
-        Attempt last = request.lastAttempt();
-        if (last.reach != AdmittedTier.ORIGIN && outcome == AttemptOutcome.CACHE_MISS) {
-            request.missed = true;
-            request.parentMissed |= last.reach == AdmittedTier.PARENT;
+        Attempt previous = request.lastAttempt();
+        if (previous.admittedTier != AdmittedTier.ORIGIN && outcome == AttemptOutcome.CACHE_MISS) {
+            request.cacheMissed = true;
+            request.parentMissed |= previous.admittedTier == AdmittedTier.PARENT;
             if (startAttempt(request) || request.finished) {
                 return;
             }
         }
-        if (retryBudget.hasAttempt() && retryPolicy.mayRetry(request, now)) {
+        if (retryBudget.hasAvailableAttempt() && retryPolicy.mayRetry(request, now)) {
             retryBudget.spendAttempt();
             if (startAttempt(request) || request.finished) {
                 return;
             }
         }
-        giveUp(request);
+        rejectOrFail(request);
     }
 
-    // ---- A timer fires
+    // ---- Timers
 
     private void onTimer(RequestTimer timer) {
         PendingRequest request = timer == null ? null : requests.get(timer.requestId());
@@ -321,36 +325,36 @@
             return;
         }
         if (timer.purpose() == Purpose.FINAL_RESPONSE) {
-            giveUp(request);
+            rejectOrFail(request);
         } else if (request.openAttempts == 1 && !request.attempts.isEmpty()) {
             hedge(request);
         }
     }
 
     /**
-     * Hedges a request whose endpoint is ejected by now, or, if the retry budget has an attempt
-     * left, one whose response was lost.
+     * Hedges a request if its endpoint is ejected, or if its response is lost and the retry budget
+     * allows an attempt.
      */
     private void hedge(PendingRequest request) {
         Attempt attempt = request.lastAttempt();
         boolean responseLost = hedging.isResponseLost(attempt, admission);
         if (responseLost) {
-            // Its work is done and loads no link any more; its later outcome releases nothing.
+            // A lost response no longer loads a link. Its later outcome releases nothing more.
             admission.release(attempt, now);
         }
         if (outliers.isEjected(attempt.endpoint, now)) {
             startAttempt(request);
-        } else if (responseLost && retryBudget.hasAttempt() && startAttempt(request)) {
+        } else if (responseLost && retryBudget.hasAvailableAttempt() && startAttempt(request)) {
             retryBudget.spendAttempt();
         }
     }
 
-    // ---- A request ends
+    // ---- End of requests
 
-    /** Gives the final response at once: rejected where a retry is harmless, else failed. */
-    private void giveUp(PendingRequest request) {
+    /** Rejects the request if a retry by the client is harmless, else fails it. */
+    private void rejectOrFail(PendingRequest request) {
         if (request.failedEndpoints.size() == 1) {
-            outliers.blameFailedEndpoints(request, now);
+            outliers.attributeErrors(request, now);
         }
         if (RetryPolicy.mayReject(request)) {
             RouterSettings.Limits limits = settings.limits();
@@ -359,11 +363,11 @@
         } else {
             actions.add(new FailRequest(request.id()));
         }
-        HotList.uncount(request.demand);
+        HotList.removeUnservedRequest(request.demand);
         finish(request);
     }
 
-    /** A response that has begun is the final one; its attempt is not cancelled. */
+    /** Finishes the request with the response that has started; its attempt is not cancelled. */
     private void onResponseStarted(ResponseStarted event) {
         PendingRequest request = requests.get(event.id());
         if (request != null && event.attempt() < request.attempts.size()) {
@@ -385,10 +389,10 @@
                 }
             }
         }
-        forgetIfDone(request);
+        removeIfDone(request);
     }
 
-    private void forgetIfDone(PendingRequest request) {
+    private void removeIfDone(PendingRequest request) {
         if (request.finished && request.openAttempts == 0) {
             requests.remove(request.id());
         }
--- a/src/test/java/brooklock/platform/DiscoveryEventDecoderTest.java
+++ b/src/test/java/brooklock/platform/DiscoveryEventDecoderTest.java
@@ -11,10 +11,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Lines of the discovery service at every cut, and lines that are no event. */
+/** Tests the decoding of discovery events from input split at any byte, and of invalid lines. */
 class DiscoveryEventDecoderTest {
     @Test
-    void linesAreDecodedAtEveryCut() throws MalformedMessageException {
+    void linesAreDecodedAtEverySplit() throws MalformedMessageException {
         Object list =
                 TestConfigs.listUpdate(
                         41,
@@ -71,7 +71,7 @@
                 "43 44",
                 "\u0000"
             })
-    void linesThatAreNoEventAreRejected(String line) {
+    void invalidLinesAreRejected(String line) {
         assertThrows(MalformedMessageException.class, () -> DiscoveryEventDecoder.parse(line));
     }
 }
