--- a/src/test/java/brooklock/proxy/AccessLogTest.java
+++ b/src/test/java/brooklock/proxy/AccessLogTest.java
@@ -53,20 +53,20 @@
         logger.setLevel(originalLevel);
     }
 
-    private Map<String, Object> entryOf(String request) throws InterruptedException {
+    private Map<String, Object> entryOf(String requestId) throws InterruptedException {
         LoopbackFleet.await(
-                "the access log entry of " + request, () -> !entries(request).isEmpty());
-        assertEquals(1, entries(request).size());
-        return entries(request).get(0);
+                "the access log entry of " + requestId, () -> !entries(requestId).isEmpty());
+        assertEquals(1, entries(requestId).size());
+        return entries(requestId).get(0);
     }
 
-    private List<Map<String, Object>> entries(String request) {
+    private List<Map<String, Object>> entries(String requestId) {
         return List.copyOf(appender.list).stream()
                 .map(
                         event ->
                                 event.getKeyValuePairs().stream()
                                         .collect(Collectors.toMap(p -> p.key, p -> p.value)))
-                .filter(entry -> entry.get("request").equals(request))
+                .filter(entry -> entry.get("request").equals(requestId))
                 .toList();
     }
 
--- a/src/test/java/brooklock/proxy/EndpointFaultTest.java
+++ b/src/test/java/brooklock/proxy/EndpointFaultTest.java
@@ -30,7 +30,9 @@
             assertTrue(response.aborted(), "a truncated body must not appear complete");
             assertEquals(
                     1,
-                    fleet.recordedRequests("b").stream().filter(RecordedRequest::isFromDispatcher).count(),
+                    fleet.recordedRequests("b").stream()
+                            .filter(RecordedRequest::isFromDispatcher)
+                            .count(),
                     "no other attempt may start after the head was sent");
         }
     }
--- a/src/test/java/brooklock/proxy/LoopbackFleet.java
+++ b/src/test/java/brooklock/proxy/LoopbackFleet.java
@@ -244,8 +244,8 @@
     }
 
     /** Returns the header field that identifies a request in the servers' records. */
-    public static String requestIdField(String name) {
-        return "X-Request-Id: " + name + "\r\n";
+    public static String requestIdField(String requestId) {
+        return "X-Request-Id: " + requestId + "\r\n";
     }
 
     /** Sends a request on its own connection and returns the response. */
@@ -302,10 +302,10 @@
         }
     }
 
-    /** Returns the requests that reached the servers for a client's request, in order. */
-    public List<RecordedRequest> recordedRequests(String request) {
+    /** Returns the requests that reached the servers with the given request ID, in order. */
+    public List<RecordedRequest> recordedRequests(String requestId) {
         return recorder.requests().stream()
-                .filter(recorded -> request.equals(recorded.requestId))
+                .filter(recorded -> requestId.equals(recorded.requestId))
                 .toList();
     }
 
--- a/src/test/java/brooklock/proxy/PurgeTest.java
+++ b/src/test/java/brooklock/proxy/PurgeTest.java
@@ -69,9 +69,9 @@
     }
 
     private static void assertCopyFetchedAfter(
-            LoopbackFleet fleet, String request, long oldestAllowedNs) {
+            LoopbackFleet fleet, String requestId, long oldestAllowedNs) {
         RecordedRequest lastDirect =
-                fleet.recordedRequests(request).stream()
+                fleet.recordedRequests(requestId).stream()
                         .filter(RecordedRequest::isFromDispatcher)
                         .reduce((a, b) -> b)
                         .orElseThrow();
--- a/src/test/java/brooklock/proxy/WarmingCoordinatorTest.java
+++ b/src/test/java/brooklock/proxy/WarmingCoordinatorTest.java
@@ -167,7 +167,8 @@
                                         recorded ->
                                                 isFromC1ToAPeer(recorded)
                                                         && recorded.server.equals("c3")
-                                                        && recorded.arrivedNs - acknowledgedAtNs > 0));
+                                                        && recorded.arrivedNs - acknowledgedAtNs
+                                                                > 0));
             }
         }
     }
@@ -219,7 +220,7 @@
             long endNs = System.nanoTime() + 15_000 * LoopbackFleet.NS_PER_MS;
             try (Socket socket = fleet.connect()) {
                 // Prefetches require load reports, which responses to clients carry, so the
-                // requests continue. A recorded prefetch contains no client's request name.
+                // requests continue. A recorded prefetch contains no client's request ID.
                 while (System.nanoTime() - endNs < 0 && !isPrefetchRecorded(fleet)) {
                     requestAllObjects(socket, 1);
                 }
