--- a/src/test/java/brooklock/routing/FillAdmissionTest.java
+++ b/src/test/java/brooklock/routing/FillAdmissionTest.java
@@ -2,7 +2,7 @@
 
 import static brooklock.routing.RouterFixture.MS;
 import static brooklock.routing.RouterFixture.PAGE;
-import static brooklock.routing.RouterFixture.attemptIn;
+import static brooklock.routing.RouterFixture.firstAttempt;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -14,34 +14,34 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** How far requests may reach while links are jammed. */
+/** Tests which tiers requests may use while links are congested. */
 class FillAdmissionTest {
     /**
-     * Fills come late: the link into the zone is jammed. Requests look for a cached copy first, so
-     * that hits are served however jammed the fills are.
+     * Fills are late because the link into the zone is congested. Requests must be limited to
+     * cached copies first, so that hits are still served.
      */
     @Test
-    void aJammedFillLinkIsSparedAndHitsAreStillServed() {
+    void requestsAreLimitedToCachedCopiesWhileTheFillLinkIsCongested() {
         RouterFixture fixture = new RouterFixture().withEndpoints();
-        jamFillLink(fixture);
+        congestFillLink(fixture);
         boolean cachedOnly = false;
         for (int i = 0; i < 30; i++) {
-            StartAttempt attempt = fixture.request(PAGE, 5000 + i);
+            StartAttempt attempt = fixture.startRequest(PAGE, 5000 + i);
             cachedOnly |= attempt != null && !attempt.fillsOnMiss();
         }
         assertTrue(cachedOnly);
     }
 
     /**
-     * Clients leave early and connections come up late. Neither says that a link is slow, so no
-     * limit may shut and requests reach as far as before.
+     * Clients disconnect early and connections are established late. Neither shows that a link is
+     * slow, so no limit may be lowered and fills must stay admitted.
      */
     @Test
-    void clientsThatLeaveAndAttemptsThatNeverStartedShutNoLink() {
+    void disconnectedClientsAndAttemptsNeverStartedLowerNoLimit() {
         RouterFixture fixture = new RouterFixture().withEndpoints();
         for (int i = 0; i < 300; i++) {
             RequestReceived request = withoutSize(fixture.newRequest(PAGE, 7000 + i));
-            StartAttempt attempt = attemptIn(fixture.onEvent(request));
+            StartAttempt attempt = firstAttempt(fixture.onEvent(request));
             fixture.now += 20 * MS;
             fixture.onEvent(new ClientDisconnected(request.id()));
             fixture.onEvent(
@@ -54,7 +54,7 @@
                             20 * MS,
                             0,
                             true));
-            StartAttempt late = fixture.request(PAGE, 9000 + i);
+            StartAttempt late = fixture.startRequest(PAGE, 9000 + i);
             fixture.now += 700 * MS;
             AttemptOutcome outcome =
                     i % 2 == 0 ? AttemptOutcome.NOT_STARTED : AttemptOutcome.CONNECT_FAILED;
@@ -62,35 +62,36 @@
         }
         for (int i = 0; i < 20; i++) {
             RequestReceived request = withoutSize(fixture.newRequest(PAGE, 12_000 + i));
-            StartAttempt attempt = attemptIn(fixture.onEvent(request));
-            assertTrue(attempt.fillsOnMiss(), "a fill is allowed with the request");
+            StartAttempt attempt = firstAttempt(fixture.onEvent(request));
+            assertTrue(attempt.fillsOnMiss(), "the attempt allows a fill");
         }
     }
 
     /**
-     * The origin fails. Each dispatcher keeps its limit open for a few requests to notice the end;
-     * of hundreds of dispatchers these would be a load again, so each has only its part.
+     * The origin fails. Each dispatcher keeps admitting a few requests to it to detect its
+     * recovery. With hundreds of dispatchers these would be a considerable load, so each dispatcher
+     * gets only its share of them.
      */
     @Test
-    void theFloorsOfManyDispatchersAtTheOriginAddUpToFewRequests() {
+    void theMinimaOfAllDispatchersAtTheOriginAddUpToFewRequests() {
         assertFalse(onlyIfCachedAfterOriginFailures(4));
         assertTrue(onlyIfCachedAfterOriginFailures(400));
     }
 
     /**
-     * The origin's limit is narrower than one request. What little it takes goes to objects that
-     * are requested again; others wait.
+     * The origin's limit is smaller than one request. Its capacity must go to objects that are
+     * requested again; others are not admitted to it.
      */
     @Test
-    void onlyHotObjectsAreFilledWhileTheOriginsLimitIsNarrowerThanOne() {
+    void onlyHotObjectsAreFilledWhileTheOriginLimitIsSmallerThanARequest() {
         RouterFixture fixture = afterOriginFailures(400);
         fixture.now += 5000 * MS;
         assertTrue(
-                fixture.request(PAGE, 1059).fillSource() >= 801
-                        && !fixture.requestServed(PAGE, 1059).onlyIfCached(),
+                fixture.startRequest(PAGE, 1059).fillSource() >= 801
+                        && !fixture.serveRequest(PAGE, 1059).onlyIfCached(),
                 "requested before: hot");
         fixture.now += 5000 * MS;
-        assertTrue(fixture.requestServed(PAGE, 6000).onlyIfCached(), "requested once");
+        assertTrue(fixture.serveRequest(PAGE, 6000).onlyIfCached(), "requested once");
     }
 
     private static RequestReceived withoutSize(RequestReceived request) {
@@ -105,11 +106,11 @@
                 request.deadlineNs());
     }
 
-    private static void jamFillLink(RouterFixture fixture) {
+    private static void congestFillLink(RouterFixture fixture) {
         for (int round = 0; round < 30; round++) {
             List<StartAttempt> attempts = new ArrayList<>();
             for (int i = 0; i < 10; i++) {
-                StartAttempt attempt = fixture.request(PAGE, round * 100 + i);
+                StartAttempt attempt = fixture.startRequest(PAGE, round * 100 + i);
                 if (attempt != null) {
                     attempts.add(attempt);
                 }
@@ -124,7 +125,7 @@
     private static boolean onlyIfCachedAfterOriginFailures(int dispatchers) {
         RouterFixture fixture = afterOriginFailures(dispatchers);
         fixture.now += MS;
-        return fixture.request(PAGE, 5000).onlyIfCached();
+        return fixture.startRequest(PAGE, 5000).onlyIfCached();
     }
 
     private static RouterFixture afterOriginFailures(int dispatchers) {
@@ -133,11 +134,11 @@
                         .withEndpoints();
         for (int i = 0; i < 60; i++) {
             fixture.now += 100 * MS;
-            StartAttempt attempt = fixture.request(PAGE, 1000 + i);
+            StartAttempt attempt = fixture.startRequest(PAGE, 1000 + i);
             while (attempt != null) {
                 boolean cachedOnly = attempt.onlyIfCached() || !attempt.fillsOnMiss();
                 attempt =
-                        attemptIn(
+                        firstAttempt(
                                 fixture.complete(
                                         attempt,
                                         cachedOnly
--- a/src/test/java/brooklock/routing/RetryBudgetTest.java
+++ b/src/test/java/brooklock/routing/RetryBudgetTest.java
@@ -5,24 +5,24 @@
 
 import org.junit.jupiter.api.Test;
 
-/** The share of extra attempts. */
+/** Tests the limit on extra attempts. */
 class RetryBudgetTest {
     /**
-     * Every request fails and wants a retry. After the few saved ones, only a fifth of the requests
-     * get one, so the endpoints that are left get little more than they did.
+     * Every request fails and needs a retry. Once the saved attempts are used up, only a fifth of
+     * the requests may get one, so that the load on the remaining endpoints hardly rises.
      */
     @Test
     void extraAttemptsStayAFifthOfTheRequestsWhenAllFail() {
         RetryBudget budget = new RetryBudget();
         int saved = 0;
-        for (; budget.hasAttempt(); saved++) {
+        for (; budget.hasAvailableAttempt(); saved++) {
             budget.spendAttempt();
         }
         assertEquals(20, saved);
         int extra = 0;
         for (int i = 0; i < 1000; i++) {
             budget.onRequest();
-            if (budget.hasAttempt()) {
+            if (budget.hasAvailableAttempt()) {
                 budget.spendAttempt();
                 extra++;
             }
@@ -30,9 +30,12 @@
         assertEquals(200, extra, 1);
     }
 
-    /** A quiet hour saves no more than a burst may use: a long save would undo the bound. */
+    /**
+     * A long time without failures must not save more attempts than one burst may use, or the limit
+     * would have no effect.
+     */
     @Test
-    void noMoreThanABurstIsSaved() {
+    void savedAttemptsAreBounded() {
         RetryBudget budget = new RetryBudget();
         for (int i = 0; i < 100_000; i++) {
             budget.onRequest();
@@ -40,6 +43,6 @@
         for (int i = 0; i < 20; i++) {
             budget.spendAttempt();
         }
-        assertFalse(budget.hasAttempt());
+        assertFalse(budget.hasAvailableAttempt());
     }
 }
