--- a/src/main/java/brooklock/net/BufferPool.java
+++ b/src/main/java/brooklock/net/BufferPool.java
@@ -4,25 +4,27 @@
 import java.util.ArrayDeque;
 
 /**
- * Direct buffers of one I/O thread. A connection holds a buffer only while it has unconsumed input,
- * so an idle connection costs none.
+ * Pools the direct buffers of one I/O thread; used on that thread only. A connection holds a buffer
+ * only while it has unconsumed input, so that an idle connection holds none.
  */
 final class BufferPool {
-    /** Bytes of a buffer: enough for a usual head, and few reads for a large body. */
+    /**
+     * Size of a buffer, in bytes: a typical message head fits, and a large body takes few reads.
+     */
     static final int BUFFER_BYTES = 16 * 1024;
 
-    /** Buffers kept for reuse; further ones are left to the garbage collector. */
+    /** Maximum number of buffers kept for reuse; the garbage collector frees the others. */
     private static final int MAX_POOLED_BUFFERS = 256;
 
     private final ArrayDeque<ByteBuffer> pooled = new ArrayDeque<>();
 
-    /** Takes an empty buffer, ready to be filled. */
+    /** Returns an empty buffer in write mode, which the caller must {@link #release}. */
     ByteBuffer acquire() {
         ByteBuffer buffer = pooled.pollFirst();
         return buffer == null ? ByteBuffer.allocateDirect(BUFFER_BYTES) : buffer;
     }
 
-    /** Returns a buffer; its holder must not touch it afterwards. */
+    /** Takes back a buffer, which the caller must not access afterwards. */
     void release(ByteBuffer buffer) {
         if (pooled.size() < MAX_POOLED_BUFFERS) {
             pooled.addFirst(buffer.clear());
--- a/src/main/java/brooklock/net/CallFailure.java
+++ b/src/main/java/brooklock/net/CallFailure.java
@@ -1,17 +1,20 @@
 package brooklock.net;
 
-/** How a call to an endpoint failed. */
+/** Describes how a {@link ClientCall} failed, and whether the endpoint can have executed it. */
 public enum CallFailure {
-    /** No connection was established in time: the endpoint has seen nothing of the request. */
+    /** No connection was established in time, so the endpoint received no byte of the request. */
     NOT_CONNECTED(true),
-    /** Given up by {@link ResponseHandler#shouldSend} before a byte was written. */
+    /** {@link ResponseHandler#shouldSend} returned false, so no byte of the request was written. */
     NOT_SENT(true),
-    /** The connection broke after some of the request was written; it may have been executed. */
+    /**
+     * The connection was lost after a part of the request was written, which may have been
+     * executed.
+     */
     CONNECTION_LOST(false),
-    /** The response is not HTTP, or exceeds a limit; the request may have been executed. */
+    /** The response is not valid HTTP or exceeds a limit; the request may have been executed. */
     MALFORMED_RESPONSE(false);
 
-    /** Whether the endpoint cannot have executed the request. */
+    /** Whether this failure proves that the endpoint has not executed the request. */
     public final boolean provesNotExecuted;
 
     CallFailure(boolean provesNotExecuted) {
--- a/src/main/java/brooklock/net/ClientCall.java
+++ b/src/main/java/brooklock/net/ClientCall.java
@@ -3,7 +3,12 @@
 import brooklock.http.RequestHead;
 import org.xnio.XnioExecutor;
 
-/** One request to an endpoint and its progress. Used on the client's I/O thread only. */
+/**
+ * One request that an {@link HttpClient} sends to an endpoint. The call waits for a connection, is
+ * carried by one, and ends with {@link ResponseHandler#onComplete}, {@link
+ * ResponseHandler#onFailure} or {@link #cancel}. Not thread-safe: all methods must be called on the
+ * client's I/O thread.
+ */
 public final class ClientCall {
     final RequestHead head;
     final byte[] body;
@@ -21,12 +26,12 @@
         this.handler = handler;
     }
 
-    /** The call waits for a connection; {@code timeout} ends the wait. */
+    /** Called when the call starts to wait for a connection; {@code timeout} ends the wait. */
     void onQueued(XnioExecutor.Key timeout) {
         waitTimeout = timeout;
     }
 
-    /** The call no longer waits for a connection. */
+    /** Called when the call stops waiting for a connection; cancels the wait's timeout. */
     void onDequeued() {
         if (waitTimeout != null) {
             waitTimeout.remove();
@@ -34,7 +39,7 @@
         }
     }
 
-    /** The connection that carries the call now; null while there is none. */
+    /** Sets the connection that carries the call; null when the call returns to the pool. */
     void attach(HttpClientConnection assigned) {
         connection = assigned;
     }
@@ -54,7 +59,10 @@
         }
     }
 
-    /** Resumes reading after {@link ResponseHandler#onBody} returned false. */
+    /**
+     * Resumes reading after {@link ResponseHandler#onBody} returned false. The handler may be
+     * called before this returns, and the piece it was given last is no longer valid.
+     */
     public void resume() {
         if (!ended && connection != null) {
             connection.resume();
@@ -62,8 +70,9 @@
     }
 
     /**
-     * Cancels the call. Its connection is closed, since the rest of the response would have to be
-     * read before the connection could be reused; the handler is not called any more.
+     * Cancels the call; the handler is not called any more. The connection that carries the call is
+     * closed, since it could be reused only after the rest of the response had been read. Does
+     * nothing if the call has ended.
      */
     public void cancel() {
         if (ended || cancelled) {
--- a/src/main/java/brooklock/net/ClientLimits.java
+++ b/src/main/java/brooklock/net/ClientLimits.java
@@ -3,20 +3,26 @@
 import brooklock.http.HttpLimits;
 
 /**
- * The limits of an {@link HttpClient}, each per endpoint and I/O thread. Times in nanoseconds.
+ * Limits of an {@link HttpClient}, each of which applies per endpoint and I/O thread. Immutable, so
+ * that threads may share one. Times are in nanoseconds.
  *
- * @param http limits of a response; exceeding one is {@link CallFailure#MALFORMED_RESPONSE}
- * @param maxConnections connections open at once; further calls wait
- * @param maxConnecting connections being established at once; further calls wait for one of them,
- *     or for a connection that becomes free
- * @param maxWaitingCalls waiting calls; further ones fail at once as {@link
+ * @param http limits of a response; a call whose response exceeds one fails with {@link
+ *     CallFailure#MALFORMED_RESPONSE}
+ * @param maxConnections maximum number of open connections, those being established included;
+ *     further calls wait
+ * @param maxConnecting maximum number of connections being established at once; further calls wait
+ *     for one of them or for a connection that becomes free
+ * @param maxWaitingCalls maximum number of calls that wait for a connection, beyond one for each
+ *     connection being established; a further call fails at once with {@link
  *     CallFailure#NOT_CONNECTED}
- * @param maxIdleConnections connections kept for reuse
- * @param connectTimeoutNs time for a connection to be established, and for a call to wait for one
- * @param idleTimeoutNs time until an unused connection is closed; shorter than any endpoint's own,
- *     so that a request is rarely written to a connection that the endpoint is closing
- * @param stallTimeoutNs time without a byte of a body that has begun; the call then fails as {@link
- *     CallFailure#CONNECTION_LOST}
+ * @param maxIdleConnections maximum number of idle connections kept for reuse
+ * @param connectTimeoutNs maximum time to establish a connection, and maximum time that a call
+ *     waits for one
+ * @param idleTimeoutNs time after which an idle connection is closed; it must be shorter than the
+ *     idle timeout of every endpoint, so that a request is rarely written to a connection that the
+ *     endpoint is closing
+ * @param stallTimeoutNs maximum time in which no further byte of a response body arrives, after
+ *     which the call fails with {@link CallFailure#CONNECTION_LOST}
  */
 public record ClientLimits(
         HttpLimits http,
@@ -29,7 +35,7 @@
         long stallTimeoutNs) {
     private static final long SECOND_NS = 1_000_000_000L;
 
-    /** Limits for a client that states none of its own. */
+    /** Default limits. */
     public static final ClientLimits STANDARD =
             new ClientLimits(
                     HttpLimits.STANDARD,
@@ -41,7 +47,7 @@
                     15 * SECOND_NS,
                     30 * SECOND_NS);
 
-    /** Returns these limits with another connect timeout, ns. */
+    /** Returns a copy of these limits with the given connect timeout, in nanoseconds. */
     public ClientLimits withConnectTimeoutNs(long timeoutNs) {
         return new ClientLimits(
                 http,
@@ -54,7 +60,7 @@
                 stallTimeoutNs);
     }
 
-    /** Returns these limits with others on connections, waiting calls and idle connections. */
+    /** Returns a copy with the given maximum of connections, waiting calls and idle connections. */
     public ClientLimits withConnections(int max, int maxWaiting, int maxIdle) {
         return new ClientLimits(
                 http,
@@ -67,7 +73,7 @@
                 stallTimeoutNs);
     }
 
-    /** Returns these limits with another on connections being established. */
+    /** Returns a copy with the given maximum of connections being established at once. */
     public ClientLimits withMaxConnecting(int max) {
         return new ClientLimits(
                 http,
--- a/src/main/java/brooklock/net/ConnectAttempt.java
+++ b/src/main/java/brooklock/net/ConnectAttempt.java
@@ -9,7 +9,10 @@
 import org.xnio.Options;
 import org.xnio.StreamConnection;
 
-/** A {@link RawConnection} that is being established. */
+/**
+ * An attempt to establish a {@link RawConnection}. Not thread-safe: all methods must be called on
+ * the I/O thread that the connection will belong to.
+ */
 public final class ConnectAttempt extends PendingConnect {
     private final InetSocketAddress address;
     private final Consumer<RawConnection> onOpened;
@@ -27,11 +30,14 @@
     }
 
     /**
-     * Begins to connect. Called on the loop's thread, on which exactly one of the two callbacks is
-     * called later, never from within this call; none after {@link #cancel}.
+     * Starts an attempt. Exactly one of the two callbacks is called on the loop's thread, after
+     * this method has returned; neither is called after {@link #cancel}.
      *
-     * @param timeoutNs time for the connection to be established, ns
-     * @param onFailed receives the reason in plain words
+     * @param loop the I/O thread of the connection, on which this method must be called
+     * @param address the address to connect to
+     * @param timeoutNs maximum time to establish the connection, in nanoseconds
+     * @param onOpened receives the connection, on which {@link RawConnection#start} must be called
+     * @param onFailed receives the reason, as text for a log line
      */
     public static ConnectAttempt connect(
             IoLoop loop,
@@ -50,8 +56,8 @@
                 address, whenOpen, OptionMap.create(Options.TCP_NODELAY, true));
     }
 
-    // Later even on the loop's own thread: the caller must hold the attempt before it is called
-    // back.
+    // The callback is queued even on the loop's own thread: the caller must have the attempt before
+    // one of its callbacks runs.
     @Override
     void dispatch(Runnable callback) {
         loop.execute(callback);
@@ -73,7 +79,7 @@
         }
     }
 
-    /** Cancels the attempt; neither callback is called any more. */
+    /** Cancels the attempt; neither callback is called any more. Does nothing if it has ended. */
     public void cancel() {
         if (settle()) {
             cancelChannel();
--- a/src/main/java/brooklock/net/Connection.java
+++ b/src/main/java/brooklock/net/Connection.java
@@ -9,8 +9,12 @@
 import org.xnio.ssl.SslConnection;
 
 /**
- * What every kind of connection shares: the input that has not been consumed, the queue of output,
- * one movable deadline, and a close that happens once. Belongs to one I/O thread.
+ * Base class of all connections. It holds the unconsumed input, the queue of output and one movable
+ * deadline, and ensures that the connection is closed only once.
+ *
+ * <p>Not thread-safe: all methods and fields are used on the connection's I/O thread only.
+ * Subclasses call {@link #listenForReadiness} once, and suspend and resume reading and writing
+ * themselves.
  */
 abstract class Connection {
     final IoLoop loop;
@@ -20,14 +24,14 @@
     final DeadlineTimer deadline;
 
     /**
-     * Whether the connection is encrypted. A TLS record may have been read from the socket and not
-     * been decrypted yet, so waiting for socket readiness alone would stall.
+     * Whether the connection uses TLS. A TLS record may have been read from the socket without
+     * having been decrypted, so a reader that waits for socket readiness alone could stall.
      */
     final boolean tls;
 
     /**
-     * Input that has not been consumed, in a buffer that is ready to be added to; null while there
-     * is none, so that an idle connection holds no buffer.
+     * The unconsumed input, in a buffer in write mode; null while there is none, so that an idle
+     * connection holds no buffer.
      */
     ByteBuffer input;
 
@@ -42,25 +46,26 @@
         deadline = new DeadlineTimer(loop, this::onTimeout);
     }
 
-    /** Asks for the readiness callbacks; reads and writes must still be resumed. */
+    /** Registers the readiness callbacks, which are called once reads or writes are resumed. */
     final void listenForReadiness() {
         source.setReadListener(ready -> onReadable());
         channel.getSinkChannel().setWriteListener(ready -> onWritable());
     }
 
-    /** The deadline has passed. */
+    /** Called when the deadline has passed. */
     abstract void onTimeout();
 
-    /** The socket has input, or its input has ended. */
+    /** Called when the socket has input or its input has ended. */
     abstract void onReadable();
 
-    /** The socket takes output again. */
+    /** Called when the socket accepts output again. */
     abstract void onWritable();
 
     /**
-     * Reads into the input buffer, which is taken from the pool where there is none.
+     * Reads into the input buffer, which is acquired from the pool if there is none.
      *
-     * @return the bytes read, or -1 at the end of input
+     * @return the number of bytes read, or -1 at the end of input
+     * @throws IOException if the connection is lost
      */
     final int readInput() throws IOException {
         if (input == null) {
@@ -70,9 +75,12 @@
     }
 
     /**
-     * Writes what waits, and asks for {@link #onWritable} while something still does.
+     * Writes the queued output. If the socket does not accept all of it, {@link #onWritable} is
+     * called when it accepts more.
      *
-     * @return true once everything is written that had been waiting for {@code onWritable}
+     * @return true if this call wrote the last of output that earlier had to wait for {@code
+     *     onWritable}; false if output remains or none had to wait
+     * @throws IOException if the connection is lost
      */
     final boolean flushOutput() throws IOException {
         ConduitStreamSinkChannel sink = channel.getSinkChannel();
@@ -80,23 +88,26 @@
             sink.resumeWrites();
             return false;
         }
-        boolean wasWaiting = sink.isWriteResumed();
-        if (wasWaiting) {
+        boolean wasWriteResumed = sink.isWriteResumed();
+        if (wasWriteResumed) {
             sink.suspendWrites();
         }
-        return wasWaiting;
+        return wasWriteResumed;
     }
 
     /**
-     * Ends the sending side. The peer reads everything that was written, then the end; closing
-     * instead over unread input would reset the connection and discard what was written.
+     * Shuts down the sending side, so that the peer reads everything written and then the end of
+     * input. Closing the socket while input is unread would instead reset the connection, and the
+     * peer might lose what was written.
      */
     final void shutDownOutput() throws IOException {
         channel.getSinkChannel().shutdownWrites();
         channel.getSinkChannel().flush();
     }
 
-    /** Keeps what was not consumed of an input buffer that was flipped for reading. */
+    /**
+     * Returns the input buffer to write mode with its unconsumed bytes; releases it if it is empty.
+     */
     final void keepUnconsumed() {
         if (input != null) {
             input.compact();
@@ -116,7 +127,7 @@
     /**
      * Closes the connection.
      *
-     * @return false where it had been closed before
+     * @return false if it had been closed before
      */
     final boolean closeOnce() {
         if (closed) {
--- a/src/main/java/brooklock/net/DeadlineTimer.java
+++ b/src/main/java/brooklock/net/DeadlineTimer.java
@@ -3,9 +3,10 @@
 import org.xnio.XnioExecutor;
 
 /**
- * One deadline that can be moved cheaply. Moving it later costs a field write: the timer that is
- * already set checks again when it fires. So a connection that is always busy sets a timer no more
- * often than its timeout is long.
+ * A deadline that can be moved cheaply; used on one I/O thread only. To move it later is a field
+ * write: the timer that is already scheduled compares the time with the deadline when it fires and
+ * is rescheduled if necessary. A connection that is always busy therefore schedules at most one
+ * timer per timeout period.
  */
 final class DeadlineTimer {
     private static final long NONE = Long.MAX_VALUE;
@@ -19,14 +20,14 @@
     /**
      * Creates a timer without a deadline.
      *
-     * @param onExpired called on the loop's thread, once for each deadline that passes
+     * @param onExpired called on the loop's thread, once for each deadline that expires
      */
     DeadlineTimer(IoLoop loop, Runnable onExpired) {
         this.loop = loop;
         this.onExpired = onExpired;
     }
 
-    /** Sets the deadline so many nanoseconds from now, in place of any set before. */
+    /** Sets the deadline to {@code timeoutNs} from now, replacing the previous one. */
     void startTimeout(long timeoutNs) {
         long now = System.nanoTime();
         deadlineNs = now + timeoutNs;
@@ -37,12 +38,14 @@
         }
     }
 
-    /** Takes the deadline away; the timer stays set, in case a deadline follows soon. */
+    /**
+     * Removes the deadline. The timer stays scheduled, since another deadline often follows soon.
+     */
     void clear() {
         deadlineNs = NONE;
     }
 
-    /** Takes the deadline and the timer away, at the end of the connection. */
+    /** Removes the deadline and cancels the timer; called when the connection is closed. */
     void cancel() {
         clear();
         cancelTimer();
--- a/src/main/java/brooklock/net/HttpClient.java
+++ b/src/main/java/brooklock/net/HttpClient.java
@@ -9,8 +9,11 @@
 import org.xnio.ssl.JsseXnioSsl;
 
 /**
- * Sends HTTP/1.1 requests from one I/O thread, with a pool of connections for each address. Used on
- * its I/O thread only.
+ * Sends HTTP/1.1 requests from one I/O thread, with a pool of connections for each address.
+ *
+ * <p>Not thread-safe: all methods must be called on the client's I/O thread, and all handlers are
+ * called on it. No time limit applies from the start of the request to the response head; a caller
+ * that needs one schedules a timer and calls {@link ClientCall#cancel}.
  */
 public final class HttpClient {
     private final IoLoop loop;
@@ -18,7 +21,7 @@
     private final JsseXnioSsl tls;
     private final Map<InetSocketAddress, HttpConnectionPool> pools = new HashMap<>();
 
-    /** Creates a client with plain connections. */
+    /** Creates a client that uses connections without TLS. */
     public HttpClient(IoLoop loop, ClientLimits limits) {
         this(loop, limits, null);
     }
@@ -26,8 +29,10 @@
     /**
      * Creates a client.
      *
-     * @param tlsContext checks the endpoints' certificates with its trust manager; null for plain
-     *     connections
+     * @param loop the I/O thread of the client
+     * @param limits the limits for each endpoint
+     * @param tlsContext the TLS context whose trust manager checks the endpoints' certificates;
+     *     null for connections without TLS
      */
     public HttpClient(IoLoop loop, ClientLimits limits, SSLContext tlsContext) {
         this.loop = loop;
@@ -42,8 +47,13 @@
     /**
      * Sends a request.
      *
-     * @param body the whole body; must not change until the call has ended
-     * @param handler receives the response; may fail before this returns
+     * @param endpoint the address of the endpoint
+     * @param head the request's head
+     * @param body the whole body, empty if there is none; must not change until the call has ended
+     * @param handler receives the response; its {@link ResponseHandler#onFailure} may be called
+     *     before this method returns
+     * @return the call, which can be cancelled
+     * @throws IllegalStateException if called on a thread other than the client's I/O thread
      */
     public ClientCall send(
             InetSocketAddress endpoint, RequestHead head, byte[] body, ResponseHandler handler) {
@@ -56,7 +66,13 @@
         return call;
     }
 
-    /** Closes the idle connections to an endpoint, for instance one that has left the list. */
+    /**
+     * Closes the idle connections to an endpoint, for instance when the endpoint list no longer
+     * contains it.
+     *
+     * @param endpoint the address of the endpoint
+     * @throws IllegalStateException if called on a thread other than the client's I/O thread
+     */
     public void closeIdle(InetSocketAddress endpoint) {
         loop.checkThread();
         HttpConnectionPool pool = pools.get(endpoint);
--- a/src/main/java/brooklock/net/HttpClientConnection.java
+++ b/src/main/java/brooklock/net/HttpClientConnection.java
@@ -11,10 +11,15 @@
 import java.nio.ByteBuffer;
 import org.xnio.StreamConnection;
 
-/** The client's side of one connection to an endpoint; it carries one call at a time. */
+/**
+ * The client side of one connection to an endpoint, which carries one call at a time. Used on its
+ * I/O thread only. Its {@link HttpConnectionPool} calls {@link #start} for each call and {@link
+ * #becomeIdle} when none is waiting.
+ */
 final class HttpClientConnection extends Connection {
     /**
-     * Interim responses before a final one; without a bound an endpoint could hold a call for ever.
+     * Maximum number of interim responses before the final one; without a maximum an endpoint could
+     * keep a call open for ever.
      */
     private static final int MAX_INTERIM_RESPONSES = 8;
 
@@ -31,7 +36,7 @@
     private int interimResponses;
     private int callsStarted;
 
-    /** The handler has asked to stop reading, and still uses the input buffer. */
+    /** Whether the handler has paused reading; it may still be using the input buffer. */
     private boolean paused;
 
     HttpClientConnection(
@@ -41,11 +46,12 @@
         this.limits = limits;
         parser = new ResponseParser(limits.http());
         listenForReadiness();
-        channel.setCloseListener(gone -> onConnectionLost("connection closed"));
+        channel.setCloseListener(closedChannel -> onConnectionLost("the connection was closed"));
     }
 
     /**
-     * Whether an idle connection is usable: neither closed by the endpoint nor sent unasked data.
+     * Returns whether an idle connection is usable: the endpoint has neither closed it nor sent
+     * data without a request.
      */
     boolean isAlive() {
         if (closed) {
@@ -63,7 +69,8 @@
 
     void start(ClientCall newCall) {
         if (!newCall.handler.shouldSend()) {
-            newCall.fail(CallFailure.NOT_SENT, "called off before it was sent");
+            newCall.fail(
+                    CallFailure.NOT_SENT, "the handler cancelled the request before it was sent");
             pool.release(this);
             return;
         }
@@ -104,11 +111,13 @@
             return;
         }
         try {
-            // One buffer at a time is enough, since the socket stays ready while there is more. Not
-            // so with TLS, where a record may have been read from the socket but not decrypted.
-            boolean more = readOnce();
-            while (more && tls && !closed && !paused) {
-                more = readOnce();
+            // Without TLS one buffer per callback is enough, since the socket stays ready while it
+            // has input. With TLS a record may have been read from the socket but not decrypted,
+            // and
+            // the socket does not become ready for it again.
+            boolean inputArrived = readOnce();
+            while (inputArrived && tls && !closed && !paused) {
+                inputArrived = readOnce();
             }
         } catch (HttpProtocolException e) {
             fail(CallFailure.MALFORMED_RESPONSE, e.getMessage());
@@ -118,9 +127,11 @@
     }
 
     /**
-     * Reads and processes one buffer.
+     * Reads and processes at most one buffer of input.
      *
      * @return whether any input arrived
+     * @throws IOException if the connection is lost
+     * @throws HttpProtocolException if the response is malformed or exceeds a limit
      */
     private boolean readOnce() throws IOException, HttpProtocolException {
         int bytesRead = readInput();
@@ -141,11 +152,11 @@
         }
         input.flip();
         parse();
-        keepRestUnlessPaused();
+        keepUnconsumedUnlessPaused();
         return bytesRead > 0;
     }
 
-    private void keepRestUnlessPaused() {
+    private void keepUnconsumedUnlessPaused() {
         if (!paused) {
             keepUnconsumed();
         }
@@ -160,7 +171,14 @@
             if (parsed.status() < 200) {
                 if (++interimResponses > MAX_INTERIM_RESPONSES || parsed.status() == 101) {
                     throw new HttpProtocolException(
-                            502, "interim answers without end, or a switch nobody asked for");
+                            502,
+                            "expected a final response after at most "
+                                    + MAX_INTERIM_RESPONSES
+                                    + " interim responses, and never status 101, but received"
+                                    + " interim response "
+                                    + interimResponses
+                                    + " with status "
+                                    + parsed.status());
                 }
                 continue;
             }
@@ -202,7 +220,7 @@
         }
     }
 
-    /** The handler can take more of the body. */
+    /** Resumes reading after the handler paused it, and first delivers what is in the buffer. */
     void resume() {
         if (!paused || closed) {
             return;
@@ -211,7 +229,7 @@
         source.resumeReads();
         try {
             deliverBody();
-            keepRestUnlessPaused();
+            keepUnconsumedUnlessPaused();
             if (tls && !closed && !paused) {
                 source.wakeupReads();
             }
@@ -220,12 +238,13 @@
         }
     }
 
-    // ---- Ends
+    // ---- Completion, failure and close
 
     private void completeCall() {
         ClientCall finishedCall = call;
         boolean reusable = head.isPersistent() && !input.hasRemaining() && writeQueue.isEmpty();
-        // Read first: a waiting call starts on this connection as soon as it is released.
+        // Read before the release: a waiting call starts on this connection during it and resets
+        // body.
         Fields trailers = body.trailers();
         call = null;
         finishedCall.markEnded();
@@ -241,7 +260,8 @@
 
     private void onEndOfInput() {
         if (call == null || body == null) {
-            onConnectionLost("closed by the endpoint");
+            onConnectionLost(
+                    "the endpoint closed the connection before a complete response head arrived");
             return;
         }
         try {
@@ -252,7 +272,7 @@
         }
     }
 
-    // A body that lasts until the connection is closed is complete now.
+    // The end of input completes a body that is delimited by the close of the connection.
     private void completeAtClose() {
         ClientCall finishedCall = call;
         call = null;
@@ -261,8 +281,9 @@
         finishedCall.handler.onComplete(body.trailers());
     }
 
-    // A reused connection that turns out closed before a byte was written is no attempt: the call
-    // moves to another. Once a byte was written the endpoint may have executed the request.
+    // If a reused connection was lost before a byte of the request was written, the call is
+    // submitted
+    // again. Once a byte was written the endpoint may have executed the request, so the call fails.
     private void onConnectionLost(String reason) {
         ClientCall affectedCall = call;
         if (affectedCall == null || writeQueue.writtenBytes() > writtenBeforeCall) {
@@ -280,7 +301,9 @@
     @Override
     void onTimeout() {
         if (call != null) {
-            fail(CallFailure.CONNECTION_LOST, "the endpoint stopped in the middle of its response");
+            fail(
+                    CallFailure.CONNECTION_LOST,
+                    "no more of the response body arrived within the stall timeout");
         } else {
             closeNow();
         }
@@ -295,13 +318,16 @@
         }
     }
 
-    /** The connection waits in the pool; reading shows when the endpoint closes it. */
+    /**
+     * Called when the pool keeps the connection for reuse. Reading stays resumed, so that a close
+     * by the endpoint is noticed.
+     */
     void becomeIdle() {
         deadline.startTimeout(limits.idleTimeoutNs());
         source.resumeReads();
     }
 
-    /** Closes the connection at once; a call that it carries fails. */
+    /** Closes the connection at once; the call that it carries fails. */
     void closeNow() {
         if (!closeOnce()) {
             return;
@@ -310,7 +336,7 @@
         ClientCall affectedCall = call;
         call = null;
         if (affectedCall != null) {
-            affectedCall.fail(CallFailure.CONNECTION_LOST, "connection closed");
+            affectedCall.fail(CallFailure.CONNECTION_LOST, "the connection was closed");
         }
     }
 }
--- a/src/main/java/brooklock/net/HttpConnectionPool.java
+++ b/src/main/java/brooklock/net/HttpConnectionPool.java
@@ -6,11 +6,12 @@
 import org.xnio.ssl.JsseXnioSsl;
 
 /**
- * The connections of one I/O thread to one endpoint, and the calls that wait for one.
+ * The connections of one I/O thread to one endpoint, and the calls that wait for a connection. Used
+ * on that I/O thread only; nothing is shared with the pools of other threads.
  *
- * <p>A call that finds no idle connection waits for the first that is established or becomes free,
- * no longer than a connect may take. All limits are per endpoint and I/O thread; nothing is shared
- * with the pools of other threads.
+ * <p>A call that finds no idle connection waits for the next one that is established or becomes
+ * free, for at most {@link ClientLimits#connectTimeoutNs}. Waiting calls are served in the order in
+ * which they were submitted.
  */
 final class HttpConnectionPool {
     private final IoLoop loop;
@@ -20,7 +21,7 @@
     private final ArrayDeque<HttpClientConnection> idleConnections = new ArrayDeque<>();
     private final ArrayDeque<ClientCall> waitingCalls = new ArrayDeque<>();
 
-    /** All connections, those being established included. */
+    /** Number of all connections, including those being established. */
     private int openCount;
 
     private int connectingCount;
@@ -33,13 +34,16 @@
         this.tls = tls;
     }
 
+    /** Starts the call on an idle connection, or queues it until a connection is available. */
     void submit(ClientCall call) {
         loop.checkThread();
         if (startOnIdle(call)) {
             return;
         }
         if (waitingCalls.size() - connectingCount >= limits.maxWaitingCalls()) {
-            call.fail(CallFailure.NOT_CONNECTED, "too many wait for a connection");
+            call.fail(
+                    CallFailure.NOT_CONNECTED,
+                    "the maximum number of calls is already waiting for a connection");
             return;
         }
         waitingCalls.add(call);
@@ -58,7 +62,7 @@
         waitingCalls.remove(call);
     }
 
-    // The connection used last is the least likely to have been closed by the endpoint meanwhile.
+    // The connection used most recently is the least likely to have been closed by the endpoint.
     private boolean startOnIdle(ClientCall call) {
         for (HttpClientConnection connection = idleConnections.pollFirst();
                 connection != null;
@@ -72,8 +76,10 @@
         return false;
     }
 
-    // One for each waiting call, but few at a time: each connect keeps the endpoint busy (with TLS
-    // for milliseconds), and a connection that becomes free may serve a call before its own is up.
+    // Opens up to one connection for each waiting call, but only a few at a time: each connect
+    // costs
+    // the endpoint CPU time (milliseconds with TLS), and a connection that becomes free may serve a
+    // call before a new one is established.
     private void connectMore() {
         while (connectingCount < waitingCalls.size()
                 && connectingCount < limits.maxConnecting()
@@ -84,13 +90,17 @@
         }
     }
 
+    /** Called when a connection, including its TLS handshake, has been established. */
     void onConnected(StreamConnection channel) {
         connectingCount--;
         release(new HttpClientConnection(this, loop, channel, limits));
         connectMore();
     }
 
-    /** A connect has failed; so does the call that has waited longest, whatever it waited for. */
+    /**
+     * Called when a connect attempt has failed. The call that has waited longest fails with it,
+     * since no waiting call belongs to a particular attempt.
+     */
     void onConnectFailed(String reason) {
         connectingCount--;
         openCount--;
@@ -101,7 +111,9 @@
         connectMore();
     }
 
-    /** A connection can carry another call. */
+    /**
+     * Called when a connection can carry another call: a waiting call starts, or it becomes idle.
+     */
     void release(HttpClientConnection connection) {
         ClientCall waiting = waitingCalls.pollFirst();
         if (waiting != null) {
@@ -115,7 +127,7 @@
         }
     }
 
-    /** A connection has been closed. */
+    /** Called when a connection has been closed. */
     void onClosed(HttpClientConnection connection) {
         openCount--;
         idleConnections.remove(connection);
--- a/src/main/java/brooklock/net/HttpExchange.java
+++ b/src/main/java/brooklock/net/HttpExchange.java
@@ -11,8 +11,13 @@
 import java.util.function.Consumer;
 
 /**
- * One request that a server has received, and the response to it. Used on the connection's I/O
- * thread only.
+ * One request that a server has received, and the response to it.
+ *
+ * <p>Not thread-safe: all methods must be called on the connection's I/O thread ({@link #loop}),
+ * and all callbacks are called on it. The {@link RequestHandler} first reads the body with {@link
+ * #readBody} if it needs it. It then either calls {@link #send}, or {@link #startResponse}, any
+ * number of {@link #writeBody} and {@link #endResponse}. It may call {@link #abort} at any time.
+ * Once the exchange has ended, the methods that write or abort the response have no effect.
  */
 public final class HttpExchange {
     private static final byte[] NO_BYTES = new byte[0];
@@ -26,13 +31,13 @@
     private Runnable clientGoneAction;
     private Runnable writableAction;
     private boolean responseStarted;
-    private boolean responseEnding;
+    private boolean responseEndRequested;
     private boolean ended;
     private boolean chunked;
-    private boolean noResponseBody;
+    private boolean responseBodyOmitted;
     private boolean keepAlive;
 
-    /** Bytes of the response body still to come, or {@link #UNKNOWN_LENGTH}. */
+    /** Number of body bytes that remain to be written, or {@link #UNKNOWN_LENGTH}. */
     private long remainingBytes;
 
     HttpExchange(HttpServerConnection connection, RequestHead head, boolean hasBody) {
@@ -41,42 +46,51 @@
         this.hasBody = hasBody;
     }
 
-    /** The request's head. */
+    /** Returns the request's head. */
     public RequestHead head() {
         return head;
     }
 
-    /** The I/O thread of the exchange. */
+    /** Returns the I/O thread of the exchange. */
     public IoLoop loop() {
         return connection.loop;
     }
 
-    /** The client's address. */
+    /** Returns the client's address. */
     public InetSocketAddress peerAddress() {
         return connection.peerAddress();
     }
 
-    /** The client's certificate chain, its own first; null where it sent none. */
+    /**
+     * Returns the client's certificate chain, starting with its own certificate; null if the client
+     * sent none or does not use TLS.
+     */
     public X509Certificate[] certificates() {
         return connection.certificates();
     }
 
-    /** Whether a body follows the head. */
+    /** Returns whether the request has a body. */
     public boolean hasBody() {
         return hasBody;
     }
 
-    /** Sets what is called, once, if the client leaves before its response has been written. */
+    /**
+     * Sets the action that is called, at most once, if the connection is lost or the request cannot
+     * be completed before the response has been written.
+     *
+     * @param action the action, which replaces the previous one; null for none
+     */
     public void onClientGone(Runnable action) {
         clientGoneAction = action;
     }
 
-    // ---- The request's body
+    // ---- Request body
 
     /**
-     * Reads the whole body, which the listener's limits bound.
+     * Reads the whole body, whose size is bounded by the listener's limits. Called at most once.
      *
-     * @param consumer receives it; called before this returns where there is no body
+     * @param consumer receives the body; called with an empty array before this method returns if
+     *     there is no body
      */
     public void readBody(Consumer<byte[]> consumer) {
         if (!hasBody) {
@@ -107,18 +121,21 @@
         bodyConsumer.accept(complete);
     }
 
-    // ---- The response
+    // ---- Response
 
     boolean isResponseStarted() {
         return responseStarted;
     }
 
-    /** Whether the exchange has ended: by its response, or because the client has left. */
+    /**
+     * Returns whether the exchange has ended: the response has been written or aborted, or the
+     * client has disconnected.
+     */
     public boolean isEnded() {
         return ended;
     }
 
-    /** Sends a whole response. */
+    /** Sends a complete response with the given status, fields and body. */
     public void send(int status, Fields fields, byte[] content) {
         startResponse(new ResponseHead(status, fields), content.length);
         if (content.length > 0) {
@@ -128,11 +145,13 @@
     }
 
     /**
-     * Starts the response. The fields about framing and the connection are set here, in place of
-     * any that are given; {@code response} is changed by that.
+     * Starts the response. Sets the framing and connection fields in {@code response}, replacing
+     * any that it contains. Does nothing if the response has been started already.
      *
-     * @param length bytes of the body, or -1 where that is not known
-     * @return false where the socket is full already
+     * @param response the response's head, which this method modifies
+     * @param length the length of the body in bytes, or -1 if it is not known
+     * @return true if the socket accepted all output; false if the caller should wait for the
+     *     {@link #onWritable} action before it writes more
      */
     public boolean startResponse(ResponseHead response, long length) {
         if (responseStarted || ended) {
@@ -140,13 +159,13 @@
         }
         responseStarted = true;
         boolean statusWithoutBody = response.status() == 204 || response.status() == 304;
-        noResponseBody = head.method().equals("HEAD") || statusWithoutBody;
-        chunked = length < 0 && head.minorVersion() >= 1 && !noResponseBody;
-        remainingBytes = noResponseBody ? 0 : length < 0 ? UNKNOWN_LENGTH : length;
+        responseBodyOmitted = head.method().equals("HEAD") || statusWithoutBody;
+        chunked = length < 0 && head.minorVersion() >= 1 && !responseBodyOmitted;
+        remainingBytes = responseBodyOmitted ? 0 : length < 0 ? UNKNOWN_LENGTH : length;
         keepAlive =
                 head.isPersistent()
                         && connection.isReusable()
-                        && (length >= 0 || chunked || noResponseBody)
+                        && (length >= 0 || chunked || responseBodyOmitted)
                         && (!hasBody || (bodyConsumer != null && requestBody == null));
         Fields fields = response.fields();
         fields.remove("Transfer-Encoding").remove("Connection");
@@ -164,20 +183,26 @@
     }
 
     /**
-     * Writes a piece of the body.
+     * Writes a piece of the body. The piece is discarded if the response has no body or the
+     * exchange has ended.
      *
-     * @param piece must be left alone until all is written
-     * @return true if the socket took it; else the action given to {@link #onWritable} is called
-     *     once it has
-     * @throws IllegalStateException if the body gets longer than its stated length
+     * @param piece the bytes to write, which must not be modified until they are written
+     * @return true if the socket accepted the piece; false if it is queued, in which case the
+     *     {@link #onWritable} action is called once it has been written
+     * @throws IllegalStateException if the body becomes longer than the length given to {@link
+     *     #startResponse}
      */
     public boolean writeBody(ByteBuffer piece) {
-        if (ended || noResponseBody) {
+        if (ended || responseBodyOmitted) {
             piece.position(piece.limit());
             return true;
         }
         if (piece.remaining() > remainingBytes) {
-            throw new IllegalStateException("body longer than its stated length");
+            throw new IllegalStateException(
+                    "expected at most "
+                            + remainingBytes
+                            + " more bytes of the response body but received "
+                            + piece.remaining());
         }
         if (!piece.hasRemaining()) {
             return true;
@@ -190,29 +215,32 @@
         return connection.write(piece);
     }
 
-    /** Sets what is called when the socket has taken all, after a call that returned false. */
+    /** Sets the action that is called once queued output has been written; null for none. */
     public void onWritable(Runnable action) {
         writableAction = action;
     }
 
-    void socketWritable() {
-        if (responseEnding) {
+    void onSocketWritable() {
+        if (responseEndRequested) {
             finish();
         } else if (writableAction != null) {
             writableAction.run();
         }
     }
 
-    /** Ends the body. A body that is shorter than its stated length is aborted instead. */
+    /**
+     * Ends the response. Aborts it if the body is shorter than the length given to {@link
+     * #startResponse}.
+     */
     public void endResponse() {
-        if (ended || responseEnding) {
+        if (ended || responseEndRequested) {
             return;
         }
-        if (!noResponseBody && remainingBytes > 0 && remainingBytes != UNKNOWN_LENGTH) {
+        if (!responseBodyOmitted && remainingBytes > 0 && remainingBytes != UNKNOWN_LENGTH) {
             abort();
             return;
         }
-        responseEnding = true;
+        responseEndRequested = true;
         boolean written = chunked ? connection.write(HttpEncoder.lastChunk()) : connection.write();
         if (written && !ended) {
             finish();
@@ -222,13 +250,13 @@
     private void finish() {
         if (!ended) {
             ended = true;
-            connection.responseComplete(keepAlive);
+            connection.onResponseComplete(keepAlive);
         }
     }
 
     /**
-     * Ends the exchange so that the client sees an incomplete response: no last chunk, a short
-     * body, a connection reset.
+     * Aborts the exchange by resetting the connection, so that the client cannot take the response
+     * for complete.
      */
     public void abort() {
         if (!ended) {
@@ -237,8 +265,8 @@
         }
     }
 
-    /** The client has left, or its request cannot be completed. */
-    void clientGone() {
+    /** Called when the client has disconnected or its request cannot be completed. */
+    void onClientDisconnected() {
         if (!ended) {
             ended = true;
             if (clientGoneAction != null) {
--- a/src/main/java/brooklock/net/HttpListener.java
+++ b/src/main/java/brooklock/net/HttpListener.java
@@ -22,8 +22,12 @@
 import org.xnio.ssl.SslConnection;
 
 /**
- * A listening HTTP/1.1 socket and its open connections. Its public methods may be called from any
- * thread.
+ * An HTTP/1.1 server socket and its open connections, which passes each request to a {@link
+ * RequestHandler}. Listens from {@link #open} or {@link #openTls} until {@link #drain} or {@link
+ * #close}.
+ *
+ * <p>Thread-safe: all public methods may be called from any thread. The handler is called on the
+ * I/O thread of each connection, and hence on several threads at once if there are several.
  */
 public final class HttpListener implements Closeable {
     final ServerLimits limits;
@@ -66,8 +70,8 @@
     private AcceptingChannel<SslConnection> openEncrypted(
             InetSocketAddress address, OptionMap.Builder options, SSLContext tlsContext)
             throws IOException {
-        // Requested from every client, required of none: the route says whether a request needs
-        // one.
+        // A certificate is requested from every client but required from none: whether a request
+        // needs one depends on its route.
         options.set(Options.SSL_CLIENT_AUTH_MODE, SslClientAuthMode.REQUESTED)
                 .set(Options.SSL_ENABLED_PROTOCOLS, Sequence.of("TLSv1.3", "TLSv1.2"));
         ChannelListener<AcceptingChannel<SslConnection>> whenReady = this::accept;
@@ -76,10 +80,13 @@
     }
 
     /**
-     * Starts listening.
+     * Starts listening for connections without TLS.
      *
-     * @param address where to listen; port 0 lets the system choose
-     * @throws IOException where the address is in use or not one of this machine
+     * @param ioThreads the threads among which the connections are distributed
+     * @param address the address to listen on; with port 0 the system chooses a port
+     * @param limits the limits of the listener and of each connection
+     * @param requestHandler handles the requests
+     * @throws IOException if the address is in use or is not an address of this host
      */
     public static HttpListener open(
             IoThreads ioThreads,
@@ -91,11 +98,15 @@
     }
 
     /**
-     * Starts listening with TLS 1.3 and 1.2. A client certificate is requested, and checked by the
-     * context's trust manager where one is sent.
+     * Starts listening for TLS 1.3 and 1.2 connections. A client certificate is requested, and
+     * checked by the context's trust manager if the client sends one.
      *
-     * @param address where to listen; port 0 lets the system choose
-     * @throws IOException where the address is in use or not one of this machine
+     * @param ioThreads the threads among which the connections are distributed
+     * @param address the address to listen on; with port 0 the system chooses a port
+     * @param limits the limits of the listener and of each connection
+     * @param requestHandler handles the requests
+     * @param tlsContext the TLS context with the server's certificates and the trust manager
+     * @throws IOException if the address is in use or is not an address of this host
      */
     public static HttpListener openTls(
             IoThreads ioThreads,
@@ -108,42 +119,43 @@
     }
 
     /**
-     * Resets every connection whose client certificate is no longer trusted, whatever the
-     * connection is doing.
+     * Resets every connection whose client certificate is no longer trusted, even while a request
+     * is in flight on it. Returns before the connections have been closed.
      *
-     * @param isRevoked tests a certificate chain; called on the I/O threads
+     * @param isRevoked returns whether a certificate chain is no longer trusted; called on the I/O
+     *     threads
      */
     public void closeRevoked(Predicate<X509Certificate[]> isRevoked) {
         connections.forEach(c -> c.loop.execute(() -> c.closeIfRevoked(isRevoked)));
     }
 
-    /** The address that is listened on. */
+    /** Returns the local address, with the port that the system has chosen if 0 was given. */
     public InetSocketAddress address() {
         return channel.getLocalAddress(InetSocketAddress.class);
     }
 
-    /** Number of connections open now. */
+    /** Returns the number of open connections. */
     public int openConnections() {
         return openCount.get();
     }
 
-    /** Number of connections rejected since the start because the limit was reached. */
+    /** Returns the number of connections rejected since the start because of the limit on them. */
     public long rejectedConnections() {
         return rejectedCount.sum();
     }
 
-    // Unlike RawListener this accepts all that is ready in one turn and does not pause after a
-    // failed accept; the two loops stay apart since one for both would change either.
-    private void accept(AcceptingChannel<? extends StreamConnection> channelReady) {
+    // Unlike RawListener, this accepts every connection that is ready and does not pause after a
+    // failed accept. The loops are separate, since a common one would change one of the listeners.
+    private void accept(AcceptingChannel<? extends StreamConnection> readyChannel) {
         try {
-            StreamConnection accepted = channelReady.accept();
+            StreamConnection accepted = readyChannel.accept();
             while (accepted != null) {
                 register(accepted);
-                accepted = channelReady.accept();
+                accepted = readyChannel.accept();
             }
         } catch (IOException e) {
-            // This one connection is lost, or descriptors have run out; tried again when next
-            // ready.
+            // The connection was lost before it was accepted, or no file descriptor is available.
+            // Accepting resumes when the socket is next ready.
         }
     }
 
@@ -169,14 +181,17 @@
         return draining;
     }
 
-    /** Stops listening; each connection closes after its present request, an idle one at once. */
+    /**
+     * Stops listening, and closes each connection after its current request, or at once if it is
+     * idle. Returns before the connections have been closed.
+     */
     public void drain() {
         draining = true;
         IoUtils.safeClose(channel);
         connections.forEach(c -> c.loop.execute(c::drain));
     }
 
-    /** Stops listening and closes every connection. */
+    /** Stops listening and closes every connection; returns before they have been closed. */
     @Override
     public void close() {
         drain();
--- a/src/main/java/brooklock/net/HttpServerConnection.java
+++ b/src/main/java/brooklock/net/HttpServerConnection.java
@@ -14,13 +14,14 @@
 import org.xnio.StreamConnection;
 
 /**
- * The server's side of one connection. Requests are processed one at a time, in order: a pipelined
- * request waits unread, at most one buffer of it, until the response before it has been written.
+ * The server side of one connection. Used on its I/O thread only. Requests are processed one at a
+ * time and in order: at most one buffer of a pipelined request is read until the response to the
+ * request before it has been written.
  */
 final class HttpServerConnection extends Connection {
     /**
-     * After a last response the client's further input is read and discarded for so long: closing
-     * over unread input would make the system discard the response too (RFC 9112, section 9.6).
+     * How long further input is read and discarded after the last response. Closing the socket
+     * while input is unread could make the client lose the response (RFC 9112, section 9.6).
      */
     private static final long LINGER_TIMEOUT_NS = 500_000_000L;
 
@@ -29,7 +30,7 @@
     private final boolean overLimit;
     private BodyDecoder body;
 
-    /** The request being processed; null between requests. */
+    /** The current request; null between requests. */
     private HttpExchange exchange;
 
     private int requestCount;
@@ -37,7 +38,7 @@
     private boolean lingering;
     private boolean inputEnded;
 
-    /** Creates a connection; one that is {@code overLimit} only gets 503. */
+    /** Creates a connection; if {@code overLimit} is set it is answered with 503 and closed. */
     HttpServerConnection(
             HttpListener listener, IoLoop loop, StreamConnection channel, boolean overLimit) {
         super(loop, channel);
@@ -48,7 +49,7 @@
 
     void start() {
         listenForReadiness();
-        channel.setCloseListener(gone -> closeNow());
+        channel.setCloseListener(closedChannel -> closeNow());
         deadline.startTimeout(listener.limits.headTimeoutNs());
         if (overLimit) {
             reject(503, "connections are full");
@@ -66,7 +67,7 @@
             return;
         }
         try {
-            readWhileReady();
+            readAvailable();
         } catch (HttpProtocolException e) {
             onInvalidRequest(e);
         } catch (IOException e) {
@@ -74,11 +75,11 @@
         }
     }
 
-    private void readWhileReady() throws IOException, HttpProtocolException {
+    private void readAvailable() throws IOException, HttpProtocolException {
         while (!closed) {
             int bytesRead = readInput();
             if (closed) {
-                // A read that finds the end may close the connection at once.
+                // A read that reaches the end of input may close the connection.
                 return;
             }
             if (lingering) {
@@ -92,7 +93,7 @@
                 onEndOfInput();
                 return;
             }
-            boolean full = !input.hasRemaining();
+            boolean bufferFull = !input.hasRemaining();
             input.flip();
             parse();
             if (closed || input == null) {
@@ -100,13 +101,14 @@
             }
             keepUnconsumed();
             if (input != null && !input.hasRemaining()) {
-                // A pipelined request fills the buffer while the one before it is being processed.
+                // A pipelined request has filled the buffer while another one is being processed.
                 source.suspendReads();
                 return;
             }
-            // The socket stays ready while there is more, but not for a TLS record that was read
-            // from it and has not been decrypted.
-            if (bytesRead == 0 || (!full && !tls)) {
+            // The socket stays ready while it has input, but not for a TLS record that was read
+            // from
+            // it without having been decrypted.
+            if (bytesRead == 0 || (!bufferFull && !tls)) {
                 return;
             }
         }
@@ -163,8 +165,8 @@
         }
     }
 
-    // Between requests the end of input ends the connection; within one the client has left, or has
-    // only ended its side and waits for the response.
+    // Between requests the end of input ends the connection. During a request the client may have
+    // shut down only its sending side and still be waiting for the response.
     private void onEndOfInput() {
         inputEnded = true;
         releaseInput();
@@ -177,18 +179,18 @@
         }
     }
 
-    /** The handler wants the request's body, some of which may have come along with the head. */
+    /** Resumes reading for the request's body, whose start may already be in the input buffer. */
     void resumeReading() {
         loop.execute(
                 () -> {
                     if (!closed) {
                         source.resumeReads();
-                        readOn();
+                        continueReading();
                     }
                 });
     }
 
-    private void readOn() {
+    private void continueReading() {
         if (input != null && input.position() > 0) {
             try {
                 input.flip();
@@ -208,10 +210,10 @@
     // ---- Writing
 
     /**
-     * Writes buffers, which must be left alone until all are written.
+     * Writes buffers, which must not be modified until they are written.
      *
-     * @return true if the socket took them all; else {@link HttpExchange#socketWritable} is called
-     *     once it has
+     * @return true if the socket accepted all output; false if some is queued, in which case {@link
+     *     HttpExchange#onSocketWritable} is called once it has been written
      */
     boolean write(ByteBuffer... buffers) {
         if (closed) {
@@ -251,21 +253,21 @@
     void onWritable() {
         if (!closed && flush() && !closed) {
             if (exchange != null) {
-                exchange.socketWritable();
+                exchange.onSocketWritable();
             } else if (lingering) {
                 startLingering();
             }
         }
     }
 
-    /** The response has been written. */
-    void responseComplete(boolean keepAlive) {
+    /** Called when the response has been written. */
+    void onResponseComplete(boolean keepAlive) {
         boolean bodyComplete = body == null || body.isComplete();
-        boolean continues = keepAlive && bodyComplete && isReusable();
+        boolean reusable = keepAlive && bodyComplete && isReusable();
         exchange = null;
         body = null;
         headTimerStarted = false;
-        if (!continues) {
+        if (!reusable) {
             lingering = true;
             if (writeQueue.isEmpty()) {
                 startLingering();
@@ -276,7 +278,7 @@
         loop.execute(
                 () -> {
                     if (!closed && exchange == null) {
-                        readOn();
+                        continueReading();
                     }
                 });
     }
@@ -296,9 +298,9 @@
         }
     }
 
-    // The input is not a request, or not a complete one; an exchange that has begun is lost.
+    // Ends the current exchange, if any, since its request is malformed or exceeds a limit.
     private void onInvalidRequest(HttpProtocolException error) {
-        loseExchange();
+        abandonExchange();
         reject(error.status, error.getMessage());
     }
 
@@ -312,7 +314,7 @@
         }
     }
 
-    // ---- Ends
+    // ---- Timeouts and close
 
     @Override
     void onTimeout() {
@@ -322,24 +324,24 @@
                 && body != null
                 && !body.isComplete()
                 && !exchange.isResponseStarted()) {
-            loseExchange();
+            abandonExchange();
             reject(408, "the request's body took too long to come");
         } else if (exchange != null) {
-            exchange.clientGone();
+            exchange.onClientDisconnected();
             abort();
         } else {
             closeNow();
         }
     }
 
-    private void loseExchange() {
+    private void abandonExchange() {
         if (exchange != null) {
-            exchange.clientGone();
+            exchange.onClientDisconnected();
             exchange = null;
         }
     }
 
-    /** Whether the connection may carry another request after this one. */
+    /** Returns whether the connection may carry another request after the current one. */
     boolean isReusable() {
         return !listener.isDraining()
                 && requestCount < listener.limits.maxRequestsPerConnection()
@@ -352,26 +354,29 @@
         }
     }
 
-    /** Closes with a reset, so that a client does not take a body without a length for complete. */
+    /** Resets the connection, so that a client cannot take a body without a length for complete. */
     void abort() {
         try {
             channel.setOption(Options.CLOSE_ABORT, true);
         } catch (IOException e) {
-            // Closed in the ordinary way then: a body with a length or chunks still shows as short.
+            // Closed without a reset; a body with a length or in chunks is still seen to be
+            // incomplete.
         }
         closeNow();
     }
 
-    /** Closes the connection at once; an exchange that it carries is lost. */
+    /**
+     * Closes the connection at once; the current exchange ends as if the client had disconnected.
+     */
     void closeNow() {
         if (!closeOnce()) {
             return;
         }
         listener.onClosed(this);
-        HttpExchange lost = exchange;
+        HttpExchange endedExchange = exchange;
         exchange = null;
-        if (lost != null) {
-            lost.clientGone();
+        if (endedExchange != null) {
+            endedExchange.onClientDisconnected();
         }
     }
 
@@ -379,15 +384,13 @@
         X509Certificate[] chain = closed ? null : certificates();
         if (chain != null && isRevoked.test(chain)) {
             if (exchange != null) {
-                exchange.clientGone();
+                exchange.onClientDisconnected();
             }
             abort();
         }
     }
 
-    /**
-     * The client's certificate chain, its own first; null where it sent none or TLS is not used.
-     */
+    /** Returns the client's certificate chain; null if it sent none or TLS is not used. */
     X509Certificate[] certificates() {
         return PeerCertificates.of(channel);
     }
--- a/src/main/java/brooklock/net/IoLoop.java
+++ b/src/main/java/brooklock/net/IoLoop.java
@@ -6,8 +6,10 @@
 import org.xnio.XnioIoThread;
 
 /**
- * One I/O thread and what its connections share: the buffer pool, the timers and the queue of tasks
- * from other threads. {@link #execute} and {@link #run} may be called from any thread.
+ * One I/O thread with its buffer pool, timers and task queue, which its connections share. {@link
+ * #execute}, {@link #run}, {@link #schedule} and {@link #number} may be called from any thread; a
+ * timer must be removed on the I/O thread if its task must not run afterwards. Tasks must not
+ * block.
  */
 public final class IoLoop {
     private static final XnioExecutor.Key NO_TIMER = () -> false;
@@ -21,24 +23,24 @@
         this.number = thread.getNumber();
     }
 
-    /** The thread's number among its {@link IoThreads}, from 0. */
+    /** Returns the index of this thread among its {@link IoThreads}, starting at 0. */
     public int number() {
         return number;
     }
 
     /**
-     * Runs a task on this thread, never from within this call. Dropped once the threads have been
-     * closed.
+     * Runs a task on the I/O thread, but not before the current task of that thread has ended. The
+     * task is dropped if the threads have been closed.
      */
     public void execute(Runnable task) {
         try {
             thread.execute(task);
         } catch (RejectedExecutionException closed) {
-            // The thread has ended, and with it every connection that the task could be about.
+            // The thread has ended and its connections are closed, so the task is no longer needed.
         }
     }
 
-    /** Runs a task at once where the caller is this thread, else as {@link #execute} does. */
+    /** Runs a task at once if called on the I/O thread, and otherwise as {@link #execute} does. */
     public void run(Runnable task) {
         if (Thread.currentThread() == thread) {
             task.run();
@@ -48,12 +50,14 @@
     }
 
     /**
-     * Runs a task on this thread once the delay has passed, never earlier. XNIO counts in
-     * milliseconds, so the delay is rounded up: a delay of 0 would run the task before any socket
-     * is looked at again, and a task that schedules itself would starve them.
+     * Runs a task on the I/O thread once the delay has passed, and never earlier. XNIO schedules in
+     * milliseconds, so the delay is rounded up to at least one. With a delay of 0 the task would
+     * run before any socket is polled again, and a task that reschedules itself would starve the
+     * sockets.
      *
-     * @param delayNs delay in nanoseconds
-     * @return the timer; removing it cancels the task
+     * @param delayNs the delay in nanoseconds
+     * @param task the task, which is dropped if the threads have been closed
+     * @return the timer, whose removal cancels the task
      */
     public XnioExecutor.Key schedule(long delayNs, Runnable task) {
         try {
@@ -65,15 +69,18 @@
     }
 
     /**
-     * Checks that the caller is this thread.
+     * Checks that the caller runs on the I/O thread. A call on another thread would silently
+     * corrupt the state of a connection, which has no locks.
      *
-     * @throws IllegalStateException on any other thread, where the unlocked state of a connection
-     *     would be corrupted silently
+     * @throws IllegalStateException if called on another thread
      */
     void checkThread() {
         if (Thread.currentThread() != thread) {
             throw new IllegalStateException(
-                    "connection touched from " + Thread.currentThread().getName());
+                    "expected a call on I/O thread "
+                            + thread.getName()
+                            + " but received one on thread "
+                            + Thread.currentThread().getName());
         }
     }
 }
--- a/src/main/java/brooklock/net/IoThreads.java
+++ b/src/main/java/brooklock/net/IoThreads.java
@@ -8,7 +8,10 @@
 import org.xnio.Xnio;
 import org.xnio.XnioWorker;
 
-/** The I/O threads of a program, or of one part of it. */
+/**
+ * A fixed set of I/O threads, which run from {@link #start} until {@link #close}. Thread-safe;
+ * {@link #close} must not be called on one of the I/O threads, since it waits for them to end.
+ */
 public final class IoThreads implements Closeable {
     private static final long SHUTDOWN_TIMEOUT_S = 5;
 
@@ -26,8 +29,9 @@
     /**
      * Starts daemon I/O threads.
      *
-     * @param name prefix of the threads' names
-     * @throws IOException where the system gives no selectors
+     * @param name the prefix of the threads' names
+     * @param threadCount the number of I/O threads
+     * @throws IOException if the system cannot open the threads' selectors
      */
     public static IoThreads start(String name, int threadCount) throws IOException {
         OptionMap options =
@@ -43,17 +47,19 @@
                 threadCount);
     }
 
-    /** Number of I/O threads. */
+    /** Returns the number of I/O threads. */
     public int size() {
         return loops.length;
     }
 
-    /** The I/O thread with a number, from 0. */
+    /** Returns the I/O thread with the given index, starting at 0. */
     public IoLoop loop(int index) {
         return loops[index];
     }
 
-    /** Ends the threads and closes every connection; waits for them a few seconds at most. */
+    /**
+     * Closes every connection and ends the threads; waits for at most 5 s until they have ended.
+     */
     @Override
     public void close() {
         worker.shutdownNow();
--- a/src/main/java/brooklock/net/PeerCertificates.java
+++ b/src/main/java/brooklock/net/PeerCertificates.java
@@ -7,11 +7,11 @@
 import org.xnio.StreamConnection;
 import org.xnio.ssl.SslConnection;
 
-/** The certificates that the peer of a connection has proven to hold. */
+/** Reads the certificates with which the peer of a connection has authenticated itself. */
 final class PeerCertificates {
     private PeerCertificates() {}
 
-    /** The peer's chain, its own certificate first; null where it sent none or TLS is not used. */
+    /** Returns the peer's chain, its own certificate first; null if it sent none or without TLS. */
     static X509Certificate[] of(StreamConnection channel) {
         if (!(channel instanceof SslConnection ssl) || ssl.getSslSession() == null) {
             return null;
--- a/src/main/java/brooklock/net/PendingConnect.java
+++ b/src/main/java/brooklock/net/PendingConnect.java
@@ -7,8 +7,9 @@
 import org.xnio.XnioExecutor;
 
 /**
- * An outgoing connection that is being established. It settles once: established, failed, timed out
- * or cancelled; whatever else happens later is ignored. Used on its I/O thread only.
+ * Base class of attempts to establish an outgoing connection. An attempt is settled once it has
+ * succeeded, failed, timed out or been cancelled, and later events are ignored. All methods are
+ * called on its I/O thread only, {@link #start} first and once.
  */
 abstract class PendingConnect {
     final IoLoop loop;
@@ -20,19 +21,23 @@
         this.loop = loop;
     }
 
-    /** Opens the channel; {@code whenOpen} is called on any thread once TCP is connected. */
+    /** Opens the channel; {@code whenOpen} may be called on any thread once TCP is connected. */
     abstract IoFuture<? extends StreamConnection> openChannel(
             ChannelListener<StreamConnection> whenOpen);
 
     /** Runs a callback on the I/O thread. */
     abstract void dispatch(Runnable callback);
 
-    /** TCP is connected, perhaps after this has settled: the channel must be closed then. */
+    /**
+     * Called when TCP is connected. This may be after the attempt has settled; the channel must be
+     * closed then, since nobody else owns it.
+     */
     abstract void onChannelOpen(StreamConnection channel);
 
-    /** The connection cannot be established; ignored once this has settled. */
+    /** Called when the connection cannot be established; ignored if the attempt has settled. */
     abstract void fail(String reason);
 
+    /** Starts the attempt, which fails if it has not settled after {@code timeoutNs}. */
     final void start(long timeoutNs) {
         future = openChannel(channel -> dispatch(() -> onChannelOpen(channel)));
         if (!settled) {
@@ -59,9 +64,9 @@
     }
 
     /**
-     * Settles the attempt.
+     * Settles the attempt and cancels its timer.
      *
-     * @return false where it had settled before
+     * @return false if it had settled before
      */
     final boolean settle() {
         if (settled) {
@@ -74,7 +79,7 @@
         return true;
     }
 
-    /** Interrupts the connect; what comes of it is ignored if this has settled. */
+    /** Cancels the connect; its outcome is ignored if the attempt has settled. */
     final void cancelChannel() {
         future.cancel();
     }
--- a/src/main/java/brooklock/net/PooledConnectAttempt.java
+++ b/src/main/java/brooklock/net/PooledConnectAttempt.java
@@ -13,8 +13,9 @@
 import org.xnio.ssl.SslConnection;
 
 /**
- * A connection of a pool that is being established, TLS handshake included. It belongs to no call:
- * once established it serves whichever call has waited longest.
+ * An attempt to establish a connection of a {@link HttpConnectionPool}, including its TLS
+ * handshake. Used on the pool's I/O thread only. It belongs to no call: once established, the
+ * connection serves the call that has waited longest.
  */
 final class PooledConnectAttempt extends PendingConnect {
     private final HttpConnectionPool pool;
@@ -23,7 +24,7 @@
     private StreamConnection established;
     private boolean handshakeDone;
 
-    /** Prepares an attempt; {@code tls} is null for a plain connection. */
+    /** Creates an attempt, not yet started; {@code tls} is null for a connection without TLS. */
     PooledConnectAttempt(
             HttpConnectionPool pool, IoLoop loop, InetSocketAddress address, JsseXnioSsl tls) {
         super(loop);
@@ -40,7 +41,9 @@
                 : tls.openSslConnection(loop.thread, address, whenOpen, options);
     }
 
-    // At once where possible: nobody holds this attempt, and a call waits for it.
+    // Runs at once on the I/O thread: a call is waiting, and unlike with ConnectAttempt no caller
+    // needs
+    // the attempt before the callback.
     @Override
     void dispatch(Runnable callback) {
         loop.run(callback);
@@ -66,18 +69,23 @@
         }
     }
 
-    // The handshake is part of connecting: a request written during it would count as sent, so that
-    // a failed handshake could not be told from an executed request.
+    // The handshake is part of connecting. A request written during it would count as sent, so a
+    // failed handshake could not be distinguished from a request that was executed.
     private void beginHandshake(SslConnection ssl) {
         ssl.getHandshakeSetter()
                 .set(
                         done -> {
-                            // Called from within a read or a flush: what is sent only after they
-                            // return does not come in between.
+                            // Called from within a read or a flush. The connection is used only
+                            // after they have returned, so that a request is not sent in between.
                             handshakeDone = true;
                             loop.execute(this::onEstablished);
                         });
-        ssl.setCloseListener(gone -> loop.run(() -> fail("closed in the handshake")));
+        ssl.setCloseListener(
+                closedChannel ->
+                        loop.run(
+                                () ->
+                                        fail(
+                                                "the endpoint closed the connection during the TLS handshake")));
         ssl.getSourceChannel().setReadListener(ready -> advanceHandshake(ssl));
         ssl.getSinkChannel().setWriteListener(ready -> advanceHandshake(ssl));
         try {
@@ -89,7 +97,7 @@
         }
     }
 
-    // Reads and flushes drive the handshake; any data before a request is sent is an error.
+    // Reads and flushes drive the handshake; application data before the first request is an error.
     private void advanceHandshake(SslConnection ssl) {
         if (isSettled() || handshakeDone) {
             return;
@@ -103,7 +111,10 @@
                 ssl.getSinkChannel().resumeWrites();
             }
             if (bytesRead != 0) {
-                fail(bytesRead < 0 ? "closed in the handshake" : "an answer before a request");
+                fail(
+                        bytesRead < 0
+                                ? "the endpoint closed the connection during the TLS handshake"
+                                : "the endpoint sent data before it received a request");
             }
         } catch (IOException e) {
             fail(String.valueOf(e.getMessage()));
--- a/src/main/java/brooklock/net/ProtocolErrorResponse.java
+++ b/src/main/java/brooklock/net/ProtocolErrorResponse.java
@@ -7,15 +7,16 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * The response to what is not a request, or comes at the wrong time; the connection closes after
- * it.
+ * Encodes the responses that a connection sends without a {@link RequestHandler}: to a malformed
+ * request, to one that takes too long to arrive, or to a connection over the limit. The connection
+ * is closed after such a response.
  */
 final class ProtocolErrorResponse {
     private static final int SERVICE_UNAVAILABLE = 503;
 
     private ProtocolErrorResponse() {}
 
-    /** The response's head and body, ready to be written. */
+    /** Returns the encoded head and the body, which is the given reason. */
     static ByteBuffer[] encode(int status, String reason) {
         byte[] body = (reason + "\n").getBytes(StandardCharsets.UTF_8);
         Fields fields =
--- a/src/main/java/brooklock/net/RawConnection.java
+++ b/src/main/java/brooklock/net/RawConnection.java
@@ -8,40 +8,49 @@
 import org.xnio.StreamConnection;
 
 /**
- * A connection that carries a protocol other than HTTP: bytes in, bytes out, one movable timeout,
- * one close. All methods are called on its I/O thread. It reads one buffer each time the socket is
- * ready, so that a peer at full speed leaves the other connections their turns.
+ * A connection that carries a protocol other than HTTP, with one movable timeout.
+ *
+ * <p>Not thread-safe: all methods must be called on the connection's I/O thread, {@link #start}
+ * before any other. The connection ends with {@link #close} or {@link #closeGracefully}, or when
+ * the listener's {@link EventListener#onClose} is called.
+ *
+ * <p>At most one buffer is read each time the socket is ready, so that a peer that sends at full
+ * speed does not starve the other connections of the thread.
  */
 public final class RawConnection extends Connection {
     /**
-     * Implements the protocol of a connection. All methods are called on the connection's I/O
-     * thread, after {@link RawConnection#start}; none is called after {@link #onClose}, after
-     * {@link RawConnection#close} or after {@link RawConnection#closeGracefully}.
+     * Receives the events of a connection and implements its protocol. All methods are called on
+     * the connection's I/O thread, after {@link RawConnection#start}; none is called after {@link
+     * #onClose}, {@link RawConnection#close} or {@link RawConnection#closeGracefully}.
      */
     public interface EventListener {
         /**
-         * Consumes input. What is left in the buffer is offered again together with what follows;
-         * leaving a whole buffer of {@value BufferPool#BUFFER_BYTES} bytes closes the connection.
+         * Consumes input. Bytes that remain in the buffer are passed again, followed by those that
+         * arrive next. If a full buffer of {@value BufferPool#BUFFER_BYTES} bytes remains, the
+         * connection is closed, since it could read no further.
+         *
+         * @param input the input, valid during this call only
          */
-        void onBytes(ByteBuffer in);
+        void onBytes(ByteBuffer input);
 
-        /** The system has taken everything that had waited to be written. */
+        /** Called when the socket has accepted all output that had been queued. */
         default void onAllWritten() {}
 
-        /** The timeout set with {@link RawConnection#setTimeout} has passed. */
+        /** Called once when the timeout set with {@link RawConnection#setTimeout} has passed. */
         default void onTimeout() {}
 
         /**
-         * The connection has ended by itself. Called once.
+         * Called once when the connection is closed by the peer or by an error, but not after a
+         * close by this side.
          *
-         * @param reason plain words for a log line
+         * @param reason the reason, as text for a log line
          */
         void onClose(String reason);
     }
 
     /**
-     * Input read and discarded after the sending side was shut down; the close does not wait for a
-     * peer that sends more.
+     * Maximum number of bytes read and discarded during a graceful close. The connection is closed
+     * at once if the peer sends more, so that such a peer cannot delay the close.
      */
     private static final long MAX_DISCARDED_BYTES = 256 * 1024;
 
@@ -50,10 +59,10 @@
     private EventListener listener;
     private boolean reading;
 
-    /** Set while the connection closes gracefully; called when it is closed. */
-    private Runnable gracefulCloseDone;
+    /** Called when a graceful close is complete; null unless one has been started. */
+    private Runnable gracefulCloseCallback;
 
-    private boolean writesShut;
+    private boolean outputShutDown;
     private long discardedBytes;
 
     RawConnection(IoLoop loop, StreamConnection channel) {
@@ -62,9 +71,10 @@
     }
 
     /**
-     * Creates two connected ends within the program, without a socket.
+     * Creates two connections whose peers are each other, within this process and without a socket.
      *
-     * @throws IOException where descriptors have run out
+     * @param loop the I/O thread of both connections
+     * @throws IOException if no file descriptor is available
      */
     public static RawConnection[] pair(IoLoop loop) throws IOException {
         ChannelPipe<StreamConnection, StreamConnection> pipe =
@@ -75,15 +85,15 @@
         };
     }
 
-    /** Begins to read for a listener. Called once, before anything else. */
+    /** Starts reading and passes events to the listener. Called once, before any other method. */
     public void start(EventListener newListener) {
         listener = newListener;
         setReading(true);
     }
 
     /**
-     * Resumes or suspends reading. While reading is suspended, what the peer sends waits in the
-     * system's buffers, which holds the peer back.
+     * Resumes or suspends reading. While reading is suspended, the system's socket buffers fill up
+     * and TCP flow control stops the peer.
      */
     public void setReading(boolean enabled) {
         if (closed || reading == enabled) {
@@ -98,46 +108,52 @@
     }
 
     /**
-     * Reads once what the system holds now and passes it to the listener.
+     * Reads input that is available now, at most one buffer, and passes it to the listener. Does
+     * nothing while reading is suspended or after a close.
      *
-     * @return whether there was any
+     * @return whether any input was available
      */
     public boolean readNow() {
         return !isClosed() && reading && readAvailable();
     }
 
-    /** Writes; what the system does not take at once waits, and must not change until written. */
-    public void write(ByteBuffer... parts) {
+    /**
+     * Writes buffers. What the socket does not accept at once is queued, without a bound; {@link
+     * EventListener#onAllWritten} is called once it has been written. Does nothing after a close.
+     *
+     * @param buffers the buffers, which must not be modified until they are written
+     */
+    public void write(ByteBuffer... buffers) {
         if (isClosed()) {
             return;
         }
-        boolean first = writeQueue.isEmpty();
-        for (ByteBuffer part : parts) {
-            writeQueue.add(part);
+        boolean wasEmpty = writeQueue.isEmpty();
+        for (ByteBuffer buffer : buffers) {
+            writeQueue.add(buffer);
         }
-        if (first) {
+        if (wasEmpty) {
             onWritable();
         }
     }
 
-    /** Bytes that wait to be written. */
+    /** Returns the number of bytes that are queued to be written. */
     public long pendingBytes() {
         return writeQueue.pendingBytes();
     }
 
-    /** Bytes that the system has taken since the connection began. */
+    /** Returns the number of bytes that the socket has accepted since the connection was opened. */
     public long writtenBytes() {
         return writeQueue.writtenBytes();
     }
 
-    /** Sets the timeout to so many nanoseconds from now, in place of any set before. */
+    /** Sets the timeout to {@code timeoutNs} nanoseconds from now, replacing the previous one. */
     public void setTimeout(long timeoutNs) {
         if (!isClosed()) {
             deadline.startTimeout(timeoutNs);
         }
     }
 
-    /** Takes the timeout away. */
+    /** Removes the timeout. */
     public void clearTimeout() {
         if (!isClosed()) {
             deadline.clear();
@@ -145,19 +161,22 @@
     }
 
     /**
-     * Whether the connection is closed or closes gracefully: its listener is not called any more.
+     * Returns whether the connection is closed or a graceful close has been started; the listener
+     * is not called any more in either case.
      */
     public boolean isClosed() {
-        return closed || gracefulCloseDone != null;
+        return closed || gracefulCloseCallback != null;
     }
 
     /**
-     * Closes the connection after what waits has been written. The sending side is then shut down,
-     * and what still comes is read and discarded until the peer closes too: closing over unread
-     * input would reset the connection and discard what was written.
+     * Closes the connection once the queued output has been written. The sending side is then shut
+     * down, and further input is read and discarded until the peer closes too. Closing the socket
+     * while input is unread would instead reset the connection, and the peer might lose what was
+     * written. Does nothing if the connection is closed or a graceful close has been started.
      *
-     * @param timeoutNs longest time until the connection is closed all the same, ns
-     * @param onClosed called once its descriptor is free
+     * @param timeoutNs maximum duration of the graceful close in nanoseconds; the connection is
+     *     then closed at once
+     * @param onClosed called once the connection's file descriptor has been released
      */
     public void closeGracefully(long timeoutNs, Runnable onClosed) {
         if (isClosed()) {
@@ -165,32 +184,32 @@
         }
         setReading(true);
         deadline.startTimeout(timeoutNs);
-        gracefulCloseDone = onClosed;
+        gracefulCloseCallback = onClosed;
         releaseInput();
         try {
-            shutWritesWhenDrained();
+            shutDownOutputOnceFlushed();
         } catch (IOException e) {
             close();
         }
     }
 
-    private void shutWritesWhenDrained() throws IOException {
-        if (!writesShut && writeQueue.isEmpty()) {
-            writesShut = true;
+    private void shutDownOutputOnceFlushed() throws IOException {
+        if (!outputShutDown && writeQueue.isEmpty()) {
+            outputShutDown = true;
             shutDownOutput();
         }
     }
 
-    /** Closes the connection at once; what waits to be written is lost. */
+    /** Closes the connection at once and discards queued output; the listener is not called. */
     public void close() {
-        if (closeOnce() && gracefulCloseDone != null) {
-            gracefulCloseDone.run();
+        if (closeOnce() && gracefulCloseCallback != null) {
+            gracefulCloseCallback.run();
         }
     }
 
     @Override
     void onTimeout() {
-        if (gracefulCloseDone != null) {
+        if (gracefulCloseCallback != null) {
             close();
         } else if (!closed) {
             listener.onTimeout();
@@ -202,7 +221,7 @@
         readAvailable();
     }
 
-    // Whether there was any input.
+    // Returns whether any input was available.
     private boolean readAvailable() {
         if (closed || !reading) {
             return false;
@@ -214,7 +233,7 @@
                 onConnectionLost("closed by the peer");
                 return false;
             }
-            if (gracefulCloseDone != null) {
+            if (gracefulCloseCallback != null) {
                 discard(bytesRead);
                 return false;
             }
@@ -222,10 +241,10 @@
         } catch (IOException e) {
             onConnectionLost(String.valueOf(e.getMessage()));
         } catch (RuntimeException e) {
-            // A bug in the listener costs this connection, not the thread: the unconsumed bytes
-            // would make the socket ready for ever.
+            // A bug in the listener closes only this connection. If it stayed open, its unconsumed
+            // bytes would be passed to the listener again and again.
             LOG.error("a connection's input could not be processed", e);
-            onConnectionLost("a fault here");
+            onConnectionLost("internal error while processing input");
         }
         return bytesRead > 0;
     }
@@ -238,7 +257,10 @@
         if (!isClosed()) {
             keepUnconsumed();
             if (input != null && !input.hasRemaining()) {
-                onConnectionLost("a whole buffer was left");
+                onConnectionLost(
+                        "the listener left a full input buffer of "
+                                + BufferPool.BUFFER_BYTES
+                                + " bytes unconsumed");
             }
         }
     }
@@ -258,20 +280,21 @@
         }
         try {
             boolean drained = flushOutput();
-            if (gracefulCloseDone != null) {
-                shutWritesWhenDrained();
+            if (gracefulCloseCallback != null) {
+                shutDownOutputOnceFlushed();
             } else if (drained) {
                 listener.onAllWritten();
             }
         } catch (IOException e) {
-            // Later: the caller of write is in the middle of something.
+            // Reported in a later task: the caller of write does not expect onClose during its
+            // call.
             String reason = String.valueOf(e.getMessage());
             loop.execute(() -> onConnectionLost(reason));
         }
     }
 
     private void onConnectionLost(String reason) {
-        if (gracefulCloseDone != null) {
+        if (gracefulCloseCallback != null) {
             close();
         } else if (closeOnce()) {
             listener.onClose(reason);
--- a/src/main/java/brooklock/net/RawListener.java
+++ b/src/main/java/brooklock/net/RawListener.java
@@ -11,14 +11,18 @@
 import org.xnio.StreamConnection;
 import org.xnio.channels.AcceptingChannel;
 
-/** A listening socket whose connections speak a protocol other than HTTP. */
+/**
+ * A server socket whose connections carry a protocol other than HTTP. Listens from {@link #open}
+ * until {@link #close} or {@link #acceptRemainingAndClose}. {@link #address} and {@link #close} may
+ * be called from any thread.
+ */
 public final class RawListener implements Closeable {
-    /** Connections accepted before other sockets get their turn. */
+    /** Maximum number of connections accepted before the other sockets of the thread are served. */
     private static final int MAX_ACCEPTS_PER_TURN = 64;
 
     /**
-     * Pause after a failed accept. With no descriptor left the socket stays ready, so that
-     * accepting again at once would keep the thread busy with nothing else.
+     * Pause after a failed accept. If no file descriptor is available the socket stays ready, and
+     * accepting again at once would occupy the thread completely.
      */
     private static final long ACCEPT_BACKOFF_NS = 50_000_000L;
 
@@ -50,10 +54,12 @@
     /**
      * Starts listening.
      *
-     * @param address where to listen; port 0 lets the system choose
-     * @param backlog connections that the system may hold before they are accepted
-     * @param onConnection receives each connection on its I/O thread, and must start it
-     * @throws IOException where the address is in use or not one of this machine
+     * @param ioThreads the threads among which the connections are distributed
+     * @param address the address to listen on; with port 0 the system chooses a port
+     * @param backlog maximum number of connections that the system queues before they are accepted
+     * @param onConnection receives each connection on its I/O thread, and must call {@link
+     *     RawConnection#start} on it
+     * @throws IOException if the address is in use or is not an address of this host
      */
     public static RawListener open(
             IoThreads ioThreads,
@@ -64,38 +70,39 @@
         return new RawListener(ioThreads, address, backlog, onConnection);
     }
 
-    /** The address that is listened on. */
+    /** Returns the local address, with the port that the system has chosen if 0 was given. */
     public InetSocketAddress address() {
         return channel.getLocalAddress(InetSocketAddress.class);
     }
 
-    private void accept(AcceptingChannel<? extends StreamConnection> channelReady) {
+    private void accept(AcceptingChannel<? extends StreamConnection> readyChannel) {
         try {
-            StreamConnection accepted = channelReady.accept();
+            StreamConnection accepted = readyChannel.accept();
             for (int count = 1; accepted != null; count++) {
                 RawConnection connection =
                         new RawConnection(
                                 ioThreads.loop(accepted.getIoThread().getNumber()), accepted);
                 connection.loop.run(() -> onConnection.accept(connection));
-                accepted = count < MAX_ACCEPTS_PER_TURN ? channelReady.accept() : null;
+                accepted = count < MAX_ACCEPTS_PER_TURN ? readyChannel.accept() : null;
             }
         } catch (IOException e) {
-            // This one connection is lost, or descriptors have run out.
-            channelReady.suspendAccepts();
-            ioThreads.loop(0).schedule(ACCEPT_BACKOFF_NS, channelReady::resumeAccepts);
+            // The connection was lost before it was accepted, or no file descriptor is available.
+            readyChannel.suspendAccepts();
+            ioThreads.loop(0).schedule(ACCEPT_BACKOFF_NS, readyChannel::resumeAccepts);
         }
     }
 
     /**
-     * Accepts what the system has already connected, then stops listening: those peers would
-     * otherwise be reset. Called on an I/O thread.
+     * Accepts the connections that the system has already established, at most {@value
+     * #MAX_ACCEPTS_PER_TURN}, and stops listening. Without this the system would reset them. Must
+     * be called on an I/O thread.
      */
     public void acceptRemainingAndClose() {
         accept(channel);
         close();
     }
 
-    /** Stops listening; open connections continue. */
+    /** Stops listening; open connections stay open. */
     @Override
     public void close() {
         IoUtils.safeClose(channel);
--- a/src/main/java/brooklock/net/ServerLimits.java
+++ b/src/main/java/brooklock/net/ServerLimits.java
@@ -3,21 +3,26 @@
 import brooklock.http.HttpLimits;
 
 /**
- * The limits of an {@link HttpListener}, each with what happens when it is exceeded. Times in
+ * Limits of an {@link HttpListener}. Immutable, so that threads may share one. Times are in
  * nanoseconds.
  *
- * @param http limits of a request; the sender gets a status and the connection is closed
- * @param maxConnections connections open at once on the listener; a further one gets 503 and is
- *     closed
- * @param backlog connections that the system may hold before they are accepted; it refuses further
- *     ones
- * @param headTimeoutNs time for a whole head from its first byte; 408 and closed
- * @param bodyTimeoutNs time for a whole request body; 408 and closed
- * @param idleTimeoutNs time between requests; closed
- * @param stallTimeoutNs time in which a client takes not one byte of a response; reset
- * @param maxRequestsPerConnection requests on one connection before it is closed in order
- * @param halfCloseEndsExchange whether a client that ends its side while it waits for a response
- *     has left; else it still gets the response
+ * @param http limits of a request; a request that exceeds one is answered with an error status and
+ *     its connection is closed
+ * @param maxConnections maximum number of open connections of the listener; a further one is
+ *     answered with 503 and closed
+ * @param backlog maximum number of connections that the system queues before they are accepted; it
+ *     refuses further ones
+ * @param headTimeoutNs maximum time to receive a request head, from its first byte; a connection
+ *     that exceeds it is answered with 408 and closed
+ * @param bodyTimeoutNs maximum time to receive a request body; a request that exceeds it is
+ *     answered with 408 and its connection is closed
+ * @param idleTimeoutNs maximum time between requests, after which the connection is closed
+ * @param stallTimeoutNs maximum time in which a client accepts no byte of a response, after which
+ *     the connection is reset
+ * @param maxRequestsPerConnection maximum number of requests on one connection, which is closed
+ *     after the response to the last of them
+ * @param halfCloseEndsExchange whether a client that shuts down its sending side while it waits for
+ *     a response is treated as disconnected; if false it still receives the response
  */
 public record ServerLimits(
         HttpLimits http,
@@ -31,7 +36,7 @@
         boolean halfCloseEndsExchange) {
     private static final long SECOND_NS = 1_000_000_000L;
 
-    /** Limits for a listener that states none of its own. */
+    /** Default limits. */
     public static final ServerLimits STANDARD =
             new ServerLimits(
                     HttpLimits.STANDARD.withMaxBodyBytes(1 << 20),
@@ -44,7 +49,7 @@
                     100_000,
                     true);
 
-    /** Returns these limits with another on connections. */
+    /** Returns a copy of these limits with the given maximum number of open connections. */
     public ServerLimits withMaxConnections(int max) {
         return new ServerLimits(
                 http,
@@ -59,7 +64,8 @@
     }
 
     /**
-     * Returns these limits with other timeouts for heads, bodies, idle connections and stalls, ns.
+     * Returns a copy with the given timeouts for heads, bodies, idle connections and stalled
+     * responses, in nanoseconds.
      */
     public ServerLimits withTimeouts(long headNs, long bodyNs, long idleNs, long stallNs) {
         return new ServerLimits(
--- a/src/main/java/brooklock/net/WriteQueue.java
+++ b/src/main/java/brooklock/net/WriteQueue.java
@@ -6,15 +6,16 @@
 import org.xnio.conduits.ConduitStreamSinkChannel;
 
 /**
- * The buffers that a connection has still to write. It holds the buffers themselves, not copies, so
- * a slow reader costs no memory beyond what the sender holds already; the sender must leave them
- * alone until all are written. The queue is unbounded: whoever adds bounds it.
+ * A queue of the buffers that a connection has yet to write; used on its I/O thread only. It
+ * references the buffers without copying them, so that a slow peer costs no memory beyond the
+ * buffers of the sender, which must not modify them until they are written. The queue is unbounded:
+ * callers that add to it must limit its size.
  */
 final class WriteQueue {
-    /** Buffers of one usual response: a head, a chunk header, a chunk, its end, the last chunk. */
+    /** Room for a typical response: its head, a chunk header, a chunk, its end, the last chunk. */
     private static final int INITIAL_CAPACITY = 8;
 
-    /** Buffers of one gathering write; the system takes no more than 1,024. */
+    /** Maximum number of buffers in one gathering write; the system accepts at most 1,024. */
     private static final int MAX_BUFFERS_PER_WRITE = 64;
 
     private final ConduitStreamSinkChannel sink;
@@ -42,9 +43,10 @@
     }
 
     /**
-     * Writes what the socket takes without blocking.
+     * Writes as many bytes as the socket accepts without blocking.
      *
-     * @return true once nothing waits, here or in a layer below
+     * @return true if all output has been written, in this queue and in the layers below it (TLS)
+     * @throws IOException if the connection is lost
      */
     boolean flush() throws IOException {
         while (head < tail) {
@@ -70,12 +72,12 @@
         return head == tail;
     }
 
-    /** Bytes that wait to be written. */
+    /** Returns the number of bytes that are queued to be written. */
     long pendingBytes() {
         return addedBytes - writtenBytes;
     }
 
-    /** Bytes that the socket has taken since the connection began. */
+    /** Returns the number of bytes that the socket has accepted since the connection was opened. */
     long writtenBytes() {
         return writtenBytes;
     }
--- a/src/test/java/brooklock/net/HttpConnectionPoolTest.java
+++ b/src/test/java/brooklock/net/HttpConnectionPoolTest.java
@@ -31,48 +31,52 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Connections that take long to establish, as with TLS at an endpoint that is busy. */
+/**
+ * Tests how calls wait for connections that take long to establish, as with TLS to a busy endpoint.
+ */
 class HttpConnectionPoolTest {
     private static final int MAX_CONNECTING = 2;
     private static final long LONG_TIMEOUT_NS = 20_000_000_000L;
 
     @TempDir private Path dir;
-    private IoThreads net;
-    private SSLContext server;
-    private SSLContext client;
+    private IoThreads ioThreads;
+    private SSLContext serverTls;
+    private SSLContext clientTls;
 
     @BeforeEach
     void start() throws Exception {
-        net = IoThreads.start("pool", 1);
-        LocalCertificateAuthority pki = new LocalCertificateAuthority("authority");
-        CertificateTrust trust = pki.createTrust(dir);
-        TlsContexts.TlsIdentity shown = pki.issue("host", "localhost", 3600_000);
-        server =
+        ioThreads = IoThreads.start("pool", 1);
+        LocalCertificateAuthority authority = new LocalCertificateAuthority("authority");
+        CertificateTrust trust = authority.createTrust(dir);
+        TlsContexts.TlsIdentity identity = authority.issue("host", "localhost", 3600_000);
+        serverTls =
                 TlsContexts.serverContext(
-                        () -> List.of(shown), () -> trust, System::currentTimeMillis);
-        client = TlsContexts.clientContext(null, () -> trust, System::currentTimeMillis);
+                        () -> List.of(identity), () -> trust, System::currentTimeMillis);
+        clientTls = TlsContexts.clientContext(null, () -> trust, System::currentTimeMillis);
     }
 
     @AfterEach
     void stop() {
-        net.close();
+        ioThreads.close();
     }
 
-    /** A proxy that forwards so many connections and lets all others hang. */
+    /**
+     * A proxy that forwards the first connections and accepts the others without ever answering.
+     */
     private static final class ThrottledProxy implements AutoCloseable {
-        final ServerSocket in = new ServerSocket(0, 200, InetAddress.getLoopbackAddress());
+        final ServerSocket serverSocket = new ServerSocket(0, 200, InetAddress.getLoopbackAddress());
         final AtomicInteger accepted = new AtomicInteger();
 
-        ThrottledProxy(InetSocketAddress behind, int forwardedConnections) throws IOException {
-            start("narrow", () -> accept(behind, forwardedConnections));
+        ThrottledProxy(InetSocketAddress target, int forwardedConnections) throws IOException {
+            start("narrow", () -> accept(target, forwardedConnections));
         }
 
-        private void accept(InetSocketAddress behind, int forwardedConnections) {
+        private void accept(InetSocketAddress target, int forwardedConnections) {
             try {
                 while (true) {
-                    Socket from = in.accept();
+                    Socket from = serverSocket.accept();
                     if (accepted.incrementAndGet() <= forwardedConnections) {
-                        Socket to = new Socket(behind.getAddress(), behind.getPort());
+                        Socket to = new Socket(target.getAddress(), target.getPort());
                         start("pipe", () -> pipe(from, to));
                         start("pipe", () -> pipe(to, from));
                     }
@@ -98,16 +102,16 @@
         }
 
         InetSocketAddress address() {
-            return new InetSocketAddress(in.getInetAddress(), in.getLocalPort());
+            return new InetSocketAddress(serverSocket.getInetAddress(), serverSocket.getLocalPort());
         }
 
         @Override
         public void close() throws IOException {
-            in.close();
+            serverSocket.close();
         }
     }
 
-    /** Records how one call ended. */
+    /** Records the outcome of one call. */
     private static final class RecordingHandler implements ResponseHandler {
         final CompletableFuture<String> outcome = new CompletableFuture<>();
         volatile boolean sent;
@@ -133,104 +137,105 @@
         }
     }
 
-    private HttpClient client(ClientLimits limits, SSLContext tlsContext) {
-        return new HttpClient(net.loop(0), limits, tlsContext);
+    private HttpClient newHttpClient(ClientLimits limits, SSLContext tlsContext) {
+        return new HttpClient(ioThreads.loop(0), limits, tlsContext);
     }
 
-    private RecordingHandler call(HttpClient from, InetSocketAddress to, Fields fields) {
+    private RecordingHandler startCall(HttpClient httpClient, InetSocketAddress address, Fields fields) {
         RecordingHandler handler = new RecordingHandler();
         RequestHead head = new RequestHead("GET", "/", "localhost", 1, fields);
-        net.loop(0).execute(() -> from.send(to, head, new byte[0], handler));
+        ioThreads.loop(0).execute(() -> httpClient.send(address, head, new byte[0], handler));
         return handler;
     }
 
-    private List<RecordingHandler> calls(
-            int count, HttpClient from, InetSocketAddress to, Supplier<Fields> fields) {
-        return IntStream.range(0, count).mapToObj(i -> call(from, to, fields.get())).toList();
+    private List<RecordingHandler> startCalls(
+            int count, HttpClient httpClient, InetSocketAddress address, Supplier<Fields> fields) {
+        return IntStream.range(0, count).mapToObj(i -> startCall(httpClient, address, fields.get())).toList();
     }
 
     /**
-     * An endpoint accepts connections and stays silent, as one that has hung. Fifty calls at once
-     * do not open fifty connections, and each fails in time, with proof that it was not sent.
+     * An endpoint that hangs accepts connections but never answers. Fifty simultaneous calls must
+     * not open fifty connections, and each must fail within its timeout as one that was not sent.
      */
     @Test
     void aBurstAtASilentEndpointOpensFewConnections() throws Exception {
         try (ThrottledProxy silent = new ThrottledProxy(null, 0)) {
-            HttpClient from = client(limits(MAX_CONNECTING, 300_000_000L), client);
-            for (RecordingHandler call : calls(50, from, silent.address(), Fields::new)) {
+            HttpClient httpClient = newHttpClient(limits(MAX_CONNECTING, 300_000_000L), clientTls);
+            for (RecordingHandler call : startCalls(50, httpClient, silent.address(), Fields::new)) {
                 assertTrue(call.awaitOutcome().startsWith("NOT_CONNECTED"), call.awaitOutcome());
-                assertFalse(call.sent, "nothing is sent before the handshake is over");
+                assertFalse(call.sent, "no request is sent before the handshake has completed");
             }
-            // Those that fail make room for as many again, not for each call.
+            // Each failed connect permits another one, but there is not one connect per call.
             assertTrue(silent.accepted.get() <= 4 * MAX_CONNECTING, "opened " + silent.accepted);
         }
     }
 
     /**
-     * One connection is busy, and the next two are stuck in their handshakes. Once the first
-     * becomes free it serves the waiting calls one after another, and no further connection is
-     * opened.
+     * One connection is busy, and two more never complete their handshakes. Once the first becomes
+     * free it must serve the waiting calls one after another, without further connections.
      */
     @Test
     void waitingCallsUseAConnectionThatBecomesFree() throws Exception {
         BlockingQueue<HttpExchange> exchanges = new LinkedBlockingQueue<>();
         HttpListener endpoint = listen(exchanges::add);
-        try (ThrottledProxy narrow = new ThrottledProxy(endpoint.address(), 1)) {
-            HttpClient from = client(limits(MAX_CONNECTING, LONG_TIMEOUT_NS), client);
-            RecordingHandler first = call(from, narrow.address(), new Fields());
+        try (ThrottledProxy proxy = new ThrottledProxy(endpoint.address(), 1)) {
+            HttpClient httpClient = newHttpClient(limits(MAX_CONNECTING, LONG_TIMEOUT_NS), clientTls);
+            RecordingHandler first = startCall(httpClient, proxy.address(), new Fields());
             HttpExchange firstExchange = exchanges.poll(20, TimeUnit.SECONDS);
-            RecordingHandler second = call(from, narrow.address(), new Fields());
-            RecordingHandler third = call(from, narrow.address(), new Fields());
-            while (narrow.accepted.get() < 3) {
+            RecordingHandler second = startCall(httpClient, proxy.address(), new Fields());
+            RecordingHandler third = startCall(httpClient, proxy.address(), new Fields());
+            while (proxy.accepted.get() < 3) {
                 Thread.sleep(1);
             }
-            assertFalse(second.sent || third.sent, "their connections are not established");
+            assertFalse(
+                    second.sent || third.sent,
+                    "no request is sent on a connection that is not established");
             respond(firstExchange);
             assertEquals("whole", first.awaitOutcome());
             for (RecordingHandler call : List.of(second, third)) {
                 respond(exchanges.poll(20, TimeUnit.SECONDS));
                 assertEquals("whole", call.awaitOutcome());
             }
-            assertEquals(3, narrow.accepted.get(), "no more were opened");
+            assertEquals(3, proxy.accepted.get(), "no further connection is opened");
         } finally {
             endpoint.close();
         }
     }
 
     private void respond(HttpExchange exchange) {
-        net.loop(0).execute(() -> exchange.send(200, new Fields(), new byte[0]));
+        ioThreads.loop(0).execute(() -> exchange.send(200, new Fields(), new byte[0]));
     }
 
-    /** Nothing listens at the address: each call fails at once, and not when its wait is over. */
+    /** If nothing listens at the address, each call must fail at once and not after its timeout. */
     @Test
     void callsFailAtOnceWhereNothingListens() throws Exception {
         InetSocketAddress unused;
         try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             unused = new InetSocketAddress(socket.getInetAddress(), socket.getLocalPort());
         }
-        HttpClient from = client(limits(MAX_CONNECTING, LONG_TIMEOUT_NS), null);
+        HttpClient httpClient = newHttpClient(limits(MAX_CONNECTING, LONG_TIMEOUT_NS), null);
         long startNs = System.nanoTime();
-        for (RecordingHandler call : calls(50, from, unused, Fields::new)) {
+        for (RecordingHandler call : startCalls(50, httpClient, unused, Fields::new)) {
             assertTrue(call.awaitOutcome().startsWith("NOT_CONNECTED"), call.awaitOutcome());
         }
         assertTrue(
                 System.nanoTime() - startNs < LONG_TIMEOUT_NS / 2,
-                "none of them waited for its time to end");
+                "no call waited for its timeout");
     }
 
     /**
-     * A handshake may complete within a read that returns data too. Three hundred and twenty new
-     * connections lose no response to that.
+     * A handshake may complete within a read that also returns data. None of 320 new connections
+     * may lose its response when that happens.
      */
     @Test
     void noResponseIsLostToAHandshakeThatEndsWithinARead() throws Exception {
         HttpListener endpoint = listen(exchange -> exchange.send(200, new Fields(), new byte[0]));
-        HttpClient from = client(limits(8, LONG_TIMEOUT_NS), client);
+        HttpClient httpClient = newHttpClient(limits(8, LONG_TIMEOUT_NS), clientTls);
         for (int round = 0; round < 40; round++) {
             List<RecordingHandler> calls =
-                    calls(
+                    startCalls(
                             8,
-                            from,
+                            httpClient,
                             endpoint.address(),
                             () -> new Fields().add("Connection", "close"));
             for (RecordingHandler call : calls) {
@@ -248,10 +253,10 @@
 
     private HttpListener listen(RequestHandler handler) throws IOException {
         return HttpListener.openTls(
-                net,
+                ioThreads,
                 new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
                 ServerLimits.STANDARD,
                 handler,
-                server);
+                serverTls);
     }
 }
--- a/src/test/java/brooklock/net/RawConnectionTest.java
+++ b/src/test/java/brooklock/net/RawConnectionTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.api.Nested;
 import org.junit.jupiter.api.Test;
 
-/** What a listener of a raw connection can rely on, and how connecting ends. */
+/** Tests the callbacks of {@link RawConnection.EventListener} and {@link ConnectAttempt}. */
 class RawConnectionTest {
     private static final long TIMEOUT_NS = 20_000_000_000L;
     private static final long SHORT_TIMEOUT_NS = 50_000_000L;
@@ -46,11 +46,13 @@
         return new InetSocketAddress(server.getInetAddress(), server.getLocalPort());
     }
 
-    private static String next(BlockingQueue<String> events) throws InterruptedException {
+    private static String nextEvent(BlockingQueue<String> events) throws InterruptedException {
         return events.poll(20, TimeUnit.SECONDS);
     }
 
-    /** How a {@link ConnectAttempt} ends; never from within the call that starts it. */
+    /**
+     * Tests that a {@link ConnectAttempt} calls back only after the call that starts it returned.
+     */
     @Nested
     class Connecting {
         private final BlockingQueue<String> events = new LinkedBlockingQueue<>();
@@ -70,8 +72,8 @@
         @Test
         void opensAfterTheCallThatStartsIt() throws Exception {
             loop.execute(() -> connect(address(), TIMEOUT_NS));
-            assertEquals("started", next(events));
-            assertEquals("opened", next(events));
+            assertEquals("started", nextEvent(events));
+            assertEquals("opened", nextEvent(events));
         }
 
         @Test
@@ -79,36 +81,39 @@
             InetSocketAddress unused = address();
             server.close();
             loop.execute(() -> connect(unused, TIMEOUT_NS));
-            assertEquals("started", next(events));
-            assertTrue(next(events).startsWith("failed: "));
+            assertEquals("started", nextEvent(events));
+            assertTrue(nextEvent(events).startsWith("failed: "));
         }
 
         @Test
         void callsNothingOnceCancelled() throws Exception {
             loop.execute(() -> connect(address(), TIMEOUT_NS).cancel());
-            assertEquals("started", next(events));
+            assertEquals("started", nextEvent(events));
             try (Socket accepted = server.accept()) {
-                assertEquals(-1, accepted.getInputStream().read(), "it is closed again");
+                assertEquals(
+                        -1,
+                        accepted.getInputStream().read(),
+                        "a connection that was opened before the cancellation is closed");
             } catch (IOException reset) {
-                // Cancelled before the server had accepted it.
+                // The attempt was cancelled before the server accepted the connection.
             }
             assertEquals(0, events.size());
         }
     }
 
-    /** The calls that a listener gets. */
+    /** Tests the calls that an event listener receives. */
     @Nested
-    class Listening {
+    class ListenerCallbacks {
         private final BlockingQueue<String> events = new LinkedBlockingQueue<>();
         private final BlockingQueue<RawConnection> opened = new LinkedBlockingQueue<>();
-        private int leaveBytes;
+        private int unconsumedBytes;
 
         private final RawConnection.EventListener listener =
                 new RawConnection.EventListener() {
                     @Override
                     public void onBytes(ByteBuffer in) {
                         events.add(StandardCharsets.US_ASCII.decode(in.duplicate()).toString());
-                        in.position(Math.max(in.position(), in.limit() - leaveBytes));
+                        in.position(Math.max(in.position(), in.limit() - unconsumedBytes));
                     }
 
                     @Override
@@ -149,26 +154,30 @@
 
         @Test
         void offersUnconsumedInputAgainWithWhatFollows() throws Exception {
-            leaveBytes = 1;
+            unconsumedBytes = 1;
             try (Socket peer = connect()) {
                 send(peer, "ab");
-                assertEquals("ab", next(events));
+                assertEquals("ab", nextEvent(events));
                 send(peer, "c");
-                assertEquals("bc", next(events));
+                assertEquals("bc", nextEvent(events));
             }
         }
 
-        /** A listener that never consumes would make the socket ready for ever. */
+        /**
+         * Without the close, a listener that consumes nothing would keep the socket ready for ever.
+         */
         @Test
-        void closesWhereAWholeBufferIsLeft() throws Exception {
-            leaveBytes = Integer.MAX_VALUE;
+        void closesWhenAFullBufferIsLeftUnconsumed() throws Exception {
+            unconsumedBytes = Integer.MAX_VALUE;
             try (Socket peer = connect()) {
                 send(peer, "x".repeat(BufferPool.BUFFER_BYTES));
-                String event = next(events);
+                String event = nextEvent(events);
                 while (!event.startsWith("closed")) {
-                    event = next(events);
+                    event = nextEvent(events);
                 }
-                assertEquals("closed: a whole buffer was left", event);
+                assertEquals(
+                        "closed: the listener left a full input buffer of 16384 bytes unconsumed",
+                        event);
             }
         }
 
@@ -177,13 +186,15 @@
             try (Socket peer = connect()) {
                 RawConnection connection = connection();
                 loop.execute(() -> connection.setTimeout(SHORT_TIMEOUT_NS));
-                assertEquals("timeout", next(events));
+                assertEquals("timeout", nextEvent(events));
                 peer.close();
-                assertEquals("closed: closed by the peer", next(events));
+                assertEquals("closed: closed by the peer", nextEvent(events));
             }
         }
 
-        /** The peer reads everything that was written, then the end; the listener hears no more. */
+        /**
+         * The peer reads everything written and the end of input; the listener is not called again.
+         */
         @Test
         void closesGracefullyAfterWhatWasWritten() throws Exception {
             try (Socket peer = connect()) {
@@ -200,7 +211,7 @@
                                 peer.getInputStream().readAllBytes(), StandardCharsets.US_ASCII));
                 send(peer, "too late");
                 peer.close();
-                assertEquals("done", next(events));
+                assertEquals("done", nextEvent(events));
                 assertEquals(0, events.size());
             }
         }
