--- a/src/main/java/brooklock/net/ClientCall.java
+++ b/src/main/java/brooklock/net/ClientCall.java
@@ -39,7 +39,7 @@
         }
     }
 
-    /** Sets the connection that carries the call; null when the call returns to the pool. */
+    /** Sets the connection that carries the call; null if it has to wait for another. */
     void attach(HttpClientConnection assigned) {
         connection = assigned;
     }
--- a/src/main/java/brooklock/net/DeadlineTimer.java
+++ b/src/main/java/brooklock/net/DeadlineTimer.java
@@ -27,7 +27,7 @@
         this.onExpired = onExpired;
     }
 
-    /** Sets the deadline to {@code timeoutNs} from now, replacing the previous one. */
+    /** Sets the deadline to {@code timeoutNs} nanoseconds from now, replacing the previous one. */
     void startTimeout(long timeoutNs) {
         long now = System.nanoTime();
         deadlineNs = now + timeoutNs;
--- a/src/main/java/brooklock/net/HttpClientConnection.java
+++ b/src/main/java/brooklock/net/HttpClientConnection.java
@@ -67,6 +67,7 @@
         }
     }
 
+    /** Sends the request of a call, unless its handler cancels it; no other call may be active. */
     void start(ClientCall newCall) {
         if (!newCall.handler.shouldSend()) {
             newCall.fail(
@@ -113,8 +114,7 @@
         try {
             // Without TLS one buffer per callback is enough, since the socket stays ready while it
             // has input. With TLS a record may have been read from the socket but not decrypted,
-            // and
-            // the socket does not become ready for it again.
+            // and the socket does not become ready for it again.
             boolean inputArrived = readOnce();
             while (inputArrived && tls && !closed && !paused) {
                 inputArrived = readOnce();
@@ -243,8 +243,8 @@
     private void completeCall() {
         ClientCall finishedCall = call;
         boolean reusable = head.isPersistent() && !input.hasRemaining() && writeQueue.isEmpty();
-        // Read before the release: a waiting call starts on this connection during it and resets
-        // body.
+        // Read before the release, during which a waiting call may start on this connection and
+        // replace the body decoder.
         Fields trailers = body.trailers();
         call = null;
         finishedCall.markEnded();
@@ -282,8 +282,8 @@
     }
 
     // If a reused connection was lost before a byte of the request was written, the call is
-    // submitted
-    // again. Once a byte was written the endpoint may have executed the request, so the call fails.
+    // submitted again. Once a byte was written the endpoint may have executed the request, so the
+    // call fails.
     private void onConnectionLost(String reason) {
         ClientCall affectedCall = call;
         if (affectedCall == null || writeQueue.writtenBytes() > writtenBeforeCall) {
--- a/src/main/java/brooklock/net/HttpConnectionPool.java
+++ b/src/main/java/brooklock/net/HttpConnectionPool.java
@@ -77,9 +77,8 @@
     }
 
     // Opens up to one connection for each waiting call, but only a few at a time: each connect
-    // costs
-    // the endpoint CPU time (milliseconds with TLS), and a connection that becomes free may serve a
-    // call before a new one is established.
+    // costs the endpoint CPU time (milliseconds with TLS), and a connection that becomes free may
+    // serve a call before a new one is established.
     private void connectMore() {
         while (connectingCount < waitingCalls.size()
                 && connectingCount < limits.maxConnecting()
--- a/src/main/java/brooklock/net/HttpServerConnection.java
+++ b/src/main/java/brooklock/net/HttpServerConnection.java
@@ -106,8 +106,7 @@
                 return;
             }
             // The socket stays ready while it has input, but not for a TLS record that was read
-            // from
-            // it without having been decrypted.
+            // from it without having been decrypted.
             if (bytesRead == 0 || (!bufferFull && !tls)) {
                 return;
             }
@@ -359,8 +358,7 @@
         try {
             channel.setOption(Options.CLOSE_ABORT, true);
         } catch (IOException e) {
-            // Closed without a reset; a body with a length or in chunks is still seen to be
-            // incomplete.
+            // Closed without a reset: a body with a length or in chunks is still incomplete.
         }
         closeNow();
     }
--- a/src/main/java/brooklock/net/PendingConnect.java
+++ b/src/main/java/brooklock/net/PendingConnect.java
@@ -37,7 +37,7 @@
     /** Called when the connection cannot be established; ignored if the attempt has settled. */
     abstract void fail(String reason);
 
-    /** Starts the attempt, which fails if it has not settled after {@code timeoutNs}. */
+    /** Starts the attempt, which fails if it has not settled after {@code timeoutNs} ns. */
     final void start(long timeoutNs) {
         future = openChannel(channel -> dispatch(() -> onChannelOpen(channel)));
         if (!settled) {
--- a/src/main/java/brooklock/net/PooledConnectAttempt.java
+++ b/src/main/java/brooklock/net/PooledConnectAttempt.java
@@ -42,8 +42,7 @@
     }
 
     // Runs at once on the I/O thread: a call is waiting, and unlike with ConnectAttempt no caller
-    // needs
-    // the attempt before the callback.
+    // needs the attempt before the callback.
     @Override
     void dispatch(Runnable callback) {
         loop.run(callback);
@@ -82,10 +81,7 @@
                         });
         ssl.setCloseListener(
                 closedChannel ->
-                        loop.run(
-                                () ->
-                                        fail(
-                                                "the endpoint closed the connection during the TLS handshake")));
+                        loop.run(() -> fail("connection closed during the TLS handshake")));
         ssl.getSourceChannel().setReadListener(ready -> advanceHandshake(ssl));
         ssl.getSinkChannel().setWriteListener(ready -> advanceHandshake(ssl));
         try {
@@ -113,7 +109,7 @@
             if (bytesRead != 0) {
                 fail(
                         bytesRead < 0
-                                ? "the endpoint closed the connection during the TLS handshake"
+                                ? "connection closed during the TLS handshake"
                                 : "the endpoint sent data before it received a request");
             }
         } catch (IOException e) {
--- a/src/main/java/brooklock/net/RawConnection.java
+++ b/src/main/java/brooklock/net/RawConnection.java
@@ -286,8 +286,8 @@
                 listener.onAllWritten();
             }
         } catch (IOException e) {
-            // Reported in a later task: the caller of write does not expect onClose during its
-            // call.
+            // Reported in a later task: the caller of write does not expect onClose to be called
+            // before write returns.
             String reason = String.valueOf(e.getMessage());
             loop.execute(() -> onConnectionLost(reason));
         }
--- a/src/test/java/brooklock/net/HttpConnectionPoolTest.java
+++ b/src/test/java/brooklock/net/HttpConnectionPoolTest.java
@@ -64,7 +64,8 @@
      * A proxy that forwards the first connections and accepts the others without ever answering.
      */
     private static final class ThrottledProxy implements AutoCloseable {
-        final ServerSocket serverSocket = new ServerSocket(0, 200, InetAddress.getLoopbackAddress());
+        final ServerSocket serverSocket =
+                new ServerSocket(0, 200, InetAddress.getLoopbackAddress());
         final AtomicInteger accepted = new AtomicInteger();
 
         ThrottledProxy(InetSocketAddress target, int forwardedConnections) throws IOException {
@@ -102,7 +103,8 @@
         }
 
         InetSocketAddress address() {
-            return new InetSocketAddress(serverSocket.getInetAddress(), serverSocket.getLocalPort());
+            return new InetSocketAddress(
+                    serverSocket.getInetAddress(), serverSocket.getLocalPort());
         }
 
         @Override
@@ -141,7 +143,8 @@
         return new HttpClient(ioThreads.loop(0), limits, tlsContext);
     }
 
-    private RecordingHandler startCall(HttpClient httpClient, InetSocketAddress address, Fields fields) {
+    private RecordingHandler startCall(
+            HttpClient httpClient, InetSocketAddress address, Fields fields) {
         RecordingHandler handler = new RecordingHandler();
         RequestHead head = new RequestHead("GET", "/", "localhost", 1, fields);
         ioThreads.loop(0).execute(() -> httpClient.send(address, head, new byte[0], handler));
@@ -150,7 +153,9 @@
 
     private List<RecordingHandler> startCalls(
             int count, HttpClient httpClient, InetSocketAddress address, Supplier<Fields> fields) {
-        return IntStream.range(0, count).mapToObj(i -> startCall(httpClient, address, fields.get())).toList();
+        return IntStream.range(0, count)
+                .mapToObj(i -> startCall(httpClient, address, fields.get()))
+                .toList();
     }
 
     /**
@@ -161,7 +166,8 @@
     void aBurstAtASilentEndpointOpensFewConnections() throws Exception {
         try (ThrottledProxy silent = new ThrottledProxy(null, 0)) {
             HttpClient httpClient = newHttpClient(limits(MAX_CONNECTING, 300_000_000L), clientTls);
-            for (RecordingHandler call : startCalls(50, httpClient, silent.address(), Fields::new)) {
+            for (RecordingHandler call :
+                    startCalls(50, httpClient, silent.address(), Fields::new)) {
                 assertTrue(call.awaitOutcome().startsWith("NOT_CONNECTED"), call.awaitOutcome());
                 assertFalse(call.sent, "no request is sent before the handshake has completed");
             }
@@ -179,7 +185,8 @@
         BlockingQueue<HttpExchange> exchanges = new LinkedBlockingQueue<>();
         HttpListener endpoint = listen(exchanges::add);
         try (ThrottledProxy proxy = new ThrottledProxy(endpoint.address(), 1)) {
-            HttpClient httpClient = newHttpClient(limits(MAX_CONNECTING, LONG_TIMEOUT_NS), clientTls);
+            HttpClient httpClient =
+                    newHttpClient(limits(MAX_CONNECTING, LONG_TIMEOUT_NS), clientTls);
             RecordingHandler first = startCall(httpClient, proxy.address(), new Fields());
             HttpExchange firstExchange = exchanges.poll(20, TimeUnit.SECONDS);
             RecordingHandler second = startCall(httpClient, proxy.address(), new Fields());
