--- a/src/main/java/brooklock/net/PendingConnect.java
+++ b/src/main/java/brooklock/net/AbstractConnectAttempt.java
@@ -11,13 +11,13 @@
  * succeeded, failed, timed out or been cancelled, and later events are ignored. All methods are
  * called on its I/O thread only, {@link #start} first and once.
  */
-abstract class PendingConnect {
+abstract class AbstractConnectAttempt {
     final IoLoop loop;
     private IoFuture<? extends StreamConnection> future;
     private XnioExecutor.Key timer;
     private boolean settled;
 
-    PendingConnect(IoLoop loop) {
+    AbstractConnectAttempt(IoLoop loop) {
         this.loop = loop;
     }
 
--- a/src/main/java/brooklock/net/ConnectAttempt.java
+++ b/src/main/java/brooklock/net/ConnectAttempt.java
@@ -13,7 +13,7 @@
  * An attempt to establish a {@link RawConnection}. Not thread-safe: all methods must be called on
  * the I/O thread that the connection will belong to.
  */
-public final class ConnectAttempt extends PendingConnect {
+public final class ConnectAttempt extends AbstractConnectAttempt {
     private final InetSocketAddress address;
     private final Consumer<RawConnection> onOpened;
     private final Consumer<String> onFailed;
--- a/src/main/java/brooklock/net/PooledConnectAttempt.java
+++ b/src/main/java/brooklock/net/PooledConnectAttempt.java
@@ -17,7 +17,7 @@
  * handshake. Used on the pool's I/O thread only. It belongs to no call: once established, the
  * connection serves the call that has waited longest.
  */
-final class PooledConnectAttempt extends PendingConnect {
+final class PooledConnectAttempt extends AbstractConnectAttempt {
     private final HttpConnectionPool pool;
     private final InetSocketAddress address;
     private final JsseXnioSsl tls;
