--- a/src/main/java/brooklock/net/CallFailure.java
+++ b/src/main/java/brooklock/net/CallFailure.java
@@ -6,7 +6,7 @@
     NOT_CONNECTED(true),
     /** {@link ResponseHandler#shouldSend} returned false, so no byte of the request was written. */
     NOT_SENT(true),
-    /** The connection was lost after some bytes of the request; it may have been executed. */
+    /** The connection was lost after writing began; the request may have been executed. */
     CONNECTION_LOST(false),
     /** The response is not valid HTTP or exceeds a limit; the request may have been executed. */
     MALFORMED_RESPONSE(false);
--- a/src/main/java/brooklock/net/ResponseHandler.java
+++ b/src/main/java/brooklock/net/ResponseHandler.java
@@ -57,7 +57,7 @@
     /**
      * Called when the call has failed without a response or with an incomplete one.
      *
-     * @param failure the kind of failure, which also tells whether the endpoint can have executed
+     * @param failure the kind of failure, which also shows whether the endpoint can have executed
      *     the request
      * @param reason the reason, as text for a log line
      */
