--- a/src/main/java/brooklock/platform/PlatformConfigReader.java
+++ b/src/main/java/brooklock/platform/PlatformConfigReader.java
@@ -17,19 +17,22 @@
 import java.util.List;
 import java.util.Map;
 
-/** Reads the platform's configuration file, JSON, whole or not at all. */
+/**
+ * Reads the platform's JSON configuration file. A file with any missing or malformed required field
+ * is rejected as a whole. Stateless and thread-safe.
+ */
 final class PlatformConfigReader {
-    // The fewest descriptors that the platform gives, for a configuration that does not say.
+    // The minimum that the platform guarantees; used if the configuration states no maximum.
     private static final int DEFAULT_MAX_DESCRIPTORS = 256;
     private static final double NS_PER_MS = 1e6;
 
     private PlatformConfigReader() {}
 
     /**
-     * Reads a configuration.
+     * Reads a configuration from a file.
      *
-     * @throws IOException if the file can't be read
-     * @throws InvalidConfigurationException if it is no configuration
+     * @throws IOException if the file cannot be read
+     * @throws InvalidConfigurationException if the file is not a valid configuration
      */
     static PlatformConfig read(Path file) throws IOException {
         return parse(Files.readString(file, StandardCharsets.UTF_8));
@@ -38,42 +41,42 @@
     /**
      * Parses the text of a configuration.
      *
-     * @throws InvalidConfigurationException if it is none
+     * @throws InvalidConfigurationException if the text is not a valid configuration
      */
     static PlatformConfig parse(String text) throws InvalidConfigurationException {
         try {
             return parse(JsonParser.parseString(text).getAsJsonObject());
         } catch (MalformedMessageException | InvalidAddressException | RuntimeException e) {
-            // Gson and the settings' codec report a wrong shape by unchecked exceptions of many
-            // kinds.
+            // Gson and SettingsDecoder report malformed input by unchecked exceptions of several
+            // types.
             throw new InvalidConfigurationException(e);
         }
     }
 
-    private static PlatformConfig parse(JsonObject top)
+    private static PlatformConfig parse(JsonObject root)
             throws InvalidConfigurationException,
                     MalformedMessageException,
                     InvalidAddressException {
-        JsonObject settings = required(top, "settings").getAsJsonObject();
+        JsonObject settings = required(root, "settings").getAsJsonObject();
         JsonObject limits = required(settings, "limits").getAsJsonObject();
-        JsonObject known = required(top, "known").getAsJsonObject();
+        JsonObject known = required(root, "known").getAsJsonObject();
         List<DiscoveryEvent> events = new ArrayList<>();
         for (JsonElement event : required(known, "cmds").getAsJsonArray()) {
             events.add(DiscoveryEventDecoder.parse(event.getAsJsonObject()));
         }
         RouterSettings routerSettings = SettingsDecoder.decode(settings);
         return new PlatformConfig(
-                text(top, "name"),
-                address(top, "listen"),
-                address(top, "channel"),
-                top.has("seed") ? text(top, "seed").hashCode() : 0,
-                maxDescriptors(top),
+                text(root, "name"),
+                address(root, "listen"),
+                address(root, "channel"),
+                root.has("seed") ? text(root, "seed").hashCode() : 0,
+                maxDescriptors(root),
                 required(known, "cursor").getAsLong(),
                 List.copyOf(events),
                 routerSettings,
                 requestClasses(required(settings, "lanes").getAsJsonArray(), routerSettings),
-                names(settings, "dcs"),
-                names(settings, "machineTypes"),
+                stringList(settings, "dcs"),
+                stringList(settings, "machineTypes"),
                 required(limits, "connIdleNs").getAsLong(),
                 required(limits, "streamsPerConn").getAsInt());
     }
@@ -95,8 +98,8 @@
         return SocketAddressParser.parse(text(object, key));
     }
 
-    private static int maxDescriptors(JsonObject top) {
-        JsonObject limits = top.getAsJsonObject("limits");
+    private static int maxDescriptors(JsonObject root) {
+        JsonObject limits = root.getAsJsonObject("limits");
         return limits != null && limits.has("sockets")
                 ? limits.get("sockets").getAsInt()
                 : DEFAULT_MAX_DESCRIPTORS;
@@ -120,7 +123,7 @@
         return Map.copyOf(classes);
     }
 
-    private static List<String> names(JsonObject object, String key)
+    private static List<String> stringList(JsonObject object, String key)
             throws InvalidConfigurationException {
         List<String> names = new ArrayList<>();
         for (JsonElement name : required(object, key).getAsJsonArray()) {
--- a/src/test/java/brooklock/platform/QueuedAttemptTest.java
+++ b/src/test/java/brooklock/platform/QueuedAttemptTest.java
@@ -21,8 +21,8 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * Attempts that wait for a connection. Whatever changes meanwhile, what is written holds at its
- * first byte; else the attempt goes back to the router as not started.
+ * Tests attempts that wait for a connection. An attempt must be sent only if the router's decision
+ * is still valid at that time; otherwise it returns to the router as not started.
  */
 @Timeout(60)
 class QueuedAttemptTest {
@@ -39,11 +39,12 @@
         fixture.close();
     }
 
-    /** Sends each request to one endpoint once; if it is not served, fails it. */
+    /** Starts one attempt at endpoint {@code a} for each request; fails the request if it fails. */
     static void decideOneAttempt(RouterEvent event, List<RouterAction> actions) {
         if (event instanceof RequestReceived received) {
             actions.add(
-                    DispatcherFixture.attemptAction(received.id(), "a", TIMEOUT_MS, TIMEOUT_MS));
+                    DispatcherFixture.startAttemptAction(
+                            received.id(), "a", TIMEOUT_MS, TIMEOUT_MS));
         } else if (event instanceof AttemptCompleted completed
                 && completed.outcome() != AttemptOutcome.OK) {
             actions.add(new FailRequest(completed.id()));
@@ -56,7 +57,7 @@
         client = new RpcTestClient(fixture.address);
     }
 
-    // The connection that the request's attempt waits for.
+    // Sends a request and returns the pending connection that its attempt waits for.
     private DispatcherFixture.ConnectRequest sendRequest(long id, int timeoutMs) throws Exception {
         client.send(
                 RpcTestClient.encodeCall(
@@ -72,21 +73,23 @@
         return sendRequest(id, TIMEOUT_MS);
     }
 
-    // The change was made on the I/O thread, and that has been waited for.
-    private void assertReturnedAtOnce(DispatcherFixture.ConnectRequest late) throws Exception {
+    // Does not wait for the attempt to end: the caller has waited for the change on the I/O thread.
+    private void assertAlreadyReturned(DispatcherFixture.ConnectRequest connectRequest)
+            throws Exception {
         assertTrue(fixture.allEvents.stream().anyMatch(AttemptCompleted.class::isInstance));
-        assertReturned(late);
+        assertReturned(connectRequest);
     }
 
-    private void assertReturned(DispatcherFixture.ConnectRequest late) throws Exception {
+    private void assertReturned(DispatcherFixture.ConnectRequest connectRequest) throws Exception {
         assertEquals(
                 AttemptOutcome.NOT_STARTED, fixture.nextEvent(AttemptCompleted.class).outcome());
         assertEquals("Internal", client.response().error());
-        assertNothingIsSent(late);
+        assertNothingIsSent(connectRequest);
     }
 
-    private void assertNothingIsSent(DispatcherFixture.ConnectRequest late) throws Exception {
-        DispatcherFixture.EndpointPeer endpoint = fixture.connect(late);
+    private void assertNothingIsSent(DispatcherFixture.ConnectRequest connectRequest)
+            throws Exception {
+        DispatcherFixture.EndpointPeer endpoint = fixture.connect(connectRequest);
         assertNull(endpoint.frames.poll(50, TimeUnit.MILLISECONDS));
     }
 
@@ -99,63 +102,64 @@
     }
 
     /**
-     * A connection comes up 60 ms late. The request frame must promise the endpoint only the time
-     * that is left, or the endpoint would work on after the client has gone.
+     * A connection is established 60 ms late. The time limit in the request frame must be reduced
+     * accordingly, or the endpoint would continue to work after the client's deadline.
      */
     @Test
-    void theTimeSpentWaitingIsNotPromisedToTheEndpoint() throws Exception {
-        DispatcherFixture.ConnectRequest late = startAndSendRequest(0x11);
+    void theTimeLimitOfTheRequestFrameExcludesTheQueueTime() throws Exception {
+        DispatcherFixture.ConnectRequest connectRequest = startAndSendRequest(0x11);
         long startNs = System.nanoTime();
         while (System.nanoTime() - startNs < 60_000_000) {
             Thread.onSpinWait();
         }
-        Frame frame = fixture.connect(late).nextFrame();
+        Frame frame = fixture.connect(connectRequest).nextFrame();
         assertTrue(
                 Integer.parseInt(frame.fields().get("limit")) <= TIMEOUT_MS - 60,
                 frame.fields().toString());
     }
 
-    /** The endpoint begins to drain while the attempt waits: it must not be sent there any more. */
+    /** The endpoint begins to drain while the attempt is queued. The attempt must not be sent. */
     @Test
-    void aDrainReturnsIt() throws Exception {
-        DispatcherFixture.ConnectRequest late = startAndSendRequest(0x12);
+    void aDrainOfItsEndpointReturnsTheAttempt() throws Exception {
+        DispatcherFixture.ConnectRequest connectRequest = startAndSendRequest(0x12);
         fixture.updateList(EndpointState.DRAINING, "a");
-        assertReturnedAtOnce(late);
+        assertAlreadyReturned(connectRequest);
     }
 
     /**
-     * The object is purged while the attempt waits: the age of the copies that it accepts is wrong
-     * by now, and it could bring a purged copy. A purge of another object changes nothing.
+     * The object is purged while the attempt is queued. Its maximum age for copies is outdated, and
+     * it could return a purged copy, so it must not be sent. A purge of another object must have no
+     * effect.
      */
     @Test
-    void aPurgeOfItsObjectReturnsIt() throws Exception {
-        DispatcherFixture.ConnectRequest late = startAndSendRequest(0x13);
+    void aPurgeOfItsObjectReturnsTheAttempt() throws Exception {
+        DispatcherFixture.ConnectRequest connectRequest = startAndSendRequest(0x13);
         purge(0x80, 0);
         assertTrue(fixture.events.stream().noneMatch(AttemptCompleted.class::isInstance));
         purge(0x7f, 0);
-        assertReturnedAtOnce(late);
+        assertAlreadyReturned(connectRequest);
     }
 
-    /** As a purge of its object; here the whole group is purged. */
+    /** The whole group of the object is purged while the attempt is queued. It must not be sent. */
     @Test
-    void aPurgeOfItsGroupReturnsIt() throws Exception {
-        DispatcherFixture.ConnectRequest late = startAndSendRequest(0x14);
+    void aPurgeOfItsGroupReturnsTheAttempt() throws Exception {
+        DispatcherFixture.ConnectRequest connectRequest = startAndSendRequest(0x14);
         purge(0, 1);
-        assertReturnedAtOnce(late);
+        assertAlreadyReturned(connectRequest);
     }
 
     /**
-     * The attempt of a request with an idempotency key may start only while endpoints remember the
-     * key. No connection comes up until then, so the attempt must come back at that time, and not
-     * at the deadline.
+     * An attempt with an idempotency key may start only while endpoints remember the key. If no
+     * connection is established by then, the attempt must return to the router at that time and not
+     * only at the deadline.
      */
     @Test
-    void theEndOfTheTimeToStartReturnsIt() throws Exception {
+    void theStartTimeoutReturnsTheAttempt() throws Exception {
         start(
                 (event, actions) -> {
                     if (event instanceof RequestReceived received) {
                         actions.add(
-                                DispatcherFixture.attemptAction(
+                                DispatcherFixture.startAttemptAction(
                                         received.id(), "a", TIMEOUT_MS, 40));
                         actions.add(
                                 new SetTimer(
@@ -171,43 +175,43 @@
     }
 
     /**
-     * The client cancels while the attempt waits, and the router does not cancel the attempt. It
-     * must not be sent for a client that has gone.
+     * The client cancels its request while the attempt is queued, and the router does not cancel
+     * the attempt. It must not be sent nevertheless.
      */
     @Test
     void nothingIsSentOnceTheClientHasCancelled() throws Exception {
-        DispatcherFixture.ConnectRequest late = startAndSendRequest(0x16);
+        DispatcherFixture.ConnectRequest connectRequest = startAndSendRequest(0x16);
         client.send(RpcTestClient.encodeCancel(1));
         fixture.nextEvent(RouterEvent.ClientDisconnected.class);
-        DispatcherFixture.EndpointPeer endpoint = fixture.connect(late);
+        DispatcherFixture.EndpointPeer endpoint = fixture.connect(connectRequest);
         assertEquals(
                 AttemptOutcome.NOT_STARTED, fixture.nextEvent(AttemptCompleted.class).outcome());
         assertNull(endpoint.frames.poll(50, TimeUnit.MILLISECONDS));
     }
 
     /**
-     * The deadline passes while the attempt waits. It ends as not started, not as timed out: it
-     * proves that nothing was executed, and says nothing of the endpoint.
+     * The deadline passes while the attempt is queued. It must end as not started and not as timed
+     * out: the request was certainly not executed, and the endpoint is not to blame.
      */
     @Test
-    void oneThatStillWaitsAtItsDeadlineWasNeverExecuted() throws Exception {
+    void anAttemptQueuedUntilItsDeadlineEndsAsNotStarted() throws Exception {
         start(QueuedAttemptTest::decideOneAttempt);
         assertReturned(sendRequest(0x17, 60));
     }
 
     /**
-     * A connection comes up 100 ms late and the endpoint responds at once. The duration that the
-     * router gets must not contain the wait, or it would take the endpoint for slow.
+     * A connection is established 100 ms late and the endpoint responds immediately. The reported
+     * duration must exclude the delay, or the router would consider the endpoint slow.
      */
     @Test
-    void theDurationOfAnAttemptCountsFromItsFirstByte() throws Exception {
-        DispatcherFixture.ConnectRequest late = startAndSendRequest(0x2b);
+    void theDurationOfAnAttemptExcludesTheQueueTime() throws Exception {
+        DispatcherFixture.ConnectRequest connectRequest = startAndSendRequest(0x2b);
         long startNs = System.nanoTime();
         while (System.nanoTime() - startNs < 100_000_000) {
             Thread.onSpinWait();
         }
         long connectNs = System.nanoTime();
-        DispatcherFixture.EndpointPeer endpoint = fixture.connect(late);
+        DispatcherFixture.EndpointPeer endpoint = fixture.connect(connectRequest);
         endpoint.nextFrame();
         endpoint.respond(Frame.OK, 0x2b, "rev=1");
         long durationNs = fixture.nextEvent(AttemptCompleted.class).durationNs();
