--- a/src/main/java/brooklock/proxy/EndpointListUpdater.java
+++ b/src/main/java/brooklock/proxy/EndpointListUpdater.java
@@ -21,10 +21,11 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Changes the endpoint list in force. Any thread may call.
+ * Changes the endpoint list in force. Any thread may call it unless a method states otherwise.
  *
- * <p>Each change is made on the routing thread, which owns the list, against what is in force there
- * and then. It is acknowledged after it is saved: what has been acknowledged holds through a kill.
+ * <p>Each change is applied on the routing thread, which owns the list, to the list that is in
+ * force at that moment. It is acknowledged after it is saved, so that an acknowledged change is not
+ * lost when the process is killed.
  */
 final class EndpointListUpdater {
     private static final Logger LOG = LoggerFactory.getLogger(EndpointListUpdater.class);
@@ -42,10 +43,10 @@
     }
 
     /**
-     * Puts the list that was saved last in force, or else that of the settings, and waits for it: a
-     * request that came earlier would find no endpoint.
+     * Applies the list that was saved last, or else the endpoints of the settings, and waits until
+     * it is in force. Requests that were accepted earlier would find no endpoint.
      *
-     * @throws InitialListTimeoutException if it is not in force in time
+     * @throws InitialListTimeoutException if the list is not in force within 10 seconds
      */
     void applyInitialList() throws InitialListTimeoutException {
         Optional<Membership.State> saved = loadSaved();
@@ -73,9 +74,7 @@
         try {
             return store.load();
         } catch (IOException e) {
-            LOG.error(
-                    "the saved list cannot be used; the endpoints of the settings are used instead",
-                    e);
+            LOG.error("saved endpoint list not loaded; using the endpoints of the settings", e);
             return Optional.empty();
         }
     }
@@ -93,11 +92,11 @@
     }
 
     /**
-     * Applies a watch event. The log has it under its version, or as {@code unnumbered list} where
-     * it has none.
+     * Applies a watch event. The log names it by its version, or as {@code unnumbered list} if it
+     * has none.
      *
-     * @param onResult gets what came of it once that is saved, on the writing thread, or on the
-     *     routing thread where nothing is to be saved
+     * @param onResult receives the result after the list is saved: on the writing thread, or on the
+     *     routing thread if there is nothing to save
      */
     void apply(WatchEvent event, Consumer<UpdateResult> onResult) {
         update(
@@ -108,11 +107,13 @@
     }
 
     /**
-     * Makes a change.
+     * Applies a change.
      *
-     * @param description names the change in the log
-     * @param kind how the router is to read the endpoints that change
-     * @param onResult as for {@link #apply}
+     * @param description the name of the change in the log
+     * @param change the change, which runs on the routing thread
+     * @param kind the kind of the list that the router receives
+     * @param onResult receives the result, on the threads stated at {@link #apply(WatchEvent,
+     *     Consumer)}
      */
     void update(
             String description,
@@ -125,25 +126,27 @@
                         () -> {
                             result[0] = apply(description, change);
                             closeIdleConnections(result[0].affected());
-                            return forRouter(
+                            return notifyWarmingAndAdaptWeights(
                                     context.endpointRegistry().toListEvent(result[0], kind));
                         },
                         () ->
                                 store.save(
                                         context.endpointRegistry().state(),
                                         failure ->
-                                                onResult.accept(withFailure(result[0], failure))));
+                                                onResult.accept(
+                                                        withSaveFailure(result[0], failure))));
     }
 
     /**
-     * Submits the whole list in force to the router. To be called on the routing thread only while
-     * its queue has room: it would wait for itself.
+     * Submits the whole list in force to the router. On the routing thread, it must not be called
+     * while the queue is full: the thread would wait forever for a free entry that only it can
+     * create.
      */
     void submitFullList() {
         context.routingThread()
                 .submitComputed(
                         () ->
-                                forRouter(
+                                notifyWarmingAndAdaptWeights(
                                         Optional.of(
                                                 context.endpointRegistry()
                                                         .fullListEvent(EndpointListKind.FULL))),
@@ -157,7 +160,7 @@
         try {
             result = context.endpointRegistry().apply(change);
         } catch (RuntimeException failure) {
-            // One event that can't be applied must not stop the others, nor routing.
+            // A change that cannot be applied must stop neither later changes nor routing.
             LOG.error("endpoint list update failed: {}", description, failure);
             result = UpdateResult.internalError(failure);
         }
@@ -183,8 +186,10 @@
         }
     }
 
-    // The warming of caches follows every change, also one that is no event for the router.
-    private Optional<RouterEvent> forRouter(Optional<EndpointListReceived> event) {
+    // Cache warming is notified of every change, including those that cause no event for the
+    // router.
+    private Optional<RouterEvent> notifyWarmingAndAdaptWeights(
+            Optional<EndpointListReceived> event) {
         warming.ifPresent(WarmingCoordinator::onEndpointListChanged);
         return event.map(
                 list -> warming.isPresent() ? warming.get().withWarmingWeights(list) : list);
@@ -192,8 +197,9 @@
 
     // ---- On the writing thread
 
-    // Tells the sender that the list applies but would be lost by a restart.
-    private static UpdateResult withFailure(UpdateResult result, Optional<IOException> failure) {
+    // Informs the sender that the change is in force but would be lost by a restart.
+    private static UpdateResult withSaveFailure(
+            UpdateResult result, Optional<IOException> failure) {
         return failure.isPresent() && result.applied()
                 ? result.withSaveError(String.valueOf(failure.get().getMessage()))
                 : result;
--- a/src/test/java/brooklock/proxy/CacheStatusParserTest.java
+++ b/src/test/java/brooklock/proxy/CacheStatusParserTest.java
@@ -11,10 +11,11 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * What a response's head proves.
+ * Tests which outcome the head of a response proves.
  *
- * <p>An outcome that promises that nothing was executed lets the dispatcher send an order again. A
- * word read too generously would place it twice; one read too strictly would lose it.
+ * <p>After an outcome that guarantees that nothing was executed, the dispatcher may send an order
+ * again. If the parser assumes this without proof, an order may be placed twice; if it ignores a
+ * proof, an order may be lost.
  */
 class CacheStatusParserTest {
     private static UpstreamResult parse(int status, String field, String value) {
@@ -40,7 +41,7 @@
                 "c1 | NONE",
                 "; hit | NONE"
             })
-    void statusBelow500IsServedAndSaysWhereTheBytesCameFrom(String value, CacheStatus expected) {
+    void statusBelow500IsOkWithTheCacheStatusOfTheLastMember(String value, CacheStatus expected) {
         assertEquals(
                 new UpstreamResult(AttemptOutcome.OK, expected, 0),
                 parse(200, "Cache-Status", value));
@@ -93,7 +94,7 @@
                 "c1 | ERROR | NONE",
                 "c1; error=\"connection_refused | ERROR | NONE"
             })
-    void failureOf500AndAboveGoesByTheLastMembersError(
+    void status500AndAboveIsClassifiedByTheErrorOfTheLastMember(
             String value, AttemptOutcome outcome, CacheStatus cacheStatus) {
         for (int status : new int[] {500, 502, 503, 504}) {
             assertEquals(
@@ -103,7 +104,7 @@
     }
 
     @Test
-    void failureWithoutAWordProvesNothing() {
+    void failureWithoutAnErrorNameProvesNothing() {
         assertEquals(
                 new UpstreamResult(AttemptOutcome.ERROR, CacheStatus.NONE, 0),
                 parse(503, "Proxy-Status", null));
@@ -114,7 +115,7 @@
 
     @ParameterizedTest
     @CsvSource({"1500, 1500000", "0, 0", "-1, 0", "1.5, 0", "1234567890123, 0"})
-    void waitForTheFillSourceIsReadInMicroseconds(String value, long expectedNs) {
+    void fillDurationIsParsedInMicroseconds(String value, long expectedNs) {
         assertEquals(expectedNs, parse(200, "Brooklock-Waited", value).fillDurationNs());
     }
 }
--- a/src/test/java/brooklock/proxy/LoadReportParserTest.java
+++ b/src/test/java/brooklock/proxy/LoadReportParserTest.java
@@ -11,10 +11,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What endpoints and their peers say of their load. */
+/** Tests the parsing of the load that endpoints and their peers report. */
 class LoadReportParserTest {
     @Test
-    void readsTheLoadOfEndpointAndPeerEachFromItsField() {
+    void parsesEndpointAndPeerLoadFromTheirFields() {
         Fields fields =
                 new Fields()
                         .add("Brooklock-Load", "util=0.42, inflight=7, x0=0.80")
@@ -27,9 +27,12 @@
                 LoadReportParser.ofPeer(fields, 5, 9));
     }
 
-    /** A newer endpoint adds keys, a faulty one sends nonsense: neither may stop the dispatcher. */
+    /**
+     * A newer endpoint may send additional keys, and a faulty one invalid values. Neither may cause
+     * a failure.
+     */
     @Test
-    void unknownKeysAndValuesThatAreNoNumbersAreLeftOut() {
+    void unknownKeysAndNonNumericValuesAreIgnored() {
         Fields fields =
                 new Fields().add("Brooklock-Load", "util=-1, x0=0.5e3, inflight, new=3, =4");
         LoadReport report = LoadReportParser.ofEndpoint(fields, 1, 2).orElseThrow();
@@ -38,7 +41,7 @@
     }
 
     @Test
-    void noFieldIsNoReport() {
+    void missingFieldYieldsNoReport() {
         assertEquals(Optional.empty(), LoadReportParser.ofEndpoint(new Fields(), 1, 2));
         assertEquals(Optional.empty(), LoadReportParser.ofPeer(new Fields(), 1, 2));
         assertEquals(Optional.empty(), LoadReportParser.peerResult(new Fields()));
@@ -46,7 +49,7 @@
 
     @ParameterizedTest
     @CsvSource({"gave, FILLED", "lacked, MISSED", "failed, FAILED", "other, FAILED"})
-    void readsWhatCameOfAskingThePeer(String word, PeerResult expected) {
+    void parsesPeerResult(String word, PeerResult expected) {
         Fields fields = new Fields().add("Brooklock-First", word);
         assertEquals(Optional.of(expected), LoadReportParser.peerResult(fields));
     }
--- a/src/test/java/brooklock/proxy/WatchEventOrderTest.java
+++ b/src/test/java/brooklock/proxy/WatchEventOrderTest.java
@@ -25,31 +25,41 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Endpoint lists over several connections: whichever arrives first, the newest is in force. */
+/**
+ * Tests that the newest endpoint list is in force, in whichever order lists arrive on several
+ * connections.
+ */
 class WatchEventOrderTest {
     @TempDir Path dir;
 
-    private static String list(
-            LoopbackFleet fleet, long epoch, long number, long follows, String gone) {
-        List<ListedEndpoint> all = new ArrayList<>();
+    private static String encodeList(
+            LoopbackFleet fleet,
+            long epoch,
+            long number,
+            long previousNumber,
+            String goneEndpoint) {
+        List<ListedEndpoint> listed = new ArrayList<>();
         fleet.servers.forEach(
                 (name, server) -> {
-                    if (follows == 0 || name.equals("c1")) {
-                        all.add(
-                                member(
+                    if (previousNumber == 0 || name.equals("c1")) {
+                        listed.add(
+                                toListedEndpoint(
                                         name,
                                         server,
-                                        name.equals(gone)
+                                        name.equals(goneEndpoint)
                                                 ? EndpointState.GONE
                                                 : EndpointState.READY));
                     }
                 });
         return EndpointListCodec.encode(
                 new WatchEvent(
-                        new EventVersion("registry", epoch, number, follows), follows == 0, all));
+                        new EventVersion("registry", epoch, number, previousNumber),
+                        previousNumber == 0,
+                        listed));
     }
 
-    private static ListedEndpoint member(String name, TestServer server, EndpointState state) {
+    private static ListedEndpoint toListedEndpoint(
+            String name, TestServer server, EndpointState state) {
         EndpointKind kind = EndpointKind.valueOf(server.model().role().name());
         return new ListedEndpoint(
                 name,
@@ -75,7 +85,7 @@
         return LoopbackFleet.readResponse(socket.getInputStream());
     }
 
-    private static Socket control(LoopbackFleet fleet) throws IOException {
+    private static Socket connectControl(LoopbackFleet fleet) throws IOException {
         Socket socket =
                 new Socket(
                         InetAddress.getLoopbackAddress(),
@@ -95,100 +105,113 @@
     }
 
     /**
-     * A registry sends two lists over two connections, and the older one overtakes the newer. If
-     * arrival decided, a cache that is gone would come back until the next list, and get requests.
-     * Each of a thousand times the newer list is in force after both, whichever came first.
+     * A registry sends two lists on two connections, and the newer one may overtake the older. If
+     * the last list to arrive were in force, a cache that is gone could receive requests until the
+     * next list. In each of a thousand repetitions, the newer list must be in force after both.
      */
     @Test
     void newerOfTwoListsOnTwoConnectionsIsInForce() throws Exception {
-        ExecutorService two = Executors.newFixedThreadPool(2);
+        ExecutorService executor = Executors.newFixedThreadPool(2);
         try (LoopbackFleet fleet = new LoopbackFleet(dir, 2, 1, "").start();
-                Socket one = control(fleet);
-                Socket other = control(fleet)) {
+                Socket firstConnection = connectControl(fleet);
+                Socket secondConnection = connectControl(fleet)) {
             Random random = new Random(5);
             int overtaken = 0;
             for (int i = 1; i <= 1000; i++) {
-                // The older has c1 gone or back, the newer the other way round.
-                boolean goneLast = random.nextBoolean();
-                String older = list(fleet, 1, 2L * i, 0, goneLast ? null : "c1");
-                String newer = list(fleet, 1, 2L * i + 1, 0, goneLast ? "c1" : null);
-                boolean first = random.nextBoolean();
+                // c1 is gone in exactly one of the two lists.
+                boolean newerHasC1Gone = random.nextBoolean();
+                String older = encodeList(fleet, 1, 2L * i, 0, newerHasC1Gone ? null : "c1");
+                String newer = encodeList(fleet, 1, 2L * i + 1, 0, newerHasC1Gone ? "c1" : null);
+                boolean olderOnFirstConnection = random.nextBoolean();
                 Callable<LoopbackFleet.Response> a =
-                        () -> post(one, "/hosts", first ? older : newer);
+                        () ->
+                                post(
+                                        firstConnection,
+                                        "/hosts",
+                                        olderOnFirstConnection ? older : newer);
                 Callable<LoopbackFleet.Response> b =
-                        () -> post(other, "/hosts", first ? newer : older);
-                List<Future<LoopbackFleet.Response>> both = two.invokeAll(List.of(a, b));
-                LoopbackFleet.Response toOlder = both.get(first ? 0 : 1).get();
-                assertEquals(200, both.get(first ? 1 : 0).get().status());
-                if (toOlder.status() == 409) {
+                        () ->
+                                post(
+                                        secondConnection,
+                                        "/hosts",
+                                        olderOnFirstConnection ? newer : older);
+                List<Future<LoopbackFleet.Response>> responses = executor.invokeAll(List.of(a, b));
+                LoopbackFleet.Response responseToOlder =
+                        responses.get(olderOnFirstConnection ? 0 : 1).get();
+                assertEquals(200, responses.get(olderOnFirstConnection ? 1 : 0).get().status());
+                if (responseToOlder.status() == 409) {
                     overtaken++;
                     assertEquals(
                             "older\nsource registry epoch 1 number " + (2 * i + 1) + "\n",
-                            toOlder.text());
+                            responseToOlder.text());
                 }
                 assertEquals(
-                        goneLast ? EndpointState.GONE : EndpointState.READY,
+                        newerHasC1Gone ? EndpointState.GONE : EndpointState.READY,
                         fleet.dispatcher
                                 .context()
                                 .endpointRegistry()
                                 .find(EndpointId.of("c1"))
                                 .state(),
-                        "try " + i);
+                        "repetition " + i);
             }
             assertTrue(
-                    overtaken > 50 && overtaken < 950, "both ways round were seen: " + overtaken);
+                    overtaken > 50 && overtaken < 950,
+                    "expected both orders of arrival; older lists rejected: " + overtaken);
         } finally {
-            two.shutdown();
+            executor.shutdown();
         }
     }
 
     /**
-     * An operator drains a cache while the registry sends full lists that call it ready. The drain
-     * must hold, whichever comes first, and it must not undo what else the lists say of the cache.
+     * An operator drains a cache while the registry sends full lists in which it is ready. The
+     * drain must stay in force in either order of arrival, and must not revert other changes that
+     * the lists make to the cache.
      */
     @Test
-    void drainByHandHoldsAgainstConcurrentFullListsAndChangesNothingElse() throws Exception {
-        ExecutorService two = Executors.newFixedThreadPool(2);
+    void operatorDrainOutlastsConcurrentFullListsAndChangesNothingElse() throws Exception {
+        ExecutorService executor = Executors.newFixedThreadPool(2);
         try (LoopbackFleet fleet = new LoopbackFleet(dir, 2, 1, "").start();
-                Socket one = control(fleet);
-                Socket other = control(fleet)) {
+                Socket firstConnection = connectControl(fleet);
+                Socket secondConnection = connectControl(fleet)) {
             for (int i = 1; i <= 200; i++) {
-                String list = list(fleet, 1, i, 0, null);
-                // Each list moves c1: by hand its state is changed, and nothing else of it is put
-                // back.
-                String moved =
+                String list = encodeList(fleet, 1, i, 0, null);
+                // Each list changes the weight and start time of c1. The operator's drain must
+                // change its state only.
+                String changedList =
                         list.replaceAll("(c1 cache here \\S+ ready) 1.0 0", "$1 " + i + ".0 " + i);
-                two.invokeAll(
+                executor.invokeAll(
                         List.of(
-                                () -> post(one, "/hosts", moved),
-                                () -> post(other, "/drain?host=c1", "")));
+                                () -> post(firstConnection, "/hosts", changedList),
+                                () -> post(secondConnection, "/drain?host=c1", "")));
                 ListedEndpoint c1 =
                         fleet.dispatcher.context().endpointRegistry().find(EndpointId.of("c1"));
                 assertEquals(EndpointState.DRAINING, c1.state());
                 assertEquals(i, c1.weight());
                 assertEquals(i, c1.startedMs());
-                assertEquals(200, post(one, "/ready?host=c1", "").status());
+                assertEquals(200, post(firstConnection, "/ready?host=c1", "").status());
                 assertTrue(fleet.dispatcher.context().endpointRegistry().isReady(c1.id()));
             }
         } finally {
-            two.shutdown();
+            executor.shutdown();
         }
     }
 
     /**
-     * A dispatcher restarts. What it had acknowledged is in force again, together with the place of
-     * each source in its order: an older list that arrives late must not take anything back, nor a
-     * gap go unnoticed.
+     * A dispatcher restarts. The acknowledged lists must be in force again, together with the epoch
+     * and sequence number of each source: an older list that arrives late must be rejected, and a
+     * gap must be detected.
      */
     @Test
-    void acknowledgedListsHoldThroughARestartAndOlderOnesAreRejected() throws Exception {
+    void acknowledgedListsSurviveARestartAndOlderOnesAreRejected() throws Exception {
         LoopbackFleet fleet = new LoopbackFleet(dir, 2, 1, "list saved\n");
         try (fleet) {
             fleet.start();
             assertEquals(
-                    200, fleet.sendControl("POST", "/hosts", list(fleet, 3, 7, 0, null)).status());
+                    200,
+                    fleet.sendControl("POST", "/hosts", encodeList(fleet, 3, 7, 0, null)).status());
             assertEquals(
-                    200, fleet.sendControl("POST", "/hosts", list(fleet, 3, 8, 7, "c1")).status());
+                    200,
+                    fleet.sendControl("POST", "/hosts", encodeList(fleet, 3, 8, 7, "c1")).status());
             assertEquals(200, fleet.sendControl("POST", "/drain?host=c2", "").status());
             fleet.dispatcher.close();
             fleet.start();
@@ -199,28 +222,36 @@
                             .text()
                             .contains("source registry epoch 3 number 8 heard-ms-ago "));
             assertEquals(
-                    409, fleet.sendControl("POST", "/hosts", list(fleet, 3, 7, 0, null)).status());
+                    409,
+                    fleet.sendControl("POST", "/hosts", encodeList(fleet, 3, 7, 0, null)).status());
             assertEquals(
-                    409, fleet.sendControl("POST", "/hosts", list(fleet, 2, 99, 0, null)).status());
+                    409,
+                    fleet.sendControl("POST", "/hosts", encodeList(fleet, 2, 99, 0, null))
+                            .status());
             assertEquals(
                     409,
-                    fleet.sendControl("POST", "/hosts", list(fleet, 3, 11, 10, null)).status(),
-                    "a gap");
+                    fleet.sendControl("POST", "/hosts", encodeList(fleet, 3, 11, 10, null))
+                            .status(),
+                    "a list after a gap must be rejected");
             assertEquals(
                     409,
                     fleet.sendControl("POST", "/ready?host=c1", "").status(),
-                    "the registry says that it is gone");
+                    "the registry states that the cache is gone");
             assertEquals("GONE", state(fleet, "c1"));
             assertEquals(
-                    200, fleet.sendControl("POST", "/hosts", list(fleet, 4, 1, 0, null)).status());
+                    200,
+                    fleet.sendControl("POST", "/hosts", encodeList(fleet, 4, 1, 0, null)).status());
             assertEquals("READY", state(fleet, "c1"));
-            assertEquals("DRAINING", state(fleet, "c2"), "by hand, until it is taken back by hand");
+            assertEquals(
+                    "DRAINING",
+                    state(fleet, "c2"),
+                    "the override stays in force until an operator withdraws it");
             assertEquals(
                     400,
                     fleet.sendControl(
                                     "POST",
                                     "/hosts",
-                                    list(fleet, 4, 2, 0, null).replace("epoch 4", "epoch x"))
+                                    encodeList(fleet, 4, 2, 0, null).replace("epoch 4", "epoch x"))
                             .status());
             assertEquals(404, fleet.sendControl("POST", "/reset?source=nobody", "").status());
             assertEquals(404, fleet.sendControl("POST", "/forget", "").status());
