--- a/src/main/java/brooklock/routing/Attempt.java
+++ b/src/main/java/brooklock/routing/Attempt.java
@@ -4,14 +4,17 @@
 final class Attempt {
     final RoutedEndpoint endpoint;
 
-    /** Where the endpoint fills a cache miss from; the endpoint itself if it may not fill. */
+    /**
+     * The endpoint from which a cache miss is filled; equal to {@link #endpoint} if no fill is
+     * allowed.
+     */
     final RoutedEndpoint fillSource;
 
     final AdmittedTier admittedTier;
 
     /**
-     * The time at which the router started the attempt, in nanoseconds. It is sent later if it
-     * waits for a connection.
+     * The time at which the router started the attempt, in nanoseconds. The attempt is sent later
+     * if it waits for a connection.
      */
     final long startedAtNs;
 
@@ -47,9 +50,9 @@
     }
 
     /**
-     * Returns whether this attempt is open although an outcome of its endpoint has been recorded
-     * since its start. The endpoint is then taken to be alive and the response to be missing. A
-     * reset or timeout of another attempt counts as such an outcome, too.
+     * Returns whether the response is missing: the attempt is still open, but another outcome of
+     * the endpoint has been recorded since it started, which shows that the endpoint is alive. Any
+     * recorded outcome counts, including a reset or timeout.
      */
     boolean isResponseMissing() {
         return !completed && endpoint.health.noOutcomeSinceNs > startedAtNs;
--- a/src/main/java/brooklock/routing/AttemptOutcome.java
+++ b/src/main/java/brooklock/routing/AttemptOutcome.java
@@ -8,7 +8,7 @@
     ERROR(false),
     /** The endpoint rejected the attempt because it is overloaded. */
     OVERLOADED(true),
-    /** No response came within the attempt's timeout. */
+    /** No response was received within the attempt's timeout. */
     TIMEOUT(false),
     /** No connection to the endpoint was established. */
     CONNECT_FAILED(true),
--- a/src/main/java/brooklock/routing/CacheSelector.java
+++ b/src/main/java/brooklock/routing/CacheSelector.java
@@ -9,43 +9,44 @@
  * <p>Inputs: the caches of the router's own zone, the work in flight at each, {@link
  * OutlierDetector}, {@link SlowStart} and how often the object is requested.
  *
- * <p>The caches are tried in the order of {@link RendezvousHash}. A cache is passed over if the
- * request has tried it, if it is ejected, if its load exceeds the bound, or if its slow-start
- * budget does not cover the request. Without the bound on the load, one popular copy could fill a
- * cache's link and make its hits late while its peers are idle. If a cache is passed over, the next
- * one in the order is tried.
+ * <p>The caches are considered in descending order of their {@link RendezvousHash} scores. A cache
+ * is passed over if the request has tried it, if it is ejected, if its load exceeds the bound, or
+ * if its slow-start budget does not cover the request. Without the bound on the load, one popular
+ * copy could fill a cache's link and make its hits late while its peers are idle. If a cache is
+ * passed over, the next one in the order is considered.
  *
- * <p>If all caches are passed over, only slow start still applies: the least loaded of the caches
- * that it allows is selected. Ejected caches come after the others, and caches that the request has
- * tried come last.
+ * <p>If all caches are passed over, one whose slow-start budget covers the request is selected:
+ * untried caches are preferred to tried ones, then caches that are not ejected to ejected ones,
+ * then less loaded caches to more loaded ones.
  */
 final class CacheSelector {
     /**
-     * Multiple of the caches' mean work in flight above which, with {@link #LOAD_SLACK_REQUESTS}
-     * added, a cache is passed over.
+     * A cache is passed over if its work in flight exceeds {@link #LOAD_SLACK_REQUESTS} plus this
+     * multiple of the mean over all caches.
      */
     private static final double LOAD_BOUND_FACTOR = 1.1;
 
     /**
-     * Mean requests that are added to the bound of the load, so that small loads do not move
-     * requests.
+     * Amount added to the load bound, as a multiple of the work of a mean request. Without it,
+     * requests would move to other caches even at low load.
      */
     private static final double LOAD_SLACK_REQUESTS = 2;
 
     /**
-     * Number of caches that are selected one by one before the rest is sorted: sorting costs about
-     * as many passes.
+     * Number of caches that are selected one by one, with one pass over the list each. The rest is
+     * then sorted, which costs about as much as this many passes.
      */
     private static final int SELECTION_PASSES = 8;
 
     /**
-     * Added to the load in nanoseconds of a cache that the request has tried: far above any load.
+     * Penalty, in nanoseconds, added to the load of a cache that the request has tried; far above
+     * any load.
      */
     private static final double TRIED_PENALTY_NS = 1e15;
 
     /**
-     * Added to the load in nanoseconds of an ejected cache: above any load, below the other
-     * penalty.
+     * Penalty, in nanoseconds, added to the load of an ejected cache; above any load but far below
+     * {@link #TRIED_PENALTY_NS}.
      */
     private static final double EJECTED_PENALTY_NS = 1e12;
 
@@ -72,8 +73,9 @@
     }
 
     /**
-     * Returns the cache for the request. If all caches are passed over, returns the least loaded
-     * one that slow start allows, or null if it allows none.
+     * Returns the cache for the request: the first in the order that is not passed over or, for a
+     * very hot object, the least loaded of the first two or three. If all caches are passed over,
+     * returns the cache that {@link #leastLoaded} selects, or null if slow start allows none.
      */
     RoutedEndpoint select(PendingRequest request, long now) {
         double maxLoad =
@@ -119,9 +121,10 @@
     }
 
     /**
-     * Moves the cache with the highest score among those from the given index on to that index and
-     * returns it. Usually only the first few caches are needed, so the others are left unsorted.
-     * The list itself is reordered, and its order is the starting point for the next request.
+     * Moves the cache with the highest score among those at or after the given index to that index,
+     * and returns it. Must be called with ascending indices. Usually only the first few caches are
+     * needed, so the others are left unsorted. The list itself is reordered and stays in that order
+     * until the next request.
      */
     private RoutedEndpoint moveBestTo(int index) {
         if (index == SELECTION_PASSES) {
@@ -137,8 +140,8 @@
     }
 
     /**
-     * Returns the least loaded cache that slow start allows, or null if it allows none. Ejected
-     * caches come after the others, and caches that the request has tried come last.
+     * Returns the least loaded cache that slow start allows, or null if it allows none. Untried
+     * caches are preferred to tried ones, then caches that are not ejected to ejected ones.
      */
     private RoutedEndpoint leastLoaded(PendingRequest request, long now) {
         RoutedEndpoint best = null;
--- a/src/main/java/brooklock/routing/CacheStatus.java
+++ b/src/main/java/brooklock/routing/CacheStatus.java
@@ -12,11 +12,11 @@
     HIT,
     /** The endpoint filled its copy from a parent that had one. */
     FILLED_BY_PARENT,
-    /** The copy came from the origin, directly or through a parent. */
+    /** The endpoint filled its copy from the origin, directly or through a parent. */
     FILLED_BY_ORIGIN,
     /**
-     * The copy did not come from the named fill source but from a fill already in flight or from a
-     * peer.
+     * The copy was received from a fill already in flight or from a peer, not from the fill source
+     * that the attempt names.
      */
     COLLAPSED,
     /** The endpoint served a stale copy. */
@@ -38,7 +38,7 @@
     }
 
     /**
-     * Returns whether the fill failed beyond the endpoint, so that the failure is not attributed to
+     * Returns whether the fill failed beyond the endpoint. The failure is then not attributed to
      * the endpoint.
      */
     public boolean isFillSourceFailure() {
--- a/src/main/java/brooklock/routing/ConcurrencyLimit.java
+++ b/src/main/java/brooklock/routing/ConcurrencyLimit.java
@@ -8,10 +8,10 @@
  * their latency objective.
  *
  * <p>There is no limit until the link is congested, that is, until the share of late responses is
- * too high. From then on, with a tolerated share {@code s} of late responses, a response in time
- * raises the limit by {@code s} times its work and a late one lowers it by {@code 1 - s} times its
- * work. The limit settles where the share of late responses is {@code s}. The tolerated share is
- * higher on links where responses are also late for other reasons.
+ * too high. After that, with a tolerated share {@code s} of late responses, a response in time
+ * raises the limit by {@code s} times its work, and a late response lowers it by {@code 1 - s}
+ * times its work. The limit settles where the share of late responses is {@code s}. The tolerated
+ * share is higher on links where responses are also late for other reasons.
  *
  * <p>Without a limit, additional work on a full link makes all of its responses late: all latencies
  * grow while the throughput stays the same. Work above the limit is sent elsewhere or rejected at
@@ -28,24 +28,24 @@
     private static final double TOLERATED_ORIGIN_LATE_SHARE = 0.3;
 
     /**
-     * Minimum of a limit in the router's own zone, in mean requests, so that some are always
-     * admitted.
+     * Lower bound of each limit in the router's own zone, as a multiple of the work of a mean
+     * request. Ensures that some requests are always admitted.
      */
     private static final double MIN_REQUESTS = 2;
 
     /**
-     * Minimum of the limits of all dispatchers together at the origin, in mean requests, so that
-     * some are always admitted.
+     * Lower bound of the sum of all dispatchers' limits at the origin, as a multiple of the work of
+     * a mean request. Ensures that some requests are always admitted.
      */
     private static final double MIN_ORIGIN_REQUESTS = 4;
 
     /**
-     * Maximum share of a limit that one late response may take away: a single large one must not
-     * block the link for all.
+     * Maximum share by which one late response lowers a limit: a single large response must not
+     * block the link for all other requests.
      */
     private static final double MAX_DECREASE_SHARE = 0.25;
 
-    /** Share of late responses from which on a link is congested and gets a limit. */
+    /** Share of late responses at which a link is considered congested and gets a limit. */
     private static final double CONGESTED_LATE_SHARE = 0.15;
 
     /** Weight of one response in the running share of late responses. */
@@ -75,8 +75,9 @@
     }
 
     /**
-     * Creates this dispatcher's share of the limit at the origin. The minimum is divided by the
-     * number of dispatchers, because the minima of all add up at the one origin.
+     * Creates this dispatcher's share of the limit at the origin. The lower bound is divided by the
+     * number of dispatchers, because all dispatchers share one origin, where their lower bounds add
+     * up.
      */
     static ConcurrencyLimit forOrigin(int dispatchers) {
         return new ConcurrencyLimit(
@@ -96,18 +97,18 @@
     }
 
     /**
-     * Returns whether the limit is at least the given work, so that a request of this size needs no
-     * pause after it.
+     * Returns whether the limit is at least the given work. Larger requests are admitted only one
+     * at a time and with pauses; see {@link #admits}.
      */
     boolean isAtLeast(double workNs) {
         return limitNs >= workNs;
     }
 
     /**
-     * Returns whether work may start. If the limit is smaller than one request, a single request is
-     * admitted on an idle link, because nothing would be served otherwise. In a pause after it no
-     * other is admitted; the pause is so long that the mean work in flight over request and pause
-     * equals the limit.
+     * Returns whether work may start. A request that exceeds the limit on its own is admitted only
+     * on an idle link; without this exception it would never be served. After such a request, the
+     * next one that exceeds the limit is admitted only when a pause has ended. The pause is chosen
+     * so that the mean work in flight, averaged over the request and the pause, equals the limit.
      */
     boolean admits(double workNs, long now) {
         return inFlightNs + workNs <= limitNs || (inFlightNs <= 0 && now >= pausedUntilNs);
@@ -124,7 +125,10 @@
         }
     }
 
-    /** Records a response of unknown size, which does not change the limit. */
+    /**
+     * Records a response of unknown size, which changes the share of late responses but not the
+     * limit.
+     */
     void onUnsizedResponse(boolean onTime) {
         updateLateShare(onTime, UNSIZED_LATE_SHARE_WEIGHT);
     }
--- a/src/main/java/brooklock/routing/EndpointHealth.java
+++ b/src/main/java/brooklock/routing/EndpointHealth.java
@@ -1,6 +1,6 @@
 package brooklock.routing;
 
-/** The health of one endpoint as the {@link OutlierDetector} sees it. State only. */
+/** The health of one endpoint, as determined by the {@link OutlierDetector}. State only. */
 final class EndpointHealth {
     /** The number of attempts whose outcome is not known yet. */
     int openAttempts;
@@ -9,9 +9,10 @@
     double errorRate;
 
     /**
-     * The time since which no outcome has been recorded, in nanoseconds. It is the latest of: an
-     * outcome of any kind, including a timeout, a reset or an outcome as fill source; the first
-     * attempt after a time without open attempts; a new start time in the endpoint list.
+     * The time since which no outcome has been recorded, in nanoseconds. It is the latest of these
+     * times: the last recorded outcome, including a timeout, a reset or an outcome as fill source,
+     * but not an attempt that was cancelled or not started; the start of the first attempt after a
+     * time without open attempts; the receipt of a new start time in the endpoint list.
      */
     long noOutcomeSinceNs;
 
@@ -19,9 +20,9 @@
     int connectionFailures;
 
     /**
-     * The number of successive failures that left the endpoint ejected, up to the bound of the
-     * backoff. The failure that ejects it is the first. Late failures of attempts sent before its
-     * ejection count like failed health checks.
+     * The number of successive failures that left the endpoint ejected, up to the maximum number of
+     * doublings of the pause. The failure that ejects the endpoint is the first. Late failures of
+     * attempts sent before the ejection count like failed health checks.
      */
     int failuresWhileEjected;
 
--- a/src/main/java/brooklock/routing/EndpointTable.java
+++ b/src/main/java/brooklock/routing/EndpointTable.java
@@ -7,15 +7,16 @@
 import java.util.TreeMap;
 
 /**
- * The endpoint list with the state of each endpoint, grouped by the endpoints' use for this
+ * Keeps the endpoints of the endpoint list with their state, grouped by their use for this
  * dispatcher.
  *
  * <p>Inputs: endpoint lists and changes of them, in the order of their events.
  *
  * <p>The lists that selection reads contain only ready endpoints, so an endpoint that is draining
  * or gone gets no more requests or fills once an event has reported it. Otherwise endpoints that
- * shut down would cause errors during each deployment. The state of an endpoint is kept until its
- * last attempt has ended, so that its load is still known if it returns before that.
+ * shut down would cause errors during each deployment. The state of an endpoint that is gone is
+ * kept until its last attempt has ended, so that its load is still known if the endpoint returns in
+ * the meantime.
  */
 final class EndpointTable {
     private final RouterSettings settings;
@@ -40,7 +41,7 @@
         return localCaches;
     }
 
-    /** Returns the ready parents of the zone whose parents are near. */
+    /** Returns the ready parents in the zone whose parents are near the router's own zone. */
     List<RoutedEndpoint> nearParents() {
         return nearParents;
     }
--- a/src/main/java/brooklock/routing/FillAdmission.java
+++ b/src/main/java/brooklock/routing/FillAdmission.java
@@ -10,10 +10,11 @@
  * learned from outcomes.
  *
  * <p>Each attempt reserves work on the link of its endpoint, on the zone's fill link and at the
- * origin. On the latter two it reserves only the share of the work that is expected to miss in the
- * tiers before. If a link has no capacity left, the request is admitted only to the tiers before
- * that link; after a miss it may go further if there is capacity by then. If no tier is left that
- * could serve it, the load is shed: the {@link Router} rejects or fails the request at once.
+ * origin. On the fill link and at the origin, only the share of the work that is expected to miss
+ * in the preceding tiers is reserved. If a link has no capacity left, the request is admitted only
+ * to the tiers in front of that link; after a miss, it may use a further tier if capacity is
+ * available by then. If no tier is left that could serve it, the load is shed: the {@link Router}
+ * rejects or fails the request at once.
  *
  * <p>Without this, misses that cannot be filled would delay hits: caches would respond late even if
  * they have the object. Serving a cached copy needs only the cache's own link.
@@ -104,9 +105,10 @@
     }
 
     /**
-     * Updates the limits and miss ratios with an outcome. An attempt that never started, or that
-     * was cancelled before its latency objective, says nothing about a link: its connection was
-     * established late, or its client disconnected.
+     * Updates the limits and miss ratios with an outcome. Two kinds of attempts are ignored,
+     * because they say nothing about a link: an attempt that never started, whose connection was
+     * late or failed, and an attempt that was cancelled before its latency objective, for example
+     * because its client disconnected.
      */
     void onCompleted(
             PendingRequest request,
@@ -137,11 +139,20 @@
     }
 
     /**
-     * Returns the limit that an outcome updates, or null if it updates none: the limit of the
-     * cache's own link for a hit, of the fill link for a copy from a parent or a response from an
-     * endpoint that is not a cache, and of the origin for a copy from the origin or a failed fill
-     * that reached its fill source. Any other failure, unless it is excused, updates the limit of
-     * the cache's link if only the cached copy was allowed, else that of the fill link.
+     * Returns the limit that an outcome updates, or null if it updates none:
+     *
+     * <ul>
+     *   <li>a hit: the limit of the cache's own link;
+     *   <li>a copy from a parent, or a response from an endpoint that is not a cache: the limit of
+     *       the fill link;
+     *   <li>a copy from the origin, or a failed fill that reached its fill source: the limit of the
+     *       origin;
+     *   <li>any other failure that is not excused: the limit of the cache's own link if only the
+     *       cached copy was allowed, else the limit of the fill link.
+     * </ul>
+     *
+     * @param excused whether the attempt ended before the latency objective or its response was
+     *     lost, so no link is at fault
      */
     private ConcurrencyLimit limitToUpdate(
             Attempt attempt, AttemptCompleted completed, boolean excused) {
--- a/src/main/java/brooklock/routing/FillSourceSelector.java
+++ b/src/main/java/brooklock/routing/FillSourceSelector.java
@@ -9,10 +9,11 @@
  * {@link OutlierDetector}, {@link SlowStart}, and the fill sources that the request has used
  * before.
  *
- * <p>Parents that are ejected or were used before come last, yet before the origin. When all
- * parents fail, the origin behind them is the cause; direct fills would increase its load, so that
- * it could not recover while its parents are rejected. The origin is selected only if slow start
- * allows no parent, for example when those left have lost their connections and are warming up.
+ * <p>Parents that are ejected or were used before are selected only if there is no other parent,
+ * but still before the origin. When all parents fail, the cause is usually the origin behind them;
+ * direct fills would add to its load and keep it from recovering. The origin is selected only if
+ * there is no parent or slow start allows none, for example when all parents have lost their
+ * connections and are assumed to be warming up.
  */
 final class FillSourceSelector {
     /**
--- a/src/main/java/brooklock/routing/HedgingPolicy.java
+++ b/src/main/java/brooklock/routing/HedgingPolicy.java
@@ -6,14 +6,15 @@
  * Hedged requests: decides when a second attempt is started beside a first one whose response was
  * lost.
  *
- * <p>Inputs: outcomes, whether the endpoint of an open attempt has had other outcomes since, and
- * whether links are congested.
+ * <p>Inputs: outcomes, whether the endpoint of an open attempt has had other outcomes since the
+ * attempt started, and whether links are congested.
  *
  * <p>Without hedging, requests whose responses are lost would wait for their deadline and time out
- * at endpoints that respond to other requests. Until its deadline a large response looks like a
- * lost one, so hedging starts only once enough responses are known to be lost, from requests that
- * reached their deadline and from hedged requests that succeeded. A response that is merely late is
- * not hedged, because that would load a congested link twice.
+ * at endpoints that respond to other requests. Until its deadline, a large response that is still
+ * in transit looks like a lost one. Hedging therefore starts only once enough responses are known
+ * to be lost, which is learned from requests that reached their deadline and from hedged requests
+ * that succeeded. A response that is merely late is not hedged, because that would load a congested
+ * link twice.
  */
 final class HedgingPolicy {
     /**
@@ -45,9 +46,9 @@
     }
 
     /**
-     * Returns whether an attempt's response is taken to be lost: many responses are lost at
-     * present, and neither the endpoint's link nor the fill link is congested, which would explain
-     * a late one.
+     * Returns whether an attempt's response is presumed lost: it is missing, many responses are
+     * lost at present, and neither the endpoint's link nor the fill link is congested, which would
+     * explain a late response.
      */
     boolean isResponseLost(Attempt attempt, FillAdmission admission) {
         return lostRate > MIN_LOST_RATE
@@ -60,7 +61,7 @@
      * Updates the rate of lost responses with an attempt that ends. Must be called while the
      * attempt still counts as open.
      *
-     * @return whether the response is taken to be lost, so that it updates no concurrency limit
+     * @return whether the response is presumed lost, in which case no link is at fault
      */
     boolean onCompleted(
             PendingRequest request, Attempt attempt, AttemptCompleted completed, long now) {
--- a/src/main/java/brooklock/routing/HotList.java
+++ b/src/main/java/brooklock/routing/HotList.java
@@ -9,13 +9,14 @@
  * Determines which objects are requested often enough to be cached at the edge, with which
  * priority, and on how many caches.
  *
- * <p>Inputs: requests and the time. Responses are not used, so late or lost ones cannot empty the
- * list.
+ * <p>Inputs: requests and the time. Responses are not used, so late or lost responses cannot empty
+ * the list.
  *
- * <p>An object is hot if it was requested in the previous interval or at least twice in this one.
- * After the first interval only hot objects are cached at the edge. Otherwise objects requested
- * only once would evict those requested again, and the hit ratio would fall at an even load.
- * Neither a single request nor the retry of a rejected one makes an object hot.
+ * <p>An object is hot if it was requested in the previous interval or at least twice in the present
+ * interval. After the first interval only hot objects are cached at the edge. Otherwise objects
+ * requested only once would evict those requested again, and the hit ratio would fall although the
+ * load is unchanged. Neither a single request nor the retry of a rejected request makes an object
+ * hot.
  */
 final class HotList {
     /**
@@ -25,30 +26,30 @@
     private static final long INTERVAL_NS = 10_000_000_000L;
 
     /**
-     * Maximum number of objects counted in one interval, to bound the memory; the oldest is dropped
-     * first.
+     * Maximum number of objects counted in one interval, to bound the memory; the object that was
+     * counted first is dropped first.
      */
     private static final int MAX_COUNTED_OBJECTS = 50_000;
 
-    /** Requests in this interval above which an object is spread over two caches. */
+    /** Requests in the present interval above which an object is spread over two caches. */
     private static final int REQUESTS_FOR_TWO_CACHES = 20;
 
-    /** Requests in this interval above which an object is spread over three caches. */
+    /** Requests in the present interval above which an object is spread over three caches. */
     private static final int REQUESTS_FOR_THREE_CACHES = 60;
 
     /**
-     * Priority of a hot object's copy: the middle one, which replaces unused copies but none of
-     * higher priority.
+     * Priority with which a copy of a hot object is cached: the middle one of 1 to 3. The copy may
+     * evict unused copies, but none of higher priority.
      */
     private static final int HOT_PRIORITY = 2;
 
     /**
-     * Priority of other copies in the first interval, in which no hot list exists yet: the lowest
-     * one.
+     * Priority with which a copy of any other object is cached during the first interval, before a
+     * hot list exists: the lowest one of 1 to 3.
      */
     private static final int FIRST_INTERVAL_PRIORITY = 1;
 
-    /** Priority of a copy that is not cached. */
+    /** Priority which states that the response is not cached. */
     private static final int NOT_CACHED_PRIORITY = 0;
 
     private Map<Long, ObjectDemand> previousDemands = new HashMap<>();
@@ -63,8 +64,8 @@
     }
 
     /**
-     * Advances to the interval of the given time. If a whole interval has passed without events,
-     * the list is empty.
+     * Advances to the interval that contains the given time. If a whole interval has passed without
+     * events, the list is empty.
      */
     void advanceTo(long now) {
         if (now < intervalEndNs) {
--- a/src/main/java/brooklock/routing/OutlierDetector.java
+++ b/src/main/java/brooklock/routing/OutlierDetector.java
@@ -11,15 +11,15 @@
  *
  * <p>An endpoint is ejected while its error rate is above {@link #MAX_ERROR_RATE}, or while it is
  * unresponsive: several attempts are open and no outcome of any kind has been recorded for some
- * time. This detects a dead endpoint before the endpoint list does. An ejected endpoint gets one
- * real request as its health check after a pause. The pause doubles with each failure, beginning
- * with the one that ejects the endpoint, and a successful response ends it. Each success lowers the
- * error rate, and the endpoint is readmitted once the rate is not above the bound. Without
- * ejection, a failing endpoint would keep its share of all requests and turn it into errors or
- * timeouts.
+ * time. This detects a dead endpoint before the endpoint list reports it. An ejected endpoint gets
+ * one real request as its health check after a pause. The pause doubles with each failure,
+ * beginning with the one that ejects the endpoint, and a successful response ends the pause. Each
+ * success lowers the error rate, and the endpoint is readmitted once the rate has fallen to the
+ * bound. Without ejection, a failing endpoint would keep its share of all requests and turn it into
+ * errors or timeouts.
  *
- * <p>An ejected endpoint is not excluded but is the last choice: the selectors use it if all others
- * are passed over. The origin is used regardless of its health.
+ * <p>An ejected endpoint is not excluded: the selectors use it as a last resort if all others are
+ * passed over. The origin is used regardless of its health.
  *
  * <p>An error is attributed to its endpoint only if a later attempt served the request, or if the
  * request is rejected or failed and this was its only error. Otherwise requests that no endpoint
@@ -44,16 +44,16 @@
     /** Maximum number of times that the pause is doubled. */
     private static final int MAX_PAUSE_DOUBLINGS = 4;
 
-    /** Number of open attempts from which on an endpoint can be unresponsive. */
+    /** Minimum number of open attempts for an endpoint to be considered unresponsive. */
     private static final int MIN_UNRESPONSIVE_ATTEMPTS = 3;
 
     /**
      * Multiple of the longest latency objective after which an endpoint without any outcome is
-     * unresponsive.
+     * considered unresponsive.
      */
     private static final double UNRESPONSIVE_OBJECTIVES = 2;
 
-    /** Number of connections lost in succession from which a restart is inferred. */
+    /** Number of successive lost or refused connections after which a restart is inferred. */
     private static final int MIN_CONNECTION_FAILURES_FOR_RESTART = 3;
 
     /**
@@ -104,8 +104,8 @@
     }
 
     /**
-     * Records the use of an endpoint as target or fill source, which is the health check of an
-     * ejected one.
+     * Records the use of an endpoint as target or fill source. If the endpoint is ejected, this use
+     * is its health check, and the next one is due after the pause.
      */
     void onUsed(RoutedEndpoint endpoint, long now) {
         if (isEjected(endpoint, now)) {
@@ -114,10 +114,10 @@
     }
 
     /**
-     * Counts connections that are lost or refused in succession.
+     * Records whether a connection to the endpoint was lost or refused.
      *
-     * @return whether the endpoint is assumed to have restarted: it may be back with an empty cache
-     *     before the endpoint list reports it
+     * @return whether enough successive connections have failed to assume a restart: the endpoint
+     *     may respond again, with an empty cache, before the endpoint list reports the restart
      */
     boolean onConnectionOutcome(RoutedEndpoint endpoint, boolean failed) {
         EndpointHealth health = endpoint.health;
@@ -126,7 +126,8 @@
     }
 
     /**
-     * Attributes an outcome to the endpoint, or to the fill source if the cache status names it.
+     * Attributes an outcome to the endpoint and, if the cache status reports a fill or a failure of
+     * the fill source, to the fill source.
      */
     void onCompleted(
             PendingRequest request, Attempt attempt, AttemptCompleted completed, long now) {
--- a/src/main/java/brooklock/routing/PendingRequest.java
+++ b/src/main/java/brooklock/routing/PendingRequest.java
@@ -29,20 +29,22 @@
     final double workNs;
 
     /**
-     * Whether the work is that of the requested object; otherwise it is the mean of the request's
-     * class.
+     * Whether the work was estimated from the declared size or from earlier responses of the
+     * object; otherwise it is the mean of the request's class.
      */
     final boolean sizeKnown;
 
     final long acceptedAtNs;
 
-    /** The time until which a response meets the latency objective, in nanoseconds. */
+    /**
+     * The time by which a response must be complete to meet the latency objective, in nanoseconds.
+     */
     final long objectiveAtNs;
 
     /** The time by which the request gets its final response, in nanoseconds. */
     final long finalResponseAtNs;
 
-    /** The endpoints that responded with an error which is not attributed to them yet. */
+    /** The endpoints that responded with an error that has not been attributed to them yet. */
     final List<RoutedEndpoint> failedEndpoints = new ArrayList<>(1);
 
     /** All attempts, by their index. */
@@ -53,8 +55,8 @@
 
     /**
      * The time at which the router started the first attempt, in nanoseconds. The attempt may be
-     * sent later. The window of the idempotency key is counted from here, so that it ends no later
-     * than at the endpoints.
+     * sent later. The window of the idempotency key is counted from this time; the endpoints
+     * receive the attempt later, so the window ends no later here than there.
      */
     long firstAttemptAtNs;
 
@@ -110,7 +112,8 @@
 
     /**
      * Returns whether an attempt that was admitted to the origin has been sent to the endpoint. An
-     * attempt whose response is missing does not count, because the endpoint may be tried again.
+     * attempt whose response is missing does not count: the endpoint is alive, so the request may
+     * be sent to it again.
      */
     boolean hasTried(RoutedEndpoint endpoint) {
         for (int i = 0; i < attempts.size(); i++) {
--- a/src/main/java/brooklock/routing/PurgeLog.java
+++ b/src/main/java/brooklock/routing/PurgeLog.java
@@ -12,8 +12,8 @@
  *
  * <p>Caches apply a purge at different times. Until all of them have, each attempt for a purged
  * object requires a copy that is younger than the purge; otherwise old content could be served
- * after a purge. This covers every attempt that starts after the purge event, and a copy only grows
- * older in transit.
+ * after a purge. This covers every attempt that starts after the purge event: copies only grow
+ * older while the attempt is in transit, so a copy from before the purge remains too old.
  */
 final class PurgeLog {
     /**
@@ -42,8 +42,8 @@
     }
 
     /**
-     * Returns the maximum age of a copy that may be served, in nanoseconds; 0 leaves it to the
-     * freshness lifetime of the class.
+     * Returns the maximum age of a copy that may be served, in nanoseconds; 0 means that only the
+     * freshness lifetime of the class applies.
      */
     long maxAgeNs(PendingRequest request, long now) {
         Long objectPurgedAt = purgedObjects.get(request.event.object());
--- a/src/main/java/brooklock/routing/RetryBudget.java
+++ b/src/main/java/brooklock/routing/RetryBudget.java
@@ -6,8 +6,8 @@
  *
  * <p>Each request earns a fraction of an extra attempt. Without this limit, failures would multiply
  * the load on the remaining endpoints: the number of attempts would rise while that of responses
- * falls. Extra attempts can never exceed the earned share of the requests plus the few that have
- * been saved.
+ * falls. Extra attempts can never exceed the earned share of the requests plus a small number of
+ * saved attempts.
  *
  * <p>Two kinds of attempts are not counted, because the maximum number of attempts of a request
  * bounds them: the hedged attempt of a request whose endpoint is ejected, and the attempt that uses
--- a/src/main/java/brooklock/routing/RetryPolicy.java
+++ b/src/main/java/brooklock/routing/RetryPolicy.java
@@ -13,7 +13,8 @@
  * window, which is counted from the first attempt, and only if all endpoints share keys. Any other
  * request may be sent again only if each attempt is proved not to have been executed. Otherwise a
  * request could be executed twice and double its effect behind the origin. Endpoints drop repeats
- * of a key within its window, and a repeat that waits for its connection may not start after it.
+ * of a key only within its window, so a repeat that waits for its connection may not start after
+ * the window has ended.
  */
 final class RetryPolicy {
     /**
@@ -34,7 +35,7 @@
 
     /**
      * Returns whether a request without open attempts may be sent again. A request past its latency
-     * objective is not, because its response would be late.
+     * objective is not sent again, because its response would be late.
      */
     boolean mayRetry(PendingRequest request, long now) {
         return now < request.objectiveAtNs
@@ -54,8 +55,9 @@
     }
 
     /**
-     * Returns the time within which an attempt must start, in nanoseconds: a repeat with an
-     * idempotency key only within the key's window.
+     * Returns the time within which an attempt must start, in nanoseconds: {@code timeoutNs} or,
+     * for a request with an idempotency key that may have been executed, the rest of the key's
+     * window if that is shorter.
      */
     static long startTimeoutNs(PendingRequest request, long timeoutNs, long now) {
         return request.mayHaveExecuted
--- a/src/main/java/brooklock/routing/RoutedEndpoint.java
+++ b/src/main/java/brooklock/routing/RoutedEndpoint.java
@@ -48,9 +48,9 @@
     /**
      * Applies a new entry of the endpoint list. A new start time resets the error rate, the time
      * without outcomes and the slow-start budget; the count of lost connections and the pause
-     * between health checks stay. A restart that is only inferred from lost connections ({@link
-     * SlowStart#restart}) empties the budget alone, because the present error rate must keep the
-     * endpoint ejected.
+     * between health checks are kept. A restart that is only inferred from lost connections ({@link
+     * SlowStart#restart}) empties the budget but keeps the error rate, so that the endpoint stays
+     * ejected.
      */
     void update(Endpoint newEntry, RouterSettings settings, long now) {
         if (entry == null || entry.startedAtNs() != newEntry.startedAtNs()) {
--- a/src/main/java/brooklock/routing/Router.java
+++ b/src/main/java/brooklock/routing/Router.java
@@ -33,7 +33,7 @@
  * first event. Not thread-safe.
  */
 public final class Router {
-    /** Timer ticks from the final response to the client's deadline: timers may fire late. */
+    /** Ticks from the final response to the deadline, kept because timers may fire late. */
     private static final int FINAL_RESPONSE_TICKS = 2;
 
     private final RouterSettings settings;
@@ -147,7 +147,7 @@
 
     /**
      * Starts an attempt and returns whether one was started. If none is admitted and none is open,
-     * the request is rejected or failed; if it has no attempt left, it is unchanged.
+     * the request is rejected or failed. If the request has no attempts left, nothing changes.
      */
     private boolean startAttempt(PendingRequest request) {
         if (!retryPolicy.hasAttemptsLeft(request)) {
@@ -208,7 +208,7 @@
                         RetryPolicy.startTimeoutNs(request, timeoutNs, now)));
     }
 
-    /** Charges a use as target or fill source; it is the health check of an ejected endpoint. */
+    /** Charges the use of an endpoint; for an ejected endpoint, this use is its health check. */
     private void chargeUse(RoutedEndpoint endpoint, PendingRequest request) {
         slowStart.charge(endpoint, request);
         outliers.onUsed(endpoint, now);
@@ -242,12 +242,12 @@
      * <ol>
      *   <li>the rate of lost responses, while the attempt still counts as open;
      *   <li>the open attempts of the request and of the endpoint;
-     *   <li>the limits of endpoint, fill link and origin, from which its work is released;
+     *   <li>the work in flight on the endpoint's link, on the fill link and at the origin;
      *   <li>lost connections of endpoint, then fill source, which may restart a slow start;
-     *   <li>error rates: of the endpoint, of those with earlier errors, of the fill source;
-     *   <li>the rate of a warm cache, with the class's mean work before this response;
+     *   <li>the error rates of the endpoint, of endpoints with earlier errors, of the fill source;
+     *   <li>the served rate of a warm cache, with the class's mean work before this response;
      *   <li>the mean work of the class and of the object;
-     *   <li>the rate of a warm parent, or the refund of its budget, with the new mean work;
+     *   <li>the served rate of a warm parent, or its budget's refund, with the new mean work;
      *   <li>the concurrency limits and the miss ratios.
      * </ol>
      */
@@ -292,9 +292,9 @@
     }
 
     /**
-     * Starts another attempt or ends the request. After a cache miss of an attempt not admitted to
-     * the origin, the next may use a further tier without retry budget. Any other attempt needs the
-     * consent of the retry policy and the retry budget.
+     * Starts another attempt or ends the request. If an attempt that was not admitted to the origin
+     * missed, the next one may use a further tier and is not charged to the retry budget. Any other
+     * attempt must be allowed by the retry policy and the retry budget.
      */
     private void retryOrEnd(PendingRequest request, AttemptOutcome outcome) {
         if (request.openAttempts > 0) {
@@ -339,7 +339,7 @@
         Attempt attempt = request.lastAttempt();
         boolean responseLost = hedging.isResponseLost(attempt, admission);
         if (responseLost) {
-            // A lost response no longer loads a link. Its later outcome releases nothing more.
+            // A lost response uses no link capacity. The release at its outcome has no effect.
             admission.release(attempt, now);
         }
         if (outliers.isEjected(attempt.endpoint, now)) {
--- a/src/main/java/brooklock/routing/RouterAction.java
+++ b/src/main/java/brooklock/routing/RouterAction.java
@@ -12,8 +12,8 @@
      * @param id the request
      * @param endpoint the endpoint to which the request is sent
      * @param timeoutNs time after which the attempt ends as {@link AttemptOutcome#TIMEOUT}
-     * @param fillSource where the endpoint fills a cache miss from; the endpoint itself means no
-     *     fill
+     * @param fillSource the endpoint from which a cache miss is filled; equal to {@code endpoint}
+     *     if no fill is allowed
      * @param cachePriority priority of the copy in the cache; 0 means that it is not cached
      * @param maxAgeNs maximum age of a copy that may be served; 0 means the class's freshness
      *     lifetime
--- a/src/main/java/brooklock/routing/RouterEvent.java
+++ b/src/main/java/brooklock/routing/RouterEvent.java
@@ -47,7 +47,7 @@
     /**
      * A timer has expired.
      *
-     * @param token the token that the {@link RouterAction.SetTimer} action gave the timer
+     * @param token the token of the {@link RouterAction.SetTimer} action that set the timer
      */
     record TimerFired(long token) implements RouterEvent {}
 
--- a/src/main/java/brooklock/routing/RouterSettings.java
+++ b/src/main/java/brooklock/routing/RouterSettings.java
@@ -65,7 +65,8 @@
      * @param hedgingAllowed whether a second attempt may run beside the first
      * @param retryAfterSent whether rejections carry a Retry-After
      * @param maxAttempts maximum number of attempts of one request; at least one is made
-     * @param maxRetryAfterNs the Retry-After of a rejection
+     * @param maxRetryAfterNs the longest Retry-After allowed, which every rejection states if
+     *     {@code retryAfterSent} is true
      * @param connectTimeoutNs time after which a connection that is not established fails
      */
     public record Limits(
@@ -83,7 +84,7 @@
      * @param warmUpNs time after its start from which a cache has its full capacity
      * @param overloadMultiple multiple of its present capacity at which a cache that is warming up
      *     collapses
-     * @param overloadWindowNs time over which that multiple is measured
+     * @param overloadWindowNs time over which the overload multiple is measured
      * @param parentInitialCapacity as {@code initialCapacity}, for parents
      * @param parentWarmUpNs as {@code warmUpNs}, for parents
      * @param parentOverloadMultiple as {@code overloadMultiple}, for parents
--- a/src/main/java/brooklock/routing/SlowStart.java
+++ b/src/main/java/brooklock/routing/SlowStart.java
@@ -10,11 +10,11 @@
  * capacities, and the work that warm peers served for this dispatcher.
  *
  * <p>The capacity of an endpoint is assumed to rise linearly, from the configured share at its
- * start to full capacity after the configured time. Its budget is refilled at the rate of the work
- * that this dispatcher sends to a warm peer of the same size, times the present capacity, times a
- * planned multiple that is below the one that overloads the endpoint. Each request or fill that
- * names the endpoint is charged to the budget; an endpoint whose budget does not cover a request is
- * passed over.
+ * start to full capacity after the configured time. Its budget is refilled at a rate that is the
+ * product of three factors: the rate of the work that a warm peer of the same weight serves for
+ * this dispatcher, the present share of the capacity, and a planned multiple. The planned multiple
+ * is below the multiple that overloads the endpoint. Each request or fill that names the endpoint
+ * is charged to the budget; an endpoint whose budget does not cover a request is passed over.
  *
  * <p>Without slow start, an endpoint that receives its full share right after its start may
  * collapse and restart again and again. Dispatchers exchange no messages for this: together they
@@ -113,8 +113,8 @@
     }
 
     /**
-     * Adds what the budget has earned since its last refill. The maximum of the budget is at least
-     * the cost of one request.
+     * Adds the work that the budget has gained since its last refill. The maximum of the budget is
+     * at least the cost of one request.
      */
     private void refill(
             RoutedEndpoint endpoint,
@@ -137,7 +137,7 @@
 
     /**
      * Charges a request to the budget, even if it only looks up a cached copy. The budget of a warm
-     * endpoint only falls and is not read; a restart sets it to 0.
+     * endpoint is charged, too, but never refilled or checked; a restart resets it to 0.
      */
     void charge(RoutedEndpoint endpoint, PendingRequest request) {
         endpoint.slowStartBudgetNs -= workEstimator.classMeanNs(request);
@@ -150,8 +150,9 @@
 
     /**
      * Adds the work that a warm endpoint served to the rate of an endpoint of weight 1. The work is
-     * divided by the weight of the endpoints that are warm when it is served, not of those left
-     * later: when most of a zone leaves, the capacity of the others does not grow.
+     * divided by the total weight of the endpoints that are warm at that time. Dividing by the
+     * weight of those that remain later would overestimate their capacity after most of a zone has
+     * left.
      */
     void onServed(RoutedEndpoint endpoint, PendingRequest request, long now) {
         PeerGroup peers = peerGroupOf(endpoint);
@@ -167,7 +168,10 @@
         return endpoint.isParent ? parents : caches;
     }
 
-    /** The caches or the parents: how they warm up, and the rate at which warm ones serve. */
+    /**
+     * The local caches or the near parents, with their warm-up settings and the rate at which the
+     * warm ones serve.
+     */
     private static final class PeerGroup {
         final List<RoutedEndpoint> endpoints;
         final double initialCapacity;
@@ -198,8 +202,8 @@
         }
 
         /**
-         * Returns the total weight of the warm endpoints, which is cached until the endpoint list,
-         * a restart or the end of a warm-up changes it.
+         * Returns the total weight of the warm endpoints. The value is cached until the endpoint
+         * list changes, an endpoint restarts or a warm-up ends.
          */
         double warmWeight(long now) {
             if (now >= warmWeightValidUntilNs) {
--- a/src/main/java/brooklock/routing/WorkEstimator.java
+++ b/src/main/java/brooklock/routing/WorkEstimator.java
@@ -6,7 +6,8 @@
 /**
  * Estimates the work of requests: the time in nanoseconds that a single transfer of the response
  * takes. All limits and budgets count work, so that one large response weighs as much as many small
- * ones. The estimate uses the declared size, else the fastest response observed.
+ * ones. The estimate uses the declared size if there is one, else the shortest response time
+ * observed for the object, else the mean of the request class.
  */
 final class WorkEstimator {
     /** Weight of a new sample in a mean. */
@@ -25,8 +26,8 @@
     }
 
     /**
-     * Returns the estimated work of a request in nanoseconds: by its declared size, else the
-     * shortest time observed for the object, else the mean of its class.
+     * Returns the estimated work of a request in nanoseconds: from its declared size if there is
+     * one, else the shortest response time observed for the object, else the mean of its class.
      */
     double estimate(RequestReceived request, ObjectDemand demand) {
         if (request.sizeKb() > 0 && transferKbPerSecond > 0) {
--- a/src/main/java/brooklock/simulator/ActionEncoder.java
+++ b/src/main/java/brooklock/simulator/ActionEncoder.java
@@ -21,10 +21,10 @@
 
     private static final int INITIAL_BYTES = 1 << 12;
 
-    /** Length of the frame's header, which is the length of all records. */
+    /** Size in bytes of the frame's header, which contains the total length of the records. */
     private static final int LENGTH_BYTES = 4;
 
-    /** Length of a record's header: its code and the length of its fields. */
+    /** Size in bytes of a record's header, which contains the code and the length of the fields. */
     private static final int HEADER_BYTES = 5;
 
     private static final int MAX_TEXT_BYTES = 0xffff;
--- a/src/main/java/brooklock/simulator/EventDecoder.java
+++ b/src/main/java/brooklock/simulator/EventDecoder.java
@@ -27,7 +27,7 @@
     private static final int EVENT_STOP = 25;
     private static final int EVENT_PURGE = 26;
 
-    /** Length of a record's header: its code and the length of its fields. */
+    /** Size in bytes of a record's header, which contains the code and the length of the fields. */
     private static final int HEADER_BYTES = 5;
 
     private static final int CLIENT_RETRY_BIT = 2;
@@ -46,7 +46,7 @@
     /**
      * Creates a new decoder.
      *
-     * @param body the bytes of the batch after the frame's header
+     * @param body the records of the batch, without the frame's header
      */
     EventDecoder(byte[] body) {
         fields = new FieldBuffer(body);
@@ -66,11 +66,11 @@
         }
         if (available < HEADER_BYTES) {
             throw malformed(
-                    "a header of "
+                    "expected a record header of "
                             + HEADER_BYTES
-                            + " bytes runs past the frame, which has "
+                            + " bytes but only "
                             + available
-                            + " more bytes");
+                            + " bytes remain in the frame");
         }
         fields.moveTo(recordStart, fields.capacity());
         code = fields.readByte();
@@ -81,11 +81,11 @@
                             + recordStart
                             + " (code "
                             + code
-                            + "): length "
+                            + "): received a record length of "
                             + Integer.toUnsignedString(length)
-                            + " runs past the frame, which has "
+                            + " bytes but expected at most "
                             + (available - HEADER_BYTES)
-                            + " more bytes");
+                            + ", the rest of the frame");
         }
         recordEnd = recordStart + HEADER_BYTES + length;
         fields.limit(recordEnd);
@@ -138,8 +138,8 @@
     }
 
     /**
-     * Returns the event of a record that is neither a start nor a stop record, or null if no router
-     * uses it.
+     * Returns the event of a record that is neither a start nor a stop record, or null if the
+     * record has no corresponding router event.
      *
      * @throws MalformedFrameException if a field extends beyond the record or has an unknown value
      */
@@ -183,7 +183,8 @@
                             + recordStart
                             + " (code "
                             + code
-                            + "): a field runs past the record, which ends at byte "
+                            + "): expected all fields within the record but a field extends beyond"
+                            + " its end at byte "
                             + recordEnd,
                     e);
         }
@@ -206,11 +207,11 @@
         int count = fields.optionalInt();
         if (count < 0 || count > fields.remaining()) {
             throw malformed(
-                    "an endpoint list of "
+                    "received an endpoint list count of "
                             + Integer.toUnsignedString(count)
-                            + " entries runs past the record, which has "
+                            + " but expected at most "
                             + fields.remaining()
-                            + " more bytes");
+                            + ", the number of bytes that remain in the record");
         }
         List<Endpoint> endpoints = new ArrayList<>(count);
         for (int i = 0; i < count; i++) {
@@ -276,7 +277,7 @@
                 requestFinished);
     }
 
-    // No router requests health checks. The fields are read so that a malformed one is reported.
+    // No router requests health checks. The fields are read so that a malformed record is reported.
     private RouterEvent skipHealthCheck() {
         fields.readInt();
         decodeOutcome(fields.readShort());
--- a/src/main/java/brooklock/simulator/FieldBuffer.java
+++ b/src/main/java/brooklock/simulator/FieldBuffer.java
@@ -21,12 +21,12 @@
         return buffer.capacity();
     }
 
-    /** Moves to a position and sets the end of the readable bytes to {@code limit}. */
+    /** Moves to {@code position} and sets the end of the readable bytes to {@code limit}. */
     void moveTo(int position, int limit) {
         buffer.limit(limit).position(position);
     }
 
-    /** Sets the end of the present record. */
+    /** Sets the end of the readable bytes to the end of the present record. */
     void limit(int limit) {
         buffer.limit(limit);
     }
--- a/src/main/java/brooklock/simulator/SettingsDecoder.java
+++ b/src/main/java/brooklock/simulator/SettingsDecoder.java
@@ -60,7 +60,7 @@
     private static final String DIRECT_ORIGIN_ALLOWED = "passThroughOk";
     private static final String TRANSFER_KB_PER_SECOND = "oneFlowKbPerS";
 
-    /** The kind of parents, or of the origin, in a deployment without them. */
+    /** The kind of parents, or of the origin, if the settings do not state it. */
     private static final int NO_KIND = -1;
 
     private SettingsDecoder() {}
@@ -70,8 +70,9 @@
      *
      * @param settings the settings as a JSON object
      * @return the settings of a router
-     * @throws IllegalArgumentException if the idempotency of a class is unknown
-     * @throws IllegalStateException if a value does not have the expected type
+     * @throws IllegalArgumentException if the idempotency of a class is unknown, or if a string
+     *     stands in place of a number and does not have its format
+     * @throws IllegalStateException if a request class is not a JSON object
      */
     public static RouterSettings decode(JsonObject settings) {
         JsonObject extra = object(settings, EXTRA);
@@ -138,8 +139,9 @@
             case "non_idempotent" -> Idempotency.NOT_IDEMPOTENT;
             default ->
                     throw new IllegalArgumentException(
-                            "expected the effect read_like, idempotency_key or non_idempotent but"
-                                    + " received '%.40s'".formatted(value));
+                            "expected 'effect' of an entry of 'lanes' to be read_like,"
+                                    + " idempotency_key or non_idempotent but received"
+                                    + " '%.40s'".formatted(value));
         };
     }
 
--- a/src/main/java/brooklock/simulator/SimulatorHost.java
+++ b/src/main/java/brooklock/simulator/SimulatorHost.java
@@ -19,7 +19,7 @@
  * share no state. Not thread-safe.
  */
 public final class SimulatorHost {
-    /** Length of a batch's header: the length of its records and the clock. */
+    /** Size in bytes of a batch's header, which contains the length of its records and the time. */
     private static final int HEADER_BYTES = 12;
 
     private final Map<Integer, Router> instances = new HashMap<>();
@@ -29,8 +29,8 @@
      *
      * @param in the stream of batches
      * @param out the stream to which replies are written; it is flushed after each reply
-     * @throws MalformedFrameException if the input does not have the wire format; the stream cannot
-     *     be read any further then
+     * @throws MalformedFrameException if the input does not have the wire format; the rest of the
+     *     stream cannot be read
      * @throws IOException if reading or writing fails
      */
     public void serve(InputStream in, OutputStream out) throws IOException {
@@ -42,19 +42,19 @@
             }
             if (headerBytes < HEADER_BYTES) {
                 throw new MalformedFrameException(
-                        "truncated frame: header has "
+                        "truncated frame: the input ended after "
                                 + headerBytes
-                                + " of "
+                                + " bytes of a header of "
                                 + HEADER_BYTES
                                 + " bytes");
             }
             ByteBuffer fields = ByteBuffer.wrap(header).order(ByteOrder.LITTLE_ENDIAN);
-            // The length does not include the header.
+            // The length is that of the body only.
             int length = fields.getInt();
             long nowNs = fields.getLong();
             if (length < 0) {
                 throw new MalformedFrameException(
-                        "expected a frame length of at most "
+                        "expected a frame body length of at most "
                                 + Integer.MAX_VALUE
                                 + " bytes but received "
                                 + Integer.toUnsignedString(length));
@@ -62,7 +62,11 @@
             byte[] body = in.readNBytes(length);
             if (body.length < length) {
                 throw new MalformedFrameException(
-                        "truncated frame: body has " + body.length + " of " + length + " bytes");
+                        "truncated frame: the input ended after "
+                                + body.length
+                                + " bytes of a body of "
+                                + length
+                                + " bytes");
             }
             out.write(processBatch(nowNs, body));
             out.flush();
@@ -106,7 +110,7 @@
         void run(List<RouterAction> actions);
     }
 
-    // An exception of one router is reported for its instance; the other instances continue.
+    // A router's exception is reported for its instance; the other instances are not affected.
     private static void callRouter(int instance, ActionEncoder encoder, RouterCall call) {
         List<RouterAction> actions = new ArrayList<>();
         try {
--- a/src/test/java/brooklock/routing/CacheSelectorTest.java
+++ b/src/test/java/brooklock/routing/CacheSelectorTest.java
@@ -18,8 +18,8 @@
 /** Tests which edge cache a request goes to. */
 class CacheSelectorTest {
     /**
-     * A cache leaves the list. Only the objects that it served may move, because the other caches
-     * have the copies of theirs.
+     * A cache leaves the list. Only the objects that it served may move to another cache; moving
+     * any other object would cause a needless fill.
      */
     @Test
     void losingOneCacheMovesOnlyItsObjects() {
@@ -40,9 +40,9 @@
     }
 
     /**
-     * One cache after the other is ejected, in the rendezvous order of an object. The next cache in
-     * that order must be selected each time, also at positions where the caches are sorted and no
-     * longer selected one by one.
+     * Caches are ejected one after the other, in the rendezvous order of an object. The next cache
+     * in that order must be selected each time, including at positions beyond the first few, where
+     * the caches are sorted instead of selected one by one.
      */
     @Test
     void theNextCacheInRendezvousOrderIsSelectedHoweverManyAreEjected() {
--- a/src/test/java/brooklock/routing/ConcurrencyLimitTest.java
+++ b/src/test/java/brooklock/routing/ConcurrencyLimitTest.java
@@ -48,9 +48,9 @@
     }
 
     /**
-     * Four hundred dispatchers share an origin that fails, so the minimum of each one's limit is
-     * far below one request. One request must be admitted, followed by a pause until the mean work
-     * in flight is down to the limit.
+     * Four hundred dispatchers share an origin that fails, so the lower bound of each dispatcher's
+     * limit is far below one request. One request must be admitted, followed by a pause until the
+     * mean work in flight is down to the limit.
      */
     @Test
     void aLimitSmallerThanARequestAdmitsOneAndThenPauses() {
@@ -61,7 +61,8 @@
         limit.acquire(REQUEST_NS);
         assertFalse(limit.admits(REQUEST_NS, 0), "a request is in flight");
         limit.release(REQUEST_NS, 0);
-        assertFalse(limit.admits(REQUEST_NS, 989 * MS), "the mean is still above the limit");
+        assertFalse(
+                limit.admits(REQUEST_NS, 989 * MS), "the mean work in flight is above the limit");
         assertTrue(limit.admits(REQUEST_NS, 991 * MS));
     }
 
--- a/src/test/java/brooklock/routing/FillAdmissionTest.java
+++ b/src/test/java/brooklock/routing/FillAdmissionTest.java
@@ -69,8 +69,8 @@
 
     /**
      * The origin fails. Each dispatcher keeps admitting a few requests to it to detect its
-     * recovery. With hundreds of dispatchers these would be a considerable load, so each dispatcher
-     * gets only its share of them.
+     * recovery. With hundreds of dispatchers, these requests would add up to a considerable load,
+     * so each dispatcher may send only its share of them.
      */
     @Test
     void theMinimaOfAllDispatchersAtTheOriginAddUpToFewRequests() {
@@ -79,8 +79,8 @@
     }
 
     /**
-     * The origin's limit is smaller than one request. Its capacity must go to objects that are
-     * requested again; others are not admitted to it.
+     * The origin's limit is smaller than one request. Its capacity must be used for objects that
+     * are requested again; requests for other objects must not be admitted to the origin.
      */
     @Test
     void onlyHotObjectsAreFilledWhileTheOriginLimitIsSmallerThanARequest() {
@@ -89,9 +89,11 @@
         assertTrue(
                 fixture.startRequest(PAGE, 1059).fillSource() >= 801
                         && !fixture.serveRequest(PAGE, 1059).onlyIfCached(),
-                "requested before: hot");
+                "an object requested before is filled from the origin");
         fixture.now += 5000 * MS;
-        assertTrue(fixture.serveRequest(PAGE, 6000).onlyIfCached(), "requested once");
+        assertTrue(
+                fixture.serveRequest(PAGE, 6000).onlyIfCached(),
+                "an object requested once is not filled from the origin");
     }
 
     private static RequestReceived withoutSize(RequestReceived request) {
--- a/src/test/java/brooklock/routing/HedgingPolicyTest.java
+++ b/src/test/java/brooklock/routing/HedgingPolicyTest.java
@@ -33,8 +33,8 @@
     }
 
     /**
-     * Endpoints become unresponsive, so that several requests stay open without any outcome. Those
-     * requests must be hedged. A single late request must not, because a second attempt would load
+     * Endpoints become unresponsive: several requests stay open without any outcome. Those requests
+     * must be hedged. A single late request must not be hedged, because a second attempt would load
      * a congested link twice.
      */
     @Test
@@ -65,8 +65,8 @@
 
     /**
      * Responses are lost on the network while their caches respond to other requests. Once the rate
-     * of lost responses is known, such requests must be sent again to the same cache, which has the
-     * copy. No limit may be lowered, because no link was late.
+     * of lost responses is known, requests whose response is lost must be sent again to the same
+     * cache, which has the copy. No limit may be lowered, because no link was late.
      */
     @Test
     void aRequestWhoseResponseIsLostIsHedgedAtTheSameCache() {
--- a/src/test/java/brooklock/routing/HotListTest.java
+++ b/src/test/java/brooklock/routing/HotListTest.java
@@ -39,7 +39,7 @@
         assertEquals(
                 0,
                 fixture.serveRequest(PAGE, 42).cachePriority(),
-                "a whole interval has passed without a request for it");
+                "a whole interval has passed without a request for the object");
     }
 
     /**
--- a/src/test/java/brooklock/routing/OutlierDetectorTest.java
+++ b/src/test/java/brooklock/routing/OutlierDetectorTest.java
@@ -17,7 +17,7 @@
 /** Tests when endpoints are ejected and to which endpoints errors are attributed. */
 class OutlierDetectorTest {
     /**
-     * One cache responds with errors at once. It looks less loaded than the others and would
+     * One cache responds with errors immediately. It looks less loaded than the others and would
      * attract requests.
      */
     @Test
@@ -38,7 +38,8 @@
                 fixture.complete(attempt, AttemptOutcome.OK, CacheStatus.HIT, 10);
             }
         }
-        assertTrue(errors >= 2 && errors < 8, "of some 50 due: " + errors);
+        assertTrue(
+                errors >= 2 && errors < 8, "errors in about 50 requests for the cache: " + errors);
     }
 
     /**
@@ -75,7 +76,7 @@
     }
 
     /**
-     * A fill source rejects a fill. The error is not the cache's, so the next attempt must name
+     * A fill source rejects a fill. The cache is not at fault, so the next attempt must name
      * another fill source.
      */
     @Test
@@ -117,7 +118,7 @@
                 fixture.complete(next, AttemptOutcome.OK, CacheStatus.HIT, 5);
             }
         }
-        assertTrue(sent > 8, "of some 15 due: " + sent);
+        assertTrue(sent > 8, "requests sent to the cache, of about 15: " + sent);
     }
 
     /**
@@ -166,6 +167,6 @@
             fixture.complete(
                     attempt, AttemptOutcome.OK, CacheStatus.FILLED_BY_PARENT, slow ? 2000 : 20);
         }
-        assertTrue(late <= 6, "fills from the slow one in 20 s: " + late);
+        assertTrue(late <= 6, "fills from the slow parent in 20 s: " + late);
     }
 }
--- a/src/test/java/brooklock/routing/RouterTest.java
+++ b/src/test/java/brooklock/routing/RouterTest.java
@@ -27,7 +27,7 @@
     /**
      * No response arrives by the client's deadline. Shortly before the deadline the request must
      * get its final response and its attempt must be cancelled; the late outcome of the attempt
-     * must start nothing.
+     * must not start another attempt.
      */
     @Test
     void theFinalResponseTimerEndsTheRequest() {
@@ -98,8 +98,9 @@
 
     /**
      * The course of a request: its first attempt fails, it is retried at another cache, hedged, and
-     * rejected at its deadline. Callers rely on the order of the actions of each event: a request's
-     * timers before and after its attempt, and its final response before the cancellations.
+     * rejected at its deadline. Callers rely on the order of the actions of each event: the
+     * final-response timer precedes the first attempt, the hedge timer follows it, and the final
+     * response precedes the cancellations.
      */
     @Test
     void theActionsOfARequestAreInOrder() {
@@ -145,7 +146,9 @@
         assertEquals(List.of(), fixture.onEvent(new ClientDisconnected(request.id())));
     }
 
-    /** Leaves two more attempts at an endpoint open until it counts as unresponsive. */
+    /**
+     * Leaves two more attempts at an endpoint open until the endpoint is considered unresponsive.
+     */
     private static void makeUnresponsive(RouterFixture fixture, long endpoint) {
         int open = 0;
         for (int object = 1000; open < 2 && object < 2000; object++) {
--- a/src/test/java/brooklock/routing/SlowStartTest.java
+++ b/src/test/java/brooklock/routing/SlowStartTest.java
@@ -24,13 +24,13 @@
         long early = countRequestsServedBy(fixture, 12, 2000);
         fixture.now += 10_000 * MS;
         long late = countRequestsServedBy(fixture, 12, 2000);
-        assertTrue(early < 200, "of 500 due: " + early);
-        assertTrue(late > early, early + " then " + late);
+        assertTrue(early < 200, "requests sent to the cache, of 500 when warm: " + early);
+        assertTrue(late > early, early + " requests, then " + late);
     }
 
     /**
      * A cache restarts before the endpoint list reports it. The restart must be inferred from its
-     * lost connections and start a slow start.
+     * lost connections, and the cache must then be slow-started.
      */
     @Test
     void aCacheWhoseConnectionsAreResetWarmsUpWhenItRespondsAgain() {
@@ -51,14 +51,14 @@
         }
         fixture.now += 1500 * MS;
         long early = countRequestsServedBy(fixture, 12, 2000);
-        assertTrue(early < 200, "of 500 due: " + early);
+        assertTrue(early < 200, "requests sent to the cache, of 500 when warm: " + early);
         fixture.now += 16_000 * MS;
         assertTrue(countRequestsServedBy(fixture, 12, 2000) > 300);
     }
 
     /**
-     * All warm caches of the zone leave while another is warming up. The measured rate is that of
-     * the warm caches, so the budget of the remaining one must not jump.
+     * All warm caches of the zone leave while another is warming up. The rate at which its budget
+     * is refilled was measured while its peers were warm, and must not jump when they leave.
      */
     @Test
     void aCacheThatIsWarmingUpGetsNoMoreWhenItsWarmPeersLeave() {
@@ -76,7 +76,9 @@
             StartAttempt attempt = fixture.startRequest(PAGE, i);
             sent += attempt != null && attempt.endpoint() == 12 ? 1 : 0;
         }
-        assertTrue(sent > 10 && sent < 100, "of 200, where a warm peer took 50: " + sent);
+        assertTrue(
+                sent > 10 && sent < 100,
+                "requests sent to the cache, of 200 (50 when warm): " + sent);
     }
 
     /**
@@ -94,7 +96,7 @@
             named += attempt.fillSource() == 801 ? 1 : 0;
             fixture.complete(attempt, AttemptOutcome.OK, CacheStatus.FILLED_BY_PARENT, 20);
         }
-        assertTrue(named < 250, "of 500 due: " + named);
+        assertTrue(named < 250, "fills from the parent, of 500 when warm: " + named);
     }
 
     /**
@@ -119,7 +121,11 @@
             int warming = countAttemptsTo(dispatchers, 15 - restarted, 15, 4, 100) / restarted;
             assertTrue(
                     warming <= 2 * 4 * warm * (0.2 + 0.8 * 4 / 15),
-                    restarted + " restarted: " + warming + " of " + warm);
+                    restarted
+                            + " restarted: "
+                            + warming
+                            + " requests each in 4 s; per s when warm: "
+                            + warm);
             assertTrue(warming > 0, "caches that are warming up are used within their budgets");
         }
     }
@@ -147,8 +153,10 @@
 
     /**
      * Sends two requests a second, served at once, through each router for the given number of
-     * seconds. Returns the number of those sent to the endpoints from {@code from} to {@code to},
-     * exclusive.
+     * seconds. Returns the number of requests sent to endpoints from {@code from}, inclusive, to
+     * {@code to}, exclusive.
+     *
+     * @param offset added to the object identifiers, so that a later call requests other objects
      */
     private static int countAttemptsTo(
             List<RouterFixture> dispatchers, long from, long to, int seconds, int offset) {
--- a/src/test/java/brooklock/simulator/SimulatorHostTest.java
+++ b/src/test/java/brooklock/simulator/SimulatorHostTest.java
@@ -48,10 +48,10 @@
         byte[] complete = frame(startRecord(3, SETTINGS));
         assertTrue(
                 malformedMessage(Arrays.copyOf(complete, 7))
-                        .contains("truncated frame: header has 7"));
+                        .contains("truncated frame: the input ended after 7 bytes of a header"));
         assertTrue(
                 malformedMessage(Arrays.copyOf(complete, 40))
-                        .contains("truncated frame: body has 28"));
+                        .contains("truncated frame: the input ended after 28 bytes of a body"));
     }
 
     @Test
@@ -68,10 +68,12 @@
         String message =
                 malformedMessage(frame(startRecord(3, SETTINGS), record(21, hex("03000000 0102"))));
         assertTrue(
-                message.contains("code 21") && message.contains("runs past the record"), message);
+                message.contains("code 21")
+                        && message.contains("a field extends beyond its end at byte"),
+                message);
         assertTrue(
                 malformedMessage(frame(hex("15 ff000000 03000000")))
-                        .contains("runs past the frame"));
+                        .contains("but expected at most 4, the rest of the frame"));
     }
 
     @Test
@@ -81,8 +83,8 @@
         assertTrue(
                 malformedMessage(frame(startRecord(3, "{\"lanes\": [{\"effect\": \"odd\"}]}")))
                         .contains(
-                                "expected the effect read_like, idempotency_key or non_idempotent"
-                                        + " but received 'odd'"));
+                                "expected 'effect' of an entry of 'lanes' to be read_like,"
+                                        + " idempotency_key or non_idempotent but received 'odd'"));
     }
 
     /** A request of a class that does not exist makes the router fail. The host continues. */
--- a/src/test/java/brooklock/simulator/TestRecords.java
+++ b/src/test/java/brooklock/simulator/TestRecords.java
@@ -18,7 +18,7 @@
 
     private TestRecords() {}
 
-    /** Returns the bytes that a text has as hexadecimal digits, with white space anywhere. */
+    /** Parses bytes from hexadecimal digits, which may be separated by white space. */
     static byte[] hex(String text) {
         return HexFormat.of().parseHex(text.replaceAll("\\s", ""));
     }
@@ -31,7 +31,7 @@
                 .array();
     }
 
-    /** Returns a record that starts an instance. */
+    /** Returns a record that starts a router instance with the given settings. */
     static byte[] startRecord(int instance, String settings) {
         byte[] text = settings.getBytes(StandardCharsets.UTF_8);
         return record(
