--- a/src/main/java/brooklock/platform/EndpointAttempt.java
+++ b/src/main/java/brooklock/platform/EndpointAttempt.java
@@ -37,7 +37,8 @@
      * @param decision what the router decided
      * @param decidedAtNs when, on the router's clock
      */
-    EndpointAttempt(PendingClientRequest request, int index, StartAttempt decision, long decidedAtNs) {
+    EndpointAttempt(
+            PendingClientRequest request, int index, StartAttempt decision, long decidedAtNs) {
         this.request = request;
         this.index = index;
         this.decision = decision;
--- a/src/test/java/brooklock/platform/FrameDecoderTest.java
+++ b/src/test/java/brooklock/platform/FrameDecoderTest.java
@@ -70,7 +70,9 @@
     void framesThatDoNotFitAreRejectedAtOnce(String text) {
         assertThrows(
                 MalformedMessageException.class,
-                () -> DecoderTestUtil.decode(new FrameDecoder()::next, DecoderTestUtil.hex(text), 0));
+                () ->
+                        DecoderTestUtil.decode(
+                                new FrameDecoder()::next, DecoderTestUtil.hex(text), 0));
     }
 
     @ParameterizedTest
