--- a/src/main/java/brooklock/config/AccessSettingsReader.java
+++ b/src/main/java/brooklock/config/AccessSettingsReader.java
@@ -93,19 +93,19 @@
 
     /** What is missing where a route authorizes its callers, in plain words. */
     List<String> missingForAuthorization() {
-        List<String> missing = new ArrayList<>();
+        List<String> mistakes = new ArrayList<>();
         if (policyFile == null) {
-            missing.add("a route asks for rights, but the statement 'rights FILE' is missing");
+            mistakes.add("a route asks for rights, but the statement 'rights FILE' is missing");
         }
         if (keySetFile == null && clientAuthorities == null) {
-            missing.add(
+            mistakes.add(
                     "a route asks for rights, but there are neither tokens nor clients'"
                             + " certificates to go by");
         }
         if (clientAuthorities != null && certificates.isEmpty()) {
-            missing.add("clients' certificates need 'tls CERTIFICATE KEY'");
+            mistakes.add("clients' certificates need 'tls CERTIFICATE KEY'");
         }
-        return missing;
+        return mistakes;
     }
 
     AccessSettings toSettings() {
--- a/src/main/java/brooklock/config/FleetReader.java
+++ b/src/main/java/brooklock/config/FleetReader.java
@@ -114,10 +114,12 @@
     }
 
     private void readWarming(Statement statement) {
-        String from = statement.nextWord("from whom: zone, all or no");
-        if (!List.of("zone", "all", "no").contains(from)) {
+        String peerScope = statement.nextWord("from whom: zone, all or no");
+        if (!List.of("zone", "all", "no").contains(peerScope)) {
             throw new InvalidStatementException(
-                    "'" + from + "': caches fill from neighbours of their zone, of all, or no");
+                    "'"
+                            + peerScope
+                            + "': caches fill from neighbours of their zone, of all, or no");
         }
         double peerLoadShare = warming.peerLoadShare();
         double warmCapacityPerS = 0;
@@ -135,8 +137,8 @@
         }
         warming =
                 new WarmingSettings(
-                        !from.equals("no"),
-                        from.equals("all"),
+                        !peerScope.equals("no"),
+                        peerScope.equals("all"),
                         peerLoadShare,
                         warmCapacityPerS,
                         snapshotFile);
--- a/src/main/java/brooklock/config/PathPattern.java
+++ b/src/main/java/brooklock/config/PathPattern.java
@@ -66,11 +66,13 @@
             return path;
         }
         int index = segments.indexOf("{" + placeholder + "}");
-        int from = 1;
+        int segmentStart = 1;
         for (int i = 0; i < index; i++) {
-            from = path.indexOf('/', from) + 1;
+            segmentStart = path.indexOf('/', segmentStart) + 1;
         }
-        return path.substring(0, from) + "*" + path.substring(from + extracted.length());
+        return path.substring(0, segmentStart)
+                + "*"
+                + path.substring(segmentStart + extracted.length());
     }
 
     // Null where the path does not match; else the placeholder's text, or the path if there is no
@@ -79,26 +81,28 @@
         if (!path.startsWith("/")) {
             return null;
         }
-        String found = path;
-        int from = 1;
+        String result = path;
+        int segmentStart = 1;
         for (int i = 0; i < segments.size(); i++) {
             String segment = segments.get(i);
-            if (from > path.length()) {
+            if (segmentStart > path.length()) {
                 return null;
             }
-            int slash = path.indexOf('/', from);
-            int end = slash < 0 || segment.equals(REST) ? path.length() : slash;
-            String part = path.substring(from, end);
-            boolean open = segment.startsWith("{");
-            if (open ? part.isEmpty() && !segment.equals(REST) : !part.equals(segment)) {
+            int slash = path.indexOf('/', segmentStart);
+            int segmentEnd = slash < 0 || segment.equals(REST) ? path.length() : slash;
+            String pathSegment = path.substring(segmentStart, segmentEnd);
+            boolean isPlaceholder = segment.startsWith("{");
+            if (isPlaceholder
+                    ? pathSegment.isEmpty() && !segment.equals(REST)
+                    : !pathSegment.equals(segment)) {
                 return null;
             }
             if (segment.equals(placeholder)) {
-                found = part;
+                result = pathSegment;
             }
-            from = end + 1;
+            segmentStart = segmentEnd + 1;
         }
-        return from > path.length() ? found : null;
+        return segmentStart > path.length() ? result : null;
     }
 
     @Override
--- a/src/main/java/brooklock/config/RouteReader.java
+++ b/src/main/java/brooklock/config/RouteReader.java
@@ -191,15 +191,15 @@
         }
         RequestClassSettings requestClass = classes.get(className);
         for (String method : methods) {
-            boolean reads = READING_METHODS.contains(method);
-            if (!reads && !requestClass.passThrough()) {
+            boolean readOnly = READING_METHODS.contains(method);
+            if (!readOnly && !requestClass.passThrough()) {
                 throw new InvalidStatementException(
                         method
                                 + " cannot be answered from a copy: the class '"
                                 + className
                                 + "' needs 'through'");
             }
-            if (!reads
+            if (!readOnly
                     && requestClass.effect() == Effect.SAFE
                     && !IDEMPOTENT_METHODS.contains(method)) {
                 throw new InvalidStatementException(
--- a/src/main/java/brooklock/config/SettingsReader.java
+++ b/src/main/java/brooklock/config/SettingsReader.java
@@ -152,26 +152,27 @@
         validateLimits(limits.toLimits());
     }
 
-    private void validateLimits(ResourceLimits bounds) {
+    private void validateLimits(ResourceLimits resourceLimits) {
         routes.classes()
                 .forEach(
                         requestClass -> {
                             if (requestClass.deadlineNs()
-                                    <= 2 * bounds.tickNs() + bounds.connectTimeoutNs()) {
+                                    <= 2 * resourceLimits.tickNs()
+                                            + resourceLimits.connectTimeoutNs()) {
                                 problems.add(
                                         Problems.WHOLE_FILE,
                                         "the deadline of class '"
                                                 + requestClass.name()
                                                 + "' leaves no time for one connection (connect "
-                                                + bounds.connectTimeoutNs() / MILLISECOND_NS
+                                                + resourceLimits.connectTimeoutNs() / MILLISECOND_NS
                                                 + "ms)");
                             }
                         });
         if (routes.requireAuthorization()) {
             access.missingForAuthorization()
-                    .forEach(missing -> problems.add(Problems.WHOLE_FILE, missing));
+                    .forEach(mistake -> problems.add(Problems.WHOLE_FILE, mistake));
         }
-        if (bounds.maxRequestBodyBytes() > bounds.maxTotalBodyBytes()) {
+        if (resourceLimits.maxRequestBodyBytes() > resourceLimits.maxTotalBodyBytes()) {
             problems.add(
                     Problems.WHOLE_FILE,
                     "one request body (body) may be larger than all of them together (bodies)");
--- a/src/main/java/brooklock/config/Statement.java
+++ b/src/main/java/brooklock/config/Statement.java
@@ -57,11 +57,11 @@
             } else if (c < 32 || c == 127) {
                 throw new InvalidStatementException("a control character");
             } else {
-                int from = i;
+                int start = i;
                 while (i < text.length() && " \t\"".indexOf(text.charAt(i)) < 0) {
                     i++;
                 }
-                words.add(text.substring(from, i));
+                words.add(text.substring(start, i));
             }
         }
         return words.isEmpty() ? null : new Statement(lineNumber, words);
@@ -78,16 +78,16 @@
     }
 
     /** The next word; {@code what} names it in the message where it is missing. */
-    public String nextWord(String what) {
+    public String nextWord(String expected) {
         if (!hasMore()) {
-            throw new InvalidStatementException("'" + words.get(0) + "' needs " + what);
+            throw new InvalidStatementException("'" + words.get(0) + "' needs " + expected);
         }
         return words.get(position++);
     }
 
     /** The next word, one of the constants of an enum in lower case. */
-    public <E extends Enum<E>> E nextEnum(Class<E> type, String what) {
-        String word = nextWord(what);
+    public <E extends Enum<E>> E nextEnum(Class<E> type, String expected) {
+        String word = nextWord(expected);
         StringBuilder allowed = new StringBuilder();
         for (E constant : type.getEnumConstants()) {
             String name = constant.name().toLowerCase(Locale.ROOT);
@@ -96,24 +96,25 @@
             }
             allowed.append(allowed.length() == 0 ? "" : ", ").append(name);
         }
-        throw new InvalidStatementException("'" + word + "' is not " + what + " (" + allowed + ")");
+        throw new InvalidStatementException(
+                "'" + word + "' is not " + expected + " (" + allowed + ")");
     }
 
     /** The next word as a duration, ns. */
-    public long nextDurationNs(String what) {
-        return Units.parseDurationNs(nextWord(what));
+    public long nextDurationNs(String expected) {
+        return Units.parseDurationNs(nextWord(expected));
     }
 
     /** The next word as a number, 0 or more. */
-    public double nextNumber(String what) {
-        return Units.parseNumber(nextWord(what));
+    public double nextNumber(String expected) {
+        return Units.parseNumber(nextWord(expected));
     }
 
     /** The next word as a whole number from 1. */
-    public int nextPositiveInt(String what) {
-        double number = nextNumber(what);
+    public int nextPositiveInt(String expected) {
+        double number = nextNumber(expected);
         if (number != Math.rint(number) || number < 1 || number > Integer.MAX_VALUE) {
-            throw new InvalidStatementException(what + " must be a whole number from 1");
+            throw new InvalidStatementException(expected + " must be a whole number from 1");
         }
         return (int) number;
     }
@@ -128,10 +129,10 @@
     }
 
     /** The next word as yes or no. */
-    public boolean nextBoolean(String what) {
-        String word = nextWord(what);
+    public boolean nextBoolean(String option) {
+        String word = nextWord(option);
         if (!word.equals("yes") && !word.equals("no")) {
-            throw new InvalidStatementException("'" + word + "': " + what + " is yes or no");
+            throw new InvalidStatementException("'" + word + "': " + option + " is yes or no");
         }
         return word.equals("yes");
     }
@@ -140,8 +141,8 @@
      * The next word as a numeric address and a port. Names are not looked up: that may block, and
      * may give another answer tomorrow.
      */
-    InetSocketAddress nextAddress(String what) {
-        String text = nextWord(what);
+    InetSocketAddress nextAddress(String expected) {
+        String text = nextWord(expected);
         int colon = text.lastIndexOf(':');
         String port = text.substring(colon + 1);
         String host = colon < 0 ? "" : text.substring(0, colon).replaceAll("^\\[|\\]$", "");
--- a/src/main/java/brooklock/config/TopologyReader.java
+++ b/src/main/java/brooklock/config/TopologyReader.java
@@ -119,18 +119,18 @@
 
     /** Finds the zones of the endpoints, once all zones are known. */
     void resolveZones() {
-        for (UnresolvedEndpoint e : unresolved) {
+        for (UnresolvedEndpoint endpoint : unresolved) {
             problems.collect(
-                    e.lineNumber(),
+                    endpoint.lineNumber(),
                     () ->
                             endpoints.add(
                                     new EndpointSettings(
-                                            e.name(),
-                                            e.id(),
-                                            zoneIndex(e.zone()),
-                                            e.kind(),
-                                            e.address(),
-                                            e.weight())));
+                                            endpoint.name(),
+                                            endpoint.id(),
+                                            zoneIndex(endpoint.zone()),
+                                            endpoint.kind(),
+                                            endpoint.address(),
+                                            endpoint.weight())));
         }
     }
 
@@ -143,7 +143,7 @@
     }
 
     void validateOrigin() {
-        if (unresolved.stream().noneMatch(e -> e.kind() == EndpointKind.ORIGIN)) {
+        if (unresolved.stream().noneMatch(endpoint -> endpoint.kind() == EndpointKind.ORIGIN)) {
             problems.add(Problems.WHOLE_FILE, "there is no origin among the hosts");
         }
     }
--- a/src/main/java/brooklock/config/Units.java
+++ b/src/main/java/brooklock/config/Units.java
@@ -60,9 +60,9 @@
         return parseNumber(withoutPerSecond(text, "a rate needs its unit, as in 200/s"));
     }
 
-    private static String withoutPerSecond(String text, String hint) {
+    private static String withoutPerSecond(String text, String expectation) {
         if (!text.endsWith(PER_SECOND)) {
-            throw new InvalidStatementException("'" + text + "': " + hint);
+            throw new InvalidStatementException("'" + text + "': " + expectation);
         }
         return text.substring(0, text.length() - PER_SECOND.length());
     }
@@ -80,11 +80,12 @@
         return Double.parseDouble(text);
     }
 
-    private static double parseWithUnit(String text, Map<String, Double> units, String hint) {
+    private static double parseWithUnit(
+            String text, Map<String, Double> units, String expectation) {
         int end = numericPrefixLength(text);
         Double unit = units.get(text.substring(end));
         if (end == 0 || unit == null) {
-            throw new InvalidStatementException("'" + text + "': " + hint);
+            throw new InvalidStatementException("'" + text + "': " + expectation);
         }
         return Double.parseDouble(text.substring(0, end)) * unit;
     }
--- a/src/main/java/brooklock/http/BodyDecoder.java
+++ b/src/main/java/brooklock/http/BodyDecoder.java
@@ -3,11 +3,17 @@
 import java.nio.ByteBuffer;
 
 /**
- * Removes the framing of one body (RFC 9112, sections 6 and 7). The pieces are views of the input;
- * nothing is copied.
+ * Decodes the body of one message by removing its framing (RFC 9112, sections 6 and 7). The decoded
+ * pieces are views of the input; nothing is copied.
+ *
+ * <p>Not thread-safe. A decoder is created for one body, fed with {@link #next} until {@link
+ * #isComplete}, and not reused. After an exception it must not be used any more.
  */
 public final class BodyDecoder {
-    /** Fifteen hexadecimal digits fit a long, with room for the sums made of them. */
+    /**
+     * Maximum number of hexadecimal digits of a chunk size. Fifteen digits stay below 2^60, so that
+     * neither a size nor a sum of sizes overflows a long.
+     */
     private static final int MAX_CHUNK_SIZE_DIGITS = 15;
 
     private enum State {
@@ -25,7 +31,7 @@
     private final FieldSectionParser trailerParser;
     private State state;
 
-    /** Bytes still to come of the body, or of the chunk. */
+    /** Number of bytes that remain of the body or, if it is chunked, of the current chunk. */
     private long remainingBytes;
 
     private long bodyBytes;
@@ -73,20 +79,24 @@
     /**
      * Decodes the next piece of the body.
      *
-     * @param in is consumed up to the end of the piece, never past the end of the body
-     * @return a view of {@code in}, or null when the buffer is used up or the body has ended
-     * @throws HttpProtocolException if the framing is broken or a limit is exceeded
+     * @param input the received bytes, which are consumed up to the end of the piece and never past
+     *     the end of the body
+     * @return a view of {@code input}, or null if the buffer is used up or the body is complete
+     * @throws HttpProtocolException if the framing is malformed or a limit is exceeded
      */
-    public ByteBuffer next(ByteBuffer in) throws HttpProtocolException {
+    public ByteBuffer next(ByteBuffer input) throws HttpProtocolException {
         while (true) {
             switch (state) {
                 case DATA -> {
-                    return nextData(in);
+                    return nextData(input);
                 }
                 case CHUNK_SIZE -> {
                     String line =
                             lineReader.next(
-                                    in, limits.maxFieldBytes(), badMessageStatus, badMessageStatus);
+                                    input,
+                                    limits.maxFieldBytes(),
+                                    badMessageStatus,
+                                    badMessageStatus);
                     if (line == null) {
                         return null;
                     }
@@ -94,13 +104,13 @@
                     state = remainingBytes == 0 ? State.TRAILERS : State.DATA;
                 }
                 case CHUNK_END -> {
-                    if (lineReader.next(in, 0, badMessageStatus, badMessageStatus) == null) {
+                    if (lineReader.next(input, 0, badMessageStatus, badMessageStatus) == null) {
                         return null;
                     }
                     state = State.CHUNK_SIZE;
                 }
                 case TRAILERS -> {
-                    Fields parsedTrailers = trailerParser.next(in);
+                    Fields parsedTrailers = trailerParser.next(input);
                     if (parsedTrailers == null) {
                         return null;
                     }
@@ -114,14 +124,15 @@
         }
     }
 
-    private ByteBuffer nextData(ByteBuffer in) throws HttpProtocolException {
-        if (!in.hasRemaining()) {
+    private ByteBuffer nextData(ByteBuffer input) throws HttpProtocolException {
+        if (!input.hasRemaining()) {
             return null;
         }
         boolean untilClose = framing.kind() == Framing.Kind.UNTIL_CLOSE;
-        int count = untilClose ? in.remaining() : (int) Math.min(remainingBytes, in.remaining());
-        ByteBuffer piece = in.duplicate().limit(in.position() + count);
-        in.position(in.position() + count);
+        int count =
+                untilClose ? input.remaining() : (int) Math.min(remainingBytes, input.remaining());
+        ByteBuffer piece = input.duplicate().limit(input.position() + count);
+        input.position(input.position() + count);
         bodyBytes += count;
         checkSize(bodyBytes);
         if (!untilClose) {
@@ -154,8 +165,9 @@
             }
             value = value * 16 + Character.digit(line.charAt(digits++), 16);
         }
-        // An extension begins with a semicolon. White space before it is rejected, since some
-        // readers would end the number there and others would not.
+        // A chunk extension begins with a semicolon. White space before it is rejected, since
+        // parsers disagree about whether it ends the size; with another reader's size a second
+        // message could be smuggled past this one.
         boolean extension = digits < line.length() && line.charAt(digits) == ';';
         if (digits == 0
                 || (digits < line.length() && !extension)
@@ -166,30 +178,39 @@
     }
 
     /**
-     * The connection's input has ended.
+     * Notifies the decoder that the connection's input has ended. This completes a body with the
+     * framing {@link Framing.Kind#UNTIL_CLOSE}.
      *
-     * @throws HttpProtocolException unless the body lasts until then, or is complete
+     * @throws HttpProtocolException if the body is incomplete by its framing
      */
     public void onEndOfInput() throws HttpProtocolException {
         if (state == State.DATA && framing.kind() == Framing.Kind.UNTIL_CLOSE) {
             state = State.END;
         } else if (state != State.END) {
             throw new HttpProtocolException(
-                    badMessageStatus, "body broken off after " + bodyBytes + " bytes");
+                    badMessageStatus,
+                    "expected the complete body ("
+                            + framing
+                            + ") but the input ended after "
+                            + bodyBytes
+                            + " bytes");
         }
     }
 
-    /** Whether the body has ended as its framing says. */
+    /** Returns whether the whole body has been decoded, as determined by its framing. */
     public boolean isComplete() {
         return state == State.END;
     }
 
-    /** Bytes of the body so far, without framing. */
+    /** Returns the number of body bytes decoded so far, without framing. */
     public long bodyBytes() {
         return bodyBytes;
     }
 
-    /** The fields after a chunked body; empty until the body is complete. */
+    /**
+     * Returns the trailer fields of a chunked body. They are empty until the body is complete, and
+     * for every other framing.
+     */
     public Fields trailers() {
         return trailers;
     }
--- a/src/main/java/brooklock/http/FieldSectionParser.java
+++ b/src/main/java/brooklock/http/FieldSectionParser.java
@@ -2,7 +2,11 @@
 
 import java.nio.ByteBuffer;
 
-/** Parses the field lines of a head or a trailer section, up to the empty line that ends them. */
+/**
+ * Parses the field lines of a head or a trailer section, up to the empty line that ends them.
+ *
+ * <p>Not thread-safe. One parser serves the sections of a connection one after another.
+ */
 final class FieldSectionParser {
     private final HttpLimits limits;
     private final LineReader lineReader;
@@ -19,11 +23,19 @@
         this.tooLargeStatus = tooLargeStatus;
     }
 
-    /** All fields once the empty line has arrived, else null; ready for the next section then. */
-    Fields next(ByteBuffer in) throws HttpProtocolException {
+    /**
+     * Parses on to the end of the section. Once a section is complete, the parser is ready for the
+     * next one.
+     *
+     * @param input the received bytes, which are consumed up to the end of the section
+     * @return the fields of the complete section, or null if the buffer is used up first
+     * @throws HttpProtocolException if a line is not a field line or a limit is exceeded
+     */
+    Fields next(ByteBuffer input) throws HttpProtocolException {
         while (true) {
             String line =
-                    lineReader.next(in, limits.maxFieldBytes(), tooLargeStatus, badMessageStatus);
+                    lineReader.next(
+                            input, limits.maxFieldBytes(), tooLargeStatus, badMessageStatus);
             if (line == null) {
                 return null;
             }
@@ -55,15 +67,15 @@
             throw new HttpProtocolException(
                     badMessageStatus, "field line without a name, or with a space in it");
         }
-        int from = colon + 1;
-        int to = line.length();
-        while (from < to && HttpCharacters.isSpace(line.charAt(from))) {
-            from++;
+        int valueStart = colon + 1;
+        int valueEnd = line.length();
+        while (valueStart < valueEnd && HttpCharacters.isSpace(line.charAt(valueStart))) {
+            valueStart++;
         }
-        while (to > from && HttpCharacters.isSpace(line.charAt(to - 1))) {
-            to--;
+        while (valueEnd > valueStart && HttpCharacters.isSpace(line.charAt(valueEnd - 1))) {
+            valueEnd--;
         }
-        String value = line.substring(from, to);
+        String value = line.substring(valueStart, valueEnd);
         if (!HttpCharacters.isFieldValue(value)) {
             throw new HttpProtocolException(badMessageStatus, "control character in a field");
         }
--- a/src/main/java/brooklock/http/Fields.java
+++ b/src/main/java/brooklock/http/Fields.java
@@ -5,26 +5,33 @@
 import java.util.function.Predicate;
 
 /**
- * Field lines in their order (RFC 9110, section 5). Names are compared without regard to case.
- * Mutable and not thread-safe.
+ * The field lines of a message in the order in which they were received or added (RFC 9110, section
+ * 5). Names are compared without regard to case. Mutable and not thread-safe.
  */
 public final class Fields {
     private final List<String> names = new ArrayList<>(12);
     private final List<String> values = new ArrayList<>(12);
 
     /**
-     * Adds a field line.
+     * Appends a field line.
      *
-     * @throws InvalidMessageException if the name or the value could end the line early
+     * @throws InvalidMessageException if the name is not a token, or if the value has a character
+     *     that could end the line early or white space at either end
      */
     public Fields add(String name, String value) {
         if (!HttpCharacters.isToken(name) || !HttpCharacters.isFieldValue(value)) {
-            throw new InvalidMessageException("not a field line: " + name);
+            throw new InvalidMessageException(
+                    "expected a token as the field name and a value without control characters or"
+                            + " surrounding white space but received the field '"
+                            + name
+                            + "' with a value of "
+                            + value.length()
+                            + " characters");
         }
         return addParsed(name, value);
     }
 
-    /** Adds a line that the parser has checked. */
+    /** Appends a field line whose name and value the parser has validated. */
     Fields addParsed(String name, String value) {
         names.add(name);
         values.add(value);
@@ -32,16 +39,17 @@
     }
 
     /**
-     * Puts one line in place of all lines of its name.
+     * Replaces all lines of a name by one line at the end.
      *
-     * @throws InvalidMessageException if the name or the value could end the line early
+     * @throws InvalidMessageException if the name is not a token, or if the value has a character
+     *     that could end the line early or white space at either end
      */
     public Fields set(String name, String value) {
         remove(name);
         return add(name, value);
     }
 
-    /** The first value of a name, or null. */
+    /** Returns the value of the first line of a name, or null if there is none. */
     public String get(String name) {
         for (int i = 0; i < names.size(); i++) {
             if (names.get(i).equalsIgnoreCase(name)) {
@@ -51,7 +59,7 @@
         return null;
     }
 
-    /** The values of all lines of a name, joined by commas, or null where there is none. */
+    /** Returns the values of all lines of a name, joined by commas, or null if there is none. */
     public String combinedValue(String name) {
         String combined = null;
         for (int i = 0; i < names.size(); i++) {
@@ -62,7 +70,7 @@
         return combined;
     }
 
-    /** Number of lines that have a name. */
+    /** Returns the number of lines of a name. */
     public int count(String name) {
         int matches = 0;
         for (String candidate : names) {
@@ -71,7 +79,10 @@
         return matches;
     }
 
-    /** Whether the comma-separated list of a name holds a token, without regard to case. */
+    /**
+     * Returns whether the comma-separated list in the lines of a name contains a token. Tokens are
+     * compared without regard to case.
+     */
     public boolean hasToken(String name, String token) {
         String combined = combinedValue(name);
         if (combined == null) {
@@ -109,24 +120,24 @@
         return copy;
     }
 
-    /** Number of lines. */
+    /** Returns the number of field lines. */
     public int size() {
         return names.size();
     }
 
-    /** The name of line {@code i}, in its own case. */
+    /** Returns the name of line {@code i} in its original case. */
     public String name(int i) {
         return names.get(i);
     }
 
-    /** The value of line {@code i}, without white space around it. */
+    /** Returns the value of line {@code i} without surrounding white space. */
     public String value(int i) {
         return values.get(i);
     }
 
     @Override
     public boolean equals(Object o) {
-        return o instanceof Fields f && f.names.equals(names) && f.values.equals(values);
+        return o instanceof Fields that && that.names.equals(names) && that.values.equals(values);
     }
 
     @Override
--- a/src/main/java/brooklock/http/Forwarding.java
+++ b/src/main/java/brooklock/http/Forwarding.java
@@ -4,7 +4,7 @@
 import java.util.Locale;
 import java.util.Set;
 
-/** What a proxy does to the fields of a message that it forwards (RFC 9110, section 7.6). */
+/** Transforms the fields of a message that a proxy forwards (RFC 9110, section 7.6). */
 public final class Forwarding {
     private static final Set<String> HOP_BY_HOP =
             Set.of(
@@ -20,7 +20,10 @@
 
     private Forwarding() {}
 
-    /** Returns a copy without the hop-by-hop fields, those that Connection names among them. */
+    /**
+     * Returns a copy without the hop-by-hop fields: the standard ones and those that the Connection
+     * field names.
+     */
     public static Fields endToEnd(Fields fields) {
         Set<String> dropped = new HashSet<>(HOP_BY_HOP);
         String connection = fields.combinedValue("Connection");
@@ -29,17 +32,18 @@
                 dropped.add(option.trim().toLowerCase(Locale.ROOT));
             }
         }
-        // Framing and Host are never dropped: a client that names them would change the message.
+        // Content-Length and Host are never dropped: a client that names them in Connection would
+        // otherwise change where the forwarded message ends or to which host it is addressed.
         dropped.remove("content-length");
         dropped.remove("host");
         return fields.copy().removeIf(name -> dropped.contains(name.toLowerCase(Locale.ROOT)));
     }
 
     /**
-     * Adds this proxy to Via.
+     * Appends this proxy to the Via field.
      *
-     * @param minorVersion of the HTTP version in which the message was received
-     * @param pseudonym this proxy's name
+     * @param minorVersion the minor number of the HTTP/1 version in which the message was received
+     * @param pseudonym the name of this proxy
      */
     public static void appendVia(Fields fields, int minorVersion, String pseudonym) {
         String previous = fields.combinedValue("Via");
@@ -48,7 +52,10 @@
                 (previous == null ? "" : previous + ", ") + "1." + minorVersion + " " + pseudonym);
     }
 
-    /** Whether a message has passed through a proxy before, which shows a forwarding loop. */
+    /**
+     * Returns whether the Via field names a proxy, that is, whether the message has passed through
+     * it before. For this proxy's own pseudonym that indicates a forwarding loop.
+     */
     public static boolean hasPassedThrough(Fields fields, String pseudonym) {
         String via = fields.combinedValue("Via");
         if (via == null) {
--- a/src/main/java/brooklock/http/Framing.java
+++ b/src/main/java/brooklock/http/Framing.java
@@ -1,46 +1,46 @@
 package brooklock.http;
 
 /**
- * How a body ends (RFC 9112, section 6.3).
+ * The framing of a body, which determines where it ends (RFC 9112, section 6.3). Immutable.
  *
- * @param kind which of the four ways
- * @param length bytes of a fixed body, else 0
+ * @param kind the kind of the framing
+ * @param length the number of bytes of a {@link Kind#FIXED} body, else 0
  */
 public record Framing(Kind kind, long length) {
-    /** The ways in which a body ends. */
+    /** The kinds of framing, each of which ends the body in another way. */
     public enum Kind {
-        /** There is no body. */
+        /** The message has no body. */
         NONE,
-        /** After a stated number of bytes. */
+        /** The body has the length that Content-Length states. */
         FIXED,
-        /** With the last chunk and its trailers. */
+        /** The body is sent in chunks and ends with the last chunk and the trailer section. */
         CHUNKED,
-        /** With the connection. */
+        /** The body lasts until the sender closes the connection. */
         UNTIL_CLOSE
     }
 
-    /** No body. */
+    /** The framing of a message without a body. */
     public static final Framing NONE = new Framing(Kind.NONE, 0);
 
-    /** Chunks up to the last one. */
+    /** The framing of a body in chunks. */
     public static final Framing CHUNKED = new Framing(Kind.CHUNKED, 0);
 
-    /** All that arrives until the connection is closed. */
+    /** The framing of a body that lasts until the connection is closed. */
     public static final Framing UNTIL_CLOSE = new Framing(Kind.UNTIL_CLOSE, 0);
 
-    /** Eighteen digits are the most that surely fit a long. */
+    /** Maximum number of decimal digits of a length; nineteen digits may overflow a long. */
     private static final int MAX_LENGTH_DIGITS = 18;
 
-    /** A body of so many bytes. */
+    /** Returns the framing of a body of {@code length} bytes; {@link #NONE} for 0. */
     public static Framing fixed(long length) {
         return length == 0 ? NONE : new Framing(Kind.FIXED, length);
     }
 
     /**
-     * The framing of a request's body.
+     * Returns the framing of a request's body.
      *
-     * @throws HttpProtocolException if the framing is ambiguous, since two readers would end the
-     *     message in different places, or of an unknown coding
+     * @throws HttpProtocolException with 400 if the framing is ambiguous, since two parsers would
+     *     end the message in different places; with 501 if the transfer coding is not supported
      */
     public static Framing of(RequestHead head) throws HttpProtocolException {
         Framing framing =
@@ -53,10 +53,11 @@
     }
 
     /**
-     * The framing of a response's body.
+     * Returns the framing of a response's body.
      *
-     * @param method the method of the request
-     * @throws HttpProtocolException if the framing is ambiguous or of an unknown coding
+     * @param method the method of the request; the response to HEAD has no body
+     * @throws HttpProtocolException with 502 if the framing is ambiguous or the transfer coding is
+     *     not supported
      */
     public static Framing of(ResponseHead head, String method) throws HttpProtocolException {
         Framing framing =
@@ -74,7 +75,7 @@
         return framing == null ? UNTIL_CLOSE : framing;
     }
 
-    // Null where the fields say nothing about it.
+    // Returns the framing that the fields declare, or null if they declare none.
     private static Framing declared(
             Fields fields, int minorVersion, int badMessageStatus, int unknownCodingStatus)
             throws HttpProtocolException {
--- a/src/main/java/brooklock/http/HttpCharacters.java
+++ b/src/main/java/brooklock/http/HttpCharacters.java
@@ -1,6 +1,9 @@
 package brooklock.http;
 
-/** Which characters may stand where (RFC 9110, sections 5.5 and 5.6.2; RFC 9112, section 3.2). */
+/**
+ * The characters that are allowed in the elements of a head (RFC 9110, sections 5.5 and 5.6.2; RFC
+ * 9112, section 3.2).
+ */
 final class HttpCharacters {
     private static final boolean[] TOKEN = new boolean[128];
 
@@ -15,7 +18,7 @@
 
     private HttpCharacters() {}
 
-    /** Whether a text is a token: a method, a field name. */
+    /** Returns whether a text is a token, as methods and field names are. */
     static boolean isToken(String text) {
         for (int i = 0; i < text.length(); i++) {
             char c = text.charAt(i);
@@ -27,8 +30,8 @@
     }
 
     /**
-     * Whether a text is a field value: visible characters, spaces, tabs and the upper half of
-     * Latin-1, without white space at either end.
+     * Returns whether a text is a field value: visible characters, spaces, tabs and the upper half
+     * of Latin-1, without white space at either end.
      */
     static boolean isFieldValue(String text) {
         for (int i = 0; i < text.length(); i++) {
@@ -45,7 +48,10 @@
         return c == ' ' || c == '\t';
     }
 
-    /** Whether a text can be a request target: visible ASCII that a URI without fragment holds. */
+    /**
+     * Returns whether a text can be a request target: one or more visible ASCII characters that are
+     * allowed in a URI without a fragment.
+     */
     static boolean isTarget(String text) {
         for (int i = 0; i < text.length(); i++) {
             char c = text.charAt(i);
@@ -56,7 +62,10 @@
         return !text.isEmpty();
     }
 
-    /** Whether a text is a host (a name, an IPv4 address, an IPv6 address in brackets) and port. */
+    /**
+     * Returns whether a text is a host, optionally with a port. The host is a name, an IPv4 address
+     * or an IPv6 address in brackets.
+     */
     static boolean isAuthority(String text) {
         int colon =
                 text.startsWith("[")
--- a/src/main/java/brooklock/http/HttpEncoder.java
+++ b/src/main/java/brooklock/http/HttpEncoder.java
@@ -3,7 +3,7 @@
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 
-/** Encodes heads and chunk framing. */
+/** Encodes the heads of messages and the framing of chunked bodies. */
 public final class HttpEncoder {
     private static final byte[] LAST_CHUNK = "0\r\n\r\n".getBytes(StandardCharsets.ISO_8859_1);
     private static final byte[] LINE_END = "\r\n".getBytes(StandardCharsets.ISO_8859_1);
@@ -11,14 +11,20 @@
     private HttpEncoder() {}
 
     /**
-     * Encodes the head of a request; Host comes first (RFC 9110, section 7.2).
+     * Encodes the head of a request, with Host as its first field (RFC 9110, section 7.2).
      *
-     * @throws InvalidMessageException if the method or target would end the request line early
+     * @throws InvalidMessageException if the method or the target has a character that could end
+     *     the request line early
      */
     public static ByteBuffer encodeRequest(RequestHead head) {
         if (!HttpCharacters.isToken(head.method()) || !HttpCharacters.isTarget(head.target())) {
             throw new InvalidMessageException(
-                    "not a request line: " + head.method() + " " + head.target());
+                    "expected a token as the method and URI characters in the target but received the"
+                            + " method '"
+                            + head.method()
+                            + "' and a target of "
+                            + head.target().length()
+                            + " characters");
         }
         StringBuilder text = new StringBuilder(512);
         text.append(head.method()).append(' ').append(head.target());
@@ -44,18 +50,18 @@
         return ByteBuffer.wrap(text.toString().getBytes(StandardCharsets.ISO_8859_1));
     }
 
-    /** Encodes the line before a chunk of so many bytes. */
+    /** Encodes the size line that precedes a chunk of {@code bytes} bytes. */
     public static ByteBuffer chunkHeader(int bytes) {
         return ByteBuffer.wrap(
                 (Integer.toHexString(bytes) + "\r\n").getBytes(StandardCharsets.ISO_8859_1));
     }
 
-    /** Encodes what follows a chunk's bytes. */
+    /** Encodes the line end that follows the data of a chunk. */
     public static ByteBuffer chunkEnd() {
         return ByteBuffer.wrap(LINE_END);
     }
 
-    /** Encodes the end of a chunked body without trailers. */
+    /** Encodes the last chunk and an empty trailer section. */
     public static ByteBuffer lastChunk() {
         return ByteBuffer.wrap(LAST_CHUNK);
     }
--- a/src/main/java/brooklock/http/HttpProtocolException.java
+++ b/src/main/java/brooklock/http/HttpProtocolException.java
@@ -1,22 +1,24 @@
 package brooklock.http;
 
 /**
- * A message that cannot be processed. It carries no stack trace: peers cause it at will, and the
- * trace would cost more than the parse.
+ * Thrown when a received message is malformed, ambiguous, too large or not supported. It has no
+ * stack trace: peers can cause it at will, and filling the trace would cost more than the parse.
  */
 public final class HttpProtocolException extends Exception {
     private static final long serialVersionUID = 1L;
 
     /**
-     * The status that tells the sender why (RFC 9110, section 15), sent before the connection is
-     * closed: 400, 413, 414, 431, 501 or 505 for a request, 502 for a response.
+     * The status code of the error (RFC 9110, section 15). A request is answered with 400, 413,
+     * 414, 431, 501 or 505 before the connection is closed; an error in a response has 502.
      */
     public final int status;
 
     /**
      * Creates an exception.
      *
-     * @param reason plain words, without content of the message
+     * @param status the status code of the error
+     * @param reason the error in plain words, without content of the message; for a request it is
+     *     sent to the client as the body of the error response
      */
     public HttpProtocolException(int status, String reason) {
         this(status, reason, null);
--- a/src/main/java/brooklock/http/HttpStatus.java
+++ b/src/main/java/brooklock/http/HttpStatus.java
@@ -1,6 +1,6 @@
 package brooklock.http;
 
-/** The status codes that parse errors carry (RFC 9110, section 15). */
+/** The status codes of {@link HttpProtocolException} (RFC 9110, section 15). */
 final class HttpStatus {
     static final int BAD_REQUEST = 400;
     static final int CONTENT_TOO_LARGE = 413;
--- a/src/main/java/brooklock/http/InvalidMessageException.java
+++ b/src/main/java/brooklock/http/InvalidMessageException.java
@@ -1,6 +1,9 @@
 package brooklock.http;
 
-/** A message of our own that cannot be encoded, since a peer would read it as another message. */
+/**
+ * Thrown when an outgoing message has a part that cannot be encoded, since the recipient would
+ * parse it as a different message.
+ */
 public final class InvalidMessageException extends IllegalArgumentException {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/brooklock/http/LineReader.java
+++ b/src/main/java/brooklock/http/LineReader.java
@@ -5,8 +5,10 @@
 import java.util.Arrays;
 
 /**
- * Reads lines that end in CR LF. A bare CR, a bare LF and a line over its limit are rejected, since
- * readers disagree about where such lines end.
+ * Reads lines that end in CR LF. A bare CR and a bare LF are rejected, since parsers disagree about
+ * whether they end a line; a line that exceeds its limit is rejected before more memory is used.
+ *
+ * <p>Not thread-safe. One reader serves the lines of a connection one after another.
  */
 final class LineReader {
     private byte[] line = new byte[256];
@@ -16,26 +18,28 @@
     /**
      * Reads on to the end of the line.
      *
-     * @param maxBytes limit of the line without its end
-     * @param tooLongStatus status of the error where the limit is exceeded
-     * @param badMessageStatus status of other errors
-     * @return the line without its end, or null when the buffer is used up first
+     * @param input the received bytes, which are consumed up to the end of the line
+     * @param maxBytes maximum length of the line without CR LF, bytes
+     * @param tooLongStatus status code of the error if the line exceeds {@code maxBytes}
+     * @param badMessageStatus status code of the other errors
+     * @return the line without CR LF, or null if the buffer is used up first
+     * @throws HttpProtocolException if the line is too long, or has a bare CR or a bare LF
      */
-    String next(ByteBuffer in, int maxBytes, int tooLongStatus, int badMessageStatus)
+    String next(ByteBuffer input, int maxBytes, int tooLongStatus, int badMessageStatus)
             throws HttpProtocolException {
-        while (in.hasRemaining()) {
-            byte b = in.get();
+        while (input.hasRemaining()) {
+            byte octet = input.get();
             if (afterCr) {
-                if (b != '\n') {
+                if (octet != '\n') {
                     throw new HttpProtocolException(badMessageStatus, "CR without LF");
                 }
                 afterCr = false;
                 String complete = new String(line, 0, length, StandardCharsets.ISO_8859_1);
                 length = 0;
                 return complete;
-            } else if (b == '\r') {
+            } else if (octet == '\r') {
                 afterCr = true;
-            } else if (b == '\n') {
+            } else if (octet == '\n') {
                 throw new HttpProtocolException(badMessageStatus, "LF without CR");
             } else if (length == maxBytes) {
                 throw new HttpProtocolException(
@@ -44,13 +48,13 @@
                 if (length == line.length) {
                     line = Arrays.copyOf(line, Math.min(maxBytes, 2 * length));
                 }
-                line[length++] = b;
+                line[length++] = octet;
             }
         }
         return null;
     }
 
-    /** Whether nothing of a line has arrived yet. */
+    /** Returns whether no byte of a line has been read since the end of the line before. */
     boolean isEmpty() {
         return length == 0 && !afterCr;
     }
--- a/src/main/java/brooklock/http/ReasonPhrases.java
+++ b/src/main/java/brooklock/http/ReasonPhrases.java
@@ -2,7 +2,7 @@
 
 import java.util.Map;
 
-/** Reason phrases (RFC 9110, section 15). */
+/** The reason phrases of the status codes that brooklock sends (RFC 9110, section 15). */
 public final class ReasonPhrases {
     private static final Map<Integer, String> PHRASES =
             Map.ofEntries(
@@ -32,7 +32,7 @@
 
     private ReasonPhrases() {}
 
-    /** The phrase of a status, or an empty one. */
+    /** Returns the reason phrase of a status code, or an empty text if it has none here. */
     public static String of(int status) {
         return PHRASES.getOrDefault(status, "");
     }
--- a/src/main/java/brooklock/http/RequestParser.java
+++ b/src/main/java/brooklock/http/RequestParser.java
@@ -2,10 +2,16 @@
 
 import java.nio.ByteBuffer;
 
-/** Parses the heads of requests, one after another (RFC 9112, sections 2 and 3). */
+/**
+ * Parses the heads of the requests of one connection, one after another (RFC 9112, sections 2 and
+ * 3). The caller decodes the body between two heads.
+ *
+ * <p>Not thread-safe.
+ */
 public final class RequestParser {
     /**
-     * Empty lines skipped before a request, as old clients send them; a bound against endless ones.
+     * Maximum number of empty lines before a request line. Old clients send one after a body; the
+     * bound keeps a client from occupying the connection with empty lines.
      */
     private static final int MAX_EMPTY_LINES = 2;
 
@@ -15,7 +21,7 @@
     private String startLine;
     private int emptyLines;
 
-    /** Creates a parser with its limits. */
+    /** Creates a parser that rejects heads that exceed {@code limits}. */
     public RequestParser(HttpLimits limits) {
         this.limits = limits;
         fieldParser =
@@ -26,16 +32,17 @@
     /**
      * Parses the next head.
      *
-     * @param in is consumed up to the end of the head; the body stays in it
-     * @return the head, or null when the buffer is used up first
-     * @throws HttpProtocolException if it is not a head, or exceeds a limit; the parser is of no
-     *     more use then
+     * @param input the received bytes, which are consumed up to the end of the head; the body
+     *     remains in the buffer
+     * @return the head, or null if the buffer is used up first
+     * @throws HttpProtocolException if the head is malformed, not supported or exceeds a limit; the
+     *     parser must not be used after that
      */
-    public RequestHead next(ByteBuffer in) throws HttpProtocolException {
+    public RequestHead next(ByteBuffer input) throws HttpProtocolException {
         while (startLine == null) {
             String line =
                     lineReader.next(
-                            in,
+                            input,
                             limits.maxStartLineBytes(),
                             HttpStatus.URI_TOO_LONG,
                             HttpStatus.BAD_REQUEST);
@@ -47,7 +54,7 @@
             }
             startLine = line.isEmpty() ? null : line;
         }
-        Fields fields = fieldParser.next(in);
+        Fields fields = fieldParser.next(input);
         if (fields == null) {
             return null;
         }
@@ -57,7 +64,7 @@
         return parseHead(line, fields);
     }
 
-    /** Whether a head has begun and has not ended. */
+    /** Returns whether the parser has received the beginning of a head but not its end. */
     public boolean isMidMessage() {
         return startLine != null || !lineReader.isEmpty();
     }
@@ -87,7 +94,7 @@
         return parseAbsoluteForm(method, target, minorVersion, fields);
     }
 
-    // The authority of an absolute target counts, whatever Host says (RFC 9112, section 3.2.2).
+    // The authority of a target in absolute form overrides Host (RFC 9112, section 3.2.2).
     private static RequestHead parseAbsoluteForm(
             String method, String target, int minorVersion, Fields fields)
             throws HttpProtocolException {
@@ -124,7 +131,13 @@
         return host;
     }
 
-    /** Parses an HTTP version; its minor number is taken as 0 or 1. */
+    /**
+     * Parses an HTTP version and returns its minor number. A minor number above 1 is treated as 1
+     * (RFC 9110, section 2.5).
+     *
+     * @throws HttpProtocolException with 400 if the text is not an HTTP version, with 505 if the
+     *     major version is not 1
+     */
     static int parseMinorVersion(String version) throws HttpProtocolException {
         if (version.length() != 8
                 || !version.startsWith("HTTP/")
--- a/src/main/java/brooklock/http/ResponseParser.java
+++ b/src/main/java/brooklock/http/ResponseParser.java
@@ -2,14 +2,19 @@
 
 import java.nio.ByteBuffer;
 
-/** Parses the heads of responses, interim ones too, one after another (RFC 9112, section 4). */
+/**
+ * Parses the heads of the responses of one connection, interim responses included, one after
+ * another (RFC 9112, section 4). The caller decodes the body between two heads.
+ *
+ * <p>Not thread-safe.
+ */
 public final class ResponseParser {
     private final HttpLimits limits;
     private final LineReader lineReader = new LineReader();
     private final FieldSectionParser fieldParser;
     private String startLine;
 
-    /** Creates a parser with its limits. */
+    /** Creates a parser that rejects heads that exceed {@code limits}. */
     public ResponseParser(HttpLimits limits) {
         this.limits = limits;
         fieldParser =
@@ -20,16 +25,17 @@
     /**
      * Parses the next head.
      *
-     * @param in is consumed up to the end of the head; the body stays in it
-     * @return the head, or null when the buffer is used up first
-     * @throws HttpProtocolException with 502 if it is not a head, or exceeds a limit; the parser is
-     *     of no more use then
+     * @param input the received bytes, which are consumed up to the end of the head; the body
+     *     remains in the buffer
+     * @return the head, or null if the buffer is used up first
+     * @throws HttpProtocolException with 502 if the head is malformed, not supported or exceeds a
+     *     limit; the parser must not be used after that
      */
-    public ResponseHead next(ByteBuffer in) throws HttpProtocolException {
+    public ResponseHead next(ByteBuffer input) throws HttpProtocolException {
         if (startLine == null) {
             startLine =
                     lineReader.next(
-                            in,
+                            input,
                             limits.maxStartLineBytes(),
                             HttpStatus.BAD_GATEWAY,
                             HttpStatus.BAD_GATEWAY);
@@ -37,7 +43,7 @@
                 return null;
             }
         }
-        Fields fields = fieldParser.next(in);
+        Fields fields = fieldParser.next(input);
         if (fields == null) {
             return null;
         }
@@ -46,12 +52,16 @@
         return parseHead(line, fields);
     }
 
-    // "HTTP/1.1 200 OK": the version ends at 8, the status stands at 9 to 11, the reason follows.
+    // In "HTTP/1.1 200 OK" the version ends at offset 8, the status code is at offsets 9 to 11, and
+    // the reason phrase begins at offset 13.
     private static ResponseHead parseHead(String line, Fields fields) throws HttpProtocolException {
         if (line.length() < 12
                 || line.charAt(8) != ' '
                 || (line.length() > 12 && line.charAt(12) != ' ')) {
-            throw badGateway("not a status line");
+            throw badGateway(
+                    "expected a status line, as in 'HTTP/1.1 200 OK', but received a line of "
+                            + line.length()
+                            + " bytes in another form");
         }
         int minorVersion;
         try {
@@ -62,13 +72,22 @@
         int status = 0;
         for (int i = 9; i < 12; i++) {
             if (line.charAt(i) < '0' || line.charAt(i) > '9') {
-                throw badGateway("status is not three digits");
+                throw badGateway(
+                        "expected a status code of three digits at offset 9 of the status line but"
+                                + " received another character at offset "
+                                + i);
             }
             status = status * 10 + line.charAt(i) - '0';
         }
         String reasonPhrase = line.length() > 13 ? line.substring(13).trim() : "";
         if (status < 100 || status > 599 || !HttpCharacters.isFieldValue(reasonPhrase)) {
-            throw badGateway("no such status");
+            throw badGateway(
+                    "expected a status code from 100 to 599 and a reason phrase without control"
+                            + " characters but received the status code "
+                            + status
+                            + " and a reason phrase of "
+                            + reasonPhrase.length()
+                            + " characters");
         }
         return new ResponseHead(status, reasonPhrase, minorVersion, fields);
     }
--- a/src/main/java/brooklock/http/StatusFieldParser.java
+++ b/src/main/java/brooklock/http/StatusFieldParser.java
@@ -6,31 +6,34 @@
 import java.util.Map;
 
 /**
- * Parses Cache-Status (RFC 9211) and Proxy-Status (RFC 9209): a list of caches or proxies, the one
- * nearest to the origin first, each with parameters (RFC 8941). A value that cannot be parsed is
- * treated as absent, as these documents ask.
+ * Parses the values of Cache-Status (RFC 9211) and Proxy-Status (RFC 9209): lists of caches or
+ * proxies, the one nearest to the origin first, each with parameters (RFC 8941). A value that
+ * cannot be parsed is treated as absent, as these documents require.
  */
 public final class StatusFieldParser {
-    /** More hops than a hierarchy of caches has; a longer list is not believed. */
+    /**
+     * Maximum number of members of a list. It exceeds the number of hops in any hierarchy of
+     * caches, so a longer list is treated as malformed.
+     */
     private static final int MAX_MEMBERS = 16;
 
-    /** The value of a parameter that is present without one. */
+    /** The value of a parameter that is given without a value: true (RFC 8941, section 3.1.2). */
     private static final String TRUE = "?1";
 
     /**
      * One member of the list.
      *
-     * @param name the cache or proxy that speaks
-     * @param parameters by name; a flag has the value "?1"
+     * @param name the name of the cache or proxy that added the member
+     * @param parameters the values of the parameters by name; a flag has the value "?1"
      */
     public record Member(String name, Map<String, String> parameters) {
-        /** Whether a flag is set. */
+        /** Returns whether the parameter {@code name} is present as a flag. */
         public boolean hasFlag(String name) {
             return TRUE.equals(parameters.get(name));
         }
     }
 
-    /** The value breaks the syntax; it never leaves the parser. */
+    /** Thrown when a value violates the syntax; caught inside the parser. */
     private static final class MalformedValueException extends Exception {
         private static final long serialVersionUID = 1L;
 
@@ -49,8 +52,8 @@
     /**
      * Parses a field value.
      *
-     * @param value may be null for an absent field
-     * @return the members; empty where the value is absent or cannot be parsed
+     * @param value the field value, or null if the field is absent
+     * @return the members; empty if the value is absent or cannot be parsed
      */
     public static List<Member> parse(String value) {
         if (value == null) {
@@ -71,7 +74,10 @@
         return complete && members.size() <= MAX_MEMBERS ? members : List.of();
     }
 
-    /** The last member of a field value, that of the nearest hop, or null. */
+    /**
+     * Returns the last member of a field value, which the nearest hop added, or null if the value
+     * is absent or cannot be parsed.
+     */
     public static Member nearestMember(String value) {
         List<Member> members = parse(value);
         return members.isEmpty() ? null : members.get(members.size() - 1);
@@ -102,20 +108,21 @@
             }
         }
         if (!tryConsume('"')) {
-            throw new MalformedValueException("string without end");
+            throw new MalformedValueException(
+                    "expected a closing quote before the end of the value");
         }
         return item.toString();
     }
 
     private String parseToken() throws MalformedValueException {
-        int from = position;
+        int start = position;
         while (position < text.length() && ",; =\"\t".indexOf(text.charAt(position)) < 0) {
             position++;
         }
-        if (position == from) {
-            throw new MalformedValueException("no token");
+        if (position == start) {
+            throw new MalformedValueException("expected a token of at least one character");
         }
-        return text.substring(from, position);
+        return text.substring(start, position);
     }
 
     private void skipSpaces() {
@@ -124,8 +131,8 @@
         }
     }
 
-    private boolean tryConsume(char c) {
-        if (position < text.length() && text.charAt(position) == c) {
+    private boolean tryConsume(char expected) {
+        if (position < text.length() && text.charAt(position) == expected) {
             position++;
             return true;
         }
--- a/src/test/java/brooklock/http/CodecPropertyTest.java
+++ b/src/test/java/brooklock/http/CodecPropertyTest.java
@@ -33,31 +33,32 @@
                 .ofMaxSize(8)
                 .map(
                         all -> {
-                            Fields f = new Fields();
-                            all.forEach(p -> f.add(p[0], p[1]));
-                            return f;
+                            Fields fields = new Fields();
+                            all.forEach(
+                                    nameAndValue -> fields.add(nameAndValue[0], nameAndValue[1]));
+                            return fields;
                         });
     }
 
     private static String chunked(List<String> chunks) {
-        StringBuilder s = new StringBuilder();
-        for (String c : chunks) {
-            s.append(Integer.toHexString(c.length()))
-                    .append(c.length() % 2 == 0 ? "" : ";x=\"y\"")
+        StringBuilder encoded = new StringBuilder();
+        for (String chunk : chunks) {
+            encoded.append(Integer.toHexString(chunk.length()))
+                    .append(chunk.length() % 2 == 0 ? "" : ";x=\"y\"")
                     .append("\r\n");
-            s.append(c).append("\r\n");
+            encoded.append(chunk).append("\r\n");
         }
-        return s + "0\r\nx-trailer: t\r\n\r\n";
+        return encoded + "0\r\nx-trailer: t\r\n\r\n";
     }
 
-    private static String text(java.nio.ByteBuffer b) {
-        return java.nio.charset.StandardCharsets.ISO_8859_1.decode(b).toString();
+    private static String text(java.nio.ByteBuffer buffer) {
+        return java.nio.charset.StandardCharsets.ISO_8859_1.decode(buffer).toString();
     }
 
     /** A request as it stands on the wire, with its body in one of the three framings. */
     @Provide
     Arbitrary<String> requests() {
-        Arbitrary<List<String>> bodies =
+        Arbitrary<List<String>> chunkLists =
                 Arbitraries.strings()
                         .withCharRange('\0', '\u00ff')
                         .ofMinLength(1)
@@ -66,19 +67,21 @@
                         .ofMaxSize(5);
         Arbitrary<String> target =
                 Arbitraries.strings().withChars("abc/%?=&.~").ofMaxLength(30).map(s -> "/" + s);
-        return Combinators.combine(someFields(), target, bodies, Arbitraries.of(0, 1, 2))
+        return Combinators.combine(someFields(), target, chunkLists, Arbitraries.of(0, 1, 2))
                 .as(
-                        (f, t, b, kind) -> {
-                            String whole = String.join("", b);
-                            String body = kind == 0 ? "" : kind == 1 ? whole : chunked(b);
-                            if (kind > 0) {
-                                f.add(
-                                        kind == 1 ? "Content-Length" : "Transfer-Encoding",
-                                        kind == 1 ? "" + whole.length() : "chunked");
+                        (fields, path, chunks, framing) -> {
+                            String joined = String.join("", chunks);
+                            String body =
+                                    framing == 0 ? "" : framing == 1 ? joined : chunked(chunks);
+                            if (framing > 0) {
+                                fields.add(
+                                        framing == 1 ? "Content-Length" : "Transfer-Encoding",
+                                        framing == 1 ? "" + joined.length() : "chunked");
                             }
                             return text(
                                             HttpEncoder.encodeRequest(
-                                                    new RequestHead("PUT", t, "a.example", 1, f)))
+                                                    new RequestHead(
+                                                            "PUT", path, "a.example", 1, fields)))
                                     + body;
                         });
     }
@@ -95,26 +98,27 @@
     @Property(tries = 400, seed = "72")
     void whatIsWrittenReadsBack(@ForAll("requests") String text) throws HttpProtocolException {
         RequestHead head = (RequestHead) MessageFeeder.request(text, List.of()).head();
-        RequestHead again =
+        RequestHead reparsed =
                 new RequestParser(HttpLimits.STANDARD).next(HttpEncoder.encodeRequest(head));
-        assertEquals(head.target(), again.target());
-        assertEquals(head.fields(), again.fields());
+        assertEquals(head.target(), reparsed.target());
+        assertEquals(head.fields(), reparsed.fields());
     }
 
     @Property(tries = 200, seed = "73")
     void answersReadBack(@ForAll("heads") ResponseHead head, @ForAll List<Integer> cuts)
             throws HttpProtocolException {
         String text = text(HttpEncoder.encodeResponse(head)) + "until the end";
-        MessageFeeder.ParsedMessage read = MessageFeeder.response(text, "GET", cuts);
-        assertEquals(head, read.head());
-        assertEquals("until the end", read.body());
+        MessageFeeder.ParsedMessage parsed = MessageFeeder.response(text, "GET", cuts);
+        assertEquals(head, parsed.head());
+        assertEquals("until the end", parsed.body());
     }
 
     @Provide
     Arbitrary<ResponseHead> heads() {
         Arbitrary<Integer> status =
                 Arbitraries.integers().between(200, 599).filter(s -> s != 204 && s != 304);
-        return Combinators.combine(status, someFields()).as((s, f) -> new ResponseHead(s, f));
+        return Combinators.combine(status, someFields())
+                .as((s, fields) -> new ResponseHead(s, fields));
     }
 
     @Property(tries = 300, seed = "74")
--- a/src/test/java/brooklock/http/MessageFeeder.java
+++ b/src/test/java/brooklock/http/MessageFeeder.java
@@ -59,19 +59,19 @@
 
     /** Parses one request that is cut at the given places, taken modulo its length. */
     static ParsedMessage request(String text, List<Integer> cuts) throws HttpProtocolException {
-        MessageParse<RequestHead> parse =
+        MessageParse<RequestHead> feed =
                 new MessageParse<>(
                         text,
                         cuts,
                         new RequestParser(HttpLimits.STANDARD)::next,
                         head -> BodyDecoder.ofRequest(Framing.of(head), HttpLimits.STANDARD));
-        return parse.read(parse.body != null && parse.body.isComplete());
+        return feed.read(feed.body != null && feed.body.isComplete());
     }
 
     /** Parses one response, after which the connection ends. */
     static ParsedMessage response(String text, String method, List<Integer> cuts)
             throws HttpProtocolException {
-        MessageParse<ResponseHead> parse =
+        MessageParse<ResponseHead> feed =
                 new MessageParse<>(
                         text,
                         cuts,
@@ -79,16 +79,16 @@
                         head ->
                                 BodyDecoder.ofResponse(
                                         Framing.of(head, method), HttpLimits.STANDARD));
-        if (parse.body != null) {
-            parse.body.onEndOfInput();
+        if (feed.body != null) {
+            feed.body.onEndOfInput();
         }
-        return parse.read(true);
+        return feed.read(true);
     }
 
-    private static void drain(BodyDecoder body, ByteBuffer in, StringBuilder out)
+    private static void drain(BodyDecoder body, ByteBuffer input, StringBuilder decoded)
             throws HttpProtocolException {
-        for (ByteBuffer b = body.next(in); b != null; b = body.next(in)) {
-            out.append(StandardCharsets.ISO_8859_1.decode(b));
+        for (ByteBuffer piece = body.next(input); piece != null; piece = body.next(input)) {
+            decoded.append(StandardCharsets.ISO_8859_1.decode(piece));
         }
     }
 
@@ -97,12 +97,12 @@
         cuts.forEach(c -> positions.add(Math.floorMod(c, Math.max(1, text.length()))));
         positions.add(text.length());
         List<ByteBuffer> pieces = new ArrayList<>();
-        int from = 0;
-        for (int to : positions) {
-            if (to > from) {
-                pieces.add(bytes(text.substring(from, to)));
+        int start = 0;
+        for (int end : positions) {
+            if (end > start) {
+                pieces.add(bytes(text.substring(start, end)));
             }
-            from = to;
+            start = end;
         }
         return pieces;
     }
--- a/src/test/java/brooklock/http/ParserFuzzTest.java
+++ b/src/test/java/brooklock/http/ParserFuzzTest.java
@@ -15,11 +15,11 @@
 class ParserFuzzTest {
     private static String outcome(String text, boolean request, List<Integer> cuts) {
         try {
-            MessageFeeder.ParsedMessage r =
+            MessageFeeder.ParsedMessage message =
                     request
                             ? MessageFeeder.request(text, cuts)
                             : MessageFeeder.response(text, "GET", cuts);
-            return r.head() + "|" + r.body() + "|" + r.trailers();
+            return message.head() + "|" + message.body() + "|" + message.trailers();
         } catch (HttpProtocolException e) {
             return e.status + " " + e.getMessage();
         }
@@ -27,8 +27,8 @@
 
     @FuzzTest(maxDuration = "2m")
     void anyBytes(byte[] data) {
-        byte[] some = Arrays.copyOf(data, Math.min(data.length, 4096));
-        String text = StandardCharsets.ISO_8859_1.decode(ByteBuffer.wrap(some)).toString();
+        byte[] bounded = Arrays.copyOf(data, Math.min(data.length, 4096));
+        String text = StandardCharsets.ISO_8859_1.decode(ByteBuffer.wrap(bounded)).toString();
         for (boolean request : new boolean[] {true, false}) {
             Assertions.assertEquals(
                     outcome(text, request, List.of()),
