--- a/src/main/java/brooklock/platform/ByteAccumulator.java
+++ b/src/main/java/brooklock/platform/ByteAccumulator.java
@@ -4,17 +4,17 @@
 import java.util.Arrays;
 
 /**
- * Collects the bytes of a text or body of an announced length that comes in pieces. Memory grows
- * with what has come, not with what was announced, so that a peer which announces much costs
- * nothing. Pure.
+ * Accumulates a text or body of known length that arrives in pieces. The buffer grows with the
+ * bytes received and not with the announced length; otherwise a peer could make the dispatcher
+ * allocate memory merely by announcing long bodies. Performs no I/O; not thread-safe.
  */
 final class ByteAccumulator {
-    // Most texts fit, and a body doubles it a few times.
+    // Holds most texts without growing; the largest body needs a few doublings.
     private static final int INITIAL_CAPACITY_BYTES = 4096;
 
-    private final int length;
+    private final int expectedLength;
     private byte[] bytes;
-    private int received;
+    private int receivedCount;
 
     /**
      * Creates an empty accumulator.
@@ -22,24 +22,34 @@
      * @param length the announced length, bytes
      */
     ByteAccumulator(int length) {
-        this.length = length;
+        expectedLength = length;
         bytes = new byte[Math.min(length, INITIAL_CAPACITY_BYTES)];
     }
 
-    /** Appends what belongs here; returns whether all of it has come. */
-    boolean append(ByteBuffer in) {
-        int count = Math.min(length - received, in.remaining());
-        if (received + count > bytes.length) {
+    /**
+     * Appends bytes from a buffer, at most as many as are missing.
+     *
+     * @return whether all announced bytes have been received
+     */
+    boolean append(ByteBuffer input) {
+        int count = Math.min(expectedLength - receivedCount, input.remaining());
+        if (receivedCount + count > bytes.length) {
             bytes =
                     Arrays.copyOf(
-                            bytes, Math.min(length, Math.max(received + count, 2 * bytes.length)));
+                            bytes,
+                            Math.min(
+                                    expectedLength,
+                                    Math.max(receivedCount + count, 2 * bytes.length)));
         }
-        in.get(bytes, received, count);
-        received += count;
-        return received == length;
+        input.get(bytes, receivedCount, count);
+        receivedCount += count;
+        return receivedCount == expectedLength;
     }
 
-    /** Returns all of it, once it has come; not a copy. */
+    /**
+     * Returns the accumulated bytes without copying them. The result is valid only after {@link
+     * #append} has returned true.
+     */
     byte[] bytes() {
         return bytes;
     }
--- a/src/main/java/brooklock/platform/ClientRequestParser.java
+++ b/src/main/java/brooklock/platform/ClientRequestParser.java
@@ -4,22 +4,22 @@
 import java.util.regex.Pattern;
 
 /**
- * Checks the fields of a call and parses them into a request. Pure.
+ * Validates the fields of a call and parses them into a request. Stateless and thread-safe.
  *
- * <p>It is strict because endpoints are: they close a connection on a request that they can't read,
- * and every other attempt on it is lost.
+ * <p>The parser is strict because endpoints are: an endpoint closes its connection on a request
+ * that it cannot parse, and every other attempt on that connection is lost.
  */
 final class ClientRequestParser {
-    /** Field: the request's id, 16 hexadecimal digits. */
+    /** Field: the id of the request, 16 hexadecimal digits. */
     static final String ID = "i";
 
-    /** Field: how long the client waits, ms. */
+    /** Field: the time for which the client waits for the response, ms. */
     static final String TIMEOUT = "d";
 
-    /** Field: the object, 16 hexadecimal digits. */
+    /** Field: the id of the object, 16 hexadecimal digits. */
     static final String OBJECT = "o";
 
-    /** Field: the part of the object. */
+    /** Field: the index of the object's part. */
     static final String PART = "seg";
 
     /** Field: the purge group of the object. */
@@ -28,7 +28,7 @@
     /** Field: the size of the part, KB. */
     static final String SIZE = "m";
 
-    /** Field: 1 marks a client's retry. */
+    /** Field: 1 if the request is a client's retry, otherwise 0. */
     static final String RETRY = "r";
 
     /** Field: the idempotency key, 32 hexadecimal digits. */
@@ -48,39 +48,49 @@
     private ClientRequestParser() {}
 
     /**
-     * Parses a call.
+     * Parses a call into a request.
      *
-     * @param classes the classes by their names
-     * @throws InvalidRequestException if the class is not known, a field is missing or can't be
-     *     used, or there is a body where the class has none
+     * @param call the call; its method is the name of the request class
+     * @param classes the rules of each request class by the name of the class
+     * @throws InvalidRequestException if the class is unknown, a required field is missing, a field
+     *     is malformed or out of range, or the call has a body that its class does not accept
      */
     static ClientRequest parse(RpcMessage.Call call, Map<String, RequestClassRules> classes)
             throws InvalidRequestException {
         RequestClassRules requestClass = classes.get(call.method());
         if (requestClass == null) {
-            throw new InvalidRequestException("no such class");
+            throw new InvalidRequestException(
+                    "expected the name of a configured request class as method but received an"
+                            + " unknown name of "
+                            + call.method().length()
+                            + " characters");
         }
         Map<String, String> fields = call.fields();
-        long id = Long.parseUnsignedLong(required(fields, ID, HEX16), 16);
-        int timeoutMs = integer(fields, TIMEOUT, REQUIRED, 1, requestClass.maxTimeoutMs());
-        String objectHex = required(fields, OBJECT, HEX16);
-        boolean clientRetry = retryMark(fields.get(RETRY));
+        long id = Long.parseUnsignedLong(requiredField(fields, ID, HEX16), 16);
+        int timeoutMs = integerField(fields, TIMEOUT, REQUIRED, 1, requestClass.maxTimeoutMs());
+        String objectHex = requiredField(fields, OBJECT, HEX16);
+        boolean clientRetry = parseRetryFlag(fields.get(RETRY));
         String idempotencyKey =
                 requestClass.requiresIdempotencyKey()
-                        ? required(fields, IDEMPOTENCY_KEY, HEX32)
+                        ? requiredField(fields, IDEMPOTENCY_KEY, HEX32)
                         : null;
-        String etag = fields.containsKey(ETAG) ? required(fields, ETAG, HEX16) : null;
+        String etag = fields.containsKey(ETAG) ? requiredField(fields, ETAG, HEX16) : null;
         if (call.body().length > 0 && !requestClass.acceptsBody()) {
-            throw new InvalidRequestException("a body where nothing is written");
+            throw new InvalidRequestException(
+                    "expected no body in a call of class "
+                            + call.method()
+                            + " but received "
+                            + call.body().length
+                            + " bytes");
         }
         return new ClientRequest(
                 id,
                 requestClass.index(),
                 call.method(),
                 objectHex,
-                integer(fields, PART, 0, 0, MAX_PART),
-                integer(fields, GROUP, 0, 0, MAX_GROUP),
-                sizeKb(fields.get(SIZE)),
+                integerField(fields, PART, 0, 0, MAX_PART),
+                integerField(fields, GROUP, 0, 0, MAX_GROUP),
+                parseSizeKb(fields.get(SIZE)),
                 timeoutMs,
                 clientRetry,
                 idempotencyKey,
@@ -88,47 +98,74 @@
                 call.body());
     }
 
-    private static String required(Map<String, String> fields, String name, Pattern pattern)
+    private static String requiredField(Map<String, String> fields, String name, Pattern pattern)
             throws InvalidRequestException {
         String value = fields.get(name);
         if (value == null) {
             throw new InvalidRequestException("field " + name + " is missing");
         }
         if (!pattern.matcher(value).matches()) {
-            throw new InvalidRequestException("field " + name + " can't be read");
+            throw new InvalidRequestException(
+                    "expected field "
+                            + name
+                            + " to match "
+                            + pattern
+                            + " but received another value of "
+                            + value.length()
+                            + " characters");
         }
         return value;
     }
 
-    private static int integer(
+    private static int integerField(
             Map<String, String> fields, String name, int defaultValue, long min, long max)
             throws InvalidRequestException {
         if (defaultValue != REQUIRED && !fields.containsKey(name)) {
             return defaultValue;
         }
-        int number = Integer.parseInt(required(fields, name, INTEGER));
+        int number = Integer.parseInt(requiredField(fields, name, INTEGER));
         if (number < min || number > max) {
-            throw new InvalidRequestException("field " + name + " is out of range");
+            throw new InvalidRequestException(
+                    "expected field "
+                            + name
+                            + " to be from "
+                            + min
+                            + " to "
+                            + max
+                            + " but received "
+                            + number);
         }
         return number;
     }
 
-    private static boolean retryMark(String value) throws InvalidRequestException {
+    private static boolean parseRetryFlag(String value) throws InvalidRequestException {
         if (value == null || value.equals("0")) {
             return false;
         }
         if (!value.equals("1")) {
-            throw new InvalidRequestException("field " + RETRY + " is no mark");
+            throw new InvalidRequestException(
+                    "expected field "
+                            + RETRY
+                            + " to be 0 or 1 but received another value of "
+                            + value.length()
+                            + " characters");
         }
         return true;
     }
 
-    private static double sizeKb(String value) throws InvalidRequestException {
+    private static double parseSizeKb(String value) throws InvalidRequestException {
         if (value == null) {
             return 0;
         }
         if (!DECIMAL.matcher(value).matches()) {
-            throw new InvalidRequestException("field " + SIZE + " is no number");
+            throw new InvalidRequestException(
+                    "expected field "
+                            + SIZE
+                            + " to match "
+                            + DECIMAL
+                            + " but received another value of "
+                            + value.length()
+                            + " characters");
         }
         return Double.parseDouble(value);
     }
--- a/src/main/java/brooklock/platform/DiscoveryEventDecoder.java
+++ b/src/main/java/brooklock/platform/DiscoveryEventDecoder.java
@@ -13,28 +13,30 @@
 import java.util.Optional;
 
 /**
- * Codec of the discovery service: JSON lines, incrementally from any cut of bytes. A line that has
- * not come to its end is no event. Pure.
+ * Decodes the JSON lines of the discovery service incrementally, from input split at any byte, and
+ * encodes the request that a client sends. A line is decoded only once its line feed has been
+ * received. Performs no I/O; not thread-safe.
  */
 public final class DiscoveryEventDecoder {
-    /** Longest line, bytes: a list of some thousand endpoints. */
+    /** Maximum length of a line, bytes; enough for a list of some thousand endpoints. */
     static final int MAX_LINE_BYTES = 1 << 20;
 
-    // Characters of a line that an exception quotes.
+    // Maximum number of characters of a line that an exception message quotes.
     private static final int MAX_QUOTED_CHARS = 80;
     private static final double DEFAULT_WEIGHT = 1;
 
     private ByteArrayOutputStream line = new ByteArrayOutputStream();
 
     /**
-     * Reads up to the end of one line.
+     * Decodes the next event. Reads at most one line from the buffer and keeps an incomplete line
+     * for the next call.
      *
      * @return the next event, or null if more bytes are needed
-     * @throws MalformedMessageException if the line is too long or no event
+     * @throws MalformedMessageException if the line is too long or is not a valid event
      */
-    public DiscoveryEvent next(ByteBuffer in) throws MalformedMessageException {
-        while (in.hasRemaining()) {
-            byte b = in.get();
+    public DiscoveryEvent next(ByteBuffer input) throws MalformedMessageException {
+        while (input.hasRemaining()) {
+            byte b = input.get();
             if (b == '\n') {
                 String text = line.toString(StandardCharsets.UTF_8);
                 line = new ByteArrayOutputStream();
@@ -42,23 +44,25 @@
             }
             if (line.size() == MAX_LINE_BYTES) {
                 throw new MalformedMessageException(
-                        "a line of more than " + MAX_LINE_BYTES + " bytes");
+                        "expected a line of at most "
+                                + MAX_LINE_BYTES
+                                + " bytes but received a longer one");
             }
             line.write(b);
         }
         return null;
     }
 
-    /** Returns the line that asks for all events after one. */
-    static ByteBuffer resumeAfter(long lastSequence) {
+    /** Encodes the request for all events after the specified sequence number. */
+    static ByteBuffer encodeResume(long lastSequence) {
         return ByteBuffer.wrap(
                 ("resume " + lastSequence + "\n").getBytes(StandardCharsets.US_ASCII));
     }
 
     /**
-     * Parses a line.
+     * Parses a line: a heartbeat, which is a number, or an event, which is a JSON object.
      *
-     * @throws MalformedMessageException if it is no event
+     * @throws MalformedMessageException if the line is neither
      */
     static DiscoveryEvent parse(String text) throws MalformedMessageException {
         try {
@@ -71,42 +75,45 @@
                 | NumberFormatException
                 | UnsupportedOperationException e) {
             throw new MalformedMessageException(
-                    "a line that can't be read: "
-                            + text.substring(0, Math.min(MAX_QUOTED_CHARS, text.length())));
+                    "expected a line with a JSON object or a sequence number but received '"
+                            + text.substring(0, Math.min(MAX_QUOTED_CHARS, text.length()))
+                            + "'");
         }
     }
 
     /**
-     * Parses an event, from a line or from the configuration.
+     * Parses an event of a line or of the configuration.
      *
-     * @throws MalformedMessageException if it is none
+     * @throws MalformedMessageException if a required field is missing or a field has another type
      */
     static DiscoveryEvent parse(JsonObject event) throws MalformedMessageException {
         try {
             long sequence = required(event, "cursor").getAsLong();
             if (event.has("nodes")) {
-                return listUpdate(sequence, event.get("nodes").getAsJsonObject());
+                return parseListUpdate(sequence, event.get("nodes").getAsJsonObject());
             }
             if (event.has("drop")) {
-                return purge(sequence, event.get("drop").getAsJsonObject());
+                return parsePurge(sequence, event.get("drop").getAsJsonObject());
             }
             return new DiscoveryEvent.UnknownEvent(sequence);
         } catch (IllegalStateException | NumberFormatException | UnsupportedOperationException e) {
-            throw new MalformedMessageException("an event that can't be read");
+            throw new MalformedMessageException(
+                    "expected a discovery event whose fields have the types and formats of the"
+                            + " protocol but received a field of another type or format");
         }
     }
 
-    private static DiscoveryEvent listUpdate(long sequence, JsonObject nodes)
+    private static DiscoveryEvent parseListUpdate(long sequence, JsonObject nodes)
             throws MalformedMessageException {
         List<DiscoveryEvent.Endpoint> endpoints = new ArrayList<>();
         for (JsonElement endpoint : required(nodes, "endpoints").getAsJsonArray()) {
-            endpoints.add(endpoint(endpoint.getAsJsonObject()));
+            endpoints.add(parseEndpoint(endpoint.getAsJsonObject()));
         }
         return new DiscoveryEvent.EndpointListUpdate(
                 sequence, required(nodes, "snapshot").getAsBoolean(), endpoints);
     }
 
-    private static DiscoveryEvent purge(long sequence, JsonObject drop)
+    private static DiscoveryEvent parsePurge(long sequence, JsonObject drop)
             throws MalformedMessageException {
         return new DiscoveryEvent.Purge(
                 sequence,
@@ -115,19 +122,19 @@
                 required(drop, "when").getAsLong());
     }
 
-    private static DiscoveryEvent.Endpoint endpoint(JsonObject endpoint)
+    private static DiscoveryEvent.Endpoint parseEndpoint(JsonObject endpoint)
             throws MalformedMessageException {
         return new DiscoveryEvent.Endpoint(
                 required(endpoint, "name").getAsString(),
                 optionalText(endpoint, "address"),
                 optionalText(endpoint, "zone"),
                 optionalText(endpoint, "type"),
-                stateOf(required(endpoint, "status").getAsString()),
+                parseState(required(endpoint, "status").getAsString()),
                 endpoint.has("weight") ? endpoint.get("weight").getAsDouble() : DEFAULT_WEIGHT,
                 endpoint.has("since_ms") ? endpoint.get("since_ms").getAsLong() : 0);
     }
 
-    private static Optional<EndpointState> stateOf(String status) {
+    private static Optional<EndpointState> parseState(String status) {
         return switch (status) {
             case "active" -> Optional.of(EndpointState.READY);
             case "leaving" -> Optional.of(EndpointState.DRAINING);
@@ -139,7 +146,8 @@
     private static JsonElement required(JsonObject object, String key)
             throws MalformedMessageException {
         if (!object.has(key)) {
-            throw new MalformedMessageException("an event without " + key);
+            throw new MalformedMessageException(
+                    "expected field " + key + " in a discovery event but it is missing");
         }
         return object.get(key);
     }
--- a/src/main/java/brooklock/platform/EndpointConnectionPools.java
+++ b/src/main/java/brooklock/platform/EndpointConnectionPools.java
@@ -5,14 +5,15 @@
 import java.util.Map;
 
 /**
- * The connection pools of all endpoints and the descriptors that they share. Owned by the I/O
- * thread.
+ * The connection pools of all endpoints, which share a fixed number of file descriptors. Not
+ * thread-safe; owned by the I/O thread.
  *
- * <p>Each endpoint may have its part of the descriptors, within bounds. When all are in use, a new
- * connection takes the place of the one that has been idle for longest, wherever it leads.
+ * <p>Each endpoint may use an equal share of the descriptors, within bounds. When all descriptors
+ * are in use, a new connection replaces the one that has been idle for longest, in whichever pool
+ * it is.
  */
 final class EndpointConnectionPools implements ConnectionBudget {
-    // Bounds on the connections to one endpoint, however many endpoints share the descriptors.
+    // Bounds of an endpoint's share, for lists of very few or very many endpoints.
     private static final int MAX_CONNECTIONS_PER_ENDPOINT = 48;
     private static final int MIN_CONNECTIONS_PER_ENDPOINT = 2;
 
@@ -30,7 +31,7 @@
         this.attemptHandler = attemptHandler;
     }
 
-    /** Returns the pool of an endpoint; makes it if there is none. */
+    /** Returns the pool of an endpoint and creates it if there is none. */
     EndpointConnectionPool getOrCreate(DiscoveredEndpointTable.Entry endpoint) {
         EndpointConnectionPool pool = poolsById.get(endpoint.id());
         if (pool == null) {
@@ -47,12 +48,12 @@
         return poolsById.get(endpointId);
     }
 
-    /** Returns all pools; a copy. */
+    /** Returns a copy of the list of all pools. */
     List<EndpointConnectionPool> all() {
         return List.copyOf(poolsById.values());
     }
 
-    /** Retires the pools of endpoints that have left the list or have another address in it. */
+    /** Retires the pools of endpoints that have left the list or whose address has changed. */
     void retireOutdated() {
         for (DiscoveredEndpointTable.Entry entry : table.all()) {
             EndpointConnectionPool pool = poolsById.get(entry.id());
@@ -68,29 +69,30 @@
         all().forEach(EndpointConnectionPool::retire);
     }
 
-    /** Closes connections that have been idle for too long. */
+    /** Closes the connections that have been idle for longer than the idle timeout. */
     void closeIdle() {
         long idleBeforeNs = System.nanoTime() - settings.idleTimeoutNs();
         for (EndpointConnectionPool pool : poolsById.values()) {
-            pool.closeIdleSince(idleBeforeNs);
+            pool.closeIdleBefore(idleBeforeNs);
         }
     }
 
     @Override
-    public boolean permits(int connections) {
-        int fairPart = settings.maxConnections() / Math.max(1, table.presentCount());
+    public boolean permitsConnection(int currentConnections) {
+        int fairShare = settings.maxConnections() / Math.max(1, table.listedCount());
         int max =
                 Math.max(
                         MIN_CONNECTIONS_PER_ENDPOINT,
-                        Math.min(MAX_CONNECTIONS_PER_ENDPOINT, fairPart));
-        return connections < max
-                && (connectionCount() < settings.maxConnections() || longestIdle() != null);
+                        Math.min(MAX_CONNECTIONS_PER_ENDPOINT, fairShare));
+        return currentConnections < max
+                && (connectionCount() < settings.maxConnections()
+                        || longestIdleConnection() != null);
     }
 
     @Override
-    public void makeRoom() {
+    public void evictIdleIfFull() {
         if (connectionCount() >= settings.maxConnections()) {
-            longestIdle().close();
+            longestIdleConnection().close();
         }
     }
 
@@ -102,10 +104,10 @@
         return count;
     }
 
-    private EndpointConnection longestIdle() {
+    private EndpointConnection longestIdleConnection() {
         EndpointConnection longest = null;
         for (EndpointConnectionPool pool : poolsById.values()) {
-            EndpointConnection candidate = pool.longestIdle();
+            EndpointConnection candidate = pool.longestIdleConnection();
             if (candidate != null
                     && (longest == null || candidate.idleSinceNs() < longest.idleSinceNs())) {
                 longest = candidate;
@@ -114,12 +116,12 @@
         return longest;
     }
 
-    /** Returns the summaries of all pools, for the log. */
+    /** Returns the summaries of all pools, each followed by a blank, for the log. */
     String summary() {
-        StringBuilder out = new StringBuilder();
+        StringBuilder summaries = new StringBuilder();
         for (EndpointConnectionPool pool : poolsById.values()) {
-            out.append(pool.summary()).append(' ');
+            summaries.append(pool.summary()).append(' ');
         }
-        return out.toString();
+        return summaries.toString();
     }
 }
--- a/src/main/java/brooklock/platform/RpcDecoder.java
+++ b/src/main/java/brooklock/platform/RpcDecoder.java
@@ -6,32 +6,33 @@
 import java.util.Map;
 
 /**
- * Decodes what clients send, MessagePack-RPC, incrementally from any cut of bytes. Strict in form,
- * with every length bounded; what a call's fields mean is checked by {@link ClientRequestParser}.
- * Pure.
+ * Decodes the MessagePack-RPC messages of clients incrementally, from input split at any byte.
+ * Checks the structure of messages and bounds every length; the values of a call's fields are
+ * validated by {@link ClientRequestParser}. Performs no I/O; not thread-safe. A decoder must not be
+ * used again after it has thrown an exception.
  */
 public final class RpcDecoder {
-    /** Longest body, bytes; the protocol's bound of a write. */
+    /** Maximum length of a body, bytes; the protocol's bound on a write. */
     public static final int MAX_BODY_BYTES = 48_000;
 
     /** The method of a health check. */
     static final String HEALTH_CHECK_METHOD = "isWell";
 
-    /** Fields of one call; several times as many as the protocol names. */
+    /** Maximum number of fields in a call; several times as many as the protocol defines. */
     static final int MAX_FIELDS = 64;
 
-    // Longest method, field name or field value, bytes.
+    // Maximum length of a method, field name or field value, bytes.
     private static final int MAX_TEXT_BYTES = 256;
     private static final long MAX_MESSAGE_ID = 0xffffffffL;
 
-    private static final int CALL_PARTS = 4;
-    private static final int NOTIFICATION_PARTS = 3;
+    private static final int CALL_ELEMENTS = 4;
+    private static final int NOTIFICATION_ELEMENTS = 3;
     private static final int CALL_TYPE = 0;
     private static final int NOTIFICATION_TYPE = 2;
     private static final String CANCEL_METHOD = "forget";
     private static final byte[] NO_BODY = {};
 
-    // What the next token is.
+    // The element of a message that the next token is expected to be.
     private enum State {
         MESSAGE,
         TYPE,
@@ -51,18 +52,19 @@
     private long messageId;
     private String method;
     private boolean hasBody;
-    private long fieldsLeft;
+    private long remainingFields;
     private String fieldName;
     private Map<String, String> fields;
 
     /**
-     * Reads up to the end of one message.
+     * Decodes the next message. Reads at most one message from the buffer. Bytes of an incomplete
+     * token head remain in the buffer and must precede the new bytes in the next call.
      *
      * @return the next message, or null if more bytes are needed
-     * @throws MalformedMessageException if the bytes are none
+     * @throws MalformedMessageException if the input is not a valid message
      */
-    public RpcMessage next(ByteBuffer in) throws MalformedMessageException {
-        while (reader.next(in)) {
+    public RpcMessage next(ByteBuffer input) throws MalformedMessageException {
+        while (reader.next(input)) {
             RpcMessage message = onToken();
             if (message != null) {
                 state = State.MESSAGE;
@@ -73,14 +75,14 @@
         return null;
     }
 
-    /** Returns whether a message has begun and not ended. */
-    public boolean inMessage() {
+    /** Returns whether at least one token of an incomplete message has been decoded. */
+    public boolean hasPartialMessage() {
         return state != State.MESSAGE;
     }
 
     private RpcMessage onToken() throws MalformedMessageException {
         switch (state) {
-            case MESSAGE -> onPartCount();
+            case MESSAGE -> onElementCount();
             case TYPE -> onType();
             case MESSAGE_ID -> {
                 messageId = readMessageId();
@@ -111,19 +113,34 @@
         return null;
     }
 
-    private void onPartCount() throws MalformedMessageException {
-        long parts = expect(TokenType.ARRAY);
-        if (parts != NOTIFICATION_PARTS && parts != CALL_PARTS) {
-            throw new MalformedMessageException("a message of " + parts + " parts");
+    private void onElementCount() throws MalformedMessageException {
+        long elements = expect(TokenType.ARRAY);
+        if (elements != NOTIFICATION_ELEMENTS && elements != CALL_ELEMENTS) {
+            throw new MalformedMessageException(
+                    "expected a message of "
+                            + NOTIFICATION_ELEMENTS
+                            + " or "
+                            + CALL_ELEMENTS
+                            + " elements but received "
+                            + elements);
         }
-        notification = parts == NOTIFICATION_PARTS;
+        notification = elements == NOTIFICATION_ELEMENTS;
         state = State.TYPE;
     }
 
     private void onType() throws MalformedMessageException {
         if (expect(TokenType.INT) != (notification ? NOTIFICATION_TYPE : CALL_TYPE)) {
             throw new MalformedMessageException(
-                    "a message that is neither a call nor a notification");
+                    "expected message type "
+                            + CALL_TYPE
+                            + " of a call with "
+                            + CALL_ELEMENTS
+                            + " elements or "
+                            + NOTIFICATION_TYPE
+                            + " of a notification with "
+                            + NOTIFICATION_ELEMENTS
+                            + " elements but received type "
+                            + reader.value());
         }
         state = notification ? State.METHOD : State.MESSAGE_ID;
     }
@@ -131,7 +148,12 @@
     private void onMethod() throws MalformedMessageException {
         method = readShortText();
         if (notification && !method.equals(CANCEL_METHOD)) {
-            throw new MalformedMessageException("an unknown notification");
+            throw new MalformedMessageException(
+                    "expected notification "
+                            + CANCEL_METHOD
+                            + " but received an unknown method of "
+                            + method.length()
+                            + " characters");
         }
         state = State.PARAMS;
     }
@@ -139,7 +161,9 @@
     private RpcMessage onParameterCount() throws MalformedMessageException {
         long count = expect(TokenType.ARRAY);
         if (notification ? count != 1 : count > 2) {
-            throw new MalformedMessageException(count + " parameters");
+            throw new MalformedMessageException(
+                    "expected 1 parameter in a notification or at most 2 in a call but received "
+                            + count);
         }
         hasBody = count == 2;
         state = notification ? State.CANCELLED_ID : State.FIELDS;
@@ -153,24 +177,33 @@
     }
 
     private RpcMessage onFieldCount() throws MalformedMessageException {
-        fieldsLeft = expect(TokenType.MAP);
-        if (fieldsLeft > MAX_FIELDS) {
-            throw new MalformedMessageException(fieldsLeft + " fields, more than " + MAX_FIELDS);
+        remainingFields = expect(TokenType.MAP);
+        if (remainingFields > MAX_FIELDS) {
+            throw new MalformedMessageException(
+                    "expected at most "
+                            + MAX_FIELDS
+                            + " fields in the call with message id "
+                            + messageId
+                            + " but received "
+                            + remainingFields);
         }
         fields = new HashMap<>();
-        fieldsLeft++;
+        remainingFields++;
         return onFieldComplete();
     }
 
     private RpcMessage onFieldValue() throws MalformedMessageException {
         if (fields.put(fieldName, readShortText()) != null) {
-            throw new MalformedMessageException("a field twice");
+            throw new MalformedMessageException(
+                    "expected distinct field names in the call with message id "
+                            + messageId
+                            + " but received the same name twice");
         }
         return onFieldComplete();
     }
 
     private RpcMessage onFieldComplete() {
-        if (--fieldsLeft > 0) {
+        if (--remainingFields > 0) {
             state = State.FIELD_NAME;
         } else if (hasBody) {
             state = State.BODY;
@@ -183,7 +216,12 @@
     private long expect(TokenType expected) throws MalformedMessageException {
         if (reader.tokenType() != expected) {
             throw new MalformedMessageException(
-                    "a " + reader.tokenType() + " where a " + expected + " belongs");
+                    "expected a token of type "
+                            + expected
+                            + " for "
+                            + state
+                            + " but received type "
+                            + reader.tokenType());
         }
         return reader.value();
     }
@@ -191,7 +229,8 @@
     private long readMessageId() throws MalformedMessageException {
         long id = expect(TokenType.INT);
         if (id < 0 || id > MAX_MESSAGE_ID) {
-            throw new MalformedMessageException("a message id that is none: " + id);
+            throw new MalformedMessageException(
+                    "expected a message id from 0 to " + MAX_MESSAGE_ID + " but received " + id);
         }
         return id;
     }
@@ -200,7 +239,13 @@
         expect(TokenType.TEXT);
         if (reader.bytes().length > MAX_TEXT_BYTES) {
             throw new MalformedMessageException(
-                    "a text of " + reader.bytes().length + " bytes, more than " + MAX_TEXT_BYTES);
+                    "expected a text of at most "
+                            + MAX_TEXT_BYTES
+                            + " bytes for "
+                            + state
+                            + " but received "
+                            + reader.bytes().length
+                            + " bytes");
         }
         return reader.text();
     }
