--- a/src/main/java/brooklock/config/AccessSettingsReader.java
+++ b/src/main/java/brooklock/config/AccessSettingsReader.java
@@ -7,11 +7,14 @@
 import java.util.List;
 
 /**
- * Reads the statements about authentication and authorization: rights, tokens, tls, clients,
- * revoked, denied, hosts-tls.
+ * Reads the statements that configure authentication and authorization: rights, tokens, tls,
+ * clients, revoked, denied, hosts-tls.
  */
 final class AccessSettingsReader {
-    /** A token is worth so much longer than its issuer meant, so the skew is bounded. */
+    /**
+     * Maximum clock skew, ms. The skew extends the validity of every token beyond what its issuer
+     * intended, so it is bounded.
+     */
     private static final long MAX_CLOCK_SKEW_MS = 300_000;
 
     private final Path base;
@@ -54,7 +57,9 @@
                     String word = statement.nextWord("stale");
                     if (!word.equals("stale")) {
                         throw new InvalidStatementException(
-                                "'" + word + "' is not an option of revoked (stale)");
+                                "expected the option 'stale' of the statement 'revoked' but received '"
+                                        + word
+                                        + "'");
                     }
                     acceptStaleRevocations = true;
                 }
@@ -64,7 +69,8 @@
 
     private static Path requireOnce(Path previous, Path value, String keyword) {
         if (previous != null) {
-            throw new InvalidStatementException("'" + keyword + "' stands here already");
+            throw new InvalidStatementException(
+                    "expected the statement '" + keyword + "' at most once but received it again");
         }
         return value;
     }
@@ -79,31 +85,40 @@
                 case "skew" -> clockSkewMs = statement.nextDurationNs("a time") / 1_000_000;
                 default ->
                         throw new InvalidStatementException(
-                                "'"
+                                "expected an option of the statement 'tokens' (issuer, audience,"
+                                        + " cookie, skew) but received '"
                                         + word
-                                        + "' is not an option of tokens (issuer, audience, cookie,"
-                                        + " skew)");
+                                        + "'");
             }
         }
         if (clockSkewMs > MAX_CLOCK_SKEW_MS) {
             throw new InvalidStatementException(
-                    "the skew is 5min at most: a token is worth that much longer");
+                    "expected a skew of at most "
+                            + MAX_CLOCK_SKEW_MS
+                            + " ms, since every token stays valid that much longer, but received "
+                            + clockSkewMs
+                            + " ms");
         }
     }
 
-    /** What is missing where a route authorizes its callers, in plain words. */
-    List<String> missingForAuthorization() {
+    /**
+     * Returns the mistakes that concern a file with a route that requires authorization: the
+     * statements that such a file needs but does not have.
+     */
+    List<String> findAuthorizationMistakes() {
         List<String> mistakes = new ArrayList<>();
         if (policyFile == null) {
-            mistakes.add("a route asks for rights, but the statement 'rights FILE' is missing");
+            mistakes.add(
+                    "a route requires authorization, but the statement 'rights FILE' is missing");
         }
         if (keySetFile == null && clientAuthorities == null) {
             mistakes.add(
-                    "a route asks for rights, but there are neither tokens nor clients'"
-                            + " certificates to go by");
+                    "a route requires authorization, but neither tokens nor clients' certificates"
+                            + " identify its callers: 'tokens FILE' or 'clients FILE' is missing");
         }
         if (clientAuthorities != null && certificates.isEmpty()) {
-            mistakes.add("clients' certificates need 'tls CERTIFICATE KEY'");
+            mistakes.add(
+                    "the statement 'clients FILE' requires 'tls CERTIFICATE KEY', which is missing");
         }
         return mistakes;
     }
--- a/src/main/java/brooklock/config/AtomicFile.java
+++ b/src/main/java/brooklock/config/AtomicFile.java
@@ -9,18 +9,18 @@
 import java.nio.file.StandardCopyOption;
 import java.nio.file.StandardOpenOption;
 
-/** Replaces files in one step. */
+/** Replaces the content of files atomically. Thread-safe for calls with different paths. */
 public final class AtomicFile {
     private AtomicFile() {}
 
     /**
-     * Replaces a file's content: a reader, or a restart after a crash, finds the old content or the
-     * new one and never a part. The text is first written to a file beside it, with the suffix
-     * {@code .new}. Blocks on file I/O.
+     * Replaces the content of a file. A reader, or a process that restarts after a crash, finds
+     * either the whole old content or the whole new content. The text is first written to a file in
+     * the same directory with the suffix {@code .new}, which is then renamed. Blocks on file I/O.
      *
-     * @param force whether to force the text to the disk before the old content goes; without it a
-     *     crash of the machine may leave an empty file
-     * @throws IOException if the file cannot be written; it is then as it was
+     * @param force whether to force the text to the disk before the old content is replaced;
+     *     otherwise a crash of the machine may leave an empty file
+     * @throws IOException if the file cannot be written; it then keeps its old content
      */
     public static void replace(Path path, String text, boolean force) throws IOException {
         Path temporary = path.resolveSibling(path.getFileName() + ".new");
--- a/src/main/java/brooklock/config/ChecksummedText.java
+++ b/src/main/java/brooklock/config/ChecksummedText.java
@@ -4,28 +4,33 @@
 import java.util.zip.CRC32C;
 
 /**
- * Text whose last line holds the number of lines before it and their CRC32C (RFC 3720), so that a
- * file that was cut short or damaged is detected and not used in part.
+ * Text whose last line has the number of the lines before it and their CRC32C (RFC 3720), so that a
+ * truncated or damaged file is detected and rejected as a whole.
  */
 public final class ChecksummedText {
     private ChecksummedText() {}
 
-    /** Returns a body of whole lines with the last line added. */
+    /**
+     * Returns {@code body}, which must consist of complete lines, followed by the checksum line.
+     */
     public static String withChecksum(String body) {
         return body + "end " + body.lines().count() + " " + checksum(body) + "\n";
     }
 
     /**
-     * Checks a text and returns its lines without the last.
+     * Verifies the checksum line of a text and returns the lines before it.
      *
-     * @throws DamagedTextException if it was cut short or damaged
+     * @throws DamagedTextException if the checksum line is missing or does not match the text
      */
     public static String[] verifiedLines(String text) {
         int end = text.lastIndexOf("\nend ") + 1;
         String body = text.substring(0, end);
         if (end == 0 || !text.equals(withChecksum(body))) {
             throw new DamagedTextException(
-                    "it was cut short or damaged: its last line does not fit");
+                    "expected a last line with the number of lines and the checksum of the text but"
+                            + " it is missing or does not match: the text of "
+                            + text.length()
+                            + " characters was truncated or damaged");
         }
         return body.split("\n");
     }
--- a/src/main/java/brooklock/config/DamagedTextException.java
+++ b/src/main/java/brooklock/config/DamagedTextException.java
@@ -1,6 +1,6 @@
 package brooklock.config;
 
-/** A saved text that was cut short or damaged, so that none of it can be trusted. */
+/** Thrown when a saved text was truncated or damaged, so that none of it can be used. */
 public final class DamagedTextException extends IllegalArgumentException {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/brooklock/config/FleetSettingsReader.java
+++ b/src/main/java/brooklock/config/FleetSettingsReader.java
@@ -6,7 +6,7 @@
 import java.nio.file.Path;
 import java.util.List;
 
-/** Reads the statements about the fleet as a whole: guards, fleet, warming. */
+/** Reads the statements that concern the fleet as a whole: guards, fleet, warming. */
 final class FleetSettingsReader {
     private static final long MILLISECOND_NS = 1_000_000L;
     private static final long SECOND_NS = 1000 * MILLISECOND_NS;
@@ -64,7 +64,13 @@
                 case "purge-done" -> purgeWindowNs = statement.nextDurationNs("a time");
                 case "drain-grace" -> drainGraceNs = statement.nextDurationNs("a time");
                 case "purge-grace" -> purgeGraceNs = statement.nextDurationNs("a time");
-                default -> throw new InvalidStatementException("'" + word + "' is not a guard");
+                default ->
+                        throw new InvalidStatementException(
+                                "expected a guard (cold-from, cold-for, falls-at, overload-for,"
+                                        + " parent-cold-from, parent-cold-for, parent-falls-at,"
+                                        + " purge-done, drain-grace, purge-grace) but received '"
+                                        + word
+                                        + "'");
             }
         }
         safetyLimits =
@@ -98,10 +104,10 @@
                 case "weights" -> weighted = statement.nextBoolean(word);
                 default ->
                         throw new InvalidStatementException(
-                                "'"
+                                "expected an option of the fleet (pace, joins, straight, second-copies,"
+                                        + " weights) but received '"
                                         + word
-                                        + "' is not an option of the fleet (pace, joins, straight,"
-                                        + " second-copies, weights)");
+                                        + "'");
             }
         }
         fleet =
@@ -114,12 +120,12 @@
     }
 
     private void readWarming(Statement statement) {
-        String peerScope = statement.nextWord("from whom: zone, all or no");
+        String peerScope = statement.nextWord("the peers to fill from (zone, all or no)");
         if (!List.of("zone", "all", "no").contains(peerScope)) {
             throw new InvalidStatementException(
-                    "'"
+                    "expected the peers to fill from (zone, all or no) but received '"
                             + peerScope
-                            + "': caches fill from neighbours of their zone, of all, or no");
+                            + "'");
         }
         double peerLoadShare = warming.peerLoadShare();
         double warmCapacityPerS = 0;
@@ -132,7 +138,9 @@
                 case "saved" -> snapshotFile = base.resolve(statement.nextWord("a path"));
                 default ->
                         throw new InvalidStatementException(
-                                "'" + word + "' is not an option of warming (share, bears, saved)");
+                                "expected an option of warming (share, bears, saved) but received '"
+                                        + word
+                                        + "'");
             }
         }
         warming =
@@ -148,14 +156,17 @@
         double perSecond =
                 Units.parseRatePerSecond(
                         statement.nextWord(
-                                "requests a second that a warm cache bears, as in 200/s"));
+                                "the request rate that a warm cache can process, as in 200/s"));
         if (perSecond <= 0) {
-            throw new InvalidStatementException("a cache that bears 0/s bears nothing");
+            throw new InvalidStatementException(
+                    "expected a request rate above 0/s for 'bears' but received "
+                            + perSecond
+                            + "/s");
         }
         return perSecond;
     }
 
-    SafetyLimitSettings invariants() {
+    SafetyLimitSettings safetyLimits() {
         return safetyLimits;
     }
 
--- a/src/main/java/brooklock/config/OutputFilesReader.java
+++ b/src/main/java/brooklock/config/OutputFilesReader.java
@@ -3,7 +3,7 @@
 import brooklock.config.Settings.OutputFiles;
 import java.nio.file.Path;
 
-/** Reads the statements about what is written: list, answers, trace. */
+/** Reads the statements that name the files that the dispatcher writes: list, answers, trace. */
 final class OutputFilesReader {
     private final Path base;
     private Path endpointListFile;
@@ -21,7 +21,8 @@
             case "list" -> endpointListFile = file;
             case "answers" -> accessLogFile = file;
             default -> {
-                maxTraceBytes = Units.parseBytes(statement.nextWord("the most bytes, as in 64MB"));
+                maxTraceBytes =
+                        Units.parseBytes(statement.nextWord("the maximum size, as in 64MB"));
                 traceFile = file;
             }
         }
--- a/src/main/java/brooklock/config/PathPattern.java
+++ b/src/main/java/brooklock/config/PathPattern.java
@@ -4,8 +4,9 @@
 import java.util.List;
 
 /**
- * A path with placeholders in braces, as in {@code /scans/{object}/{part}}. A placeholder stands
- * for one segment; {@code {rest}}, at the end only, stands for all that is left.
+ * A path with placeholders in braces, as in {@code /scans/{object}/{part}}. A placeholder matches
+ * one segment that is not empty; {@code {rest}}, which is allowed only at the end, matches the
+ * remainder of the path. Immutable and thread-safe.
  */
 public final class PathPattern {
     private static final String REST = "{rest}";
@@ -16,12 +17,14 @@
     /**
      * Parses a pattern.
      *
-     * @throws InvalidStatementException if it is wrong
+     * @throws InvalidStatementException if the path does not begin with a slash, or a placeholder
+     *     is not a whole segment, is used twice or follows {@code {rest}}
      */
     public PathPattern(String text) {
         this.text = text;
         if (!text.startsWith("/")) {
-            throw new InvalidStatementException("the path '" + text + "' must begin with /");
+            throw new InvalidStatementException(
+                    "expected a path that begins with / but received '" + text + "'");
         }
         for (String segment : text.substring(1).split("/", -1)) {
             addSegment(segment);
@@ -33,33 +36,44 @@
                 segment.startsWith("{") && segment.endsWith("}") && segment.length() > 2;
         if (!placeholder && (segment.contains("{") || segment.contains("}"))) {
             throw new InvalidStatementException(
-                    "a place in braces is a whole segment of the path: '" + segment + "'");
+                    "expected a placeholder in braces to be a whole segment of the path but received '"
+                            + segment
+                            + "'");
         }
         if (placeholder && segments.contains(segment)) {
-            throw new InvalidStatementException("the path names the place " + segment + " twice");
+            throw new InvalidStatementException(
+                    "expected each placeholder at most once but received " + segment + " twice");
         }
         if (!segments.isEmpty() && segments.get(segments.size() - 1).equals(REST)) {
-            throw new InvalidStatementException("nothing can follow {rest}");
+            throw new InvalidStatementException(
+                    "expected {rest} to end the path but received '" + segment + "' after it");
         }
         segments.add(segment);
     }
 
-    /** Whether the pattern has a placeholder of this name. */
+    /** Returns whether the pattern has a placeholder of a name. */
     public boolean hasPlaceholder(String placeholder) {
         return segments.contains("{" + placeholder + "}");
     }
 
-    /** Whether a path, without its query, matches. */
+    /** Returns whether the pattern matches a path, which must not include a query. */
     public boolean matches(String path) {
         return match(path, null) != null;
     }
 
-    /** The text that stands for a placeholder; null if the path does not match or there is none. */
+    /**
+     * Returns the text of a path that a placeholder matches, or null if the path does not match or
+     * the pattern has no such placeholder.
+     */
     public String extract(String path, String placeholder) {
         return hasPlaceholder(placeholder) ? match(path, "{" + placeholder + "}") : null;
     }
 
-    /** The path with a star in the place of a placeholder: what the parts of an object share. */
+    /**
+     * Returns a path with {@code *} in place of the text that a placeholder matches, or the path
+     * itself if the placeholder matches nothing. All parts of an object have the same path without
+     * their part number.
+     */
     public String withoutPlaceholder(String path, String placeholder) {
         String extracted = hasPlaceholder(placeholder) ? extract(path, placeholder) : null;
         if (extracted == null) {
@@ -75,8 +89,8 @@
                 + path.substring(segmentStart + extracted.length());
     }
 
-    // Null where the path does not match; else the placeholder's text, or the path if there is no
-    // such placeholder.
+    // Returns null if the path does not match. Otherwise returns the text that the placeholder
+    // matches, or the whole path if the pattern has no such placeholder.
     private String match(String path, String placeholder) {
         if (!path.startsWith("/")) {
             return null;
--- a/src/main/java/brooklock/config/Problem.java
+++ b/src/main/java/brooklock/config/Problem.java
@@ -3,9 +3,9 @@
 /**
  * One mistake in a settings file.
  *
- * @param file the file as it was named
- * @param line its line, from 1; 0 where the mistake concerns the file as a whole
- * @param message what is wrong, in plain words
+ * @param file the name of the file as the caller gave it
+ * @param line the line of the mistake, from 1; 0 if it concerns the file as a whole
+ * @param message what was expected and what was received, in plain words
  */
 public record Problem(String file, int line, String message) {
     @Override
--- a/src/main/java/brooklock/config/ProblemCollector.java
+++ b/src/main/java/brooklock/config/ProblemCollector.java
@@ -4,25 +4,28 @@
 import java.util.Comparator;
 import java.util.List;
 
-/** Collects the mistakes of one file, so that all of them are reported at once. */
+/**
+ * Collects the mistakes of one settings file, so that all of them are reported at once. Not
+ * thread-safe; a collector is used for one file and ends with {@link #throwIfAny}.
+ */
 public final class ProblemCollector {
-    /** The line of a mistake that concerns the file as a whole. */
+    /** Line number of a mistake that concerns the file as a whole. */
     public static final int WHOLE_FILE = 0;
 
     private final String file;
     private final List<Problem> collected = new ArrayList<>();
 
-    /** Creates an empty collection for a file. */
+    /** Creates a collector without mistakes for the file with a name. */
     public ProblemCollector(String file) {
         this.file = file;
     }
 
-    /** Adds a mistake. */
+    /** Adds a mistake in a line, which counts from 1 or is {@link #WHOLE_FILE}. */
     public void add(int line, String message) {
         collected.add(new Problem(file, line, message));
     }
 
-    /** Runs a check; an {@link InvalidStatementException} becomes a mistake in the line. */
+    /** Runs a check and adds an {@link InvalidStatementException} as a mistake in the line. */
     public void collect(int line, Runnable check) {
         try {
             check.run();
@@ -31,23 +34,25 @@
         }
     }
 
-    /** Receives the statements of a text. */
+    /** Receives the statements of a text in the order of their lines. */
     public interface StatementHandler {
         /**
          * Handles one statement.
          *
-         * @param line the line as it was written
-         * @throws InvalidStatementException if the statement is wrong; reading continues
+         * @param statement the statement, none of whose words has been consumed
+         * @param line the line as it stands in the file
+         * @throws InvalidStatementException if the statement is invalid; the exception is collected
+         *     and reading continues with the next line
          */
         void onStatement(Statement statement, String line);
     }
 
-    /** Reads every line of a text; the mistakes of each are collected. */
+    /** Reads every line of a text and collects the mistakes of each. */
     public void readStatements(String text, StatementHandler handler) {
         readStatements(text, Integer.MAX_VALUE, handler);
     }
 
-    /** Reads the first {@code maxLines} lines of a text; more of them are a mistake. */
+    /** Reads the first {@code maxLines} lines of a text. More lines are collected as a mistake. */
     public void readStatements(String text, int maxLines, StatementHandler handler) {
         String[] lines = text.split("\r?\n", -1);
         for (int i = 0; i < lines.length && i < maxLines; i++) {
@@ -63,12 +68,12 @@
                     });
         }
         if (lines.length > maxLines) {
-            add(WHOLE_FILE, "the file has over " + maxLines + " lines");
+            add(WHOLE_FILE, "expected at most " + maxLines + " lines but received " + lines.length);
         }
     }
 
     /**
-     * Ends the collection.
+     * Throws an exception with the collected mistakes, if there are any.
      *
      * @throws SettingsException with all mistakes in the order of their lines, if there are any
      */
--- a/src/main/java/brooklock/config/ResourceLimitsReader.java
+++ b/src/main/java/brooklock/config/ResourceLimitsReader.java
@@ -4,12 +4,12 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** Reads the statement {@code limits}, and knows what holds where the file states nothing. */
+/** Reads the statement {@code limits} and supplies the defaults of the limits it leaves out. */
 final class ResourceLimitsReader {
     private static final long MILLISECOND_NS = 1_000_000L;
     private static final long SECOND_NS = 1000 * MILLISECOND_NS;
 
-    /** Two threads are enough for plain requests; TLS and large bodies may need more. */
+    /** Plain requests need no more than two I/O threads; TLS and large bodies may need more. */
     private static final int DEFAULT_IO_THREADS =
             Math.max(1, Math.min(4, Runtime.getRuntime().availableProcessors() / 2));
 
@@ -24,25 +24,25 @@
     private static final Map<String, KnownLimit> KNOWN = new LinkedHashMap<>();
 
     static {
-        put("tries", Unit.COUNT, 4);
-        put("open", Unit.COUNT, 20_000);
-        put("clients", Unit.COUNT, 16_384);
-        put("body", Unit.SIZE, 1_000_000);
-        put("bodies", Unit.SIZE, 64_000_000);
-        put("host-connections", Unit.COUNT, 256);
-        put("host-waiting", Unit.COUNT, 1024);
-        put("connect", Unit.DURATION, 400 * MILLISECOND_NS);
-        put("head", Unit.DURATION, 10 * SECOND_NS);
-        put("idle", Unit.DURATION, 60 * SECOND_NS);
-        put("stall", Unit.DURATION, 30 * SECOND_NS);
-        put("tick", Unit.DURATION, 5 * MILLISECOND_NS);
-        put("retry-after", Unit.DURATION, SECOND_NS);
-        put("threads", Unit.COUNT, DEFAULT_IO_THREADS);
+        define("tries", Unit.COUNT, 4);
+        define("open", Unit.COUNT, 20_000);
+        define("clients", Unit.COUNT, 16_384);
+        define("body", Unit.SIZE, 1_000_000);
+        define("bodies", Unit.SIZE, 64_000_000);
+        define("host-connections", Unit.COUNT, 256);
+        define("host-waiting", Unit.COUNT, 1024);
+        define("connect", Unit.DURATION, 400 * MILLISECOND_NS);
+        define("head", Unit.DURATION, 10 * SECOND_NS);
+        define("idle", Unit.DURATION, 60 * SECOND_NS);
+        define("stall", Unit.DURATION, 30 * SECOND_NS);
+        define("tick", Unit.DURATION, 5 * MILLISECOND_NS);
+        define("retry-after", Unit.DURATION, SECOND_NS);
+        define("threads", Unit.COUNT, DEFAULT_IO_THREADS);
     }
 
-    private final Map<String, Long> stated = new LinkedHashMap<>();
+    private final Map<String, Long> statedValues = new LinkedHashMap<>();
 
-    private static void put(String name, Unit unit, long defaultValue) {
+    private static void define(String name, Unit unit, long defaultValue) {
         KNOWN.put(name, new KnownLimit(unit, defaultValue));
     }
 
@@ -52,11 +52,11 @@
             KnownLimit known = KNOWN.get(name);
             if (known == null) {
                 throw new InvalidStatementException(
-                        "'"
-                                + name
-                                + "' is not a limit ("
+                        "expected a limit ("
                                 + String.join(", ", KNOWN.keySet())
-                                + ")");
+                                + ") but received '"
+                                + name
+                                + "'");
             }
             long value =
                     switch (known.unit()) {
@@ -65,35 +65,39 @@
                         case DURATION -> statement.nextDurationNs("a time");
                     };
             if (value <= 0) {
-                throw new InvalidStatementException("the limit '" + name + "' must be above 0");
+                throw new InvalidStatementException(
+                        "expected a value above 0 for the limit '"
+                                + name
+                                + "' but received "
+                                + value);
             }
-            stated.put(name, value);
+            statedValues.put(name, value);
         }
     }
 
     ResourceLimits toLimits() {
         return new ResourceLimits(
-                count("tries"),
-                count("open"),
-                count("clients"),
+                intValueOf("tries"),
+                intValueOf("open"),
+                intValueOf("clients"),
                 valueOf("body"),
                 valueOf("bodies"),
-                count("host-connections"),
-                count("host-waiting"),
+                intValueOf("host-connections"),
+                intValueOf("host-waiting"),
                 valueOf("connect"),
                 valueOf("head"),
                 valueOf("idle"),
                 valueOf("stall"),
                 valueOf("tick"),
                 valueOf("retry-after"),
-                count("threads"));
+                intValueOf("threads"));
     }
 
-    private int count(String name) {
+    private int intValueOf(String name) {
         return (int) valueOf(name);
     }
 
     private long valueOf(String name) {
-        return stated.getOrDefault(name, KNOWN.get(name).defaultValue());
+        return statedValues.getOrDefault(name, KNOWN.get(name).defaultValue());
     }
 }
--- a/src/main/java/brooklock/config/RouteReader.java
+++ b/src/main/java/brooklock/config/RouteReader.java
@@ -10,13 +10,15 @@
 import java.util.List;
 import java.util.Set;
 
-/** Reads the statements about requests: class, route. */
+/** Reads the statements that classify and route requests: class, route. */
 final class RouteReader {
-    private static final Set<String> READING_METHODS = Set.of("GET", "HEAD", "OPTIONS");
+    private static final Set<String> READ_ONLY_METHODS = Set.of("GET", "HEAD", "OPTIONS");
     private static final Set<String> IDEMPOTENT_METHODS = Set.of("PUT", "DELETE");
     private static final Set<String> UNROUTED_METHODS = Set.of("CONNECT", "TRACE");
 
-    /** A route whose classes may be named only further down. */
+    /**
+     * A route that has been read before its classes, which may be defined further down the file.
+     */
     private record UnresolvedRoute(
             int lineNumber,
             List<String> methods,
@@ -29,7 +31,10 @@
     private final ProblemCollector problems;
     private final LinkedHashMap<String, RequestClassSettings> classes = new LinkedHashMap<>();
 
-    /** Names of all classes, those with a mistake included: a route to one of them is right. */
+    /**
+     * The names of all classes, including those that are invalid: a route to an invalid class must
+     * not be reported as a second mistake.
+     */
     private final Set<String> classNames = new HashSet<>();
 
     private final List<UnresolvedRoute> unresolved = new ArrayList<>();
@@ -54,7 +59,7 @@
         IdempotencyScopeSetting scope =
                 effect == Effect.KEYED
                         ? statement.nextEnum(
-                                IdempotencyScopeSetting.class, "the hosts that drop repeats")
+                                IdempotencyScopeSetting.class, "a scope of idempotency keys")
                         : IdempotencyScopeSetting.ALL;
         long idempotencyWindowNs = 0;
         long latencyObjectiveNs = 0;
@@ -75,10 +80,10 @@
                 case "streamed" -> streamed = true;
                 default ->
                         throw new InvalidStatementException(
-                                "'"
+                                "expected an option of a class (window, aim, stretch, deadline, fresh,"
+                                        + " through, streamed) but received '"
                                         + word
-                                        + "' is not an option of a class (window, aim, stretch,"
-                                        + " deadline, fresh, through, streamed)");
+                                        + "'");
             }
         }
         RequestClassSettings requestClass =
@@ -96,7 +101,9 @@
         validateClass(requestClass);
         if (classes.putIfAbsent(className, requestClass) != null) {
             throw new InvalidStatementException(
-                    "the class '" + className + "' stands here already");
+                    "expected the class '"
+                            + className
+                            + "' to be defined once but received it again");
         }
     }
 
@@ -105,17 +112,26 @@
         if (requestClass.latencyObjectiveNs() <= 0
                 || requestClass.deadlineNs() <= requestClass.latencyObjectiveNs()) {
             throw new InvalidStatementException(
-                    "the class '" + name + "' needs an aim, and a deadline later than it");
+                    "the class '"
+                            + name
+                            + "' needs an aim above 0 ms and a deadline above the aim but has the aim "
+                            + requestClass.latencyObjectiveNs() / 1e6
+                            + " ms and the deadline "
+                            + requestClass.deadlineNs() / 1e6
+                            + " ms");
         }
         if (requestClass.effect() != Effect.SAFE && !requestClass.passThrough()) {
             throw new InvalidStatementException(
-                    "the class '"
+                    "expected the option 'through' for the class '"
                             + name
-                            + "' has an effect, so it needs 'through': a copy kept in a cache"
-                            + " would stand for a request that did not run");
+                            + "', which is not safe: a cached copy would answer requests that the"
+                            + " origin did not execute");
         }
         if (requestClass.effect() == Effect.KEYED && requestClass.idempotencyWindowNs() <= 0) {
-            throw new InvalidStatementException("the keyed class '" + name + "' needs a window");
+            throw new InvalidStatementException(
+                    "expected a window above 0 ms for the keyed class '"
+                            + name
+                            + "' but received none or 0");
         }
     }
 
@@ -134,16 +150,19 @@
                 case "certificate" -> certificate = true;
                 default ->
                         throw new InvalidStatementException(
-                                "'"
+                                "expected an option of a route (unkeyed, rights, certificate) but"
+                                        + " received '"
                                         + word
-                                        + "' is not an option of a route (unkeyed, rights,"
-                                        + " certificate)");
+                                        + "'");
             }
         }
         for (String method : methods) {
             if (!method.matches("[A-Z]+") || UNROUTED_METHODS.contains(method)) {
                 throw new InvalidStatementException(
-                        "'" + method + "' is not a method that is routed here");
+                        "expected a method in capital letters, as in GET, other than CONNECT and TRACE"
+                                + " but received '"
+                                + method
+                                + "'");
             }
         }
         unresolved.add(
@@ -157,7 +176,7 @@
                         certificate));
     }
 
-    /** Finds the classes of the routes, once all classes are known. */
+    /** Resolves the classes of the routes. Must be called once all classes have been read. */
     void resolveClasses() {
         for (UnresolvedRoute route : unresolved) {
             problems.collect(route.lineNumber(), () -> resolve(route));
@@ -183,30 +202,33 @@
     private int classIndex(String className, List<String> methods) {
         int index = new ArrayList<>(classes.keySet()).indexOf(className);
         if (index < 0 && classNames.contains(className)) {
-            // The mistake of its own line has been reported.
+            // The class is defined but invalid; the mistake has been reported with its line.
             return index;
         }
         if (index < 0) {
-            throw new InvalidStatementException("there is no class '" + className + "'");
+            throw new InvalidStatementException(
+                    "expected a class that the file defines but received '" + className + "'");
         }
         RequestClassSettings requestClass = classes.get(className);
         for (String method : methods) {
-            boolean readOnly = READING_METHODS.contains(method);
+            boolean readOnly = READ_ONLY_METHODS.contains(method);
             if (!readOnly && !requestClass.passThrough()) {
                 throw new InvalidStatementException(
-                        method
-                                + " cannot be answered from a copy: the class '"
+                        "expected the option 'through' for the class '"
                                 + className
-                                + "' needs 'through'");
+                                + "', since "
+                                + method
+                                + " cannot be answered with a cached copy");
             }
             if (!readOnly
                     && requestClass.effect() == Effect.SAFE
                     && !IDEMPOTENT_METHODS.contains(method)) {
                 throw new InvalidStatementException(
-                        method
-                                + " is not safe to repeat, but the class '"
+                        "expected an idempotent method (GET, HEAD, OPTIONS, PUT, DELETE) for the"
+                                + " safe class '"
                                 + className
-                                + "' says so");
+                                + "' but received "
+                                + method);
             }
         }
         return index;
@@ -214,15 +236,19 @@
 
     void validate() {
         if (classNames.isEmpty()) {
-            problems.add(ProblemCollector.WHOLE_FILE, "there is no class");
+            problems.add(
+                    ProblemCollector.WHOLE_FILE,
+                    "expected at least one statement 'class' but received none");
         }
         if (unresolved.isEmpty()) {
-            problems.add(ProblemCollector.WHOLE_FILE, "there is no route");
+            problems.add(
+                    ProblemCollector.WHOLE_FILE,
+                    "expected at least one statement 'route' but received none");
         }
     }
 
-    /** Whether any route without a mistake authorizes its callers. */
-    boolean requireAuthorization() {
+    /** Returns whether any valid route requires authorization of its callers. */
+    boolean anyRouteRequiresAuthorization() {
         return routes.stream().anyMatch(Route::requiresAuthorization);
     }
 
--- a/src/main/java/brooklock/config/Settings.java
+++ b/src/main/java/brooklock/config/Settings.java
@@ -5,24 +5,25 @@
 import java.util.List;
 
 /**
- * The validated settings of a dispatcher; immutable. Times in nanoseconds, sizes in bytes, shares
- * as fractions of 1.
+ * The validated settings of a dispatcher. Immutable. Times are in nanoseconds, sizes in bytes and
+ * shares in fractions of 1, unless stated otherwise.
  *
- * @param name this dispatcher's name in Via, in logs and towards endpoints
- * @param listen where clients connect
- * @param control where purges, endpoint lists and state requests arrive
- * @param zones the zones in their order; a zone without caches is a hub
- * @param localZone this dispatcher's zone, an index of {@code zones}
- * @param dispatcherCount number of dispatchers in the fleet
- * @param endpoints caches, parents and the origin, in the order of the file
- * @param classes the classes of requests
- * @param routes which request is of which class; the first match counts
- * @param limits limits of this program
- * @param safetyLimits the figures of the fleet's invariants
- * @param fleet what holds for the whole fleet
- * @param files where things are written
- * @param access who is authenticated and authorized, and by what
- * @param warming whether and how caches may fill from one another
+ * @param name the name of this dispatcher in Via, in logs and towards endpoints
+ * @param listen the address on which clients connect
+ * @param control the address of the control listener, which serves purges, endpoint lists and state
+ *     requests
+ * @param zones the zones in the order of the file; a zone without caches is a hub
+ * @param localZone the zone of this dispatcher, an index of {@code zones}
+ * @param dispatcherCount the number of dispatchers in the fleet
+ * @param endpoints the caches, the parents and the origin in the order of the file
+ * @param classes the request classes
+ * @param routes the routes, which assign requests to classes; the first that matches applies
+ * @param limits the resource limits of this process
+ * @param safetyLimits the bounds of the fleet's invariants
+ * @param fleet the settings that concern the fleet as a whole
+ * @param files the files that the dispatcher writes
+ * @param access the settings of authentication and authorization
+ * @param warming the settings of fills from peers
  */
 public record Settings(
         String name,
@@ -42,13 +43,13 @@
         WarmingSettings warming) {
     private static final int DEFAULT_CLOCK_SKEW_MS = 30_000;
 
-    /** What an endpoint is for. The names in lower case are words of the settings. */
+    /** The role of an endpoint. The names in lower case are words of the settings language. */
     public enum EndpointKind {
-        /** Holds copies near the clients. */
+        /** An edge cache, which has copies near the clients. */
         CACHE(0),
-        /** Holds copies for caches, in a hub. */
+        /** A parent cache in a hub, which has copies from which caches fill. */
         PARENT(1),
-        /** Has every object. */
+        /** The origin, which has every object. */
         ORIGIN(2);
 
         private final int number;
@@ -57,25 +58,28 @@
             this.number = number;
         }
 
-        /** Returns the number by which the router knows this kind. */
+        /** Returns the number that identifies this kind in the router. */
         public int number() {
             return number;
         }
     }
 
-    /** Whether a request may run twice. The names in lower case are words of the settings. */
+    /**
+     * The effect of executing a request more than once. The names in lower case are words of the
+     * settings language.
+     */
     public enum Effect {
-        /** Running it again changes nothing. */
+        /** Executing the request again has no further effect. */
         SAFE,
-        /** It carries an idempotency key, by which repeats are dropped for a time. */
+        /** The request has an idempotency key, by which endpoints drop repeats for a time. */
         KEYED,
-        /** Running it again may take effect again. */
+        /** Executing the request again may take effect again. */
         UNSAFE
     }
 
     /**
-     * The endpoints among which repeats of a request with an idempotency key are dropped. The names
-     * in lower case are words of the settings.
+     * The endpoints that share their idempotency keys, so that a repeat is dropped at any of them.
+     * The names in lower case are words of the settings language.
      */
     public enum IdempotencyScopeSetting {
         /** All endpoints. */
@@ -89,16 +93,17 @@
     /**
      * A zone.
      *
-     * @param parentZoneIndex the zone whose parents its caches fill from; its own where it is a hub
+     * @param parentZoneIndex the index of the zone from whose parents the caches of this zone fill;
+     *     the zone's own index if it is a hub
      */
     public record Zone(String name, int parentZoneIndex) {}
 
     /**
      * An endpoint.
      *
-     * @param id its number, made of the name and so the same at every dispatcher
-     * @param zoneIndex its zone, an index of the zones
-     * @param weight its size in relation to others
+     * @param id the id, which is computed from the name and therefore the same at every dispatcher
+     * @param zoneIndex the index of the endpoint's zone
+     * @param weight the capacity in relation to the other endpoints
      */
     public record EndpointSettings(
             String name,
@@ -111,14 +116,18 @@
     /**
      * A class of requests.
      *
-     * @param idempotencyScope where repeats of a request with an idempotency key are dropped
-     * @param idempotencyWindowNs how long they are dropped
-     * @param latencyObjectiveNs a response is in time within this, plus {@code
-     *     latencyObjectiveWorkFactor} times what its bytes need at the fleet's pace
-     * @param deadlineNs time after which the client gives up
-     * @param passThrough whether it runs at the origin and is never cached
-     * @param freshnessLifetimeNs how long a copy may be served; 0: until it is purged
-     * @param streamed whether a response that has started may last as long as it makes progress
+     * @param idempotencyScope the endpoints among which repeats of a request with an idempotency
+     *     key are dropped
+     * @param idempotencyWindowNs the time for which repeats are dropped
+     * @param latencyObjectiveNs the constant part of the latency objective
+     * @param latencyObjectiveWorkFactor the size-dependent part of the latency objective, as a
+     *     multiple of the transfer time of the response at {@link FleetSettings#transferBytesPerS}
+     * @param deadlineNs the time after which the client gives up
+     * @param passThrough whether requests are executed at the origin and responses are never cached
+     * @param freshnessLifetimeNs the time for which a cached copy may be served; 0 if it may be
+     *     served until it is purged
+     * @param streamed whether a response that has started may exceed the deadline as long as it
+     *     makes progress
      */
     public record RequestClassSettings(
             String name,
@@ -133,13 +142,13 @@
             boolean streamed) {}
 
     /**
-     * The class of the requests with some methods and paths.
+     * Assigns the requests with given methods and paths to a class.
      *
-     * @param classIndex index of their class
-     * @param unkeyedClassIndex index of the class of those without Idempotency-Key, where {@code
-     *     classIndex} is a keyed class; -1: they are rejected
-     * @param requiresAuthorization whether the caller is authorized by the policy
-     * @param requiresCertificate whether only a client certificate identifies the caller
+     * @param classIndex the index of the class
+     * @param unkeyedClassIndex the index of the class of requests without Idempotency-Key, if
+     *     {@code classIndex} is a keyed class; -1 if such requests are rejected
+     * @param requiresAuthorization whether the policy must authorize the caller
+     * @param requiresCertificate whether the caller must be identified by a client certificate
      */
     public record Route(
             List<String> methods,
@@ -150,23 +159,25 @@
             boolean requiresCertificate) {}
 
     /**
-     * Limits of the program; docs/operating.md says what happens when each is reached.
+     * The resource limits of the process. docs/operating.md describes what happens when each is
+     * reached.
      *
-     * @param maxAttempts attempts for one request
-     * @param maxRequests requests processed at once
-     * @param maxClientConnections client connections at once
-     * @param maxRequestBodyBytes bytes of one request body
-     * @param maxTotalBodyBytes bytes of all request bodies held at once
-     * @param maxEndpointConnections connections to one endpoint from one I/O thread
-     * @param maxWaitingCalls calls that wait for one of them
-     * @param connectTimeoutNs time for a connection to an endpoint
-     * @param headTimeoutNs time for a request's head
-     * @param idleTimeoutNs time between a client's requests
-     * @param stallTimeoutNs time in which a response makes no progress
-     * @param tickNs how late the program may be at most: final responses are sent two of these
-     *     before the deadline
-     * @param maxRetryAfterNs longest Retry-After sent to a client
-     * @param ioThreads number of I/O threads
+     * @param maxAttempts the maximum number of attempts for one request
+     * @param maxRequests the maximum number of requests in flight
+     * @param maxClientConnections the maximum number of open client connections
+     * @param maxRequestBodyBytes the maximum size of one request body
+     * @param maxTotalBodyBytes the maximum size of all buffered request bodies together
+     * @param maxEndpointConnections the maximum number of connections from one I/O thread to one
+     *     endpoint
+     * @param maxWaitingCalls the maximum number of calls that wait for such a connection
+     * @param connectTimeoutNs the time limit for connecting to an endpoint
+     * @param headTimeoutNs the time limit for receiving the head of a request
+     * @param idleTimeoutNs the time after which a client connection without a request is closed
+     * @param stallTimeoutNs the time after which a response without progress is aborted
+     * @param tickNs the maximum delay of the program's own processing; final responses are sent two
+     *     ticks before the deadline
+     * @param maxRetryAfterNs the maximum Retry-After that is sent to a client
+     * @param ioThreads the number of I/O threads
      */
     public record ResourceLimits(
             int maxAttempts,
@@ -185,18 +196,18 @@
             int ioThreads) {}
 
     /**
-     * The figures of the fleet's invariants.
+     * The bounds of the fleet's invariants.
      *
-     * @param initialCapacity share of its capacity that a cache has right after a start
-     * @param warmUpNs time until it has all of it
-     * @param overloadMultiple multiple of its present capacity that makes it fail
-     * @param overloadWindowNs the time over which that load is summed up
-     * @param parentInitialCapacity the same as {@code initialCapacity}, of a parent
-     * @param parentWarmUpNs the same as {@code warmUpNs}, of a parent
-     * @param parentOverloadMultiple the same as {@code overloadMultiple}, of a parent
-     * @param purgeWindowNs time until every copy older than a purge is gone
-     * @param drainGraceNs time after a drain in which requests may still be sent
-     * @param purgeGraceNs time after a purge in which older copies may still be served
+     * @param initialCapacity the share of its full capacity that a cache has right after its start
+     * @param warmUpNs the time after which a cache has its full capacity
+     * @param overloadMultiple the multiple of its present capacity at which a cache fails
+     * @param overloadWindowNs the window over which the load for {@code overloadMultiple} is summed
+     * @param parentInitialCapacity like {@code initialCapacity}, for parents
+     * @param parentWarmUpNs like {@code warmUpNs}, for parents
+     * @param parentOverloadMultiple like {@code overloadMultiple}, for parents
+     * @param purgeWindowNs the time after which no cache has a copy older than a purge
+     * @param drainGraceNs the time after the start of a drain in which requests may still be sent
+     * @param purgeGraceNs the time after a purge in which older copies may still be served
      */
     public record SafetyLimitSettings(
             double initialCapacity,
@@ -211,13 +222,14 @@
             long purgeGraceNs) {}
 
     /**
-     * What holds for the whole fleet.
+     * The settings that concern the fleet as a whole.
      *
-     * @param transferBytesPerS rate of one transfer to a client
-     * @param requestCollapsing whether caches let a request join a fill that is in flight
+     * @param transferBytesPerS the rate of one transfer to a client, bytes per second
+     * @param requestCollapsing whether caches collapse a request into a fill that is in flight
      * @param directOriginAllowed whether parents and the origin accept requests from dispatchers
-     * @param hedging whether two attempts of an idempotent request may be in flight at once
-     * @param weighted whether the weights of endpoints count
+     * @param hedging whether hedged requests are allowed: two attempts of an idempotent request in
+     *     flight at once
+     * @param weighted whether the weights of endpoints are used
      */
     public record FleetSettings(
             double transferBytesPerS,
@@ -227,14 +239,15 @@
             boolean weighted) {}
 
     /**
-     * Whether and how caches may fill from one another.
+     * The settings of warming: whether and how caches fill from peers.
      *
-     * @param enabled whether they may
-     * @param acrossZones whether across zones too
-     * @param peerLoadShare the share of a peer's spare capacity that all dispatchers may use for it
-     * @param warmCapacityPerS requests of mean size a second that a warm cache can process; 0 where
-     *     that is not stated
-     * @param snapshotFile where the learned state is saved; null for nowhere
+     * @param enabled whether caches may fill from peers
+     * @param acrossZones whether caches may also fill from peers of other zones
+     * @param peerLoadShare the share of a peer's spare capacity that all dispatchers together may
+     *     use for fills from it
+     * @param warmCapacityPerS the number of requests of mean size per second that a warm cache can
+     *     process; 0 if not stated
+     * @param snapshotFile the file to which the learned state is saved; null if it is not saved
      */
     public record WarmingSettings(
             boolean enabled,
@@ -242,40 +255,42 @@
             double peerLoadShare,
             double warmCapacityPerS,
             Path snapshotFile) {
-        /** Caches do not fill from one another. */
+        /** The settings under which caches do not fill from peers. */
         public static final WarmingSettings DISABLED =
                 new WarmingSettings(false, false, 0.1, 0, null);
     }
 
     /**
-     * Where things are written; a path is null where the thing is not written.
+     * The files that the dispatcher writes. A path is null if that file is not written.
      *
      * @param endpointListFile the saved endpoint list
-     * @param accessLogFile one line a response
-     * @param traceFile events and actions, for replay
-     * @param maxTraceBytes size at which the trace ends
+     * @param accessLogFile the access log, with one line per response
+     * @param traceFile the trace of events and actions, for replay
+     * @param maxTraceBytes the size at which the trace ends
      */
     public record OutputFiles(
             Path endpointListFile, Path accessLogFile, Path traceFile, long maxTraceBytes) {}
 
     /**
-     * Who is authenticated and authorized, and by what. Paths are null where nothing is stated.
+     * The settings of authentication and authorization. A path is null if it is not stated.
      *
      * @param policyFile the policy of tenants and their rights
      * @param keySetFile the keys that verify tokens
-     * @param issuer the issuer that tokens must name; null for any
-     * @param audience what tokens must name among their audience; null for any
-     * @param clockSkewMs how far a token issuer's clock may be off, ms
-     * @param cookie the cookie that may carry a token; null for none
-     * @param certificates certificate chains with their keys, PEM; the first is shown where the
-     *     client names no host
-     * @param clientAuthorities authorities of client certificates, PEM; null requests none
+     * @param issuer the issuer that tokens must name; null to accept any
+     * @param audience the audience that tokens must include; null to accept any
+     * @param clockSkewMs the tolerated difference from the clock of a token's issuer, ms
+     * @param cookie the name of the cookie that may carry a token; null for none
+     * @param certificates certificate chains with their keys, PEM; the first is presented to
+     *     clients that name no host
+     * @param clientAuthorities the authorities of client certificates, PEM; null if no client
+     *     certificates are requested
      * @param revocationLists lists of revoked certificates, PEM or DER
-     * @param deniedCertificates certificates denied by hand; null for none
-     * @param endpointAuthorities authorities of the endpoints' certificates, PEM: endpoints are
-     *     then connected to over TLS, and shown the first certificate; null for plain connections
-     * @param acceptStaleRevocations whether a list past its next update still counts; else the
-     *     certificates of its authority are rejected
+     * @param deniedCertificates certificates that the operator denies; null for none
+     * @param endpointAuthorities the authorities of the endpoints' certificates, PEM; if stated,
+     *     endpoints are connected to over TLS and the first of {@code certificates} is presented to
+     *     them; null for plain connections
+     * @param acceptStaleRevocations whether a revocation list past its next update is still used;
+     *     otherwise the certificates of its authority are rejected
      */
     public record AccessSettings(
             Path policyFile,
@@ -290,7 +305,7 @@
             Path deniedCertificates,
             Path endpointAuthorities,
             boolean acceptStaleRevocations) {
-        /** Nobody is authenticated. */
+        /** The settings under which no caller is authenticated. */
         public static final AccessSettings OPEN =
                 new AccessSettings(
                         null,
@@ -307,6 +322,6 @@
                         false);
     }
 
-    /** A certificate chain and its private key, PEM files. */
+    /** The PEM files of a certificate chain and its private key. */
     public record CertificatePair(Path certificate, Path key) {}
 }
--- a/src/main/java/brooklock/config/SettingsException.java
+++ b/src/main/java/brooklock/config/SettingsException.java
@@ -3,16 +3,17 @@
 import java.util.List;
 import java.util.stream.Collectors;
 
-/** Settings that cannot be used, with every mistake found in them. */
+/** Thrown when settings cannot be used. Reports every mistake that was found in them. */
 public final class SettingsException extends Exception {
     private static final long serialVersionUID = 1L;
 
     /**
-     * The mistakes, in the order of their lines; lost in serialization, as the message has them.
+     * The mistakes in the order of their lines. They are not serialized, since the message has
+     * them.
      */
     public final transient List<Problem> problems;
 
-    /** Creates an exception; its message has one mistake a line. */
+    /** Creates an exception whose message has one line per mistake. */
     public SettingsException(List<Problem> problems) {
         super(problems.stream().map(Problem::toString).collect(Collectors.joining("\n")));
         this.problems = List.copyOf(problems);
--- a/src/main/java/brooklock/config/SettingsReader.java
+++ b/src/main/java/brooklock/config/SettingsReader.java
@@ -11,14 +11,15 @@
 import java.util.List;
 
 /**
- * Reads a settings file: every line is read, then the whole is validated, and all mistakes are
- * reported at once. Each group of statements has a reader of its own.
+ * Reads a settings file. Every line is read first, then the file is validated as a whole, and all
+ * mistakes are reported at once. Each group of statements has its own reader. An instance reads one
+ * file on one thread.
  */
 public final class SettingsReader {
     private static final long MILLISECOND_NS = 1_000_000L;
 
     private final ProblemCollector problems;
-    private final StatementIndex index = new StatementIndex();
+    private final StatementIndex statementIndex = new StatementIndex();
     private final TopologyReader topology;
     private final RouteReader routes;
     private final FleetSettingsReader fleet;
@@ -31,7 +32,7 @@
 
     private SettingsReader(String file, Path base) {
         problems = new ProblemCollector(file);
-        topology = new TopologyReader(problems, index);
+        topology = new TopologyReader(problems, statementIndex);
         routes = new RouteReader(problems);
         fleet = new FleetSettingsReader(base);
         files = new OutputFilesReader(base);
@@ -39,9 +40,10 @@
     }
 
     /**
-     * Reads and validates a file. Relative paths in it start at its directory.
+     * Reads and validates a file. Relative paths in it are resolved against its directory. Blocks
+     * on file I/O.
      *
-     * @throws SettingsException with every mistake found, also where the file cannot be read
+     * @throws SettingsException with every mistake found, or if the file cannot be read
      */
     public static Settings read(Path path) throws SettingsException {
         String name = path.toString();
@@ -51,16 +53,18 @@
         } catch (NoSuchFileException e) {
             throw unreadable(name, "there is no such file", e);
         } catch (MalformedInputException e) {
-            throw unreadable(name, "the file is not UTF-8 text", e);
+            throw unreadable(
+                    name, "expected UTF-8 text but the file has bytes in another encoding", e);
         } catch (IOException e) {
-            throw unreadable(name, "cannot be read: " + e.getMessage(), e);
+            throw unreadable(name, "the file cannot be read: " + e.getMessage(), e);
         }
         return parse(name, path.toAbsolutePath().getParent(), text);
     }
 
     private static SettingsException unreadable(String file, String message, IOException cause) {
         SettingsException e =
-                new SettingsException(List.of(new Problem(file, ProblemCollector.WHOLE_FILE, message)));
+                new SettingsException(
+                        List.of(new Problem(file, ProblemCollector.WHOLE_FILE, message)));
         e.initCause(cause);
         return e;
     }
@@ -68,8 +72,8 @@
     /**
      * Reads and validates a text.
      *
-     * @param file name of the text in messages
-     * @param base where relative paths in it start
+     * @param file the name of the text in messages
+     * @param base the directory against which relative paths are resolved
      * @throws SettingsException with every mistake found
      */
     public static Settings parse(String file, Path base, String text) throws SettingsException {
@@ -94,7 +98,7 @@
                 routes.classes(),
                 routes.routes(),
                 limits.toLimits(),
-                fleet.invariants(),
+                fleet.safetyLimits(),
                 fleet.fleet(),
                 files.toFiles(),
                 access.toSettings(),
@@ -105,15 +109,15 @@
         String keyword = statement.nextWord("a statement");
         switch (keyword) {
             case "name" -> {
-                index.requireOnce(keyword, statement);
+                statementIndex.requireOnce(keyword, statement);
                 name = statement.nextWord("a name");
             }
             case "listen" -> {
-                index.requireOnce(keyword, statement);
+                statementIndex.requireOnce(keyword, statement);
                 listen = statement.nextAddress("an address");
             }
             case "control" -> {
-                index.requireOnce(keyword, statement);
+                statementIndex.requireOnce(keyword, statement);
                 control = statement.nextAddress("an address");
             }
             case "here", "dispatchers", "zone", "host" -> topology.read(keyword, statement);
@@ -123,19 +127,24 @@
                     access.read(statement, keyword);
             case "guards", "fleet" -> fleet.read(keyword, statement);
             case "warming" -> {
-                index.requireOnce(keyword, statement);
+                statementIndex.requireOnce(keyword, statement);
                 fleet.read(keyword, statement);
             }
             case "list", "answers", "trace" -> {
-                index.requireOnce(keyword, statement);
+                statementIndex.requireOnce(keyword, statement);
                 files.read(keyword, statement);
             }
-            default -> throw new InvalidStatementException("'" + keyword + "' is not a statement");
+            default ->
+                    throw new InvalidStatementException(
+                            "expected a statement of the settings language, as in 'listen' or"
+                                    + " 'host', but received '"
+                                    + keyword
+                                    + "'");
         }
         statement.expectEnd();
     }
 
-    // ---- The whole
+    // ---- Validation of the file as a whole
 
     private void validate() {
         requireStatement(name, "name", "name NAME");
@@ -147,7 +156,11 @@
         topology.validateOrigin();
         if (name != null && !name.matches(TopologyReader.NAME_FORM)) {
             problems.add(
-                    index.lineOf("name"), "a name is up to 63 letters, digits, dots and dashes");
+                    statementIndex.lineOf("name"),
+                    "expected a name of at most 63 letters, digits, dots, dashes and underscores,"
+                            + " beginning with a letter or digit, but received '"
+                            + name
+                            + "'");
         }
         validateLimits(limits.toLimits());
     }
@@ -161,26 +174,35 @@
                                             + resourceLimits.connectTimeoutNs()) {
                                 problems.add(
                                         ProblemCollector.WHOLE_FILE,
-                                        "the deadline of class '"
+                                        "expected a deadline above "
+                                                + (2 * resourceLimits.tickNs()
+                                                                + resourceLimits.connectTimeoutNs())
+                                                        / MILLISECOND_NS
+                                                + " ms (the limit 'connect' and two of 'tick') for"
+                                                + " the class '"
                                                 + requestClass.name()
-                                                + "' leaves no time for one connection (connect "
-                                                + resourceLimits.connectTimeoutNs() / MILLISECOND_NS
-                                                + "ms)");
+                                                + "' but received "
+                                                + requestClass.deadlineNs() / MILLISECOND_NS
+                                                + " ms");
                             }
                         });
-        if (routes.requireAuthorization()) {
-            access.missingForAuthorization()
+        if (routes.anyRouteRequiresAuthorization()) {
+            access.findAuthorizationMistakes()
                     .forEach(mistake -> problems.add(ProblemCollector.WHOLE_FILE, mistake));
         }
         if (resourceLimits.maxRequestBodyBytes() > resourceLimits.maxTotalBodyBytes()) {
             problems.add(
                     ProblemCollector.WHOLE_FILE,
-                    "one request body (body) may be larger than all of them together (bodies)");
+                    "expected the limit 'body' to be at most the limit 'bodies' ("
+                            + resourceLimits.maxTotalBodyBytes()
+                            + " bytes) but received "
+                            + resourceLimits.maxRequestBodyBytes()
+                            + " bytes");
         }
     }
 
     private void requireStatement(Object value, String keyword, String form) {
-        if (value == null && !index.contains(keyword)) {
+        if (value == null && !statementIndex.contains(keyword)) {
             problems.add(ProblemCollector.WHOLE_FILE, "the statement '" + form + "' is missing");
         }
     }
--- a/src/main/java/brooklock/config/StatementIndex.java
+++ b/src/main/java/brooklock/config/StatementIndex.java
@@ -3,20 +3,24 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** The lines of the statements that a file may hold only once. */
+/** Records the lines of the statements that a file may have only once. */
 final class StatementIndex {
     private final Map<String, Integer> lines = new HashMap<>();
 
     /**
-     * Registers a statement.
+     * Records the line of a statement.
      *
-     * @throws InvalidStatementException if the file holds one of this keyword already
+     * @throws InvalidStatementException if a statement with the same keyword has been recorded
      */
     void requireOnce(String keyword, Statement statement) {
         Integer previousLine = lines.putIfAbsent(keyword, statement.lineNumber());
         if (previousLine != null) {
             throw new InvalidStatementException(
-                    "'" + keyword + "' stands in line " + previousLine + " already");
+                    "expected the statement '"
+                            + keyword
+                            + "' at most once but line "
+                            + previousLine
+                            + " has it already");
         }
     }
 
@@ -24,7 +28,7 @@
         return lines.containsKey(keyword);
     }
 
-    /** The line of a statement that is known to stand in the file. */
+    /** Returns the line of a statement, which must have been recorded. */
     int lineOf(String keyword) {
         return lines.get(keyword);
     }
--- a/src/main/java/brooklock/config/TopologyReader.java
+++ b/src/main/java/brooklock/config/TopologyReader.java
@@ -10,15 +10,17 @@
 import java.util.List;
 import java.util.Map;
 
-/** Reads the statements about what the fleet is made of: zone, host, here, dispatchers. */
+/** Reads the statements that describe the fleet's topology: zone, host, here, dispatchers. */
 final class TopologyReader {
     /**
-     * The form of the names of endpoints and dispatchers, which stand in Via, Cache-Status and
-     * lists.
+     * Regular expression of the names of endpoints and dispatchers. The form makes a name safe to
+     * use in Via, in Cache-Status and in endpoint lists.
      */
     static final String NAME_FORM = "[A-Za-z0-9][A-Za-z0-9._-]{0,62}";
 
-    /** An endpoint whose zone may be named only further down. */
+    /**
+     * An endpoint that has been read before its zone, which may be defined further down the file.
+     */
     private record UnresolvedEndpoint(
             int lineNumber,
             String name,
@@ -29,7 +31,7 @@
             double weight) {}
 
     private final ProblemCollector problems;
-    private final StatementIndex index;
+    private final StatementIndex statementIndex;
     private final LinkedHashMap<String, Integer> zoneLines = new LinkedHashMap<>();
     private final Map<String, String> hubNames = new HashMap<>();
     private final List<UnresolvedEndpoint> unresolved = new ArrayList<>();
@@ -37,19 +39,19 @@
     private String localZoneName;
     private int dispatcherCount = 1;
 
-    TopologyReader(ProblemCollector problems, StatementIndex index) {
+    TopologyReader(ProblemCollector problems, StatementIndex statementIndex) {
         this.problems = problems;
-        this.index = index;
+        this.statementIndex = statementIndex;
     }
 
     void read(String keyword, Statement statement) {
         switch (keyword) {
             case "here" -> {
-                index.requireOnce(keyword, statement);
+                statementIndex.requireOnce(keyword, statement);
                 localZoneName = statement.nextWord("a zone");
             }
             case "dispatchers" -> {
-                index.requireOnce(keyword, statement);
+                statementIndex.requireOnce(keyword, statement);
                 dispatcherCount = statement.nextPositiveInt("the number of dispatchers");
             }
             case "zone" -> readZone(statement);
@@ -62,13 +64,17 @@
         Integer previousLine = zoneLines.putIfAbsent(zone, statement.lineNumber());
         if (previousLine != null) {
             throw new InvalidStatementException(
-                    "the zone '" + zone + "' stands in line " + previousLine + " already");
+                    "expected the zone '"
+                            + zone
+                            + "' to be defined once but line "
+                            + previousLine
+                            + " defines it already");
         }
         if (statement.hasMore()) {
             String word = statement.nextWord("hub");
             if (!word.equals("hub")) {
                 throw new InvalidStatementException(
-                        "'" + word + "' is not an option of a zone (hub)");
+                        "expected the option 'hub' of a zone but received '" + word + "'");
             }
             hubNames.put(zone, statement.nextWord("the hub's zone"));
         }
@@ -78,7 +84,10 @@
         String name = statement.nextWord("a name");
         if (!name.matches(NAME_FORM)) {
             throw new InvalidStatementException(
-                    "a host's name is up to 63 letters, digits, dots, dashes: '" + name + "'");
+                    "expected a host's name of at most 63 letters, digits, dots, dashes and"
+                            + " underscores, beginning with a letter or digit, but received '"
+                            + name
+                            + "'");
         }
         EndpointKind kind = statement.nextEnum(EndpointKind.class, "a kind of host");
         String zone = statement.nextWord("its zone");
@@ -88,12 +97,15 @@
         for (UnresolvedEndpoint other : unresolved) {
             if (other.id() == id) {
                 throw new InvalidStatementException(
-                        "the host '"
+                        "expected the host '"
                                 + name
-                                + "' stands here already"
+                                + "' to be defined once but line "
+                                + other.lineNumber()
                                 + (other.name().equals(name)
-                                        ? ""
-                                        : ": '" + other.name() + "' gives the same number"));
+                                        ? " defines it already"
+                                        : " defines '"
+                                                + other.name()
+                                                + "', which has the same id"));
             }
         }
         unresolved.add(
@@ -107,17 +119,17 @@
             String word = statement.nextWord("weight");
             if (!word.equals("weight")) {
                 throw new InvalidStatementException(
-                        "'" + word + "' is not an option of a host (weight)");
+                        "expected the option 'weight' of a host but received '" + word + "'");
             }
             weight = statement.nextNumber("a weight");
         }
         if (weight <= 0) {
-            throw new InvalidStatementException("a weight is above 0");
+            throw new InvalidStatementException("expected a weight above 0 but received " + weight);
         }
         return weight;
     }
 
-    /** Finds the zones of the endpoints, once all zones are known. */
+    /** Resolves the zones of the endpoints. Must be called once all zones have been read. */
     void resolveZones() {
         for (UnresolvedEndpoint endpoint : unresolved) {
             problems.collect(
@@ -138,25 +150,28 @@
         hubNames.forEach(
                 (zone, hub) -> problems.collect(zoneLines.get(zone), () -> zoneIndex(hub)));
         if (localZoneName != null) {
-            problems.collect(index.lineOf("here"), this::localZone);
+            problems.collect(statementIndex.lineOf("here"), this::localZone);
         }
     }
 
     void validateOrigin() {
         if (unresolved.stream().noneMatch(endpoint -> endpoint.kind() == EndpointKind.ORIGIN)) {
-            problems.add(ProblemCollector.WHOLE_FILE, "there is no origin among the hosts");
+            problems.add(
+                    ProblemCollector.WHOLE_FILE,
+                    "expected at least one host of the kind 'origin' but received none");
         }
     }
 
     private int zoneIndex(String zone) {
         int zoneIndex = new ArrayList<>(zoneLines.keySet()).indexOf(zone);
         if (zoneIndex < 0) {
-            throw new InvalidStatementException("there is no zone '" + zone + "'");
+            throw new InvalidStatementException(
+                    "expected a zone that the file defines but received '" + zone + "'");
         }
         return zoneIndex;
     }
 
-    /** The local zone's name; null where it is not stated. */
+    /** Returns the name of the local zone, or null if the file does not state it. */
     String localZoneName() {
         return localZoneName;
     }
--- a/src/main/java/brooklock/config/Units.java
+++ b/src/main/java/brooklock/config/Units.java
@@ -3,8 +3,8 @@
 import java.util.Map;
 
 /**
- * Numbers with their units. A time, size or rate without its unit is a mistake, since 500 may mean
- * 500 ms or 500 s.
+ * Parses numbers with their units. A time, size or rate without a unit is rejected, since 500 may
+ * mean 500 ms or 500 s.
  */
 public final class Units {
     private static final Map<String, Double> DURATION_UNITS =
@@ -18,46 +18,55 @@
     /**
      * Parses a duration.
      *
-     * @return nanoseconds
-     * @throws InvalidStatementException if it is not a number with a unit
+     * @return the duration in nanoseconds
+     * @throws InvalidStatementException if the text is not a decimal number with a unit of time
      */
     public static long parseDurationNs(String text) {
         return (long)
                 parseWithUnit(
-                        text, DURATION_UNITS, "a time needs its unit, as in 500ms, 2s or 5min");
+                        text,
+                        DURATION_UNITS,
+                        "a time needs its unit (us, ms, s, min or h) after a decimal number, as in 500ms");
     }
 
     /**
      * Parses a size.
      *
-     * @return bytes
-     * @throws InvalidStatementException if it is not a number with a unit
+     * @return the size in bytes
+     * @throws InvalidStatementException if the text is not a decimal number with a unit of size
      */
     public static long parseBytes(String text) {
-        return (long) parseWithUnit(text, SIZE_UNITS, "a size needs its unit, as in 64KB or 1MB");
+        return (long)
+                parseWithUnit(
+                        text,
+                        SIZE_UNITS,
+                        "a size needs its unit (B, KB, MB or GB) after a decimal number, as in 64KB");
     }
 
     /**
      * Parses a transfer rate.
      *
-     * @return bytes a second
-     * @throws InvalidStatementException if it is not a size with "/s"
+     * @return the transfer rate in bytes per second
+     * @throws InvalidStatementException if the text is not a size followed by "/s"
      */
     public static double parseBytesPerSecond(String text) {
         return parseWithUnit(
-                withoutPerSecond(text, "a pace needs its unit, as in 5MB/s"),
+                withoutPerSecond(
+                        text, "a pace needs its unit (B, KB, MB or GB) and /s, as in 5MB/s"),
                 SIZE_UNITS,
-                "a pace needs its unit, as in 5MB/s");
+                "a pace needs its unit (B, KB, MB or GB) and /s, as in 5MB/s");
     }
 
     /**
      * Parses a rate.
      *
-     * @return events a second
-     * @throws InvalidStatementException if it is not a number with "/s"
+     * @return the rate in events per second
+     * @throws InvalidStatementException if the text is not a decimal number followed by "/s"
      */
     public static double parseRatePerSecond(String text) {
-        return parseNumber(withoutPerSecond(text, "a rate needs its unit, as in 200/s"));
+        return parseNumber(
+                withoutPerSecond(
+                        text, "a rate needs its unit (/s) after a decimal number, as in 200/s"));
     }
 
     private static String withoutPerSecond(String text, String expectation) {
@@ -68,14 +77,15 @@
     }
 
     /**
-     * Parses a plain number, 0 or more.
+     * Parses a decimal number without a sign or an exponent.
      *
-     * @throws InvalidStatementException if it is not one
+     * @throws InvalidStatementException if the text is not such a number
      */
     public static double parseNumber(String text) {
         int end = numericPrefixLength(text);
         if (end == 0 || end < text.length()) {
-            throw new InvalidStatementException("'" + text + "' is not a number");
+            throw new InvalidStatementException(
+                    "expected a decimal number of 0 or more but received '" + text + "'");
         }
         return Double.parseDouble(text);
     }
@@ -90,7 +100,8 @@
         return Double.parseDouble(text.substring(0, end)) * unit;
     }
 
-    // 0 where it does not begin with digits, or has a dot too many or without digits after it.
+    // Returns the length of the decimal number at the beginning of the text, or 0 if there is none,
+    // if it has more than one dot, or if no digit follows the dot.
     private static int numericPrefixLength(String text) {
         int i = 0;
         int dots = 0;
--- a/src/main/java/brooklock/http/Framing.java
+++ b/src/main/java/brooklock/http/Framing.java
@@ -44,7 +44,7 @@
      */
     public static Framing of(RequestHead head) throws HttpProtocolException {
         Framing framing =
-                declared(
+                declaredFraming(
                         head.fields(),
                         head.minorVersion(),
                         HttpStatus.BAD_REQUEST,
@@ -61,7 +61,7 @@
      */
     public static Framing of(ResponseHead head, String method) throws HttpProtocolException {
         Framing framing =
-                declared(
+                declaredFraming(
                         head.fields(),
                         head.minorVersion(),
                         HttpStatus.BAD_GATEWAY,
@@ -76,7 +76,7 @@
     }
 
     // Returns the framing that the fields declare, or null if they declare none.
-    private static Framing declared(
+    private static Framing declaredFraming(
             Fields fields, int minorVersion, int badMessageStatus, int unknownCodingStatus)
             throws HttpProtocolException {
         String coding = fields.combinedValue("Transfer-Encoding");
--- a/src/test/java/brooklock/config/PathPatternTest.java
+++ b/src/test/java/brooklock/config/PathPatternTest.java
@@ -10,7 +10,7 @@
 
 class PathPatternTest {
     @Test
-    void aPlaceholderStandsForOneWholeSegment() {
+    void placeholderMatchesOneWholeSegment() {
         PathPattern pattern = new PathPattern("/a/{group}/{object}/{part}");
         assertTrue(pattern.matches("/a/g/o/3"));
         assertFalse(pattern.matches("/a/g/o"));
@@ -23,7 +23,7 @@
     }
 
     @Test
-    void theRestIsAllThatIsLeft() {
+    void restMatchesTheRemainderOfThePath() {
         PathPattern rest = new PathPattern("/a/{rest}");
         assertEquals("x/y", rest.extract("/a/x/y", "rest"));
         assertEquals("", rest.extract("/a/", "rest"));
--- a/src/test/java/brooklock/config/UnitsTest.java
+++ b/src/test/java/brooklock/config/UnitsTest.java
@@ -10,7 +10,7 @@
 class UnitsTest {
     @ParameterizedTest
     @ValueSource(strings = {"", ".", "1.", "1..2s", "s", "-1s", "1e3s", "0x1s", "1 s"})
-    void whatIsNotANumberWithAUnitIsRejected(String text) {
+    void textOtherThanANumberWithAUnitIsRejected(String text) {
         assertThrows(InvalidStatementException.class, () -> Units.parseDurationNs(text));
     }
 
--- a/src/test/java/brooklock/http/CodecPropertyTest.java
+++ b/src/test/java/brooklock/http/CodecPropertyTest.java
@@ -10,11 +10,14 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.Provide;
 
-/** Any cut of a message reads alike, and what is written reads back the same. */
+/**
+ * Verifies that the buffers into which a message is split do not change how it is parsed, and that
+ * an encoded message parses to the same head.
+ */
 class CodecPropertyTest {
     private static final String TOKEN = "abcXYZ019!#$%&'*+-.^_`|~";
 
-    private static Arbitrary<Fields> someFields() {
+    private static Arbitrary<Fields> fieldSections() {
         Arbitrary<String> name =
                 Arbitraries.strings()
                         .withChars(TOKEN)
@@ -51,11 +54,11 @@
         return encoded + "0\r\nx-trailer: t\r\n\r\n";
     }
 
-    private static String text(java.nio.ByteBuffer buffer) {
+    private static String decodeLatin1(java.nio.ByteBuffer buffer) {
         return java.nio.charset.StandardCharsets.ISO_8859_1.decode(buffer).toString();
     }
 
-    /** A request as it stands on the wire, with its body in one of the three framings. */
+    /** Generates encoded requests without a body, with a body of fixed length or in chunks. */
     @Provide
     Arbitrary<String> requests() {
         Arbitrary<List<String>> chunkLists =
@@ -67,7 +70,7 @@
                         .ofMaxSize(5);
         Arbitrary<String> target =
                 Arbitraries.strings().withChars("abc/%?=&.~").ofMaxLength(30).map(s -> "/" + s);
-        return Combinators.combine(someFields(), target, chunkLists, Arbitraries.of(0, 1, 2))
+        return Combinators.combine(fieldSections(), target, chunkLists, Arbitraries.of(0, 1, 2))
                 .as(
                         (fields, path, chunks, framing) -> {
                             String joined = String.join("", chunks);
@@ -78,7 +81,7 @@
                                         framing == 1 ? "Content-Length" : "Transfer-Encoding",
                                         framing == 1 ? "" + joined.length() : "chunked");
                             }
-                            return text(
+                            return decodeLatin1(
                                             HttpEncoder.encodeRequest(
                                                     new RequestHead(
                                                             "PUT", path, "a.example", 1, fields)))
@@ -87,17 +90,19 @@
     }
 
     @Property(tries = 400, seed = "71")
-    void anyCutReadsAlike(@ForAll("requests") String text, @ForAll List<Integer> cuts)
+    void resultDoesNotDependOnBufferBoundaries(
+            @ForAll("requests") String text, @ForAll List<Integer> cuts)
             throws HttpProtocolException {
-        MessageFeeder.ParsedMessage whole = MessageFeeder.request(text, List.of());
-        assertEquals(whole, MessageFeeder.request(text, cuts));
-        assertEquals(whole, MessageFeeder.request(text, MessageFeeder.everyByte(text)));
-        assertEquals(0, whole.left());
+        MessageFeeder.ParsedMessage whole = MessageFeeder.parseRequest(text, List.of());
+        assertEquals(whole, MessageFeeder.parseRequest(text, cuts));
+        assertEquals(whole, MessageFeeder.parseRequest(text, MessageFeeder.everyOffset(text)));
+        assertEquals(0, whole.unconsumedBytes());
     }
 
     @Property(tries = 400, seed = "72")
-    void whatIsWrittenReadsBack(@ForAll("requests") String text) throws HttpProtocolException {
-        RequestHead head = (RequestHead) MessageFeeder.request(text, List.of()).head();
+    void encodedRequestHeadParsesToTheSameHead(@ForAll("requests") String text)
+            throws HttpProtocolException {
+        RequestHead head = (RequestHead) MessageFeeder.parseRequest(text, List.of()).head();
         RequestHead reparsed =
                 new RequestParser(HttpLimits.STANDARD).next(HttpEncoder.encodeRequest(head));
         assertEquals(head.target(), reparsed.target());
@@ -105,10 +110,11 @@
     }
 
     @Property(tries = 200, seed = "73")
-    void answersReadBack(@ForAll("heads") ResponseHead head, @ForAll List<Integer> cuts)
+    void encodedResponseHeadParsesToTheSameHead(
+            @ForAll("heads") ResponseHead head, @ForAll List<Integer> cuts)
             throws HttpProtocolException {
-        String text = text(HttpEncoder.encodeResponse(head)) + "until the end";
-        MessageFeeder.ParsedMessage parsed = MessageFeeder.response(text, "GET", cuts);
+        String text = decodeLatin1(HttpEncoder.encodeResponse(head)) + "until the end";
+        MessageFeeder.ParsedMessage parsed = MessageFeeder.parseResponse(text, "GET", cuts);
         assertEquals(head, parsed.head());
         assertEquals("until the end", parsed.body());
     }
@@ -117,14 +123,16 @@
     Arbitrary<ResponseHead> heads() {
         Arbitrary<Integer> status =
                 Arbitraries.integers().between(200, 599).filter(s -> s != 204 && s != 304);
-        return Combinators.combine(status, someFields())
+        return Combinators.combine(status, fieldSections())
                 .as((s, fields) -> new ResponseHead(s, fields));
     }
 
     @Property(tries = 300, seed = "74")
-    void aSecondRequestIsLeftWhole(
+    void secondRequestIsNotConsumed(
             @ForAll("requests") String first, @ForAll("requests") String second)
             throws HttpProtocolException {
-        assertEquals(second.length(), MessageFeeder.request(first + second, List.of()).left());
+        assertEquals(
+                second.length(),
+                MessageFeeder.parseRequest(first + second, List.of()).unconsumedBytes());
     }
 }
--- a/src/test/java/brooklock/http/ForwardingTest.java
+++ b/src/test/java/brooklock/http/ForwardingTest.java
@@ -8,8 +8,8 @@
 
 class ForwardingTest {
     /**
-     * A client names its own field and Content-Length in Connection. Its own field is dropped; the
-     * length stays, since without it the message would end elsewhere.
+     * A client names a field of its own and Content-Length in Connection. The field is dropped;
+     * Content-Length remains, since without it the forwarded message would end elsewhere.
      */
     @Test
     void hopByHopFieldsAreDropped() {
@@ -27,7 +27,7 @@
     }
 
     @Test
-    void viaShowsEachProxyAndALoop() {
+    void viaNamesEachProxyAndRevealsALoop() {
         Fields fields = new Fields();
         Forwarding.appendVia(fields, 1, "edge-1");
         Forwarding.appendVia(fields, 0, "edge-2");
--- a/src/test/java/brooklock/http/MessageFeeder.java
+++ b/src/test/java/brooklock/http/MessageFeeder.java
@@ -7,69 +7,75 @@
 import java.util.TreeSet;
 import java.util.stream.IntStream;
 
-/** Feeds messages to the parsers in pieces. */
+/** Feeds encoded messages to the parsers in pieces. */
 final class MessageFeeder {
     private MessageFeeder() {}
 
-    /** What came out of one message; {@code left} bytes of the input were not consumed. */
-    record ParsedMessage(Object head, String body, Fields trailers, int left) {}
+    /**
+     * The result of parsing one message.
+     *
+     * @param body the decoded body, or null if it is incomplete
+     * @param unconsumedBytes the number of bytes after the message, which were not consumed
+     */
+    record ParsedMessage(Object head, String body, Fields trailers, int unconsumedBytes) {}
 
     static ByteBuffer bytes(String s) {
         return ByteBuffer.wrap(s.getBytes(StandardCharsets.ISO_8859_1));
     }
 
-    /** A step that may reject the message. */
-    private interface Step<A, B> {
-        B of(A a) throws HttpProtocolException;
+    /** A parsing step that may reject the message. */
+    private interface ParsingStep<A, B> {
+        B apply(A a) throws HttpProtocolException;
     }
 
-    /** One message as it is parsed, piece by piece. */
+    /** Parses one message piece by piece. */
     private static final class MessageParse<H> {
         H head;
         BodyDecoder body;
-        final StringBuilder out = new StringBuilder();
-        int left;
+        final StringBuilder decoded = new StringBuilder();
+        int unconsumedBytes;
 
         MessageParse(
                 String text,
                 List<Integer> cuts,
-                Step<ByteBuffer, H> parser,
-                Step<H, BodyDecoder> decoder)
+                ParsingStep<ByteBuffer, H> parser,
+                ParsingStep<H, BodyDecoder> decoder)
                 throws HttpProtocolException {
-            for (ByteBuffer piece : pieces(text, cuts)) {
+            for (ByteBuffer piece : split(text, cuts)) {
                 if (head == null) {
-                    head = parser.of(piece);
-                    body = head == null ? null : decoder.of(head);
+                    head = parser.apply(piece);
+                    body = head == null ? null : decoder.apply(head);
                 }
                 if (body != null) {
-                    drain(body, piece, out);
-                    left += piece.remaining();
+                    drain(body, piece, decoded);
+                    unconsumedBytes += piece.remaining();
                 }
             }
         }
 
-        ParsedMessage read(boolean whole) {
+        ParsedMessage toParsedMessage(boolean bodyComplete) {
             return new ParsedMessage(
                     head,
-                    whole ? out.toString() : null,
+                    bodyComplete ? decoded.toString() : null,
                     body == null ? null : body.trailers(),
-                    left);
+                    unconsumedBytes);
         }
     }
 
-    /** Parses one request that is cut at the given places, taken modulo its length. */
-    static ParsedMessage request(String text, List<Integer> cuts) throws HttpProtocolException {
+    /** Parses one request that is split at the offsets {@code cuts}, taken modulo its length. */
+    static ParsedMessage parseRequest(String text, List<Integer> cuts)
+            throws HttpProtocolException {
         MessageParse<RequestHead> feed =
                 new MessageParse<>(
                         text,
                         cuts,
                         new RequestParser(HttpLimits.STANDARD)::next,
                         head -> BodyDecoder.ofRequest(Framing.of(head), HttpLimits.STANDARD));
-        return feed.read(feed.body != null && feed.body.isComplete());
+        return feed.toParsedMessage(feed.body != null && feed.body.isComplete());
     }
 
-    /** Parses one response, after which the connection ends. */
-    static ParsedMessage response(String text, String method, List<Integer> cuts)
+    /** Parses one response, after which the endpoint closes the connection. */
+    static ParsedMessage parseResponse(String text, String method, List<Integer> cuts)
             throws HttpProtocolException {
         MessageParse<ResponseHead> feed =
                 new MessageParse<>(
@@ -82,7 +88,7 @@
         if (feed.body != null) {
             feed.body.onEndOfInput();
         }
-        return feed.read(true);
+        return feed.toParsedMessage(true);
     }
 
     private static void drain(BodyDecoder body, ByteBuffer input, StringBuilder decoded)
@@ -92,7 +98,7 @@
         }
     }
 
-    private static List<ByteBuffer> pieces(String text, List<Integer> cuts) {
+    private static List<ByteBuffer> split(String text, List<Integer> cuts) {
         TreeSet<Integer> positions = new TreeSet<>();
         cuts.forEach(c -> positions.add(Math.floorMod(c, Math.max(1, text.length()))));
         positions.add(text.length());
@@ -107,7 +113,7 @@
         return pieces;
     }
 
-    static List<Integer> everyByte(String text) {
+    static List<Integer> everyOffset(String text) {
         return IntStream.range(0, text.length()).boxed().toList();
     }
 }
--- a/src/test/java/brooklock/http/MessageStrictnessTest.java
+++ b/src/test/java/brooklock/http/MessageStrictnessTest.java
@@ -10,13 +10,13 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * A message that two readers could end in different places is rejected, whether it arrives whole or
- * byte by byte: otherwise a second message could be smuggled past a proxy.
+ * Verifies that a message that two parsers could end in different places is rejected, whether it
+ * arrives in one buffer or byte by byte. Otherwise a second message could be smuggled past a proxy.
  */
 class MessageStrictnessTest {
     private static final String GET = "GET /a HTTP/1.1\r\nHost: x\r\n";
 
-    private static String text(String escaped) {
+    private static String unescape(String escaped) {
         return escaped.replace("\\r", "\r")
                 .replace("\\n", "\n")
                 .replace("\\t", "\t")
@@ -64,18 +64,20 @@
                 "400 | \\r\\n\\r\\n\\r\\n\\r\\nGET /a HTTP/1.1\\r\\nHost: a\\r\\n\\r\\n",
             })
     void ambiguousRequestsAreRejected(int status, String escaped) {
-        String text = text(escaped);
+        String text = unescape(escaped);
         assertEquals(
                 status,
                 assertThrows(
                                 HttpProtocolException.class,
-                                () -> MessageFeeder.request(text, List.of()))
+                                () -> MessageFeeder.parseRequest(text, List.of()))
                         .status);
         assertEquals(
                 status,
                 assertThrows(
                                 HttpProtocolException.class,
-                                () -> MessageFeeder.request(text, MessageFeeder.everyByte(text)))
+                                () ->
+                                        MessageFeeder.parseRequest(
+                                                text, MessageFeeder.everyOffset(text)))
                         .status);
     }
 
@@ -90,17 +92,19 @@
                 "HTTP/1.1 999 OK\\r\\n\\r\\n",
                 "ICY 200 OK\\r\\n\\r\\n"
             })
-    void shortOrAmbiguousResponsesAreBadGateways(String escaped) {
+    void truncatedOrAmbiguousResponsesAreRejected(String escaped) {
         assertEquals(
                 502,
                 assertThrows(
                                 HttpProtocolException.class,
-                                () -> MessageFeeder.response(text(escaped), "GET", List.of()))
+                                () ->
+                                        MessageFeeder.parseResponse(
+                                                unescape(escaped), "GET", List.of()))
                         .status);
     }
 
     @Test
-    void anExceededLimitHasItsStatus() {
+    void exceededLimitsAreReportedWithTheirStatus() {
         assertEquals(414, status("GET /" + "a".repeat(9000) + " HTTP/1.1\r\n"));
         assertEquals(431, status(GET + "X: " + "a".repeat(9000) + "\r\n"));
         assertEquals(431, status(GET + ("X: " + "a".repeat(4000) + "\r\n").repeat(9)));
@@ -112,12 +116,13 @@
 
     private static int status(String text) {
         return assertThrows(
-                        HttpProtocolException.class, () -> MessageFeeder.request(text, List.of()))
+                        HttpProtocolException.class,
+                        () -> MessageFeeder.parseRequest(text, List.of()))
                 .status;
     }
 
     @Test
-    void everyFormOfTargetIsParsed() throws HttpProtocolException {
+    void everyTargetFormIsParsed() throws HttpProtocolException {
         RequestHead absolute = head("GET http://b.example:81/x?y HTTP/1.1\r\nHost: a\r\n\r\n");
         assertEquals("/x?y", absolute.target());
         assertEquals("b.example:81", absolute.authority());
@@ -127,22 +132,28 @@
     }
 
     private static RequestHead head(String text) throws HttpProtocolException {
-        return (RequestHead) MessageFeeder.request(text, List.of()).head();
+        return (RequestHead) MessageFeeder.parseRequest(text, List.of()).head();
     }
 
     @Test
     void responsesWithoutABodyEndWithTheirHeads() throws HttpProtocolException {
         String head = "Content-Length: 5\r\n\r\n";
         assertEquals(
-                "", MessageFeeder.response("HTTP/1.1 200 OK\r\n" + head, "HEAD", List.of()).body());
+                "",
+                MessageFeeder.parseResponse("HTTP/1.1 200 OK\r\n" + head, "HEAD", List.of())
+                        .body());
+        assertEquals(
+                "",
+                MessageFeeder.parseResponse("HTTP/1.1 304 x\r\n" + head, "GET", List.of()).body());
         assertEquals(
-                "", MessageFeeder.response("HTTP/1.1 304 x\r\n" + head, "GET", List.of()).body());
-        assertEquals("", MessageFeeder.response("HTTP/1.1 204 \r\n\r\n", "GET", List.of()).body());
+                "", MessageFeeder.parseResponse("HTTP/1.1 204 \r\n\r\n", "GET", List.of()).body());
         assertEquals(
                 "",
-                MessageFeeder.response("HTTP/1.1 100 Continue\r\n\r\n", "GET", List.of()).body());
+                MessageFeeder.parseResponse("HTTP/1.1 100 Continue\r\n\r\n", "GET", List.of())
+                        .body());
         assertEquals(
                 "until close",
-                MessageFeeder.response("HTTP/1.1 200\r\n\r\nuntil close", "GET", List.of()).body());
+                MessageFeeder.parseResponse("HTTP/1.1 200\r\n\r\nuntil close", "GET", List.of())
+                        .body());
     }
 }
--- a/src/test/java/brooklock/http/ParserFuzzTest.java
+++ b/src/test/java/brooklock/http/ParserFuzzTest.java
@@ -8,17 +8,18 @@
 import org.junit.jupiter.api.Assertions;
 
 /**
- * Whatever comes, the parsers end with a message or with an {@link HttpProtocolException}, the same
- * whole and byte by byte. The seeds beside this class run with the tests; {@code JAZZER_FUZZ=1 mvn
- * test -Dtest=ParserFuzzTest} searches on.
+ * Verifies that the parsers end with a message or with an {@link HttpProtocolException} on any
+ * input, and that the outcome is the same for one buffer and byte by byte. The seeds in the test
+ * resources run with the tests; {@code JAZZER_FUZZ=1 mvn test -Dtest=ParserFuzzTest} fuzzes
+ * further.
  */
 class ParserFuzzTest {
     private static String outcome(String text, boolean request, List<Integer> cuts) {
         try {
             MessageFeeder.ParsedMessage message =
                     request
-                            ? MessageFeeder.request(text, cuts)
-                            : MessageFeeder.response(text, "GET", cuts);
+                            ? MessageFeeder.parseRequest(text, cuts)
+                            : MessageFeeder.parseResponse(text, "GET", cuts);
             return message.head() + "|" + message.body() + "|" + message.trailers();
         } catch (HttpProtocolException e) {
             return e.status + " " + e.getMessage();
@@ -32,7 +33,7 @@
         for (boolean request : new boolean[] {true, false}) {
             Assertions.assertEquals(
                     outcome(text, request, List.of()),
-                    outcome(text, request, MessageFeeder.everyByte(text)));
+                    outcome(text, request, MessageFeeder.everyOffset(text)));
         }
         StatusFieldParser.parse(text);
     }
--- a/src/test/java/brooklock/http/StatusFieldParserTest.java
+++ b/src/test/java/brooklock/http/StatusFieldParserTest.java
@@ -9,7 +9,7 @@
 
 class StatusFieldParserTest {
     @Test
-    void aListOfTwoHops() {
+    void listOfTwoHopsIsParsed() {
         List<StatusFieldParser.Member> members =
                 StatusFieldParser.parse("origin;fwd=miss;fwd-status=200, \"edge, 1\"; hit; ttl=-4");
         assertEquals(2, members.size());
@@ -21,7 +21,7 @@
     }
 
     @Test
-    void whatCannotBeParsedCountsAsAbsent() {
+    void malformedValuesAreTreatedAsAbsent() {
         assertNull(StatusFieldParser.nearestMember("a;;"));
         assertNull(StatusFieldParser.nearestMember(null));
         assertTrue(StatusFieldParser.parse("a,".repeat(40) + "a").isEmpty());
