--- a/src/main/java/brooklock/config/EndpointId.java
+++ b/src/main/java/brooklock/config/EndpointId.java
@@ -10,7 +10,7 @@
 public final class EndpointId {
     private EndpointId() {}
 
-    /** Returns the id of the endpoint with a name, from 1 to 2^32 - 1. */
+    /** Returns the id of the endpoint named {@code name}, from 1 to 2^32 - 1. */
     public static long of(String name) {
         CRC32C crc = new CRC32C();
         crc.update(name.getBytes(StandardCharsets.UTF_8));
--- a/src/main/java/brooklock/config/PathPattern.java
+++ b/src/main/java/brooklock/config/PathPattern.java
@@ -51,7 +51,7 @@
         segments.add(segment);
     }
 
-    /** Returns whether the pattern has a placeholder of a name. */
+    /** Returns whether the pattern has the placeholder {@code placeholder}. */
     public boolean hasPlaceholder(String placeholder) {
         return segments.contains("{" + placeholder + "}");
     }
@@ -71,8 +71,8 @@
 
     /**
      * Returns a path with {@code *} in place of the text that a placeholder matches, or the path
-     * itself if the placeholder matches nothing. All parts of an object have the same path without
-     * their part number.
+     * itself if it does not match or the pattern has no such placeholder. All parts of an object
+     * have the same path without their part number.
      */
     public String withoutPlaceholder(String path, String placeholder) {
         String extracted = hasPlaceholder(placeholder) ? extract(path, placeholder) : null;
--- a/src/main/java/brooklock/config/ProblemCollector.java
+++ b/src/main/java/brooklock/config/ProblemCollector.java
@@ -15,7 +15,7 @@
     private final String file;
     private final List<Problem> collected = new ArrayList<>();
 
-    /** Creates a collector without mistakes for the file with a name. */
+    /** Creates an empty collector for the file named {@code file}. */
     public ProblemCollector(String file) {
         this.file = file;
     }
@@ -73,7 +73,7 @@
     }
 
     /**
-     * Throws an exception with the collected mistakes, if there are any.
+     * Reports the collected mistakes.
      *
      * @throws SettingsException with all mistakes in the order of their lines, if there are any
      */
--- a/src/main/java/brooklock/config/ResourceLimitsReader.java
+++ b/src/main/java/brooklock/config/ResourceLimitsReader.java
@@ -9,7 +9,10 @@
     private static final long MILLISECOND_NS = 1_000_000L;
     private static final long SECOND_NS = 1000 * MILLISECOND_NS;
 
-    /** Plain requests need no more than two I/O threads; TLS and large bodies may need more. */
+    /**
+     * Default number of I/O threads: half of the processors, at most 4. Two threads are enough for
+     * plain requests; TLS and large bodies may need more.
+     */
     private static final int DEFAULT_IO_THREADS =
             Math.max(1, Math.min(4, Runtime.getRuntime().availableProcessors() / 2));
 
--- a/src/main/java/brooklock/config/Statement.java
+++ b/src/main/java/brooklock/config/Statement.java
@@ -139,7 +139,7 @@
             throw new InvalidStatementException(
                     "expected a whole number from 1 to "
                             + Integer.MAX_VALUE
-                            + " as "
+                            + " for "
                             + expected
                             + " but received "
                             + number);
@@ -162,7 +162,7 @@
         String word = nextWord(option);
         if (!word.equals("yes") && !word.equals("no")) {
             throw new InvalidStatementException(
-                    "expected yes or no as " + option + " but received '" + word + "'");
+                    "expected yes or no for '" + option + "' but received '" + word + "'");
         }
         return word.equals("yes");
     }
--- a/src/test/java/brooklock/http/MessageFeeder.java
+++ b/src/test/java/brooklock/http/MessageFeeder.java
@@ -65,19 +65,20 @@
     /** Parses one request that is split at the offsets {@code cuts}, taken modulo its length. */
     static ParsedMessage parseRequest(String text, List<Integer> cuts)
             throws HttpProtocolException {
-        MessageParse<RequestHead> feed =
+        MessageParse<RequestHead> messageParse =
                 new MessageParse<>(
                         text,
                         cuts,
                         new RequestParser(HttpLimits.STANDARD)::next,
                         head -> BodyDecoder.ofRequest(Framing.of(head), HttpLimits.STANDARD));
-        return feed.toParsedMessage(feed.body != null && feed.body.isComplete());
+        return messageParse.toParsedMessage(
+                messageParse.body != null && messageParse.body.isComplete());
     }
 
     /** Parses one response, after which the endpoint closes the connection. */
     static ParsedMessage parseResponse(String text, String method, List<Integer> cuts)
             throws HttpProtocolException {
-        MessageParse<ResponseHead> feed =
+        MessageParse<ResponseHead> messageParse =
                 new MessageParse<>(
                         text,
                         cuts,
@@ -85,10 +86,10 @@
                         head ->
                                 BodyDecoder.ofResponse(
                                         Framing.of(head, method), HttpLimits.STANDARD));
-        if (feed.body != null) {
-            feed.body.onEndOfInput();
+        if (messageParse.body != null) {
+            messageParse.body.onEndOfInput();
         }
-        return feed.toParsedMessage(true);
+        return messageParse.toParsedMessage(true);
     }
 
     private static void drain(BodyDecoder body, ByteBuffer input, StringBuilder decoded)
