--- a/src/main/java/brooklock/config/AccessSettingsReader.java
+++ b/src/main/java/brooklock/config/AccessSettingsReader.java
@@ -57,7 +57,8 @@
                     String word = statement.nextWord("stale");
                     if (!word.equals("stale")) {
                         throw new InvalidStatementException(
-                                "expected the option 'stale' of the statement 'revoked' but received '"
+                                "expected the option 'stale' of the statement 'revoked' but"
+                                        + " received '"
                                         + word
                                         + "'");
                     }
@@ -118,7 +119,8 @@
         }
         if (clientAuthorities != null && certificates.isEmpty()) {
             mistakes.add(
-                    "the statement 'clients FILE' requires 'tls CERTIFICATE KEY', which is missing");
+                    "the statement 'clients FILE' requires 'tls CERTIFICATE KEY', which is"
+                            + " missing");
         }
         return mistakes;
     }
--- a/src/main/java/brooklock/config/FleetSettingsReader.java
+++ b/src/main/java/brooklock/config/FleetSettingsReader.java
@@ -104,8 +104,8 @@
                 case "weights" -> weighted = statement.nextBoolean(word);
                 default ->
                         throw new InvalidStatementException(
-                                "expected an option of the fleet (pace, joins, straight, second-copies,"
-                                        + " weights) but received '"
+                                "expected an option of the fleet (pace, joins, straight,"
+                                        + " second-copies, weights) but received '"
                                         + word
                                         + "'");
             }
--- a/src/main/java/brooklock/config/PathPattern.java
+++ b/src/main/java/brooklock/config/PathPattern.java
@@ -36,7 +36,8 @@
                 segment.startsWith("{") && segment.endsWith("}") && segment.length() > 2;
         if (!placeholder && (segment.contains("{") || segment.contains("}"))) {
             throw new InvalidStatementException(
-                    "expected a placeholder in braces to be a whole segment of the path but received '"
+                    "expected a placeholder in braces to be a whole segment of the path but"
+                            + " received '"
                             + segment
                             + "'");
         }
--- a/src/main/java/brooklock/config/RouteReader.java
+++ b/src/main/java/brooklock/config/RouteReader.java
@@ -80,8 +80,8 @@
                 case "streamed" -> streamed = true;
                 default ->
                         throw new InvalidStatementException(
-                                "expected an option of a class (window, aim, stretch, deadline, fresh,"
-                                        + " through, streamed) but received '"
+                                "expected an option of a class (window, aim, stretch, deadline,"
+                                        + " fresh, through, streamed) but received '"
                                         + word
                                         + "'");
             }
@@ -114,7 +114,8 @@
             throw new InvalidStatementException(
                     "the class '"
                             + name
-                            + "' needs an aim above 0 ms and a deadline above the aim but has the aim "
+                            + "' needs an aim above 0 ms and a deadline above the aim but has"
+                            + " the aim "
                             + requestClass.latencyObjectiveNs() / 1e6
                             + " ms and the deadline "
                             + requestClass.deadlineNs() / 1e6
@@ -159,8 +160,8 @@
         for (String method : methods) {
             if (!method.matches("[A-Z]+") || UNROUTED_METHODS.contains(method)) {
                 throw new InvalidStatementException(
-                        "expected a method in capital letters, as in GET, other than CONNECT and TRACE"
-                                + " but received '"
+                        "expected a method in capital letters, as in GET, other than CONNECT and"
+                                + " TRACE but received '"
                                 + method
                                 + "'");
             }
--- a/src/main/java/brooklock/config/Units.java
+++ b/src/main/java/brooklock/config/Units.java
@@ -26,7 +26,8 @@
                 parseWithUnit(
                         text,
                         DURATION_UNITS,
-                        "a time needs its unit (us, ms, s, min or h) after a decimal number, as in 500ms");
+                        "a time needs its unit (us, ms, s, min or h) after a decimal number, as"
+                                + " in 500ms");
     }
 
     /**
@@ -40,7 +41,8 @@
                 parseWithUnit(
                         text,
                         SIZE_UNITS,
-                        "a size needs its unit (B, KB, MB or GB) after a decimal number, as in 64KB");
+                        "a size needs its unit (B, KB, MB or GB) after a decimal number, as in"
+                                + " 64KB");
     }
 
     /**
--- a/src/main/java/brooklock/http/BodyDecoder.java
+++ b/src/main/java/brooklock/http/BodyDecoder.java
@@ -165,9 +165,9 @@
             }
             value = value * 16 + Character.digit(line.charAt(digits++), 16);
         }
-        // A chunk extension begins with a semicolon. White space before it is rejected, since
-        // parsers disagree about whether it ends the size; with another reader's size a second
-        // message could be smuggled past this one.
+        // A chunk extension begins with a semicolon. White space before it is rejected: parsers
+        // disagree about whether it ends the size, and where two parsers of a connection read
+        // different sizes, a second message could be smuggled past one of them.
         boolean extension = digits < line.length() && line.charAt(digits) == ';';
         if (digits == 0
                 || (digits < line.length() && !extension)
--- a/src/main/java/brooklock/http/HttpEncoder.java
+++ b/src/main/java/brooklock/http/HttpEncoder.java
@@ -19,8 +19,8 @@
     public static ByteBuffer encodeRequest(RequestHead head) {
         if (!HttpCharacters.isToken(head.method()) || !HttpCharacters.isTarget(head.target())) {
             throw new InvalidMessageException(
-                    "expected a token as the method and URI characters in the target but received the"
-                            + " method '"
+                    "expected a token as the method and URI characters in the target but received"
+                            + " the method '"
                             + head.method()
                             + "' and a target of "
                             + head.target().length()
