--- a/src/test/java/brooklock/http/ParserFuzzTest.java
+++ b/src/test/java/brooklock/http/ParserFuzzTest.java
@@ -8,18 +8,19 @@
 import org.junit.jupiter.api.Assertions;
 
 /**
- * Whatever comes, the parsers end with a message or with an {@link HttpProtocolException}, the same
- * whole and byte by byte. The seeds beside this class run with the tests; {@code JAZZER_FUZZ=1 mvn
- * test -Dtest=ParserFuzzTest} searches on.
+ * Verifies that the parsers end with a message or with an {@link HttpProtocolException} on any
+ * input, and that the outcome is the same for one buffer and byte by byte. The seeds in the test
+ * resources run with the tests; {@code JAZZER_FUZZ=1 mvn test -Dtest=ParserFuzzTest} fuzzes
+ * further.
  */
 class ParserFuzzTest {
     private static String outcome(String text, boolean request, List<Integer> cuts) {
         try {
-            MessageFeeder.ParsedMessage r =
+            MessageFeeder.ParsedMessage message =
                     request
-                            ? MessageFeeder.request(text, cuts)
-                            : MessageFeeder.response(text, "GET", cuts);
-            return r.head() + "|" + r.body() + "|" + r.trailers();
+                            ? MessageFeeder.parseRequest(text, cuts)
+                            : MessageFeeder.parseResponse(text, "GET", cuts);
+            return message.head() + "|" + message.body() + "|" + message.trailers();
         } catch (HttpProtocolException e) {
             return e.status + " " + e.getMessage();
         }
@@ -27,12 +28,12 @@
 
     @FuzzTest(maxDuration = "2m")
     void anyBytes(byte[] data) {
-        byte[] some = Arrays.copyOf(data, Math.min(data.length, 4096));
-        String text = StandardCharsets.ISO_8859_1.decode(ByteBuffer.wrap(some)).toString();
+        byte[] bounded = Arrays.copyOf(data, Math.min(data.length, 4096));
+        String text = StandardCharsets.ISO_8859_1.decode(ByteBuffer.wrap(bounded)).toString();
         for (boolean request : new boolean[] {true, false}) {
             Assertions.assertEquals(
                     outcome(text, request, List.of()),
-                    outcome(text, request, MessageFeeder.everyByte(text)));
+                    outcome(text, request, MessageFeeder.everyOffset(text)));
         }
         StatusFieldParser.parse(text);
     }
