--- a/src/main/java/brooklock/simulator/SimulatorHost.java
+++ b/src/main/java/brooklock/simulator/SimulatorHost.java
@@ -15,11 +15,11 @@
 import java.util.Map;
 
 /**
- * Runs instances of {@link Router} for a simulator: one reply a batch, one router an instance,
- * nothing shared between instances.
+ * Runs {@link Router} instances for a simulator. Each batch of records gets one reply; instances
+ * share no state. Not thread-safe.
  */
 public final class SimulatorHost {
-    /** Length and clock before each batch. */
+    /** Length of a batch's header: the length of its records and the clock. */
     private static final int HEADER_BYTES = 12;
 
     private final Map<Integer, Router> instances = new HashMap<>();
@@ -27,7 +27,10 @@
     /**
      * Serves batches until the input ends between two frames.
      *
-     * @throws MalformedFrameException if the input is not of the wire's form; it cannot be read on
+     * @param in the stream of batches
+     * @param out the stream to which replies are written; it is flushed after each reply
+     * @throws MalformedFrameException if the input does not have the wire format; the stream cannot
+     *     be read any further then
      * @throws IOException if reading or writing fails
      */
     public void serve(InputStream in, OutputStream out) throws IOException {
@@ -46,25 +49,28 @@
                                 + " bytes");
             }
             ByteBuffer fields = ByteBuffer.wrap(header).order(ByteOrder.LITTLE_ENDIAN);
-            // The length counts everything after itself and the clock.
+            // The length does not include the header.
             int length = fields.getInt();
             long nowNs = fields.getLong();
             if (length < 0) {
                 throw new MalformedFrameException(
-                        "frame length " + Integer.toUnsignedString(length) + " is too long");
+                        "expected a frame length of at most "
+                                + Integer.MAX_VALUE
+                                + " bytes but received "
+                                + Integer.toUnsignedString(length));
             }
             byte[] body = in.readNBytes(length);
             if (body.length < length) {
                 throw new MalformedFrameException(
                         "truncated frame: body has " + body.length + " of " + length + " bytes");
             }
-            out.write(decideBatch(nowNs, body));
+            out.write(processBatch(nowNs, body));
             out.flush();
         }
     }
 
-    /** Decides one batch and returns the frame of the reply. */
-    byte[] decideBatch(long nowNs, byte[] body) {
+    /** Processes the records of one batch and returns the frame of the reply. */
+    byte[] processBatch(long nowNs, byte[] body) {
         EventDecoder decoder = new EventDecoder(body);
         ActionEncoder encoder = new ActionEncoder();
         while (decoder.nextRecord()) {
@@ -77,7 +83,7 @@
         int instance = decoder.instance();
         if (decoder.isStart()) {
             RouterSettings settings = decoder.settings();
-            decide(
+            callRouter(
                     instance,
                     encoder,
                     actions -> {
@@ -91,20 +97,20 @@
             Router router = instances.get(instance);
             RouterEvent event = decoder.event();
             if (router != null && event != null) {
-                decide(instance, encoder, actions -> router.onEvent(nowNs, event, actions));
+                callRouter(instance, encoder, actions -> router.onEvent(nowNs, event, actions));
             }
         }
     }
 
-    private interface Decision {
-        void decide(List<RouterAction> actions);
+    private interface RouterCall {
+        void run(List<RouterAction> actions);
     }
 
-    // A fault of one router is reported for its instance; the others go on.
-    private static void decide(int instance, ActionEncoder encoder, Decision decision) {
+    // An exception of one router is reported for its instance; the other instances continue.
+    private static void callRouter(int instance, ActionEncoder encoder, RouterCall call) {
         List<RouterAction> actions = new ArrayList<>();
         try {
-            decision.decide(actions);
+            call.run(actions);
             actions.forEach(action -> encoder.add(instance, action));
         } catch (RuntimeException e) {
             StackTraceElement[] trace = e.getStackTrace();
--- a/src/test/java/brooklock/routing/HotListTest.java
+++ b/src/test/java/brooklock/routing/HotListTest.java
@@ -2,8 +2,8 @@
 
 import static brooklock.routing.RouterFixture.MS;
 import static brooklock.routing.RouterFixture.PAGE;
-import static brooklock.routing.RouterFixture.allOf;
-import static brooklock.routing.RouterFixture.attemptIn;
+import static brooklock.routing.RouterFixture.actionsOfType;
+import static brooklock.routing.RouterFixture.firstAttempt;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -15,15 +15,15 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Which objects are cached at the edge, and with which priority. */
+/** Tests which objects are cached at the edge, and with which priority. */
 class HotListTest {
     @Test
     void anObjectIsCachedFromItsSecondRequestOn() {
         RouterFixture fixture = new RouterFixture().withEndpoints();
-        StartAttempt first = fixture.requestServed(PAGE, 42);
+        StartAttempt first = fixture.serveRequest(PAGE, 42);
         assertEquals(0, first.cachePriority());
         assertTrue(first.fillSource() == 801 || first.fillSource() == 802);
-        StartAttempt second = fixture.requestServed(PAGE, 42);
+        StartAttempt second = fixture.serveRequest(PAGE, 42);
         assertEquals(2, second.cachePriority());
         assertEquals(first.endpoint(), second.endpoint());
         assertEquals(first.fillSource(), second.fillSource());
@@ -32,68 +32,69 @@
     @Test
     void anObjectOfThePreviousIntervalIsHotInThisOneOnly() {
         RouterFixture fixture = new RouterFixture().withEndpoints();
-        fixture.requestServed(PAGE, 42);
+        fixture.serveRequest(PAGE, 42);
         fixture.now += 10_000 * MS;
-        assertEquals(2, fixture.requestServed(PAGE, 42).cachePriority());
+        assertEquals(2, fixture.serveRequest(PAGE, 42).cachePriority());
         fixture.now += 20_000 * MS;
         assertEquals(
                 0,
-                fixture.requestServed(PAGE, 42).cachePriority(),
-                "a whole interval passed without it");
+                fixture.serveRequest(PAGE, 42).cachePriority(),
+                "a whole interval has passed without a request for it");
     }
 
     /**
-     * A dispatcher has just started and has no list yet, so every object looks as if it were
-     * requested once. Copies are cached all the same, at the lowest priority, until the first
-     * interval has passed.
+     * A dispatcher has just started and has no hot list yet, so every object seems to be requested
+     * only once. Until the first interval has passed, copies must be cached nonetheless, at the
+     * lowest priority.
      */
     @Test
-    void withoutAListCopiesAreCachedAtTheLowestPriority() {
+    void copiesAreCachedAtTheLowestPriorityInTheFirstInterval() {
         RouterFixture fixture = new RouterFixture().withEndpoints();
         fixture.router.start(fixture.now, new ArrayList<>());
-        assertEquals(1, fixture.requestServed(PAGE, 42).cachePriority());
-        assertEquals(2, fixture.requestServed(PAGE, 42).cachePriority());
+        assertEquals(1, fixture.serveRequest(PAGE, 42).cachePriority());
+        assertEquals(2, fixture.serveRequest(PAGE, 42).cachePriority());
         fixture.now += 10_000 * MS;
-        assertEquals(0, fixture.requestServed(PAGE, 43).cachePriority());
+        assertEquals(0, fixture.serveRequest(PAGE, 43).cachePriority());
     }
 
     @Test
-    void partsInOrderAreOneRequest() {
+    void partsInAscendingOrderCountAsOneRequest() {
         RouterFixture fixture = new RouterFixture().withEndpoints();
         for (int part = 0; part < 4; part++) {
             RequestReceived whole = fixture.newRequest(PAGE, 42);
             RequestReceived request =
                     new RequestReceived(
                             whole.id(), PAGE, 42, part, 3, 50, false, whole.deadlineNs());
-            StartAttempt attempt = attemptIn(fixture.onEvent(request));
+            StartAttempt attempt = firstAttempt(fixture.onEvent(request));
             assertEquals(0, attempt.cachePriority(), "part " + part);
             fixture.complete(attempt, AttemptOutcome.OK, CacheStatus.HIT, 10);
         }
-        assertEquals(2, fixture.requestServed(PAGE, 42).cachePriority());
+        assertEquals(2, fixture.serveRequest(PAGE, 42).cachePriority());
     }
 
     /**
-     * A client is rejected and comes again. Its retry is no second interest in the object, so the
-     * object must not take a place in a cache.
+     * A client repeats a rejected request. The retry does not show that the object is requested
+     * more often, so it must not be cached.
      */
     @Test
     void theRetryOfARejectedRequestDoesNotMakeItsObjectHot() {
         RouterFixture fixture = new RouterFixture();
         assertEquals(
                 1,
-                allOf(fixture.onEvent(fixture.newRequest(PAGE, 42)), RejectRequest.class).size(),
+                actionsOfType(fixture.onEvent(fixture.newRequest(PAGE, 42)), RejectRequest.class)
+                        .size(),
                 "no endpoint is known");
         fixture.withEndpoints();
-        assertEquals(0, fixture.requestServed(PAGE, 42).cachePriority());
+        assertEquals(0, fixture.serveRequest(PAGE, 42).cachePriority());
     }
 
-    /** One object takes most of the traffic. On one cache it would fill that cache's link alone. */
+    /** One object gets most of the requests. On a single cache it would fill that cache's link. */
     @Test
     void aVeryHotObjectIsSpreadOverMoreCaches() {
         RouterFixture fixture = new RouterFixture().withEndpoints();
         Set<Long> endpoints = new HashSet<>();
         for (int i = 0; i < 100; i++) {
-            endpoints.add(fixture.request(PAGE, 42).endpoint());
+            endpoints.add(fixture.startRequest(PAGE, 42).endpoint());
         }
         assertTrue(endpoints.size() >= 2);
     }
