--- a/src/main/java/brooklock/faulttest/InvariantChecker.java
+++ b/src/main/java/brooklock/faulttest/InvariantChecker.java
@@ -30,15 +30,15 @@
         attempts = fleet.population.attempts;
         attempts.forEach(attempt -> attemptsByName.put(attempt.name, attempt));
         for (RecordedRequest recorded : fleet.traffic.requests()) {
-            if (recorded.request != null) {
+            if (recorded.requestId != null) {
                 recordedByRequest
-                        .computeIfAbsent(recorded.request, key -> new ArrayList<>())
+                        .computeIfAbsent(recorded.requestId, key -> new ArrayList<>())
                         .add(recorded);
             }
         }
         recordedByRequest
                 .values()
-                .forEach(list -> list.sort(Comparator.comparingLong(recorded -> recorded.atNs)));
+                .forEach(list -> list.sort(Comparator.comparingLong(recorded -> recorded.arrivedNs)));
         for (int i = 0; i < fleet.dispatchers.size(); i++) {
             dispatcherIndexes.put(fleet.dispatchers.get(i).name, i);
         }
@@ -75,10 +75,10 @@
                 findings.reportCertain(attempt + ": the bytes are not those of its path");
             }
             for (RecordedRequest recorded : recordedOf(attempt)) {
-                long afterResponseNs = recorded.atNs - attempt.endNs;
-                if (recorded.isDirect() && afterResponseNs > Findings.SLACK_NS) {
+                long afterResponseNs = recorded.arrivedNs - attempt.endNs;
+                if (recorded.isFromDispatcher() && afterResponseNs > Findings.SLACK_NS) {
                     findings.report(
-                            recorded.atNs,
+                            recorded.arrivedNs,
                             afterResponseNs - Findings.SLACK_NS,
                             attempt
                                     + ": sent "
@@ -130,7 +130,7 @@
         boolean keyed = requestClass.effect() == Effect.KEYED;
         long windowNs = requestClass.idempotencyWindowNs() + Findings.SLACK_NS;
         List<RecordedRequest> direct =
-                recordedOf(attempt).stream().filter(RecordedRequest::isDirect).toList();
+                recordedOf(attempt).stream().filter(RecordedRequest::isFromDispatcher).toList();
         findings.cases += direct.isEmpty() ? 0 : 1;
         RecordedRequest possiblyExecuted = null;
         for (RecordedRequest recorded : direct) {
@@ -139,10 +139,10 @@
             } else if (!keyed) {
                 findings.reportCertain(
                         recorded + ": sent again though " + possiblyExecuted + " may have run");
-            } else if (recorded.atNs - possiblyExecuted.atNs > windowNs) {
+            } else if (recorded.arrivedNs - possiblyExecuted.arrivedNs > windowNs) {
                 findings.report(
-                        recorded.atNs,
-                        recorded.atNs - possiblyExecuted.atNs - windowNs,
+                        recorded.arrivedNs,
+                        recorded.arrivedNs - possiblyExecuted.arrivedNs - windowNs,
                         recorded
                                 + ": sent again outside the window of "
                                 + possiblyExecuted
@@ -172,7 +172,7 @@
             double excess = overload.workNs() / overload.allowedNs() - 1;
             long overNs = (long) Math.max(HarnessMonitor.MAX_LATE_NS, windowNs * excess);
             findings.report(
-                    overload.atNs(),
+                    overload.failedAtNs(),
                     overNs,
                     String.format(
                             "%s was pushed over: %.0f ms of work in its span, %.0f allowed",
@@ -199,10 +199,10 @@
         }
         for (RecordedRequest recorded : fleet.traffic.requests()) {
             Integer dispatcher = dispatcherIndexes.get(recorded.dispatcher);
-            if (dispatcher == null || !recorded.isDirect() || recorded.copySerial == 0) {
+            if (dispatcher == null || !recorded.isFromDispatcher() || recorded.copySerial == 0) {
                 continue;
             }
-            ClientAttempt attempt = attemptsByName.get(recorded.request);
+            ClientAttempt attempt = attemptsByName.get(recorded.requestId);
             for (ControlPublisher.PurgeDelivery delivery :
                     deliveries.getOrDefault(purgeKey(dispatcher, recorded.group), List.of())) {
                 // A purge binds the run of the dispatcher that it was delivered to.
@@ -221,15 +221,15 @@
     private void checkPurge(
             RecordedRequest recorded, ControlPublisher.PurgeDelivery delivery, Findings findings) {
         long graceNs = fleet.scenario.invariants().purgeGraceNs() + Findings.SLACK_NS;
-        long sinceNs = recorded.atNs - delivery.atNs();
+        long sinceNs = recorded.arrivedNs - delivery.atNs();
         if (sinceNs <= graceNs) {
             return;
         }
         findings.cases++;
-        long olderNs = delivery.purge().momentNs() - fleet.traffic.copyBirthNs(recorded.copySerial);
+        long olderNs = delivery.purge().momentNs() - fleet.traffic.copyCreatedNs(recorded.copySerial);
         if (olderNs > CLOCK_UNCERTAINTY_NS) {
             findings.report(
-                    recorded.atNs,
+                    recorded.arrivedNs,
                     Math.max(olderNs, sinceNs - graceNs),
                     recorded
                             + ": answered from a copy "
--- a/src/main/java/brooklock/faulttest/OracleSelector.java
+++ b/src/main/java/brooklock/faulttest/OracleSelector.java
@@ -175,7 +175,7 @@
                         : open.repeated ? MAX_USE_REPEATED : MAX_USE_FIRST_REQUEST;
         if (endpoint.state() != EndpointState.READY
                 || !server.isUp()
-                || server.usedShare() > maxUse
+                || server.utilization() > maxUse
                 || server.warmUpLoad() > MAX_WARM_UP_LOAD) {
             return UNUSABLE_NS;
         }
@@ -186,7 +186,7 @@
                                 + server.faults.errorShare
                                 + server.faults.rejectShare
                                 + server.faults.truncatedShare);
-        return NOMINAL_TRANSFER_NS / Math.max(1e-3, server.nextTransferPace())
+        return NOMINAL_TRANSFER_NS / Math.max(1e-3, server.nextTransferRateShare())
                 + failureShare / (1 - failureShare) * FAILURE_COST_NS
                 + (open.failedEndpoints.contains(endpoint.id()) ? FAILURE_COST_NS : 0)
                 + TIE_BREAK_NS * hash(open.request, endpoint.id());
--- a/src/main/java/brooklock/faulttest/ScenarioReader.java
+++ b/src/main/java/brooklock/faulttest/ScenarioReader.java
@@ -1,7 +1,7 @@
 package brooklock.faulttest;
 
 import brooklock.config.InvalidStatementException;
-import brooklock.config.Problems;
+import brooklock.config.ProblemCollector;
 import brooklock.config.SettingsException;
 import brooklock.config.SettingsReader;
 import brooklock.config.Statement;
@@ -13,7 +13,7 @@
 /** Reads the statements of a scenario; every mistake is reported with its line. */
 final class ScenarioReader {
     private final String file;
-    private final Problems problems;
+    private final ProblemCollector problems;
     private final Scenario scenario = new Scenario();
 
     /** Where each of the scenario's {@code settingsLines} stands. */
@@ -21,17 +21,17 @@
 
     ScenarioReader(String file) {
         this.file = file;
-        problems = new Problems(file);
+        problems = new ProblemCollector(file);
     }
 
     Scenario read(String text) throws SettingsException {
         problems.readStatements(text, this::onStatement);
         if (scenario.zones.isEmpty() || scenario.classLoads.isEmpty()) {
-            problems.add(Problems.WHOLE_FILE, "a day needs a zone and something to ask for");
+            problems.add(ProblemCollector.WHOLE_FILE, "a day needs a zone and something to ask for");
         }
         if (scenario.tenantCount > scenario.groupCount) {
             problems.add(
-                    Problems.WHOLE_FILE,
+                    ProblemCollector.WHOLE_FILE,
                     "purge groups belong to the tenants in turn: there are more tenants than"
                             + " groups");
         }
@@ -58,14 +58,14 @@
                         int index = problem.line() - headLines - 1;
                         boolean known = index >= 0 && index < settingsLineNumbers.size();
                         problems.add(
-                                known ? settingsLineNumbers.get(index) : Problems.WHOLE_FILE,
+                                known ? settingsLineNumbers.get(index) : ProblemCollector.WHOLE_FILE,
                                 problem.message());
                     });
         }
         for (String className : scenario.classLoads.keySet()) {
             if (!scenario.passThroughByClass.containsKey(className)) {
                 problems.add(
-                        Problems.WHOLE_FILE,
+                        ProblemCollector.WHOLE_FILE,
                         "clients ask for '" + className + "', but there is no such class");
             }
         }
--- a/src/main/java/brooklock/testserver/TestServer.java
+++ b/src/main/java/brooklock/testserver/TestServer.java
@@ -26,7 +26,7 @@
  */
 public final class TestServer {
     /** The sizes of the objects at the origin. */
-    public interface Sizes {
+    public interface ObjectSizes {
         /** Returns the size in bytes of the object at a path of a request class. */
         int of(String path, String className);
     }
@@ -35,7 +35,7 @@
     private final IoLoop loop;
     private final ServerModel model;
     private final TrafficRecorder traffic;
-    private final Sizes sizes;
+    private final ObjectSizes sizes;
     private final ToDoubleFunction<String> meanWorkNs;
     private final UniformRandomProvider random;
     private final OverloadModel overloadModel;
@@ -68,7 +68,7 @@
             IoThreads ioThreads,
             ServerModel model,
             TrafficRecorder traffic,
-            Sizes sizes,
+            ObjectSizes sizes,
             ToDoubleFunction<String> meanWorkNs,
             InetSocketAddress origin,
             long seed)
@@ -97,7 +97,7 @@
             IoThreads ioThreads,
             ServerModel model,
             TrafficRecorder traffic,
-            Sizes sizes,
+            ObjectSizes sizes,
             ToDoubleFunction<String> meanWorkNs,
             InetSocketAddress origin,
             long seed,
@@ -171,7 +171,7 @@
      * Returns the utilization of the server as a share of 1: the higher one of open requests to
      * their limit and request rate to its limit.
      */
-    public double usedShare() {
+    public double utilization() {
         return load.usedShare(System.nanoTime());
     }
 
@@ -188,7 +188,7 @@
     }
 
     /** Returns the rate that one more transfer would get, as a share of the full rate. */
-    public double nextTransferPace() {
+    public double nextTransferRateShare() {
         double carried = model.maxTransfers() * overloadModel.warmUpShare(System.nanoTime());
         return Math.min(1, carried / (load.openTransfers() + 1)) / faults.slowdown;
     }
--- a/src/main/java/brooklock/testserver/TrafficRecorder.java
+++ b/src/main/java/brooklock/testserver/TrafficRecorder.java
@@ -21,11 +21,11 @@
      * The failure of a server under overload during its warm-up.
      *
      * @param server name of the server
-     * @param atNs time of the failure, by {@link System#nanoTime}
+     * @param failedAtNs time of the failure, by {@link System#nanoTime}
      * @param workNs work received within the overload window, as transfer time at full rate
      * @param allowedNs limit on that work, above which the server fails
      */
-    public record Overload(String server, long atNs, double workNs, double allowedNs) {}
+    public record Overload(String server, long failedAtNs, double workNs, double allowedNs) {}
 
     private final ConcurrentLinkedQueue<RecordedRequest> requests = new ConcurrentLinkedQueue<>();
     private final ConcurrentLinkedQueue<Overload> overloads = new ConcurrentLinkedQueue<>();
@@ -68,7 +68,7 @@
      * Returns the time at which the origin created a copy, by {@link System#nanoTime}; null if the
      * serial number is unknown.
      */
-    public Long copyBirthNs(long serial) {
+    public Long copyCreatedNs(long serial) {
         return copyBirthNs.get(serial);
     }
 }
