--- a/src/main/java/brooklock/config/SettingsReader.java
+++ b/src/main/java/brooklock/config/SettingsReader.java
@@ -60,7 +60,8 @@
 
     private static SettingsException unreadable(String file, String message, IOException cause) {
         SettingsException e =
-                new SettingsException(List.of(new Problem(file, ProblemCollector.WHOLE_FILE, message)));
+                new SettingsException(
+                        List.of(new Problem(file, ProblemCollector.WHOLE_FILE, message)));
         e.initCause(cause);
         return e;
     }
--- a/src/main/java/brooklock/faulttest/InvariantChecker.java
+++ b/src/main/java/brooklock/faulttest/InvariantChecker.java
@@ -38,7 +38,10 @@
         }
         recordedByRequest
                 .values()
-                .forEach(list -> list.sort(Comparator.comparingLong(recorded -> recorded.arrivedNs)));
+                .forEach(
+                        list ->
+                                list.sort(
+                                        Comparator.comparingLong(recorded -> recorded.arrivedNs)));
         for (int i = 0; i < fleet.dispatchers.size(); i++) {
             dispatcherIndexes.put(fleet.dispatchers.get(i).name, i);
         }
@@ -226,7 +229,8 @@
             return;
         }
         findings.cases++;
-        long olderNs = delivery.purge().momentNs() - fleet.traffic.copyCreatedNs(recorded.copySerial);
+        long olderNs =
+                delivery.purge().momentNs() - fleet.traffic.copyCreatedNs(recorded.copySerial);
         if (olderNs > CLOCK_UNCERTAINTY_NS) {
             findings.report(
                     recorded.arrivedNs,
--- a/src/main/java/brooklock/faulttest/ScenarioReader.java
+++ b/src/main/java/brooklock/faulttest/ScenarioReader.java
@@ -27,7 +27,8 @@
     Scenario read(String text) throws SettingsException {
         problems.readStatements(text, this::onStatement);
         if (scenario.zones.isEmpty() || scenario.classLoads.isEmpty()) {
-            problems.add(ProblemCollector.WHOLE_FILE, "a day needs a zone and something to ask for");
+            problems.add(
+                    ProblemCollector.WHOLE_FILE, "a day needs a zone and something to ask for");
         }
         if (scenario.tenantCount > scenario.groupCount) {
             problems.add(
@@ -58,7 +59,9 @@
                         int index = problem.line() - headLines - 1;
                         boolean known = index >= 0 && index < settingsLineNumbers.size();
                         problems.add(
-                                known ? settingsLineNumbers.get(index) : ProblemCollector.WHOLE_FILE,
+                                known
+                                        ? settingsLineNumbers.get(index)
+                                        : ProblemCollector.WHOLE_FILE,
                                 problem.message());
                     });
         }
