--- a/benchmarks/WarmingReturn.java
+++ b/benchmarks/WarmingReturn.java
@@ -150,7 +150,7 @@
         // they receive no requests from dispatchers.
         Set<String> struck =
                 o.recording().traffic().requests().stream()
-                        .filter(s -> s.isDirect() && s.cold)
+                        .filter(s -> s.isFromDispatcher() && s.cold)
                         .map(s -> s.server)
                         .collect(Collectors.toSet());
         Set<String> theirs =
@@ -158,8 +158,8 @@
                         .filter(
                                 s ->
                                         struck.contains(s.server)
-                                                && s.isDirect()
-                                                && at(s.atNs, begun) < LEARN
+                                                && s.isFromDispatcher()
+                                                && at(s.arrivedNs, begun) < LEARN
                                                 && s.className.equals("scans"))
                         .map(s -> s.target)
                         .collect(Collectors.toSet());
@@ -177,14 +177,17 @@
             }
         }
         for (RecordedRequest s : o.recording().traffic().requests()) {
-            int bin = bin(s.atNs, begun);
+            int bin = bin(s.arrivedNs, begun);
             if (bin < 0 || bin >= bins) {
                 continue;
             }
             boolean hub = !s.server.contains("-");
-            if (s.request == null) {
-                all.get(Line.AHEAD)[bin] += s.isDirect() && s.copySerial != 0 ? 1 : 0;
-            } else if (s.isDirect() && theirs.contains(s.target) && !hub && s.copySerial != 0) {
+            if (s.requestId == null) {
+                all.get(Line.AHEAD)[bin] += s.isFromDispatcher() && s.copySerial != 0 ? 1 : 0;
+            } else if (s.isFromDispatcher()
+                    && theirs.contains(s.target)
+                    && !hub
+                    && s.copySerial != 0) {
                 all.get(Line.CAME)[bin]++;
                 all.get(Line.HELD)[bin] += s.cacheHit ? 1 : 0;
                 all.get(Line.NEIGHBOUR)[bin] += s.isFromPeer() ? 1 : 0;
--- a/src/main/java/brooklock/cli/CredentialExplainer.java
+++ b/src/main/java/brooklock/cli/CredentialExplainer.java
@@ -51,7 +51,7 @@
      *     file is null
      * @throws IOException if a file cannot be read
      */
-    Identity token(Path file) throws IOException {
+    Identity identityFromToken(Path file) throws IOException {
         if (file == null || keySet == null) {
             throw new IllegalArgumentException(
                     "expected either --certificate, or both --token and --keys");
@@ -74,7 +74,7 @@
      *
      * @throws IOException if the file cannot be read or is not a certificate chain
      */
-    static Identity certificate(Path file) throws IOException {
+    static Identity identityFromCertificate(Path file) throws IOException {
         try (InputStream in = Files.newInputStream(file)) {
             List<X509Certificate> chain =
                     CertificateFactory.getInstance("X.509").generateCertificates(in).stream()
@@ -118,12 +118,12 @@
                             path,
                             className,
                             System.currentTimeMillis());
-            lines.add(method + " " + path + ": " + decision.explain() + validity(decision));
+            lines.add(method + " " + path + ": " + decision.explain() + describeValidity(decision));
         }
         return lines;
     }
 
-    private static String validity(AccessDecision decision) {
+    private static String describeValidity(AccessDecision decision) {
         return decision.validUntilMs() == Long.MAX_VALUE
                 ? ""
                 : ", until " + Instant.ofEpochMilli(decision.validUntilMs()) + " at least";
--- a/src/main/java/brooklock/cli/FaultTestCommand.java
+++ b/src/main/java/brooklock/cli/FaultTestCommand.java
@@ -58,7 +58,7 @@
         @Option(
                 names = "--informed",
                 description = "routers that see the true state of every test server, to compare")
-        private boolean oracle;
+        private boolean informed;
 
         @Option(
                 names = "--scale",
@@ -89,7 +89,7 @@
             return compareAll(name, scenarioText, directory);
         }
         FaultTestResult result =
-                mode.random || mode.oracle
+                mode.random || mode.informed
                         ? FaultTestRunner.compare(
                                 name,
                                 scenarioText,
@@ -106,10 +106,12 @@
             throws SettingsException, IOException, InterruptedException {
         Map<RouterKind, FaultTestResult> results = new EnumMap<>(RouterKind.class);
         for (RouterKind router : RouterKind.values()) {
-            Path own =
+            Path routerDirectory =
                     Files.createDirectories(
                             directory.resolve(router.name().toLowerCase(Locale.ROOT)));
-            results.put(router, FaultTestRunner.compare(name, text, own, router, line -> {}));
+            results.put(
+                    router,
+                    FaultTestRunner.compare(name, text, routerDirectory, router, line -> {}));
             System.out.println(router + "\n" + results.get(router).report());
         }
         System.out.print(
--- a/src/main/java/brooklock/cli/KeysCommand.java
+++ b/src/main/java/brooklock/cli/KeysCommand.java
@@ -41,7 +41,7 @@
 
     // Failures that the user can correct are reported as a message only. Any other exception is a
     // bug, and picocli prints its stack trace.
-    private static int runGuarded(Task task) {
+    private static int runAndReport(Task task) {
         try {
             task.run();
             return 0;
@@ -60,7 +60,7 @@
             @Parameters(paramLabel = "KEYFILE") Path file,
             @Option(names = "--alg", defaultValue = "EdDSA", description = "EdDSA, ES256 or RS256")
                     String alg) {
-        return runGuarded(
+        return runAndReport(
                 () -> {
                     KeyPair pair = KeySetFile.generate(alg);
                     KeySetFile.writePrivateKey(file, pair);
@@ -75,7 +75,7 @@
     @Command(description = "KID signs from now on; the one that signed before is accepted still.")
     int rotate(
             @Parameters(paramLabel = "SET") Path set, @Parameters(paramLabel = "KID") String kid) {
-        return runGuarded(() -> new KeySetFile(set).setState(kid, KeySet.State.SIGNING, 0));
+        return runAndReport(() -> new KeySetFile(set).setState(kid, KeySet.State.SIGNING, 0));
     }
 
     @Command(description = "Tokens signed with KID are refused, at once or from a moment on.")
@@ -87,7 +87,7 @@
                             paramLabel = "MOMENT",
                             description = "as in 2027-01-31T08:00:00Z")
                     Instant at) {
-        return runGuarded(
+        return runAndReport(
                 () ->
                         new KeySetFile(set)
                                 .setState(
@@ -98,12 +98,12 @@
 
     @Command(description = "Takes a retired key out of the set.")
     int drop(@Parameters(paramLabel = "SET") Path set, @Parameters(paramLabel = "KID") String kid) {
-        return runGuarded(() -> new KeySetFile(set).removeKey(kid));
+        return runAndReport(() -> new KeySetFile(set).removeKey(kid));
     }
 
     @Command(description = "Lists the keys of a set.")
     int list(@Parameters(paramLabel = "SET") Path set) {
-        return runGuarded(
+        return runAndReport(
                 () -> {
                     for (KeySet.Key key : KeySet.parse(Files.readString(set)).keys()) {
                         System.out.println(
@@ -133,16 +133,16 @@
                             defaultValue = "3600",
                             description = "how long the token is valid")
                     long seconds) {
-        return runGuarded(
+        return runAndReport(
                 () -> {
                     Map<String, Object> content =
                             new LinkedHashMap<>(claims == null ? Map.of() : claims);
                     content.put("exp", System.currentTimeMillis() / 1000 + seconds);
-                    System.out.println(TokenSigner.sign(privateKey(file, alg), kid, content));
+                    System.out.println(TokenSigner.sign(readPrivateKey(file, alg), kid, content));
                 });
     }
 
-    private static PrivateKey privateKey(Path file, String alg) throws IOException {
+    private static PrivateKey readPrivateKey(Path file, String alg) throws IOException {
         byte[] der =
                 Base64.getMimeDecoder()
                         .decode(Files.readString(file).replaceAll("-----[A-Z ]+-----", ""));
@@ -165,7 +165,7 @@
                             defaultValue = "localhost",
                             description = "the certificate's name")
                     String name) {
-        return runGuarded(
+        return runAndReport(
                 () -> {
                     try {
                         LocalCertificateAuthority authority =
@@ -195,19 +195,19 @@
             @Option(names = "--certificate", paramLabel = "FILE") Path certificate,
             @Option(names = "--issuer") String issuer,
             @Option(names = "--audience") String audience,
-            @Option(names = "--class", defaultValue = "-") String cls,
+            @Option(names = "--class", defaultValue = "-") String className,
             @Parameters(paramLabel = "METHOD") String method,
             @Parameters(paramLabel = "PATH") String path) {
         CredentialExplainer explainer = new CredentialExplainer(set, issuer, audience);
-        return runGuarded(
+        return runAndReport(
                 () -> {
                     Policy policy =
                             PolicyReader.parse(policyFile.toString(), Files.readString(policyFile));
                     Identity identity =
                             certificate != null
-                                    ? CredentialExplainer.certificate(certificate)
-                                    : explainer.token(token);
-                    CredentialExplainer.explain(identity, policy, method, path, cls)
+                                    ? CredentialExplainer.identityFromCertificate(certificate)
+                                    : explainer.identityFromToken(token);
+                    CredentialExplainer.explain(identity, policy, method, path, className)
                             .forEach(System.out::println);
                 });
     }
--- a/src/main/java/brooklock/cli/TestServersCommand.java
+++ b/src/main/java/brooklock/cli/TestServersCommand.java
@@ -80,7 +80,7 @@
     }
 
     private ServerModel model(Settings.EndpointSettings endpoint, Settings settings) {
-        Settings.SafetyLimitSettings invariants = settings.safetyLimits();
+        Settings.SafetyLimitSettings limits = settings.safetyLimits();
         boolean parent = endpoint.kind() == Settings.EndpointKind.PARENT;
         return new ServerModel(
                 endpoint.name(),
@@ -89,10 +89,10 @@
                 settings.fleet().transferBytesPerS(),
                 MAX_REQUESTS,
                 MAX_COPIES,
-                parent ? invariants.parentInitialCapacity() : invariants.initialCapacity(),
-                parent ? invariants.parentWarmUpNs() : invariants.warmUpNs(),
-                parent ? invariants.parentOverloadMultiple() : invariants.overloadMultiple(),
-                invariants.overloadWindowNs(),
+                parent ? limits.parentInitialCapacity() : limits.initialCapacity(),
+                parent ? limits.parentWarmUpNs() : limits.warmUpNs(),
+                parent ? limits.parentOverloadMultiple() : limits.overloadMultiple(),
+                limits.overloadWindowNs(),
                 BASE_LATENCY_NS,
                 0);
     }
--- a/src/main/java/brooklock/testserver/CachedCopy.java
+++ b/src/main/java/brooklock/testserver/CachedCopy.java
@@ -4,12 +4,12 @@
  * A copy of one part of an object.
  *
  * @param serial serial number assigned by the origin, also sent as the entity tag
- * @param bornNs time at which the origin created the copy, by {@link System#nanoTime}; a server
+ * @param createdNs time at which the origin created the copy, by {@link System#nanoTime}; a server
  *     that received the copy from another has a lower bound, never a later time
  * @param group the object's purge group
  */
 @SuppressWarnings("ArrayRecordComponent") // Copies are never compared.
-record CachedCopy(Key key, long serial, long bornNs, int group, byte[] content) {
+record CachedCopy(Key key, long serial, long createdNs, int group, byte[] content) {
     /** Identifies a part of an object. */
     record Key(long object, int part) {}
 }
--- a/src/main/java/brooklock/testserver/CopyStore.java
+++ b/src/main/java/brooklock/testserver/CopyStore.java
@@ -36,7 +36,7 @@
      *
      * @param priority new priority of the copy; 0 to keep its present one
      */
-    CachedCopy use(CachedCopy.Key key, int priority) {
+    CachedCopy get(CachedCopy.Key key, int priority) {
         Integer currentPriority = priorityByKey.get(key);
         if (currentPriority == null) {
             return null;
@@ -85,8 +85,9 @@
     }
 
     void removeIf(Predicate<CachedCopy> filter) {
-        for (LinkedHashMap<CachedCopy.Key, CachedCopy> stored : byPriority) {
-            stored.values()
+        for (LinkedHashMap<CachedCopy.Key, CachedCopy> samePriority : byPriority) {
+            samePriority
+                    .values()
                     .removeIf(
                             copy -> {
                                 if (!filter.test(copy)) {
--- a/src/main/java/brooklock/testserver/FillHandler.java
+++ b/src/main/java/brooklock/testserver/FillHandler.java
@@ -53,12 +53,12 @@
         long waitedNs = System.nanoTime() - fill.sentNs;
         boolean miss = head.status() == 504 && head.fields().get("Proxy-Status") == null;
         if (head.status() == 200) {
-            onCopy();
+            onCopyReceived();
         } else if (fallBackToSource(miss ? PeerResult.LACKED : PeerResult.FAILED)) {
             return;
         } else if (miss) {
             String cacheStatus = table.model.name() + "; fwd=miss; detail=source-lacks";
-            failWaiters(
+            endWaiters(
                     waiter ->
                             table.sender.sendStatus(
                                     waiter.exchange(),
@@ -79,7 +79,7 @@
         }
         long waitedNs = System.nanoTime() - fill.sentNs;
         String error = failure.provesNotExecuted ? "connection_refused" : "connection_terminated";
-        failWaiters(waiter -> sendFailure(waiter, error, null, waitedNs));
+        endWaiters(waiter -> sendFailure(waiter, error, null, waitedNs));
     }
 
     // Requests the copy from the source if the failed request was sent to the peer. Returns whether
@@ -94,7 +94,7 @@
         return true;
     }
 
-    private void onCopy() {
+    private void onCopyReceived() {
         String cacheStatus = head.fields().combinedValue("Cache-Status");
         boolean fromOrigin =
                 table.model.role() == ServerModel.Role.PARENT
@@ -117,17 +117,17 @@
                         fill.sentNs - ageNs,
                         request.group(),
                         content.toByteArray());
-        onFilled(copy, fromOrigin);
+        completeFill(copy, fromOrigin);
     }
 
-    private void onFilled(CachedCopy copy, boolean fromOrigin) {
+    private void completeFill(CachedCopy copy, boolean fromOrigin) {
         List<FillTable.Waiter> waiters = table.remove(fill, request.copyKey());
         if (!request.passThrough() && !table.purges.isPurged(copy)) {
             int priority =
                     table.model.role() == ServerModel.Role.PARENT
                             ? 1
                             : waiters.stream()
-                                    .mapToInt(w -> w.active().request().copyPriority())
+                                    .mapToInt(waiter -> waiter.active().request().copyPriority())
                                     .max()
                                     .orElse(0);
             table.store.put(copy, priority);
@@ -137,7 +137,7 @@
             long maxAgeNs = waiting.request().maxAgeNs();
             if (waiting.exchange().isEnded()) {
                 waiting.release().run();
-            } else if (maxAgeNs > 0 && copy.bornNs() < waiting.arrivedNs() - maxAgeNs) {
+            } else if (maxAgeNs > 0 && copy.createdNs() < waiting.arrivedNs() - maxAgeNs) {
                 // The joined fill began before a purge that this request must respect, so the copy
                 // is
                 // too old for it.
@@ -172,7 +172,7 @@
                 table.model.role() == ServerModel.Role.CACHE
                         && proxyStatus != null
                         && !error.equals("connection_limit_reached");
-        failWaiters(
+        endWaiters(
                 waiter ->
                         sendFailure(
                                 waiter,
@@ -183,7 +183,7 @@
                                 waitedNs));
     }
 
-    private void failWaiters(Consumer<ActiveRequest> respond) {
+    private void endWaiters(Consumer<ActiveRequest> respond) {
         for (FillTable.Waiter waiter : table.remove(fill, request.copyKey())) {
             ActiveRequest waiting = waiter.active();
             waiting.release().run();
@@ -198,9 +198,12 @@
         boolean provenNotExecuted =
                 error.equals("destination_unavailable") || error.equals("connection_refused");
         HttpExchange exchange = waiting.exchange();
-        String behind = failedOrigin == null ? "" : failedOrigin + "; error=" + error + ", ";
+        String originStatus = failedOrigin == null ? "" : failedOrigin + "; error=" + error + ", ";
         Fields fields =
-                new Fields().add("Proxy-Status", behind + table.model.name() + "; error=" + error);
+                new Fields()
+                        .add(
+                                "Proxy-Status",
+                                originStatus + table.model.name() + "; error=" + error);
         table.sender.sendStatus(
                 exchange, waiting.recorded(), 502, fields, waitedNs, provenNotExecuted);
     }
--- a/src/main/java/brooklock/testserver/FillTable.java
+++ b/src/main/java/brooklock/testserver/FillTable.java
@@ -48,7 +48,7 @@
     private final Map<CachedCopy.Key, List<Fill>> fills = new HashMap<>();
 
     /** The keys of {@code fills} in a set that other threads may read. */
-    private final Set<CachedCopy.Key> runningFills = ConcurrentHashMap.newKeySet();
+    private final Set<CachedCopy.Key> keysInFlight = ConcurrentHashMap.newKeySet();
 
     /**
      * Creates an empty table.
@@ -72,27 +72,27 @@
 
     /** Returns whether a fill for a copy is in flight. May be called from any thread. */
     boolean isFilling(CachedCopy.Key key) {
-        return runningFills.contains(key);
+        return keysInFlight.contains(key);
     }
 
     /** Drops all fills after the server was killed. */
     void clear() {
         fills.clear();
-        runningFills.clear();
+        keysInFlight.clear();
     }
 
     /** Adds the request to a fill in flight if it may join one; starts a new fill otherwise. */
     void fill(ActiveRequest active) {
         ServerRequest request = active.request();
-        List<Fill> running = fills.computeIfAbsent(request.copyKey(), key -> new ArrayList<>());
-        if (request.join() && !request.passThrough() && !running.isEmpty()) {
-            running.get(running.size() - 1).waiters.add(new Waiter(active, true));
+        List<Fill> keyFills = fills.computeIfAbsent(request.copyKey(), key -> new ArrayList<>());
+        if (request.mayJoin() && !request.passThrough() && !keyFills.isEmpty()) {
+            keyFills.get(keyFills.size() - 1).waiters.add(new Waiter(active, true));
             return;
         }
         Fill newFill = new Fill(System.nanoTime());
         newFill.waiters.add(new Waiter(active, false));
-        running.add(newFill);
-        runningFills.add(request.copyKey());
+        keyFills.add(newFill);
+        keysInFlight.add(request.copyKey());
         if (request.peer() != null && !request.passThrough()) {
             newFill.peerResult = PeerResult.ASKED;
             send(request.peerAddress(), active, "keep=0", new FillHandler(this, newFill, active));
@@ -107,7 +107,7 @@
         boolean parent = model.role() == ServerModel.Role.PARENT;
         String parameters =
                 "keep=1"
-                        + (request.join() ? ", join" : "")
+                        + (request.mayJoin() ? ", join" : "")
                         + (request.cachedOnly() && !parent ? ", held-only" : "");
         fill.sentNs = System.nanoTime();
         send(
@@ -118,7 +118,10 @@
     }
 
     private void send(
-            InetSocketAddress to, ActiveRequest active, String parameters, FillHandler handler) {
+            InetSocketAddress address,
+            ActiveRequest active,
+            String parameters,
+            FillHandler handler) {
         RequestHead original = active.exchange().head();
         Fields fields =
                 original.fields().copy().remove("Content-Length").remove("Transfer-Encoding");
@@ -127,7 +130,7 @@
         RequestHead head =
                 new RequestHead(
                         original.method(), original.target(), original.authority(), 1, fields);
-        client.send(to, head, new byte[0], handler);
+        client.send(address, head, new byte[0], handler);
     }
 
     // The maximum age applies to the moment when the request arrived here. The time that has passed
@@ -141,12 +144,12 @@
 
     /** Removes a fill that has ended and returns the requests that waited for it. */
     List<Waiter> remove(Fill fill, CachedCopy.Key key) {
-        List<Fill> running = fills.get(key);
-        if (running != null) {
-            running.remove(fill);
-            if (running.isEmpty()) {
+        List<Fill> keyFills = fills.get(key);
+        if (keyFills != null) {
+            keyFills.remove(fill);
+            if (keyFills.isEmpty()) {
                 fills.remove(key);
-                runningFills.remove(key);
+                keysInFlight.remove(key);
             }
         }
         return fill.waiters;
--- a/src/main/java/brooklock/testserver/LoadGenerator.java
+++ b/src/main/java/brooklock/testserver/LoadGenerator.java
@@ -163,15 +163,15 @@
     // Runs in a separate thread, because the timers of an I/O thread have a resolution of
     // milliseconds, too coarse for the intervals between requests.
     private static void runPacer(List<Worker> workers) {
-        boolean more = true;
-        while (more) {
-            more = false;
+        boolean moreDue = true;
+        while (moreDue) {
+            moreDue = false;
             long pauseNs = MAX_PACER_PAUSE_NS;
             for (Worker worker : workers) {
                 long nowNs = System.nanoTime();
                 worker.sendDue(nowNs);
                 if (worker.hasMoreDue()) {
-                    more = true;
+                    moreDue = true;
                     pauseNs = Math.min(pauseNs, worker.nextDueNs - nowNs);
                 }
             }
@@ -192,7 +192,7 @@
         private final HttpClient client;
         private final CountDownLatch done;
         private final int connections;
-        private final long countFromNs;
+        private final long measureFromNs;
         private final long endNs;
 
         /** Time between two requests of this worker; 0 if the load has no rate. */
@@ -201,7 +201,7 @@
         /** Time at which the next request is due. Used by the pacer thread only. */
         private long nextDueNs;
 
-        private int nextNumber;
+        private int nextRequestNumber;
         private int openRequests;
         private boolean ended;
 
@@ -216,14 +216,14 @@
                             ClientLimits.STANDARD
                                     .withConnections(connections, 1 << 20, connections)
                                     .withConnectTimeoutNs(TimeUnit.SECONDS.toNanos(20)));
-            countFromNs = startNs + plan.warmUpNs();
-            endNs = countFromNs + plan.durationNs();
+            measureFromNs = startNs + plan.warmUpNs();
+            endNs = measureFromNs + plan.durationNs();
             intervalNs =
                     plan.requestsPerS() > 0
                             ? (long) (1e9 * plan.threads() / plan.requestsPerS())
                             : 0;
             nextDueNs = startNs + intervalNs * index / plan.threads();
-            nextNumber = index;
+            nextRequestNumber = index;
         }
 
         void start() {
@@ -265,11 +265,11 @@
             RequestHead head =
                     new RequestHead(
                             "GET",
-                            plan.path().apply(nextNumber),
+                            plan.path().apply(nextRequestNumber),
                             plan.authority(),
                             1,
                             plan.fields());
-            nextNumber += plan.threads();
+            nextRequestNumber += plan.threads();
             client.send(
                     plan.address(),
                     head,
@@ -292,23 +292,23 @@
 
                         @Override
                         public void onComplete(Fields trailers) {
-                            onEnded(intendedNs, status == 200, status != 200);
+                            onRequestEnded(intendedNs, status == 200, status != 200);
                         }
 
                         @Override
                         public void onFailure(CallFailure failure, String reason) {
-                            onEnded(intendedNs, false, false);
+                            onRequestEnded(intendedNs, false, false);
                         }
                     });
         }
 
-        private void onEnded(long intendedNs, boolean ok, boolean other) {
+        private void onRequestEnded(long intendedNs, boolean succeeded, boolean unexpectedStatus) {
             openRequests--;
             long nowNs = System.nanoTime();
-            if (intendedNs - countFromNs >= 0 && intendedNs - endNs < 0) {
-                completed += ok ? 1 : 0;
-                otherStatus += other ? 1 : 0;
-                failed += ok || other ? 0 : 1;
+            if (intendedNs - measureFromNs >= 0 && intendedNs - endNs < 0) {
+                completed += succeeded ? 1 : 0;
+                otherStatus += unexpectedStatus ? 1 : 0;
+                failed += succeeded || unexpectedStatus ? 0 : 1;
                 latencyUs.recordValue(Math.max(0, (nowNs - intendedNs) / 1000));
             }
             if (intervalNs == 0 && nowNs - endNs < 0) {
--- a/src/main/java/brooklock/testserver/OverloadModel.java
+++ b/src/main/java/brooklock/testserver/OverloadModel.java
@@ -5,13 +5,13 @@
 /**
  * Models the failure of a server under overload during its warm-up: the server fails if the work
  * received within the overload window exceeds a multiple of its present capacity. Updated on the
- * server's I/O thread; {@link #warmUpShare} and {@link #usedShare} may be called from any thread.
+ * server's I/O thread; {@link #warmUpShare} and {@link #utilization} may be called from any thread.
  */
 final class OverloadModel {
     /** Requests allowed above the limit, so that random clusters of arrivals cause no failure. */
     private static final double SLACK_REQUESTS = 3;
 
-    private record Work(long atNs, double workNs) {}
+    private record Work(long arrivedNs, double workNs) {}
 
     private final ServerModel model;
     private final ArrayDeque<Work> recentWork = new ArrayDeque<>();
@@ -23,8 +23,8 @@
     }
 
     /** Restarts the model with the server. Unless {@code cold}, it has full capacity at once. */
-    void restart(long nowNs, boolean cold) {
-        startedNs = cold ? nowNs : nowNs - model.warmUpNs();
+    void restart(long nowNs, boolean startCold) {
+        startedNs = startCold ? nowNs : nowNs - model.warmUpNs();
         recentWork.clear();
         recentWorkNs = 0;
     }
@@ -38,18 +38,18 @@
     /** Adds work and returns the overload that it caused; null if it caused none. */
     TrafficRecorder.Overload add(long nowNs, double workNs) {
         recentWork.add(new Work(nowNs, workNs));
-        double sum = recentWorkNs + workNs;
-        while (nowNs - recentWork.peekFirst().atNs() > model.overloadWindowNs()) {
-            sum -= recentWork.pollFirst().workNs();
+        double windowWorkNs = recentWorkNs + workNs;
+        while (nowNs - recentWork.peekFirst().arrivedNs() > model.overloadWindowNs()) {
+            windowWorkNs -= recentWork.pollFirst().workNs();
         }
-        recentWorkNs = sum;
+        recentWorkNs = windowWorkNs;
         double warmUpShare = warmUpShare(nowNs);
         if (warmUpShare >= 1 || model.overloadMultiple() <= 0) {
             return null;
         }
-        double allowedNs = capacityNs(warmUpShare) + SLACK_REQUESTS * workNs;
-        return sum > allowedNs
-                ? new TrafficRecorder.Overload(model.name(), nowNs, sum, allowedNs)
+        double limitNs = capacityNs(warmUpShare) + SLACK_REQUESTS * workNs;
+        return windowWorkNs > limitNs
+                ? new TrafficRecorder.Overload(model.name(), nowNs, windowWorkNs, limitNs)
                 : null;
     }
 
@@ -61,7 +61,7 @@
     }
 
     /** Returns the load within the window as a share of the limit; 0 if the server is warm. */
-    double usedShare(long nowNs) {
+    double utilization(long nowNs) {
         double warmUpShare = warmUpShare(nowNs);
         return warmUpShare >= 1 || model.overloadMultiple() <= 0
                 ? 0
--- a/src/main/java/brooklock/testserver/PacedTransfer.java
+++ b/src/main/java/brooklock/testserver/PacedTransfer.java
@@ -11,80 +11,80 @@
  */
 final class PacedTransfer {
     /** Time that one chunk takes at the current rate; the next chunk uses a changed rate. */
-    private static final double PIECE_DURATION_S = 0.01;
+    private static final double CHUNK_DURATION_S = 0.01;
 
-    private static final int MIN_PIECE_BYTES = 512;
+    private static final int MIN_CHUNK_BYTES = 512;
 
     private final HttpExchange exchange;
     private final byte[] content;
-    private final int cutAt;
+    private final int truncateAtByte;
     private final DoubleSupplier bytesPerSecond;
     private final Runnable onEnded;
-    private int position;
+    private int sentBytes;
     private boolean ended;
 
     /**
      * Creates a new transfer, which begins with {@link #start}.
      *
-     * @param cutAt number of body bytes after which the connection is reset; -1 for never
+     * @param truncateAtByte number of body bytes after which the connection is reset; -1 for never
      * @param bytesPerSecond supplies the current rate, read before each chunk
      * @param onEnded called once when the transfer has completed, was cut or the client is gone
      */
     PacedTransfer(
             HttpExchange exchange,
             byte[] content,
-            int cutAt,
+            int truncateAtByte,
             DoubleSupplier bytesPerSecond,
             Runnable onEnded) {
         this.exchange = exchange;
         this.content = content;
-        this.cutAt = cutAt;
+        this.truncateAtByte = truncateAtByte;
         this.bytesPerSecond = bytesPerSecond;
         this.onEnded = onEnded;
     }
 
     void start(ResponseHead head) {
-        exchange.onClientGone(this::end);
-        exchange.onWritable(this::next);
+        exchange.onClientGone(this::finish);
+        exchange.onWritable(this::sendNextChunk);
         if (exchange.startResponse(head, content.length)) {
-            next();
+            sendNextChunk();
         }
     }
 
-    private void next() {
+    private void sendNextChunk() {
         if (exchange.isEnded() || ended) {
-            end();
+            finish();
             return;
         }
-        if (cutAt >= 0 && position >= cutAt) {
+        if (truncateAtByte >= 0 && sentBytes >= truncateAtByte) {
             exchange.abort();
-            end();
+            finish();
             return;
         }
-        if (position == content.length) {
+        if (sentBytes == content.length) {
             exchange.endResponse();
-            end();
+            finish();
             return;
         }
         double currentRate = bytesPerSecond.getAsDouble();
-        int count =
+        int chunkBytes =
                 Math.min(
-                        content.length - position,
-                        Math.max(MIN_PIECE_BYTES, (int) (currentRate * PIECE_DURATION_S)));
-        ByteBuffer piece = ByteBuffer.wrap(content, position, count);
-        position += count;
-        boolean taken = exchange.writeBody(piece);
+                        content.length - sentBytes,
+                        Math.max(MIN_CHUNK_BYTES, (int) (currentRate * CHUNK_DURATION_S)));
+        ByteBuffer chunk = ByteBuffer.wrap(content, sentBytes, chunkBytes);
+        sentBytes += chunkBytes;
+        boolean written = exchange.writeBody(chunk);
         exchange.loop()
                 .schedule(
-                        (long) (count / currentRate * 1e9),
+                        (long) (chunkBytes / currentRate * 1e9),
                         () -> {
-                            if (taken) {
-                                next();
+                            if (written) {
+                                sendNextChunk();
                             }
                         });
     }
 
-    private void end() {
+    private void finish() {
         if (!ended) {
             ended = true;
             onEnded.run();
--- a/src/main/java/brooklock/testserver/PurgeRecord.java
+++ b/src/main/java/brooklock/testserver/PurgeRecord.java
@@ -9,17 +9,17 @@
     private final Map<Integer, Long> groupPurgesNs = new HashMap<>();
 
     /** Registers a purge of an object, or of a group if {@code object} is 0. */
-    void add(long object, int group, long atNs) {
+    void add(long object, int group, long purgedNs) {
         if (object != 0) {
-            objectPurgesNs.merge(object, atNs, Math::max);
+            objectPurgesNs.merge(object, purgedNs, Math::max);
         } else {
-            groupPurgesNs.merge(group, atNs, Math::max);
+            groupPurgesNs.merge(group, purgedNs, Math::max);
         }
     }
 
     /** Returns whether a copy was created before a purge of its object or its group. */
     boolean isPurged(CachedCopy copy) {
-        return copy.bornNs() < objectPurgesNs.getOrDefault(copy.key().object(), Long.MIN_VALUE)
-                || copy.bornNs() < groupPurgesNs.getOrDefault(copy.group(), Long.MIN_VALUE);
+        return copy.createdNs() < objectPurgesNs.getOrDefault(copy.key().object(), Long.MIN_VALUE)
+                || copy.createdNs() < groupPurgesNs.getOrDefault(copy.group(), Long.MIN_VALUE);
     }
 }
--- a/src/main/java/brooklock/testserver/RecordedRequest.java
+++ b/src/main/java/brooklock/testserver/RecordedRequest.java
@@ -73,7 +73,7 @@
         this.server = server;
         dispatcher = request.dispatcher();
         sender = request.sender();
-        this.requestId = request.request();
+        this.requestId = request.requestId();
         this.target = target;
         attempt = request.attempt();
         object = request.object();
--- a/src/main/java/brooklock/testserver/ResponseSender.java
+++ b/src/main/java/brooklock/testserver/ResponseSender.java
@@ -75,7 +75,7 @@
             }
             return;
         }
-        boolean cut = random.nextDouble() < faults.truncatedShare;
+        boolean truncate = random.nextDouble() < faults.truncatedShare;
         Fields fields = copyFields(recorded, copy, cacheStatus);
         if (prefetch) {
             active.release().run();
@@ -87,7 +87,7 @@
                 new PacedTransfer(
                         active.exchange(),
                         copy.content(),
-                        cut ? copy.content().length / 2 : -1,
+                        truncate ? copy.content().length / 2 : -1,
                         this::transferRate,
                         () -> {
                             load.transferEnded();
@@ -103,7 +103,7 @@
                         .add("Content-Type", "application/octet-stream")
                         .add(
                                 "Brooklock-Age",
-                                Long.toString((recorded.arrivedNs - copy.bornNs()) / 1000));
+                                Long.toString((recorded.arrivedNs - copy.createdNs()) / 1000));
         load.addReport(fields);
         if (!cacheStatus.isEmpty()) {
             fields.add("Cache-Status", cacheStatus);
@@ -120,9 +120,9 @@
     // Returns the rate of each transfer in bytes a second. Transfers share the link equally once
     // there are more of them than it carries at full rate.
     private double transferRate() {
-        double carried = model.maxTransfers() * overloadModel.warmUpShare(System.nanoTime());
+        double capacity = model.maxTransfers() * overloadModel.warmUpShare(System.nanoTime());
         return model.bytesPerSecond()
                 / faults.slowdown
-                * Math.min(1, carried / Math.max(1, load.openTransfers()));
+                * Math.min(1, capacity / Math.max(1, load.openTransfers()));
     }
 }
--- a/src/main/java/brooklock/testserver/ServerLoad.java
+++ b/src/main/java/brooklock/testserver/ServerLoad.java
@@ -5,8 +5,8 @@
 
 /**
  * Counts the open requests and transfers, the request rate and the cache hits of a server. Updated
- * on the server's I/O thread; {@link #usedShare} and {@link #openTransfers} may be called from any
- * thread.
+ * on the server's I/O thread; {@link #utilization} and {@link #openTransfers} may be called from
+ * any thread.
  */
 final class ServerLoad {
     private final ServerModel model;
@@ -41,7 +41,7 @@
         openTransfers.decrementAndGet();
     }
 
-    void hit() {
+    void countHit() {
         hitCount++;
     }
 
@@ -60,7 +60,7 @@
     }
 
     /** Counts a request against the rate limit; returns false if the limit is reached. */
-    boolean tryCountRequest(long nowNs) {
+    boolean tryCountAgainstRateLimit(long nowNs) {
         if (model.maxRequestsPerS() <= 0) {
             return true;
         }
@@ -75,7 +75,7 @@
      * Returns the utilization of the server as a share of 1: the higher one of open requests to
      * their limit and request rate to its limit.
      */
-    double usedShare(long nowNs) {
+    double utilization(long nowNs) {
         double rateShare =
                 model.maxRequestsPerS() <= 0
                         ? 0
--- a/src/main/java/brooklock/testserver/ServerRequest.java
+++ b/src/main/java/brooklock/testserver/ServerRequest.java
@@ -12,7 +12,7 @@
  *
  * @param dispatcher the first dispatcher that forwarded the request
  * @param sender the sender of this request: that dispatcher, or the cache that fills
- * @param request the client's identifier of its request; null if it sent none
+ * @param requestId the client's identifier of its request; null if it sent none
  * @param attempt number of the attempt
  * @param object identifier of the object
  * @param part index of the requested part of the object
@@ -25,7 +25,7 @@
  * @param peer name of a cache to request the copy from before the source; null for none
  * @param peerAddress address of {@code peer}; null without one
  * @param maxAgeNs maximum age of an acceptable copy; 0 for any age
- * @param join whether the request may join a fill in flight
+ * @param mayJoin whether the request may join a fill in flight
  * @param cachedOnly whether the source returns only a copy that it has cached
  * @param prefetch whether the copy is only to be cached and the response carries no body
  * @param idempotencyKey the idempotency key; null if the request has none
@@ -33,7 +33,7 @@
 record ServerRequest(
         String dispatcher,
         String sender,
-        String request,
+        String requestId,
         int attempt,
         long object,
         int part,
@@ -46,14 +46,14 @@
         String peer,
         InetSocketAddress peerAddress,
         long maxAgeNs,
-        boolean join,
+        boolean mayJoin,
         boolean cachedOnly,
         boolean prefetch,
         String idempotencyKey) {
     private static final long MICROSECOND_NS = 1000;
 
     /** Decodes the fields of a request; absent fields take their defaults. */
-    static ServerRequest of(RequestHead head) {
+    static ServerRequest decode(RequestHead head) {
         Fields fields = head.fields();
         Map<String, String> copy = parseParameters(fields.get("Brooklock-Copy"));
         Map<String, String> get = parseParameters(fields.get("Brooklock-Get"));
@@ -61,8 +61,8 @@
         String viaField = fields.combinedValue("Via");
         String[] via = viaField == null ? new String[] {"- -"} : viaField.split(", *", -1);
         return new ServerRequest(
-                viaName(via[0]),
-                viaName(via[via.length - 1]),
+                parseProxyName(via[0]),
+                parseProxyName(via[via.length - 1]),
                 fields.get("X-Request-Id"),
                 Integer.parseInt(attempt.getOrDefault("try", "0")),
                 Long.parseUnsignedLong(copy.getOrDefault("object", "0"), 16),
@@ -91,7 +91,7 @@
                 text.substring(0, colon), Integer.parseInt(text.substring(colon + 1)));
     }
 
-    private static String viaName(String hop) {
+    private static String parseProxyName(String hop) {
         String[] words = hop.trim().split(" ", -1);
         return words[words.length - 1];
     }
--- a/src/main/java/brooklock/testserver/TestServer.java
+++ b/src/main/java/brooklock/testserver/TestServer.java
@@ -46,7 +46,7 @@
     private final ResponseSender sender;
 
     /** Time at which the origin executed the first request with each idempotency key. */
-    private final Map<String, Long> effects = new HashMap<>();
+    private final Map<String, Long> executedKeys = new HashMap<>();
 
     private HttpListener listener;
     private InetSocketAddress address;
@@ -172,14 +172,14 @@
      * their limit and request rate to its limit.
      */
     public double utilization() {
-        return load.usedShare(System.nanoTime());
+        return load.utilization(System.nanoTime());
     }
 
     /**
      * Returns the load as a share of the overload limit during warm-up; 0 if the server is warm.
      */
     public double warmUpLoad() {
-        return overloadModel.usedShare(System.nanoTime());
+        return overloadModel.utilization(System.nanoTime());
     }
 
     /** Returns whether a fill for a part is in flight, which a request could join. */
@@ -189,14 +189,14 @@
 
     /** Returns the rate that one more transfer would get, as a share of the full rate. */
     public double nextTransferRateShare() {
-        double carried = model.maxTransfers() * overloadModel.warmUpShare(System.nanoTime());
-        return Math.min(1, carried / (load.openTransfers() + 1)) / faults.slowdown;
+        double capacity = model.maxTransfers() * overloadModel.warmUpShare(System.nanoTime());
+        return Math.min(1, capacity / (load.openTransfers() + 1)) / faults.slowdown;
     }
 
     /** Returns the age in ns of the cached copy of a part; -1 if none is cached. */
     public long copyAgeNs(long object, int part) {
         CachedCopy copy = store.peek(new CachedCopy.Key(object, part));
-        return copy == null ? -1 : System.nanoTime() - copy.bornNs();
+        return copy == null ? -1 : System.nanoTime() - copy.createdNs();
     }
 
     // ---- Faults and purges
@@ -261,12 +261,12 @@
      * Removes the copies of an object, or of a purge group if {@code object} is 0, that the origin
      * created before a time.
      *
-     * @param momentNs the time of the purge, by {@link System#nanoTime}
+     * @param purgedNs the time of the purge, by {@link System#nanoTime}
      */
-    public void purge(long object, int group, long momentNs) {
+    public void purge(long object, int group, long purgedNs) {
         loop.execute(
                 () -> {
-                    purges.add(object, group, momentNs);
+                    purges.add(object, group, purgedNs);
                     store.removeIf(purges::isPurged);
                 });
     }
@@ -275,14 +275,14 @@
 
     private void onRequest(HttpExchange exchange) {
         long nowNs = System.nanoTime();
-        ServerRequest request = ServerRequest.of(exchange.head());
+        ServerRequest request = ServerRequest.decode(exchange.head());
         RecordedRequest recorded =
                 new RecordedRequest(nowNs, model.name(), exchange.head().target(), request);
         recorded.cold = overloadModel.warmUpShare(nowNs) < 1;
         traffic.record(recorded);
         TrafficRecorder.Overload overload =
                 overloadModel.add(nowNs, meanWorkNs.applyAsDouble(request.className()));
-        recorded.warmUpLoad = overloadModel.usedShare(nowNs);
+        recorded.warmUpLoad = overloadModel.utilization(nowNs);
         if (overload != null && !overloaded) {
             overloaded = true;
             alive = false;
@@ -297,7 +297,7 @@
             sender.sendStatus(exchange, recorded, 500, new Fields(), 0, false);
         } else if (load.isFull()
                 || random.nextDouble() < faults.rejectShare
-                || !load.tryCountRequest(nowNs)) {
+                || !load.tryCountAgainstRateLimit(nowNs)) {
             sender.reject(exchange, recorded);
         } else {
             load.requestStarted();
@@ -339,10 +339,10 @@
             fills.fill(active);
             return;
         }
-        CachedCopy copy = store.use(request.copyKey(), cache ? request.copyPriority() : 1);
+        CachedCopy copy = store.get(request.copyKey(), cache ? request.copyPriority() : 1);
         long maxAgeNs = request.maxAgeNs();
-        if (copy != null && (maxAgeNs == 0 || copy.bornNs() >= active.arrivedNs() - maxAgeNs)) {
-            load.hit();
+        if (copy != null && (maxAgeNs == 0 || copy.createdNs() >= active.arrivedNs() - maxAgeNs)) {
+            load.countHit();
             active.recorded().cacheHit = true;
             sender.sendCopy(active, copy, model.name() + "; hit");
         } else if (cache ? request.source() == null : request.cachedOnly()) {
@@ -361,7 +361,7 @@
         ServerRequest request = active.request();
         if (request.passThrough()) {
             String key = request.idempotencyKey();
-            active.recorded().executed = key == null || effects.put(key, nowNs) == null;
+            active.recorded().executed = key == null || executedKeys.put(key, nowNs) == null;
         }
         String path = active.exchange().head().target();
         byte[] content = new byte[sizes.of(path, request.className())];
--- a/src/main/java/brooklock/testserver/TrafficRecorder.java
+++ b/src/main/java/brooklock/testserver/TrafficRecorder.java
@@ -29,7 +29,7 @@
 
     private final ConcurrentLinkedQueue<RecordedRequest> requests = new ConcurrentLinkedQueue<>();
     private final ConcurrentLinkedQueue<Overload> overloads = new ConcurrentLinkedQueue<>();
-    private final Map<Long, Long> copyBirthNs = new ConcurrentHashMap<>();
+    private final Map<Long, Long> copyCreationNs = new ConcurrentHashMap<>();
     private final AtomicLong serials = new AtomicLong();
     private final AtomicLong recordedCount = new AtomicLong();
 
@@ -37,7 +37,7 @@
         requests.add(request);
         if (recordedCount.incrementAndGet() > MAX_RECORDED) {
             requests.poll();
-            copyBirthNs.remove(serials.get() - MAX_RECORDED);
+            copyCreationNs.remove(serials.get() - MAX_RECORDED);
         }
     }
 
@@ -48,9 +48,9 @@
     /**
      * Registers a copy that the origin has created and returns the serial number assigned to it.
      */
-    long registerCopy(long atNs) {
+    long registerCopy(long createdNs) {
         long serial = serials.incrementAndGet();
-        copyBirthNs.put(serial, atNs);
+        copyCreationNs.put(serial, createdNs);
         return serial;
     }
 
@@ -69,6 +69,6 @@
      * serial number is unknown.
      */
     public Long copyCreatedNs(long serial) {
-        return copyBirthNs.get(serial);
+        return copyCreationNs.get(serial);
     }
 }
--- a/src/test/java/brooklock/ArchitectureTest.java
+++ b/src/test/java/brooklock/ArchitectureTest.java
@@ -71,12 +71,12 @@
                     .withImportOption(new ImportOption.DoNotIncludeTests())
                     .importPackages("brooklock");
 
-    private static DescribedPredicate<JavaClass> in(List<String> packages) {
+    private static DescribedPredicate<JavaClass> inPackages(List<String> packages) {
         return DescribedPredicate.describe(
                 "in " + packages, type -> packages.contains(type.getPackageName()));
     }
 
-    private static DescribedPredicate<JavaClass> named(String description, String regex) {
+    private static DescribedPredicate<JavaClass> matchingName(String description, String regex) {
         return DescribedPredicate.describe(description, type -> type.getFullName().matches(regex));
     }
 
@@ -95,9 +95,9 @@
         for (int i = 1; i < LAYERS.size(); i++) {
             List<String> above = LAYERS.subList(0, i).stream().map(name -> ROOT + name).toList();
             noClasses()
-                    .that(in(List.of(ROOT + LAYERS.get(i))))
+                    .that(inPackages(List.of(ROOT + LAYERS.get(i))))
                     .should()
-                    .dependOnClassesThat(in(above))
+                    .dependOnClassesThat(inPackages(above))
                     .check(all);
         }
     }
@@ -105,7 +105,7 @@
     @Test
     void routingDependsOnNoOtherPackage() {
         noClasses()
-                .that(in(List.of("brooklock.routing")))
+                .that(inPackages(List.of("brooklock.routing")))
                 .should()
                 .dependOnClassesThat(
                         DescribedPredicate.describe(
@@ -120,10 +120,10 @@
     @Test
     void testServersShareOnlyHttpAndNet() {
         noClasses()
-                .that(in(List.of("brooklock.testserver")))
+                .that(inPackages(List.of("brooklock.testserver")))
                 .should()
                 .dependOnClassesThat(
-                        in(
+                        inPackages(
                                 List.of(
                                         "brooklock",
                                         "brooklock.routing",
@@ -135,15 +135,15 @@
     }
 
     @Test
-    void purePackagesHaveNoSocketsFilesThreadsOrClock() {
+    void purePackagesUseNoSocketsFilesThreadsOrClock() {
         classes()
-                .that(in(PURE))
+                .that(inPackages(PURE))
                 .should()
                 .onlyDependOnClassesThat(
                         DescribedPredicate.describe("pure", ArchitectureTest::isPure))
                 .check(all);
         noClasses()
-                .that(in(PURE))
+                .that(inPackages(PURE))
                 .should()
                 .callMethod(System.class, "nanoTime")
                 .orShould()
@@ -154,12 +154,13 @@
     @Test
     void theCoreOfMembershipIsPure() {
         noClasses()
-                .that(in(List.of("brooklock.membership")))
+                .that(inPackages(List.of("brooklock.membership")))
                 .and()
                 .haveNameNotMatching(MEMBERSHIP_WITH_FILES)
                 .should()
                 .dependOnClassesThat(
-                        named("files, sockets, threads, logs", FILES_SOCKETS_THREADS_AND_LOGS))
+                        matchingName(
+                                "files, sockets, threads, logs", FILES_SOCKETS_THREADS_AND_LOGS))
                 .orShould()
                 .callMethod(System.class, "nanoTime")
                 .orShould()
@@ -170,7 +171,7 @@
     @Test
     void theSimulatorAdapterLoadsOnlyRouting() {
         noClasses()
-                .that(in(List.of("brooklock.simulator")))
+                .that(inPackages(List.of("brooklock.simulator")))
                 .should()
                 .dependOnClassesThat(
                         DescribedPredicate.describe(
