--- a/src/main/java/brooklock/cli/Cli.java
+++ b/src/main/java/brooklock/cli/Cli.java
@@ -46,9 +46,8 @@
         return line.execute(args);
     }
 
-    // Invalid settings and I/O failures are reported as a message only, because the user can
-    // correct
-    // them. Any other exception is a bug, and picocli prints its stack trace.
+    // Invalid settings and I/O failures are reported as a message only, because the
+    // user can correct the cause. Any other exception is a bug, and picocli prints its stack trace.
     private static int handleFailure(
             Exception e, CommandLine command, CommandLine.ParseResult parsed) throws Exception {
         if (e instanceof SettingsException s) {
--- a/src/main/java/brooklock/testserver/FillHandler.java
+++ b/src/main/java/brooklock/testserver/FillHandler.java
@@ -41,9 +41,9 @@
     }
 
     @Override
-    public boolean onBody(ByteBuffer piece) {
-        byte[] bytes = new byte[piece.remaining()];
-        piece.get(bytes);
+    public boolean onBody(ByteBuffer chunk) {
+        byte[] bytes = new byte[chunk.remaining()];
+        chunk.get(bytes);
         content.writeBytes(bytes);
         return true;
     }
@@ -138,9 +138,8 @@
             if (waiting.exchange().isEnded()) {
                 waiting.release().run();
             } else if (maxAgeNs > 0 && copy.createdNs() < waiting.arrivedNs() - maxAgeNs) {
-                // The joined fill began before a purge that this request must respect, so the copy
-                // is
-                // too old for it.
+                // The joined fill began before a purge that this request must respect, so its copy
+                // is too old.
                 table.fill(waiting);
             } else {
                 waiting.recorded().peerResult = fill.peerResult;
@@ -165,9 +164,8 @@
                         ? ""
                         : proxyStatus.substring(proxyStatus.indexOf("error=") + "error=".length());
         boolean provenNotExecuted = NOT_EXECUTED_ERRORS.contains(error);
-        // A parent reports the failure of its own source, the origin, in Proxy-Status. The
-        // exception
-        // is its own connection limit, which says nothing about the origin.
+        // In Proxy-Status, a parent reports that its own source, the origin, has failed, unless the
+        // error is the parent's own connection limit.
         boolean originFailed =
                 table.model.role() == ServerModel.Role.CACHE
                         && proxyStatus != null
--- a/src/main/java/brooklock/testserver/LoadGenerator.java
+++ b/src/main/java/brooklock/testserver/LoadGenerator.java
@@ -312,9 +312,8 @@
                 latencyUs.recordValue(Math.max(0, (nowNs - intendedNs) / 1000));
             }
             if (intervalNs == 0 && nowNs - endNs < 0) {
-                // Scheduled instead of sent from this callback: with a fast server, nested
-                // callbacks
-                // would overflow the stack.
+                // Scheduled instead of sent from this callback, because nested callbacks would
+                // overflow the stack if the server is fast.
                 loop.execute(() -> send(System.nanoTime()));
             } else {
                 ended |= intervalNs == 0;
--- a/src/main/java/brooklock/testserver/OverloadModel.java
+++ b/src/main/java/brooklock/testserver/OverloadModel.java
@@ -22,7 +22,7 @@
         this.model = model;
     }
 
-    /** Restarts the model with the server. Unless {@code cold}, it has full capacity at once. */
+    /** Restarts the model with the server. Unless {@code startCold}, it has full capacity. */
     void restart(long nowNs, boolean startCold) {
         startedNs = startCold ? nowNs : nowNs - model.warmUpNs();
         recentWork.clear();
--- a/src/main/java/brooklock/testserver/PacedTransfer.java
+++ b/src/main/java/brooklock/testserver/PacedTransfer.java
@@ -10,7 +10,7 @@
  * server's I/O thread only.
  */
 final class PacedTransfer {
-    /** Time that one chunk takes at the current rate; the next chunk uses a changed rate. */
+    /** Duration of a chunk, short so that a change of the rate soon takes effect. */
     private static final double CHUNK_DURATION_S = 0.01;
 
     private static final int MIN_CHUNK_BYTES = 512;
@@ -28,7 +28,8 @@
      *
      * @param truncateAtByte number of body bytes after which the connection is reset; -1 for never
      * @param bytesPerSecond supplies the current rate, read before each chunk
-     * @param onEnded called once when the transfer has completed, was cut or the client is gone
+     * @param onEnded called once when the transfer has completed, was truncated, or the client has
+     *     left
      */
     PacedTransfer(
             HttpExchange exchange,
--- a/src/main/java/brooklock/testserver/TestServer.java
+++ b/src/main/java/brooklock/testserver/TestServer.java
@@ -45,7 +45,7 @@
     private final FillTable fills;
     private final ResponseSender sender;
 
-    /** Time at which the origin executed the first request with each idempotency key. */
+    /** Idempotency keys that the origin has executed, each with the time of its latest request. */
     private final Map<String, Long> executedKeys = new HashMap<>();
 
     private HttpListener listener;
@@ -142,10 +142,12 @@
         return address;
     }
 
+    /** Returns the name of the server. */
     public String name() {
         return model.name();
     }
 
+    /** Returns the capacity and limits of the server. */
     public ServerModel model() {
         return model;
     }
@@ -175,9 +177,7 @@
         return load.utilization(System.nanoTime());
     }
 
-    /**
-     * Returns the load as a share of the overload limit during warm-up; 0 if the server is warm.
-     */
+    /** Returns the load as a share of the warm-up overload limit; 0 if the server is warm. */
     public double warmUpLoad() {
         return overloadModel.utilization(System.nanoTime());
     }
--- a/src/main/java/brooklock/testserver/TrafficRecorder.java
+++ b/src/main/java/brooklock/testserver/TrafficRecorder.java
@@ -54,7 +54,7 @@
         return serial;
     }
 
-    /** Returns the requests that have reached a server, in order of arrival. */
+    /** Returns the requests that have reached a server, in the order recorded. */
     public Collection<RecordedRequest> requests() {
         return requests;
     }
--- a/src/test/java/brooklock/DeployFileTest.java
+++ b/src/test/java/brooklock/DeployFileTest.java
@@ -16,7 +16,7 @@
 
 /** Checks that the source files that deploy/balancer.toml lists match those in the source tree. */
 class DeployFileTest {
-    private static final Path DECISIONS = Path.of("src/main/java/brooklock/routing");
+    private static final Path ROUTING_SOURCES = Path.of("src/main/java/brooklock/routing");
     private static final int MAX_LINE_LENGTH = 100;
 
     private static List<String> entries(String key) throws IOException {
@@ -32,8 +32,8 @@
                 .toList();
     }
 
-    private static List<Path> decisionFiles() throws IOException {
-        try (Stream<Path> files = Files.list(DECISIONS)) {
+    private static List<Path> routingFiles() throws IOException {
+        try (Stream<Path> files = Files.list(ROUTING_SOURCES)) {
             return files.filter(file -> !file.endsWith("package-info.java")).sorted().toList();
         }
     }
@@ -41,12 +41,12 @@
     @Test
     void policyNamesEveryFileOfRouting() throws IOException {
         TreeSet<String> present = new TreeSet<>();
-        decisionFiles().forEach(file -> present.add(file.toString()));
+        routingFiles().forEach(file -> present.add(file.toString()));
         assertEquals(present, new TreeSet<>(entries("policy")));
     }
 
     @Test
-    void nodeNamesOnlyWhatExists() throws IOException {
+    void nodeNamesOnlyExistingFiles() throws IOException {
         List<String> node = entries("node");
         assertFalse(node.isEmpty());
         for (String entry : node) {
@@ -55,8 +55,8 @@
     }
 
     @Test
-    void decisionFilesKeepTheLineLength() throws IOException {
-        for (Path file : decisionFiles()) {
+    void routingFilesKeepTheLineLength() throws IOException {
+        for (Path file : routingFiles()) {
             for (String line : Files.readAllLines(file)) {
                 assertTrue(line.length() <= MAX_LINE_LENGTH, file + ": " + line);
             }
