--- a/benchmarks/RevocationTime.java
+++ b/benchmarks/RevocationTime.java
@@ -54,9 +54,8 @@
                         c -> 1e7,
                         null,
                         1);
-        // The cache sends 4 MB a second, so that a transfer would take ten seconds and has not
-        // ended
-        // when its certificate is revoked.
+        // The cache sends 4 MB a second, so that a transfer would take ten seconds and is not
+        // complete when its certificate is revoked.
         TestServer cache =
                 new TestServer(
                         net,
