--- a/src/main/java/brooklock/proxy/AccessLog.java
+++ b/src/main/java/brooklock/proxy/AccessLog.java
@@ -3,17 +3,19 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** One line for each admitted request that has ended, to the logger "answers". */
+/**
+ * Writes one entry for each admitted request that has ended, to the logger "answers". Thread-safe.
+ */
 final class AccessLog {
     private static final Logger LOG = LoggerFactory.getLogger("answers");
 
     private AccessLog() {}
 
     /**
-     * Writes a request's line.
+     * Writes the entry of a request.
      *
-     * @param exchange a request that has ended
-     * @param nowNs now, on the dispatcher's clock
+     * @param exchange the request, which must have ended
+     * @param nowNs the current time on the dispatcher's clock, in ns
      */
     static void writeEntry(ProxyExchange exchange, long nowNs) {
         if (!LOG.isInfoEnabled()) {
@@ -32,7 +34,7 @@
                 .addKeyValue("object", Long.toHexString(request.match().object()))
                 .addKeyValue("part", request.match().part())
                 .addKeyValue("attempts", exchange.attemptDescriptions())
-                .addKeyValue("final", exchange.completion().word())
+                .addKeyValue("final", exchange.completion().logWord())
                 .addKeyValue("status", exchange.status())
                 .addKeyValue("bytes", exchange.responseBytes())
                 .addKeyValue("us", (nowNs - request.acceptedAtNs()) / 1000)
--- a/src/main/java/brooklock/proxy/WarmingCoordinator.java
+++ b/src/main/java/brooklock/proxy/WarmingCoordinator.java
@@ -28,11 +28,12 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Carries out what {@link CacheWarming} decides: names peers in attempts, hands the share of each
- * cache to the router as its weight, and prefetches.
+ * Executes the decisions of {@link CacheWarming}: selects peers for attempts, submits the load
+ * share of each cache to the router as its weight, and sends prefetches.
  *
- * <p>All of it belongs to the routing thread, except {@link #start}, {@link #close} and {@link
- * #appendState}, which any thread may call.
+ * <p>Must be used on the routing thread only, except {@link #start}, {@link #close} and {@link
+ * #appendState}, which any thread may call. Periodic work runs from {@link #start} to {@link
+ * #close}.
  */
 final class WarmingCoordinator {
     private static final Logger LOG = LoggerFactory.getLogger(WarmingCoordinator.class);
@@ -49,17 +50,17 @@
     private int ticks;
     private volatile boolean closed;
 
-    // Written by the routing thread, read by the thread that writes the state page.
+    // Written by the routing thread and read by threads that render the state page.
     private final LongAdder peerHits = new LongAdder();
     private final LongAdder peerMisses = new LongAdder();
     private final LongAdder prefetches = new LongAdder();
 
     /**
-     * Makes one that knows no cache.
+     * Creates a new coordinator without caches.
      *
      * @param tickLoop the I/O thread whose timer drives the periodic work
      * @param prefetchSender sends prefetches
-     * @param snapshotStore keeps what was learned; empty where it is not kept
+     * @param snapshotStore saves the warming state; empty if it is not to be saved
      */
     WarmingCoordinator(
             ProxyContext context,
@@ -74,7 +75,7 @@
         recentPurges = new RecentPurges(settings.safetyLimits().purgeWindowNs());
         warming =
                 new CacheWarming<>(
-                        limits(settings),
+                        toWarmingLimits(settings),
                         (object, part, endpoint) ->
                                 RendezvousHash.score(
                                         RendezvousHash.copyHash(object, part), endpoint, 1),
@@ -83,23 +84,23 @@
                         context.clock().nowNs());
     }
 
-    private static WarmingLimits limits(Settings settings) {
+    private static WarmingLimits toWarmingLimits(Settings settings) {
         Settings.WarmingSettings warming = settings.warming();
-        Settings.SafetyLimitSettings invariants = settings.safetyLimits();
+        Settings.SafetyLimitSettings safetyLimits = settings.safetyLimits();
         return new WarmingLimits(
                 warming.acrossZones(),
                 warming.peerLoadShare(),
                 warming.warmCapacityPerS() / 1e9,
                 settings.dispatcherCount(),
-                invariants.initialCapacity(),
-                invariants.warmUpNs(),
-                invariants.overloadMultiple(),
-                invariants.overloadWindowNs());
+                safetyLimits.initialCapacity(),
+                safetyLimits.warmUpNs(),
+                safetyLimits.overloadMultiple(),
+                safetyLimits.overloadWindowNs());
     }
 
     // ---- The endpoint list
 
-    /** Reads the caches of the list in force. */
+    /** Updates the set of caches from the endpoint list in force. */
     void onEndpointListChanged() {
         List<CacheWarming.CacheEndpoint> caches = new ArrayList<>();
         for (Endpoint endpoint :
@@ -118,7 +119,9 @@
         warming.onEndpointList(caches, context.clock().nowNs());
     }
 
-    /** Returns a list whose weights count the share of each cache that warms up. */
+    /**
+     * Returns a copy of the list in which each weight is multiplied by the load share of its cache.
+     */
     EndpointListReceived withWarmingWeights(EndpointListReceived list) {
         return new EndpointListReceived(
                 list.kind(), list.endpoints().stream().map(this::withWarmingWeight).toList());
@@ -137,12 +140,12 @@
 
     // ---- Requests
 
-    /** Nothing that was purged is prefetched until the purge is complete at every cache. */
+    /** Blocks prefetches of purged objects until the purge is complete at every cache. */
     void onPurge(RouterEvent.PurgeReceived purge) {
         recentPurges.add(purge.object(), purge.group(), context.clock().nowNs() - purge.ageNs());
     }
 
-    /** A request is about to be routed. */
+    /** Records a request that is about to be routed. */
     void onRequest(RoutedRequest request) {
         RouteTable.Match match = request.match();
         if (!match.requestClass().passThrough() && request.client().head().method().equals("GET")) {
@@ -155,9 +158,9 @@
     }
 
     /**
-     * Selects the peer that an attempt's cache miss is to be filled from first.
+     * Selects the peer that the endpoint of an attempt tries first on a cache miss.
      *
-     * @return its identifier, or {@link UpstreamAttempt#NO_PEER}
+     * @return the peer's identifier, or {@link UpstreamAttempt#NO_PEER}
      */
     long selectFillPeer(StartAttempt action, RouteTable.Match match) {
         boolean fillsCopy =
@@ -170,7 +173,7 @@
                 : UpstreamAttempt.NO_PEER;
     }
 
-    /** An attempt has ended and the router has seen it. */
+    /** Records a completed attempt. Must be called after the router has processed its event. */
     void onAttemptCompleted(AttemptObservation observation) {
         long nowNs = context.clock().nowNs();
         AttemptCompleted event = observation.event();
@@ -189,11 +192,11 @@
             warming.onFailure(event.endpoint(), isConnectionFailure(event.outcome()), nowNs);
         }
         if (observation.peerId() != UpstreamAttempt.NO_PEER) {
-            onPeerObserved(observation, nowNs);
+            recordPeerObservation(observation, nowNs);
         }
     }
 
-    // Whether the endpoint itself failed, not what it fills from.
+    // Returns whether the endpoint itself failed and not its fill source.
     private static boolean isEndpointFailure(AttemptCompleted event) {
         return switch (event.outcome()) {
             case OVERLOADED, ERROR -> event.cacheStatus() == CacheStatus.NONE;
@@ -206,18 +209,18 @@
         return outcome == AttemptOutcome.CONNECT_FAILED || outcome == AttemptOutcome.RESET;
     }
 
-    private void onPeerObserved(AttemptObservation observation, long nowNs) {
+    private void recordPeerObservation(AttemptObservation observation, long nowNs) {
         AttemptCompleted event = observation.event();
         long peerId = observation.peerId();
         observation.peerLoad().ifPresent(load -> warming.onReport(peerId, load));
         if (observation.peerResult().isPresent()) {
-            onPeerResult(event.endpoint(), peerId, observation.peerResult().get(), nowNs);
+            recordPeerResult(event.endpoint(), peerId, observation.peerResult().get(), nowNs);
         } else if (event.outcome() == AttemptOutcome.OK && event.cacheStatus() == CacheStatus.HIT) {
             warming.onPeerUnused(peerId);
         }
     }
 
-    private void onPeerResult(long endpointId, long peerId, PeerResult result, long nowNs) {
+    private void recordPeerResult(long endpointId, long peerId, PeerResult result, long nowNs) {
         if (result == PeerResult.FILLED) {
             peerHits.increment();
         } else if (result == PeerResult.MISSED) {
@@ -228,7 +231,10 @@
 
     // ---- Periodic work
 
-    /** Restores the last snapshot, and begins to hand over weights and to prefetch. */
+    /**
+     * Restores the last snapshot and starts the periodic work: weight updates, prefetches and
+     * snapshots.
+     */
     void start() {
         snapshotStore
                 .flatMap(WarmingSnapshotStore::load)
@@ -259,13 +265,13 @@
                 () -> {
                     if (!closed) {
                         context.routingThread()
-                                .submitComputed(this::changedWeights, this::startPrefetches);
+                                .submitComputed(this::pollChangedWeights, this::startPrefetches);
                         scheduleTick();
                     }
                 });
     }
 
-    private Optional<RouterEvent> changedWeights() {
+    private Optional<RouterEvent> pollChangedWeights() {
         Map<Long, Double> changedShares = warming.pollChangedShares(context.clock().nowNs());
         if (++ticks % TICKS_PER_SNAPSHOT == 0) {
             snapshotStore.ifPresent(store -> store.save(warming.snapshot(context.clock().nowNs())));
@@ -292,10 +298,11 @@
         if (!recentPurges.allowsPrefetch(nowNs)) {
             return;
         }
-        List<Prefetch<PrefetchTarget>> next =
+        List<Prefetch<PrefetchTarget>> duePrefetches =
                 warming.nextPrefetches(
-                        nowNs, (object, target) -> recentPurges.allows(object, target.group()));
-        for (Prefetch<PrefetchTarget> prefetch : next) {
+                        nowNs,
+                        (object, target) -> recentPurges.allowsPrefetchOf(object, target.group()));
+        for (Prefetch<PrefetchTarget> prefetch : duePrefetches) {
             prefetches.increment();
             prefetchSender.send(
                     prefetch,
@@ -314,20 +321,22 @@
                     .peerResult(response)
                     .ifPresent(
                             peerResult ->
-                                    onPeerResult(
+                                    recordPeerResult(
                                             prefetch.endpointId(),
                                             prefetch.peerId(),
                                             peerResult,
                                             nowNs));
-            onLoadFields(prefetch, response.fields(), response.sentAtNs(), nowNs);
+            recordLoadReports(prefetch, response.fields(), response.sentAtNs(), nowNs);
         } else if (result instanceof PrefetchRequest.NoResponse failure) {
             warming.onPrefetchDone(prefetch, true, nowNs);
             failure.fields()
-                    .ifPresent(fields -> onLoadFields(prefetch, fields, failure.sentAtNs(), nowNs));
+                    .ifPresent(
+                            fields ->
+                                    recordLoadReports(prefetch, fields, failure.sentAtNs(), nowNs));
         }
     }
 
-    private void onLoadFields(
+    private void recordLoadReports(
             Prefetch<PrefetchTarget> prefetch, Fields fields, long sentAtNs, long nowNs) {
         LoadReportParser.ofEndpoint(fields, sentAtNs, nowNs)
                 .ifPresent(load -> warming.onReport(prefetch.endpointId(), load));
@@ -335,7 +344,7 @@
                 .ifPresent(load -> warming.onReport(prefetch.peerId(), load));
     }
 
-    /** Appends the lines of the state page. */
+    /** Appends the cache warming lines to the state page. */
     void appendState(StringBuilder page) {
         page.append("warming-given ").append(peerHits.sum()).append('\n');
         page.append("warming-lacked ").append(peerMisses.sum()).append('\n');
--- a/src/test/java/brooklock/proxy/StoredTraceTest.java
+++ b/src/test/java/brooklock/proxy/StoredTraceTest.java
@@ -12,20 +12,23 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * A trace that an earlier build stored. Operators keep traces of incidents; a renamed type or
- * constant must not make them unreadable.
+ * Tests that a trace stored by an earlier version is readable. Operators keep traces of incidents,
+ * so a renamed type or constant must not make them unreadable.
  */
 class StoredTraceTest {
-    /** Some lines from the end, among them actions that follow their event. */
-    private static final int CUT_CHARACTERS = 600;
+    /**
+     * The maximum number of characters removed from the end: several lines, including actions that
+     * follow their event.
+     */
+    private static final int MAX_REMOVED_CHARS = 600;
 
-    private static Path stored() throws URISyntaxException {
+    private static Path storedTrace() throws URISyntaxException {
         return Path.of(StoredTraceTest.class.getResource("stored.trace").toURI());
     }
 
     @Test
     void replaysWithoutADifference() throws Exception {
-        TraceReplay.Result result = TraceReplay.replay(stored());
+        TraceReplay.Result result = TraceReplay.replay(storedTrace());
         assertEquals(Optional.empty(), result.difference());
         assertEquals(196, result.events());
         assertEquals(222, result.actions());
@@ -33,13 +36,13 @@
 
     @Test
     void everyRecordIsWrittenBackToTheSameText() throws Exception {
-        List<String> lines = Files.readAllLines(stored());
+        List<String> lines = Files.readAllLines(storedTrace());
         int records = 0;
         for (String line : lines) {
             int open = line.indexOf('(');
             if (open >= 0) {
                 String record = line.substring(line.lastIndexOf(' ', open) + 1);
-                assertEquals(record, TraceCodec.write(TraceCodec.read(record)));
+                assertEquals(record, TraceCodec.encode(TraceCodec.decode(record)));
                 records++;
             }
         }
@@ -47,18 +50,19 @@
     }
 
     /**
-     * A writer is killed within a line, also within its first word. The half line is left out; it
-     * is no decision that differs.
+     * The writer was killed within a line, possibly within its first word. The incomplete line must
+     * be ignored and not reported as a difference.
      */
     @Test
-    void aTraceCutAtAnyCharacterReplaysWithoutADifference(@TempDir Path directory)
-            throws Exception {
-        String whole = Files.readString(stored());
-        Path cut = directory.resolve("cut.trace");
-        for (int length = whole.length() - CUT_CHARACTERS; length < whole.length(); length++) {
-            Files.writeString(cut, whole.substring(0, length));
+    void truncatedTraceReplaysWithoutADifference(@TempDir Path directory) throws Exception {
+        String whole = Files.readString(storedTrace());
+        Path truncated = directory.resolve("cut.trace");
+        for (int length = whole.length() - MAX_REMOVED_CHARS; length < whole.length(); length++) {
+            Files.writeString(truncated, whole.substring(0, length));
             assertEquals(
-                    Optional.empty(), TraceReplay.replay(cut).difference(), "cut at " + length);
+                    Optional.empty(),
+                    TraceReplay.replay(truncated).difference(),
+                    "truncated at " + length);
         }
     }
 }
--- a/src/test/java/brooklock/proxy/TokenAuthorizationTest.java
+++ b/src/test/java/brooklock/proxy/TokenAuthorizationTest.java
@@ -17,16 +17,16 @@
 import java.util.concurrent.CompletableFuture;
 import org.junit.jupiter.api.Test;
 
-/** Who gets what by a token, through real sockets, while the policy changes. */
+/** Tests which requests a token authorizes, through real sockets and across policy changes. */
 class TokenAuthorizationTest extends AuthorizationTestBase {
     /**
-     * A path that the dispatcher reads in another way than the policy does, or a method that is
-     * checked in another form, opens what the policy denies. Every tenant tries every method on
-     * every path, through sockets, and gets what the policy alone says.
+     * If the dispatcher interpreted a path or method differently from the policy, it could allow
+     * what the policy denies. Every tenant tries every method on every path through sockets, and
+     * the result must be the decision of the policy.
      */
     @Test
     void everyCombinationIsDecidedThroughSocketsAsByThePolicyAlone() throws Exception {
-        Policy core = PolicyReader.parse("p", POLICY);
+        Policy policy = PolicyReader.parse("p", POLICY);
         int rows = 0;
         try (LoopbackFleet fleet = newFleet().start();
                 Socket socket = fleet.connect()) {
@@ -43,8 +43,8 @@
                                     continue;
                                 }
                                 String path = "/own/" + group + "/" + object + "/" + part;
-                                AccessDecision d =
-                                        core.decide(
+                                AccessDecision decision =
+                                        policy.decide(
                                                 tenant,
                                                 method,
                                                 path,
@@ -60,12 +60,14 @@
                                                 + "\r\n");
                                 LoopbackFleet.Response response =
                                         method.equals("HEAD")
-                                                ? head(socket)
+                                                ? readHead(socket)
                                                 : LoopbackFleet.readResponse(
                                                         socket.getInputStream());
                                 boolean limited = tenant.equals("carl") && response.status() == 429;
                                 assertTrue(
-                                        limited || response.status() == (d.allowed() ? 200 : 403),
+                                        limited
+                                                || response.status()
+                                                        == (decision.allowed() ? 200 : 403),
                                         tenant
                                                 + " "
                                                 + method
@@ -73,8 +75,8 @@
                                                 + path
                                                 + ": "
                                                 + response.status()
-                                                + ", the core says "
-                                                + d.explain());
+                                                + ", the policy decides "
+                                                + decision.explain());
                                 assertTrue(
                                         response.status() == 200 || response.body().length < 100);
                                 rows++;
@@ -90,7 +92,7 @@
         }
     }
 
-    private static LoopbackFleet.Response head(Socket socket) throws IOException {
+    private static LoopbackFleet.Response readHead(Socket socket) throws IOException {
         StringBuilder head = new StringBuilder();
         while (!head.toString().endsWith("\r\n\r\n")) {
             head.append((char) socket.getInputStream().read());
@@ -99,36 +101,37 @@
     }
 
     /**
-     * A guesser learns from each detail of a rejection. A missing, expired, doubled or unreadable
-     * credential all get the same 401, and no endpoint sees the request.
+     * A caller that guesses credentials could learn from the details of a rejection. Missing,
+     * expired, duplicate and malformed credentials must all get the same 401, and no endpoint may
+     * receive the request.
      */
     @Test
     void missingAndInvalidCredentialsAreRejectedWithoutDetail() throws Exception {
         try (LoopbackFleet fleet = newFleet().start()) {
-            String good = token(firstKey, "k1", "acme", 600);
-            for (String bad :
+            String token = token(firstKey, "k1", "acme", 600);
+            for (String invalid :
                     List.of(
                             "",
                             "Authorization: Basic YTpi\r\n",
                             "Authorization: Bearer x.y.z\r\n",
                             "Authorization: Bearer "
-                                    + good
+                                    + token
                                     + "\r\nAuthorization: Bearer "
-                                    + good
+                                    + token
                                     + "\r\n",
                             "Authorization: Bearer " + token(firstKey, "k1", "acme", -60) + "\r\n",
-                            "Cookie: pass=" + good + "; pass=" + good + "\r\n",
-                            "Cookie: other=" + good + "\r\n")) {
+                            "Cookie: pass=" + token + "; pass=" + token + "\r\n",
+                            "Cookie: other=" + token + "\r\n")) {
                 LoopbackFleet.Response response =
-                        fleet.send(get("/own/acme/x/0", bad + "X-Request-Id: bad\r\n"));
-                assertEquals(401, response.status(), bad);
+                        fleet.send(get("/own/acme/x/0", invalid + "X-Request-Id: bad\r\n"));
+                assertEquals(401, response.status(), invalid);
                 assertTrue(response.head().contains("WWW-Authenticate: Bearer"));
             }
             assertEquals(
-                    0, fleet.recordedRequests("bad").size(), "what is denied reaches no endpoint");
+                    0, fleet.recordedRequests("bad").size(), "denied requests reach no endpoint");
             assertEquals(
                     200,
-                    fleet.send(get("/own/acme/x/0", "Cookie: a=b; pass=" + good + "\r\n"))
+                    fleet.send(get("/own/acme/x/0", "Cookie: a=b; pass=" + token + "\r\n"))
                             .status());
             assertEquals(
                     200,
@@ -138,12 +141,11 @@
     }
 
     /**
-     * A path with dots, escapes or doubled parameters means one thing to the policy and perhaps
-     * another to a cache or the origin. Such paths are rejected, in place of a guess at their
-     * meaning.
+     * The policy, a cache and the origin may interpret a path with dot segments, escapes or
+     * duplicate parameters differently. Such paths must be rejected.
      */
     @Test
-    void pathsWithTwoReadingsAreRejected() throws Exception {
+    void ambiguousPathsAreRejected() throws Exception {
         try (LoopbackFleet fleet = newFleet().start()) {
             for (String path :
                     List.of(
@@ -160,33 +162,34 @@
                 assertEquals(400, response.status(), path);
             }
             assertEquals(
-                    403, fleet.send(get("/own/ACME/x/0", bearer("acme"))).status(), "case counts");
+                    403,
+                    fleet.send(get("/own/ACME/x/0", bearer("acme"))).status(),
+                    "paths are case-sensitive");
             assertEquals(0, fleet.recordedRequests("trick").size());
         }
     }
 
     /**
-     * Two tenants request the same object at once; only one of them may have it. Their requests
-     * must not be collapsed in a way that serves the copy to both, nor may the cached copy be
-     * served to the other later.
+     * Two tenants request the same object at once, but the policy allows it to only one of them.
+     * Neither collapsing the requests nor caching the copy may serve it to the other tenant.
      */
     @Test
     void sharedCopyIsServedOnlyToTenantsThatMayHaveIt() throws Exception {
         try (LoopbackFleet fleet = newFleet().start()) {
             fleet.servers.get("o1").faults.slowdown = 200;
-            List<CompletableFuture<LoopbackFleet.Response>> all = new ArrayList<>();
+            List<CompletableFuture<LoopbackFleet.Response>> responses = new ArrayList<>();
             String acme = bearer("acme");
             String beta = bearer("beta");
             for (int i = 0; i < 10; i++) {
-                String who = i % 2 == 0 ? acme : beta;
-                all.add(
+                String credential = i % 2 == 0 ? acme : beta;
+                responses.add(
                         CompletableFuture.supplyAsync(
                                 () -> {
                                     try {
                                         return fleet.send(
                                                 get(
                                                         "/own/shared/secret/0",
-                                                        who + "X-Request-Id: joined\r\n"));
+                                                        credential + "X-Request-Id: joined\r\n"));
                                     } catch (IOException e) {
                                         throw new IllegalStateException(e);
                                     }
@@ -194,7 +197,7 @@
                                 r -> new Thread(r).start()));
             }
             for (int i = 0; i < 10; i++) {
-                LoopbackFleet.Response response = all.get(i).get();
+                LoopbackFleet.Response response = responses.get(i).get();
                 assertEquals(i % 2 == 0 ? 200 : 403, response.status());
                 assertTrue(
                         i % 2 == 0
@@ -207,21 +210,21 @@
                                     .filter(recorded -> recorded.server.equals("o1"))
                                     .count()
                             < 5,
-                    "joined to one fill");
+                    "the requests must be collapsed into one fill");
             assertEquals(
                     403,
                     fleet.send(get("/own/shared/secret/0", beta)).status(),
-                    "nor once it is cached");
+                    "the cached copy must not be served to the other tenant");
         }
     }
 
     /**
-     * A tenant downloads an object part by part, and loses its permission between two parts. The
-     * next part is denied. A policy file that is damaged or empty afterwards must not open
-     * anything: the last good policy stays.
+     * A tenant downloads an object part by part and loses its permission between two parts. The
+     * next part must be denied. A policy file that is then damaged or empty must not allow anything
+     * else: the last valid policy stays in force.
      */
     @Test
-    void permissionThatEndsBetweenTwoPartsEndsThere() throws Exception {
+    void permissionWithdrawnBetweenTwoPartsDeniesTheNextPart() throws Exception {
         try (LoopbackFleet fleet = newFleet().start()) {
             String acme = bearer("acme");
             assertEquals(200, fleet.send(get("/own/acme/scan/0", acme)).status());
@@ -232,23 +235,24 @@
                     "the new policy", () -> status(fleet, "/own/acme/scan/1", acme) == 403);
             Files.writeString(dir.resolve("policy"), "tenant acme\nallow");
             LoopbackFleet.await(
-                    "the malformed one to be rejected",
+                    "the malformed policy to be rejected",
                     () -> fleet.dispatcher.statePage().contains("refused "));
             assertEquals(
                     403,
                     fleet.send(get("/own/acme/scan/2", acme)).status(),
-                    "the last good one stays");
+                    "the last valid policy stays in force");
             Files.writeString(dir.resolve("policy"), "");
             LoopbackFleet.await(
-                    "the empty one to be rejected",
+                    "the empty policy to be rejected",
                     () -> fleet.dispatcher.statePage().contains("no tenant"));
             assertEquals(200, fleet.send(get("/own/shared/o/0", acme)).status());
         }
     }
 
     /**
-     * A settings file asks for authorization on a route, but names neither a policy nor any kind of
-     * credential. It is rejected with both reasons, in place of a dispatcher that denies everybody.
+     * A settings file requires authorization on a route, but names neither a policy nor any kind of
+     * credential. It must be rejected with both reasons, because the dispatcher would deny every
+     * caller.
      */
     @Test
     void routeThatNeedsAuthorizationNeedsAPolicyAndCredentials() {
