--- a/src/main/java/brooklock/cli/FaultTestCommand.java
+++ b/src/main/java/brooklock/cli/FaultTestCommand.java
@@ -16,7 +16,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** {@code fault-test}: plays a scenario of faults on loopback. */
+/** The {@code fault-test} command, which plays a scenario of faults on loopback. */
 @Command(
         name = "fault-test",
         aliases = "rehearse",
@@ -39,12 +39,15 @@
             description = "the scenario; without it, the built-in one")
     private Path file;
 
-    @Option(names = "--seed", paramLabel = "N", description = "instead of the scenario's own")
+    @Option(
+            names = "--seed",
+            paramLabel = "N",
+            description = "seed to use instead of the scenario's own")
     private Long seed;
 
     @ArgGroup private Mode mode = new Mode();
 
-    /** The routers that the dispatchers run. */
+    /** Selects the router that the dispatchers run. */
     private static final class Mode {
         @Option(
                 names = "--random",
@@ -55,7 +58,7 @@
         @Option(
                 names = "--informed",
                 description = "routers that see the true state of every test server, to compare")
-        private boolean oracle;
+        private boolean informed;
 
         @Option(
                 names = "--scale",
@@ -86,7 +89,7 @@
             return compareAll(name, scenarioText, directory);
         }
         FaultTestResult result =
-                mode.random || mode.oracle
+                mode.random || mode.informed
                         ? FaultTestRunner.compare(
                                 name,
                                 scenarioText,
@@ -103,10 +106,12 @@
             throws SettingsException, IOException, InterruptedException {
         Map<RouterKind, FaultTestResult> results = new EnumMap<>(RouterKind.class);
         for (RouterKind router : RouterKind.values()) {
-            Path own =
+            Path routerDirectory =
                     Files.createDirectories(
                             directory.resolve(router.name().toLowerCase(Locale.ROOT)));
-            results.put(router, FaultTestRunner.compare(name, text, own, router, line -> {}));
+            results.put(
+                    router,
+                    FaultTestRunner.compare(name, text, routerDirectory, router, line -> {}));
             System.out.println(router + "\n" + results.get(router).report());
         }
         System.out.print(
--- a/src/main/java/brooklock/cli/TestServersCommand.java
+++ b/src/main/java/brooklock/cli/TestServersCommand.java
@@ -16,7 +16,9 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** {@code test-servers}: runs a test server for every endpoint of a settings file. */
+/**
+ * The {@code test-servers} command, which runs a test server for every endpoint of a settings file.
+ */
 @Command(
         name = "test-servers",
         aliases = "standin",
@@ -78,7 +80,7 @@
     }
 
     private ServerModel model(Settings.EndpointSettings endpoint, Settings settings) {
-        Settings.SafetyLimitSettings invariants = settings.safetyLimits();
+        Settings.SafetyLimitSettings limits = settings.safetyLimits();
         boolean parent = endpoint.kind() == Settings.EndpointKind.PARENT;
         return new ServerModel(
                 endpoint.name(),
@@ -87,10 +89,10 @@
                 settings.fleet().transferBytesPerS(),
                 MAX_REQUESTS,
                 MAX_COPIES,
-                parent ? invariants.parentInitialCapacity() : invariants.initialCapacity(),
-                parent ? invariants.parentWarmUpNs() : invariants.warmUpNs(),
-                parent ? invariants.parentOverloadMultiple() : invariants.overloadMultiple(),
-                invariants.overloadWindowNs(),
+                parent ? limits.parentInitialCapacity() : limits.initialCapacity(),
+                parent ? limits.parentWarmUpNs() : limits.warmUpNs(),
+                parent ? limits.parentOverloadMultiple() : limits.overloadMultiple(),
+                limits.overloadWindowNs(),
                 BASE_LATENCY_NS,
                 0);
     }
--- a/src/main/java/brooklock/testserver/FillHandler.java
+++ b/src/main/java/brooklock/testserver/FillHandler.java
@@ -12,9 +12,12 @@
 import java.util.Set;
 import java.util.function.Consumer;
 
-/** Receives the response to one request of a fill, and responds to those that wait for the fill. */
+/**
+ * Handles the response to one request of a fill, and responds to the requests that wait for the
+ * fill. Used on the server's I/O thread only.
+ */
 final class FillHandler implements ResponseHandler {
-    /** Errors that prove that the request was not executed behind the source. */
+    /** Errors in Proxy-Status that prove that nothing behind the source executed the request. */
     private static final Set<String> NOT_EXECUTED_ERRORS =
             Set.of("connection_limit_reached", "destination_unavailable", "connection_refused");
 
@@ -38,9 +41,9 @@
     }
 
     @Override
-    public boolean onBody(ByteBuffer piece) {
-        byte[] bytes = new byte[piece.remaining()];
-        piece.get(bytes);
+    public boolean onBody(ByteBuffer chunk) {
+        byte[] bytes = new byte[chunk.remaining()];
+        chunk.get(bytes);
         content.writeBytes(bytes);
         return true;
     }
@@ -50,12 +53,12 @@
         long waitedNs = System.nanoTime() - fill.sentNs;
         boolean miss = head.status() == 504 && head.fields().get("Proxy-Status") == null;
         if (head.status() == 200) {
-            onCopy();
+            onCopyReceived();
         } else if (fallBackToSource(miss ? PeerResult.LACKED : PeerResult.FAILED)) {
             return;
         } else if (miss) {
             String cacheStatus = table.model.name() + "; fwd=miss; detail=source-lacks";
-            failWaiters(
+            endWaiters(
                     waiter ->
                             table.sender.sendStatus(
                                     waiter.exchange(),
@@ -76,10 +79,11 @@
         }
         long waitedNs = System.nanoTime() - fill.sentNs;
         String error = failure.provesNotExecuted ? "connection_refused" : "connection_terminated";
-        failWaiters(waiter -> sendFailure(waiter, error, null, waitedNs));
+        endWaiters(waiter -> sendFailure(waiter, error, null, waitedNs));
     }
 
-    // The peer that was tried first gives nothing: the source is tried instead.
+    // Requests the copy from the source if the failed request was sent to the peer. Returns whether
+    // it did.
     private boolean fallBackToSource(PeerResult result) {
         if (fill.peerResult != PeerResult.ASKED) {
             return false;
@@ -90,14 +94,14 @@
         return true;
     }
 
-    private void onCopy() {
+    private void onCopyReceived() {
         String cacheStatus = head.fields().combinedValue("Cache-Status");
         boolean fromOrigin =
                 table.model.role() == ServerModel.Role.PARENT
                         || cacheStatus == null
                         || cacheStatus.contains("detail=origin");
-        // The age is that of the moment when the request arrived there, so that the copy is not
-        // younger than this.
+        // Brooklock-Age is the copy's age when the source received the request. That was not before
+        // sentNs, so the computed creation time is never later than the real one.
         long ageNs = Long.parseLong(head.fields().get("Brooklock-Age")) * 1000;
         long serial = Long.parseLong(head.fields().get("ETag").replace("\"", ""));
         if (request.prefetch() || fill.peerResult == PeerResult.ASKED) {
@@ -113,17 +117,17 @@
                         fill.sentNs - ageNs,
                         request.group(),
                         content.toByteArray());
-        onFilled(copy, fromOrigin);
+        completeFill(copy, fromOrigin);
     }
 
-    private void onFilled(CachedCopy copy, boolean fromOrigin) {
+    private void completeFill(CachedCopy copy, boolean fromOrigin) {
         List<FillTable.Waiter> waiters = table.remove(fill, request.copyKey());
         if (!request.passThrough() && !table.purges.isPurged(copy)) {
             int priority =
                     table.model.role() == ServerModel.Role.PARENT
                             ? 1
                             : waiters.stream()
-                                    .mapToInt(w -> w.active().request().copyPriority())
+                                    .mapToInt(waiter -> waiter.active().request().copyPriority())
                                     .max()
                                     .orElse(0);
             table.store.put(copy, priority);
@@ -133,8 +137,9 @@
             long maxAgeNs = waiting.request().maxAgeNs();
             if (waiting.exchange().isEnded()) {
                 waiting.release().run();
-            } else if (maxAgeNs > 0 && copy.bornNs() < waiting.arrivedNs() - maxAgeNs) {
-                // The fill that was joined began before a purge that this request knows of.
+            } else if (maxAgeNs > 0 && copy.createdNs() < waiting.arrivedNs() - maxAgeNs) {
+                // The joined fill began before a purge that this request must respect, so its copy
+                // is too old.
                 table.fill(waiting);
             } else {
                 waiting.recorded().peerResult = fill.peerResult;
@@ -159,12 +164,13 @@
                         ? ""
                         : proxyStatus.substring(proxyStatus.indexOf("error=") + "error=".length());
         boolean provenNotExecuted = NOT_EXECUTED_ERRORS.contains(error);
-        // A parent that speaks of its own source says by it that the origin failed behind it.
+        // In Proxy-Status, a parent reports that its own source, the origin, has failed, unless the
+        // error is the parent's own connection limit.
         boolean originFailed =
                 table.model.role() == ServerModel.Role.CACHE
                         && proxyStatus != null
                         && !error.equals("connection_limit_reached");
-        failWaiters(
+        endWaiters(
                 waiter ->
                         sendFailure(
                                 waiter,
@@ -175,7 +181,7 @@
                                 waitedNs));
     }
 
-    private void failWaiters(Consumer<ActiveRequest> respond) {
+    private void endWaiters(Consumer<ActiveRequest> respond) {
         for (FillTable.Waiter waiter : table.remove(fill, request.copyKey())) {
             ActiveRequest waiting = waiter.active();
             waiting.release().run();
@@ -190,9 +196,12 @@
         boolean provenNotExecuted =
                 error.equals("destination_unavailable") || error.equals("connection_refused");
         HttpExchange exchange = waiting.exchange();
-        String behind = failedOrigin == null ? "" : failedOrigin + "; error=" + error + ", ";
+        String originStatus = failedOrigin == null ? "" : failedOrigin + "; error=" + error + ", ";
         Fields fields =
-                new Fields().add("Proxy-Status", behind + table.model.name() + "; error=" + error);
+                new Fields()
+                        .add(
+                                "Proxy-Status",
+                                originStatus + table.model.name() + "; error=" + error);
         table.sender.sendStatus(
                 exchange, waiting.recorded(), 502, fields, waitedNs, provenNotExecuted);
     }
--- a/src/main/java/brooklock/testserver/FillTable.java
+++ b/src/main/java/brooklock/testserver/FillTable.java
@@ -12,22 +12,26 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /**
- * The fills that a cache or a parent has in flight, each with the requests that wait for it. Used
- * on the server's I/O thread, but for {@link #isFilling}.
+ * The fills that a cache or a parent has in flight, each with the requests that wait for it. All
+ * methods are called on the server's I/O thread, except {@link #isFilling}, which is thread-safe.
  */
 final class FillTable {
-    /** A request that waits for a fill; {@code joined} if it did not start it. */
+    /**
+     * A request that waits for a fill.
+     *
+     * @param joined whether the request joined a fill that another request had started
+     */
     record Waiter(ActiveRequest active, boolean joined) {}
 
-    /** One fill in flight. */
+    /** A fill in flight. */
     static final class Fill {
         final List<Waiter> waiters = new ArrayList<>();
         long sentNs;
 
-        /** How the peer responded that was tried first; null where none was. */
+        /** Result of the request to a peer, made before that to the source; null if none was. */
         PeerResult peerResult;
 
-        /** The load report of that peer, or of the source for a prefetch. */
+        /** The load report of that peer, or of the source if the request is a prefetch. */
         String peerLoad;
 
         Fill(long sentNs) {
@@ -43,10 +47,14 @@
     private final InetSocketAddress origin;
     private final Map<CachedCopy.Key, List<Fill>> fills = new HashMap<>();
 
-    /** The keys of {@code fills}, for readers on other threads. */
-    private final Set<CachedCopy.Key> runningFills = ConcurrentHashMap.newKeySet();
+    /** The keys of {@code fills} in a set that other threads may read. */
+    private final Set<CachedCopy.Key> keysInFlight = ConcurrentHashMap.newKeySet();
 
-    /** Creates an empty table; {@code origin} is what a parent fills from. */
+    /**
+     * Creates an empty table.
+     *
+     * @param origin the address that a parent fills from; null for a cache
+     */
     FillTable(
             ServerModel model,
             HttpClient client,
@@ -62,29 +70,29 @@
         this.origin = origin;
     }
 
-    /** Whether a fill for a copy is in flight; from any thread. */
+    /** Returns whether a fill for a copy is in flight. May be called from any thread. */
     boolean isFilling(CachedCopy.Key key) {
-        return runningFills.contains(key);
+        return keysInFlight.contains(key);
     }
 
-    /** The server has died; responses to its fills find nobody waiting any more. */
+    /** Drops all fills after the server was killed. */
     void clear() {
         fills.clear();
-        runningFills.clear();
+        keysInFlight.clear();
     }
 
-    /** Joins a fill in flight if the request may, else starts one. */
+    /** Adds the request to a fill in flight if it may join one; starts a new fill otherwise. */
     void fill(ActiveRequest active) {
         ServerRequest request = active.request();
-        List<Fill> running = fills.computeIfAbsent(request.copyKey(), key -> new ArrayList<>());
-        if (request.join() && !request.passThrough() && !running.isEmpty()) {
-            running.get(running.size() - 1).waiters.add(new Waiter(active, true));
+        List<Fill> keyFills = fills.computeIfAbsent(request.copyKey(), key -> new ArrayList<>());
+        if (request.mayJoin() && !request.passThrough() && !keyFills.isEmpty()) {
+            keyFills.get(keyFills.size() - 1).waiters.add(new Waiter(active, true));
             return;
         }
         Fill newFill = new Fill(System.nanoTime());
         newFill.waiters.add(new Waiter(active, false));
-        running.add(newFill);
-        runningFills.add(request.copyKey());
+        keyFills.add(newFill);
+        keysInFlight.add(request.copyKey());
         if (request.peer() != null && !request.passThrough()) {
             newFill.peerResult = PeerResult.ASKED;
             send(request.peerAddress(), active, "keep=0", new FillHandler(this, newFill, active));
@@ -93,13 +101,13 @@
         }
     }
 
-    /** Asks the source (for a parent: the origin) for the copy. */
+    /** Requests the copy from the source, which is the origin if this server is a parent. */
     void sendToSource(Fill fill, ActiveRequest active) {
         ServerRequest request = active.request();
         boolean parent = model.role() == ServerModel.Role.PARENT;
         String parameters =
                 "keep=1"
-                        + (request.join() ? ", join" : "")
+                        + (request.mayJoin() ? ", join" : "")
                         + (request.cachedOnly() && !parent ? ", held-only" : "");
         fill.sentNs = System.nanoTime();
         send(
@@ -110,7 +118,10 @@
     }
 
     private void send(
-            InetSocketAddress to, ActiveRequest active, String parameters, FillHandler handler) {
+            InetSocketAddress address,
+            ActiveRequest active,
+            String parameters,
+            FillHandler handler) {
         RequestHead original = active.exchange().head();
         Fields fields =
                 original.fields().copy().remove("Content-Length").remove("Transfer-Encoding");
@@ -119,11 +130,11 @@
         RequestHead head =
                 new RequestHead(
                         original.method(), original.target(), original.authority(), 1, fields);
-        client.send(to, head, new byte[0], handler);
+        client.send(address, head, new byte[0], handler);
     }
 
-    // The same copies are good enough as when the request arrived: by now they may be that much
-    // older.
+    // The maximum age applies to the moment when the request arrived here. The time that has passed
+    // since is added, so that a copy that was acceptable then still is.
     private static String maxAgeParameter(ActiveRequest active) {
         long maxAgeNs = active.request().maxAgeNs();
         return maxAgeNs == 0
@@ -131,14 +142,14 @@
                 : ", oldest=" + (maxAgeNs + System.nanoTime() - active.arrivedNs()) / 1000;
     }
 
-    /** Ends a fill and returns the requests that waited for it. */
+    /** Removes a fill that has ended and returns the requests that waited for it. */
     List<Waiter> remove(Fill fill, CachedCopy.Key key) {
-        List<Fill> running = fills.get(key);
-        if (running != null) {
-            running.remove(fill);
-            if (running.isEmpty()) {
+        List<Fill> keyFills = fills.get(key);
+        if (keyFills != null) {
+            keyFills.remove(fill);
+            if (keyFills.isEmpty()) {
                 fills.remove(key);
-                runningFills.remove(key);
+                keysInFlight.remove(key);
             }
         }
         return fill.waiters;
--- a/src/test/java/brooklock/ArchitectureTest.java
+++ b/src/test/java/brooklock/ArchitectureTest.java
@@ -11,11 +11,11 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Which package may depend on which, and which packages are pure. */
+/** Checks the permitted dependencies between packages, and that pure packages stay pure. */
 class ArchitectureTest {
     private static final String ROOT = "brooklock.";
 
-    /** From top to bottom: a package depends only on packages below it. */
+    /** The packages from top to bottom; a package may depend only on packages below it. */
     private static final List<String> LAYERS =
             List.of(
                     "cli",
@@ -33,7 +33,9 @@
                     "simulator",
                     "routing");
 
-    /** No sockets, files, threads or clock: time is an argument. */
+    /**
+     * Packages that use no sockets, files, threads or clock; they receive the time as an argument.
+     */
     private static final List<String> PURE =
             List.of(
                     "brooklock.http",
@@ -53,11 +55,14 @@
                     + "|java\\.net\\.(Socket|ServerSocket|Datagram).*"
                     + "|java\\.time\\.(Clock|Instant)";
 
-    /** Packages of libraries, and of the program but simulator and routing. */
+    /**
+     * Packages of libraries, and of the program except simulator and routing. The simulator adapter
+     * must start without loading them.
+     */
     private static final String NOT_FOR_THE_SIMULATOR =
             "brooklock\\.(?!(simulator|routing)$).*|(org|ch)\\..*";
 
-    /** The classes of membership that keep files and threads; the rest is its pure core. */
+    /** The classes of membership that use files and threads; the others are its pure core. */
     private static final String MEMBERSHIP_WITH_FILES =
             "brooklock\\.membership\\.(EndpointRegistry|EndpointListFile)(\\$.*)?";
 
@@ -66,12 +71,12 @@
                     .withImportOption(new ImportOption.DoNotIncludeTests())
                     .importPackages("brooklock");
 
-    private static DescribedPredicate<JavaClass> in(List<String> packages) {
+    private static DescribedPredicate<JavaClass> inPackages(List<String> packages) {
         return DescribedPredicate.describe(
                 "in " + packages, type -> packages.contains(type.getPackageName()));
     }
 
-    private static DescribedPredicate<JavaClass> named(String description, String regex) {
+    private static DescribedPredicate<JavaClass> matchingName(String description, String regex) {
         return DescribedPredicate.describe(description, type -> type.getFullName().matches(regex));
     }
 
@@ -90,9 +95,9 @@
         for (int i = 1; i < LAYERS.size(); i++) {
             List<String> above = LAYERS.subList(0, i).stream().map(name -> ROOT + name).toList();
             noClasses()
-                    .that(in(List.of(ROOT + LAYERS.get(i))))
+                    .that(inPackages(List.of(ROOT + LAYERS.get(i))))
                     .should()
-                    .dependOnClassesThat(in(above))
+                    .dependOnClassesThat(inPackages(above))
                     .check(all);
         }
     }
@@ -100,7 +105,7 @@
     @Test
     void routingDependsOnNoOtherPackage() {
         noClasses()
-                .that(in(List.of("brooklock.routing")))
+                .that(inPackages(List.of("brooklock.routing")))
                 .should()
                 .dependOnClassesThat(
                         DescribedPredicate.describe(
@@ -115,10 +120,10 @@
     @Test
     void testServersShareOnlyHttpAndNet() {
         noClasses()
-                .that(in(List.of("brooklock.testserver")))
+                .that(inPackages(List.of("brooklock.testserver")))
                 .should()
                 .dependOnClassesThat(
-                        in(
+                        inPackages(
                                 List.of(
                                         "brooklock",
                                         "brooklock.routing",
@@ -130,15 +135,15 @@
     }
 
     @Test
-    void purePackagesHaveNoSocketsFilesThreadsOrClock() {
+    void purePackagesUseNoSocketsFilesThreadsOrClock() {
         classes()
-                .that(in(PURE))
+                .that(inPackages(PURE))
                 .should()
                 .onlyDependOnClassesThat(
                         DescribedPredicate.describe("pure", ArchitectureTest::isPure))
                 .check(all);
         noClasses()
-                .that(in(PURE))
+                .that(inPackages(PURE))
                 .should()
                 .callMethod(System.class, "nanoTime")
                 .orShould()
@@ -149,12 +154,13 @@
     @Test
     void theCoreOfMembershipIsPure() {
         noClasses()
-                .that(in(List.of("brooklock.membership")))
+                .that(inPackages(List.of("brooklock.membership")))
                 .and()
                 .haveNameNotMatching(MEMBERSHIP_WITH_FILES)
                 .should()
                 .dependOnClassesThat(
-                        named("files, sockets, threads, logs", FILES_SOCKETS_THREADS_AND_LOGS))
+                        matchingName(
+                                "files, sockets, threads, logs", FILES_SOCKETS_THREADS_AND_LOGS))
                 .orShould()
                 .callMethod(System.class, "nanoTime")
                 .orShould()
@@ -165,7 +171,7 @@
     @Test
     void theSimulatorAdapterLoadsOnlyRouting() {
         noClasses()
-                .that(in(List.of("brooklock.simulator")))
+                .that(inPackages(List.of("brooklock.simulator")))
                 .should()
                 .dependOnClassesThat(
                         DescribedPredicate.describe(
