--- a/src/main/java/brooklock/credentials/VerificationExecutor.java
+++ b/src/main/java/brooklock/credentials/VerificationExecutor.java
@@ -53,7 +53,7 @@
     }
 
     /** Checks in the queue now. */
-    public int queued() {
+    public int queueSize() {
         return executor.getQueue().size();
     }
 
--- a/src/main/java/brooklock/faulttest/OracleRouter.java
+++ b/src/main/java/brooklock/faulttest/OracleRouter.java
@@ -155,7 +155,7 @@
         open.firstSentNs = open.attemptsSent == 0 ? now : open.firstSentNs;
         open.attemptsSent++;
         open.inFlight = true;
-        boolean fills = chosen.fills();
+        boolean fills = chosen.fillsOnMiss();
         open.lostAtNs = now + (long) (RESPONSE_START_TIMEOUT_NS + (fills ? FILL_TIMEOUT_NS : 0));
         out.add(chosen);
         if (open.attemptsSent < MAX_ATTEMPTS) {
--- a/src/main/java/brooklock/membership/EndpointListFile.java
+++ b/src/main/java/brooklock/membership/EndpointListFile.java
@@ -32,7 +32,7 @@
         }
         try {
             return Optional.of(
-                    EndpointRegistryCodec.decode(Files.readString(path, StandardCharsets.UTF_8)));
+                    MembershipStateCodec.decode(Files.readString(path, StandardCharsets.UTF_8)));
         } catch (IllegalArgumentException e) {
             throw new IOException(path + ": " + e.getMessage(), e);
         }
@@ -44,6 +44,6 @@
      * @throws IOException if it cannot be written; the file is then as it was
      */
     public void save(Membership.State state) throws IOException {
-        AtomicFile.replace(path, EndpointRegistryCodec.encode(state), true);
+        AtomicFile.replace(path, MembershipStateCodec.encode(state), true);
     }
 }
--- a/src/main/java/brooklock/membership/EndpointRegistry.java
+++ b/src/main/java/brooklock/membership/EndpointRegistry.java
@@ -58,7 +58,7 @@
      * Returns the event that announces an update to the router; empty if the update has changed
      * nothing.
      */
-    public Optional<EndpointListReceived> toEndpointList(
+    public Optional<EndpointListReceived> toListEvent(
             UpdateResult result, EndpointListKind kind) {
         return result.affected().isEmpty() && !result.coversWholeList()
                 ? Optional.empty()
@@ -66,7 +66,7 @@
     }
 
     /** Returns an event with every endpoint in force. */
-    public EndpointListReceived fullEndpointList(EndpointListKind kind) {
+    public EndpointListReceived fullListEvent(EndpointListKind kind) {
         return translate(endpoints().values(), kind);
     }
 
--- a/src/main/java/brooklock/membership/EventSource.java
+++ b/src/main/java/brooklock/membership/EventSource.java
@@ -11,7 +11,7 @@
  * @param name the source's name
  * @param epoch epoch of its last event; 0 if its events have no version, or its order was reset
  * @param sequence sequence number of its last event; 0 as for {@code epoch}
- * @param lastHeardMs wall time of its last event, in ms since 1970; for display only
+ * @param lastEventMs wall time of its last event, in ms since 1970; for display only
  * @param endpoints each endpoint that it has named, as it named it last; one that it removed is
  *     listed as gone, so that another source that has not yet noticed the removal does not undo it
  */
@@ -19,7 +19,7 @@
         String name,
         long epoch,
         long sequence,
-        long lastHeardMs,
+        long lastEventMs,
         PSortedMap<Long, ListedEndpoint> endpoints) {
     /**
      * The source of the endpoints in the settings; it is dropped as soon as another source sends a
@@ -50,11 +50,11 @@
      * Returns this source with its order reset: the next full list is accepted whatever its epoch.
      */
     EventSource withOrderReset() {
-        return new EventSource(name, 0, 0, lastHeardMs, endpoints);
+        return new EventSource(name, 0, 0, lastEventMs, endpoints);
     }
 
     EventSource withEndpoints(PSortedMap<Long, ListedEndpoint> newEndpoints) {
-        return new EventSource(name, epoch, sequence, lastHeardMs, newEndpoints);
+        return new EventSource(name, epoch, sequence, lastEventMs, newEndpoints);
     }
 
     /**
--- a/src/main/java/brooklock/membership/EndpointRegistryCodec.java
+++ b/src/main/java/brooklock/membership/MembershipStateCodec.java
@@ -19,14 +19,14 @@
  * <p>The last line makes a file that was cut short or damaged unreadable as a whole. Lists that
  * were saved before events had versions (in the form of {@link EndpointListCodec}) are read too.
  */
-final class EndpointRegistryCodec {
+final class MembershipStateCodec {
     private static final String HEADER = "members 2";
     private static final String SOURCE = "source";
     private static final int SOURCE_FIELDS = 5;
     private static final String OVERRIDE = "hand";
     private static final int OVERRIDE_FIELDS = 3;
 
-    private EndpointRegistryCodec() {}
+    private MembershipStateCodec() {}
 
     static String encode(Membership.State state) {
         StringBuilder text = new StringBuilder(HEADER).append('\n');
@@ -34,7 +34,7 @@
             text.append(SOURCE).append(' ').append(source.name());
             text.append(' ').append(source.epoch());
             text.append(' ').append(source.sequence());
-            text.append(' ').append(source.lastHeardMs()).append('\n');
+            text.append(' ').append(source.lastEventMs()).append('\n');
             for (ListedEndpoint endpoint : source.endpoints().values()) {
                 text.append(EndpointListCodec.encode(endpoint)).append('\n');
             }
--- a/src/main/java/brooklock/platform/AttemptHandler.java
+++ b/src/main/java/brooklock/platform/AttemptHandler.java
@@ -10,8 +10,8 @@
      * the attempt's start. Empty if the attempt must not start any more, because it waited too long
      * or because what it was decided on has changed.
      */
-    Optional<ByteBuffer> startFrame(Attempt attempt);
+    Optional<ByteBuffer> startFrame(EndpointAttempt attempt);
 
     /** Takes the result of an attempt. */
-    void onCompleted(Attempt attempt, AttemptResult result);
+    void onCompleted(EndpointAttempt attempt, AttemptResult result);
 }
--- a/src/main/java/brooklock/platform/AttemptTransport.java
+++ b/src/main/java/brooklock/platform/AttemptTransport.java
@@ -6,8 +6,8 @@
      * Sends an attempt as soon as a connection can carry it. Its end is reported by {@link
      * RequestExecutor#completeAttempt}, possibly before this returns.
      */
-    void send(Attempt attempt);
+    void send(EndpointAttempt attempt);
 
     /** Drops an attempt that ended while it waited for a connection. */
-    void dropQueued(Attempt attempt);
+    void dropQueued(EndpointAttempt attempt);
 }
--- a/src/main/java/brooklock/platform/ClientConnection.java
+++ b/src/main/java/brooklock/platform/ClientConnection.java
@@ -37,7 +37,7 @@
     private final ClientListener listener;
     private final RawConnection transport;
     private final RpcDecoder decoder = new RpcDecoder();
-    private final Map<Long, PendingRequest> openRequests = new HashMap<>();
+    private final Map<Long, PendingClientRequest> openRequests = new HashMap<>();
     private final Map<Long, RpcMessage.Call> receivedCalls = new LinkedHashMap<>();
     private long idleSinceNs = System.nanoTime();
     private long messageStartedAtNs;
@@ -172,7 +172,7 @@
         if (receivedCalls.remove(messageId) != null) {
             return;
         }
-        PendingRequest request = openRequests.remove(messageId);
+        PendingClientRequest request = openRequests.remove(messageId);
         if (request != null) {
             listener.executor().cancelByClient(request);
         }
@@ -202,7 +202,7 @@
         } else if (listener.isRejectingRequests() || !executor.hasRoomFor(clientRequest)) {
             write(RpcEncoder.error(messageId, RpcError.REJECTED));
         } else {
-            PendingRequest request = executor.accept(clientRequest, this, messageId);
+            PendingClientRequest request = executor.accept(clientRequest, this, messageId);
             openRequests.put(messageId, request);
             executor.route(request);
         }
@@ -223,7 +223,7 @@
     }
 
     /** Sends the final response: an object, or that the client's copy is current. */
-    void respondServed(PendingRequest request, AttemptResult result) {
+    void respondServed(PendingClientRequest request, AttemptResult result) {
         if (closeRequest(request)) {
             write(
                     result.notModified()
@@ -237,20 +237,20 @@
      *
      * @param retryAfterNs when the client may retry, ns from now; 0 if nothing is said
      */
-    void respondRejected(PendingRequest request, long retryAfterNs) {
+    void respondRejected(PendingClientRequest request, long retryAfterNs) {
         if (closeRequest(request)) {
             write(RpcEncoder.rejected(request.messageId(), retryAfterNs));
         }
     }
 
     /** Sends the final response: failed. */
-    void respondFailed(PendingRequest request) {
+    void respondFailed(PendingClientRequest request) {
         if (closeRequest(request)) {
             write(RpcEncoder.error(request.messageId(), RpcError.FAILED));
         }
     }
 
-    private boolean closeRequest(PendingRequest request) {
+    private boolean closeRequest(PendingClientRequest request) {
         return openRequests.remove(request.messageId(), request);
     }
 
@@ -301,7 +301,7 @@
     }
 
     private void cancelOpenRequests() {
-        for (PendingRequest request : List.copyOf(openRequests.values())) {
+        for (PendingClientRequest request : List.copyOf(openRequests.values())) {
             listener.executor().cancelByClient(request);
         }
         openRequests.clear();
--- a/src/main/java/brooklock/platform/EndpointTable.java
+++ b/src/main/java/brooklock/platform/DiscoveredEndpointTable.java
@@ -22,7 +22,7 @@
  * If two names have the same checksum, which is not expected, the one that comes later gets the
  * next free id; another dispatcher may give it another.
  */
-final class EndpointTable {
+final class DiscoveredEndpointTable {
     private static final long MAX_ID = 0xffffffffL;
 
     /** An endpoint as the list has it. */
@@ -88,7 +88,7 @@
      * @param toRouterTimeNs turns Unix milliseconds into the router's clock; called once for each
      *     start of an endpoint, so that later lists name the same time
      */
-    EndpointTable(List<String> zones, List<String> kinds, LongUnaryOperator toRouterTimeNs) {
+    DiscoveredEndpointTable(List<String> zones, List<String> kinds, LongUnaryOperator toRouterTimeNs) {
         this.zones = zones;
         this.kinds = kinds;
         this.toRouterTimeNs = toRouterTimeNs;
--- a/src/main/java/brooklock/platform/Attempt.java
+++ b/src/main/java/brooklock/platform/EndpointAttempt.java
@@ -11,7 +11,7 @@
  * it is queued was never sent, which proves that it had no effect. Whatever ends it first counts:
  * later responses, time-outs and cancellations find it ended and change nothing.
  */
-final class Attempt {
+final class EndpointAttempt {
     /** Where an attempt stands. States are passed in this order. */
     enum State {
         QUEUED,
@@ -19,7 +19,7 @@
         ENDED
     }
 
-    private final PendingRequest request;
+    private final PendingClientRequest request;
     private final int index;
     private final StartAttempt decision;
     private final long decidedAtNs;
@@ -37,7 +37,7 @@
      * @param decision what the router decided
      * @param decidedAtNs when, on the router's clock
      */
-    Attempt(PendingRequest request, int index, StartAttempt decision, long decidedAtNs) {
+    EndpointAttempt(PendingClientRequest request, int index, StartAttempt decision, long decidedAtNs) {
         this.request = request;
         this.index = index;
         this.decision = decision;
@@ -45,7 +45,7 @@
         startedAtNs = decidedAtNs;
     }
 
-    PendingRequest request() {
+    PendingClientRequest request() {
         return request;
     }
 
--- a/src/main/java/brooklock/platform/EndpointConnection.java
+++ b/src/main/java/brooklock/platform/EndpointConnection.java
@@ -29,7 +29,7 @@
     private final EndpointConnectionPool pool;
     private final RawConnection transport;
     private final FrameDecoder decoder = new FrameDecoder();
-    private final Map<Long, Attempt> attemptsInFlight = new HashMap<>();
+    private final Map<Long, EndpointAttempt> attemptsInFlight = new HashMap<>();
     // A late response to a cancelled id must not be taken for that of a later attempt.
     private final Set<Long> cancelledIds = new HashSet<>();
     private long idleSinceNs;
@@ -59,7 +59,7 @@
      *
      * @param maxInFlight attempts that may be in flight on one connection
      */
-    boolean canCarry(PendingRequest request, int maxInFlight) {
+    boolean canCarry(PendingClientRequest request, int maxInFlight) {
         long id = request.clientRequest().id();
         return !transport.isClosed()
                 && attemptsInFlight.size() < maxInFlight
@@ -70,7 +70,7 @@
     }
 
     /** Writes an attempt's request frame. */
-    void send(Attempt attempt, ByteBuffer frame) {
+    void send(EndpointAttempt attempt, ByteBuffer frame) {
         attempt.start(this);
         attemptsInFlight.put(attempt.clientRequest().id(), attempt);
         transport.write(frame);
@@ -80,7 +80,7 @@
      * Cancels an attempt that has ended. A connection that carries nothing else is closed: what it
      * still brings is of no use, and a silent endpoint can't be distinguished from a slow one.
      */
-    void cancel(Attempt attempt) {
+    void cancel(EndpointAttempt attempt) {
         long id = attempt.clientRequest().id();
         if (!attemptsInFlight.remove(id, attempt)) {
             return;
@@ -119,7 +119,7 @@
     }
 
     private void onResponse(Frame response) throws MalformedMessageException {
-        Attempt attempt = attemptsInFlight.get(response.id());
+        EndpointAttempt attempt = attemptsInFlight.get(response.id());
         if (attempt == null) {
             return;
         }
@@ -145,10 +145,10 @@
     // The attempt whose response was being read failed by what the endpoint sent; the others only
     // lost their connection.
     private void fail(String reason) {
-        Attempt receiving = decoder.inFrame() ? attemptsInFlight.get(decoder.id()) : null;
+        EndpointAttempt receiving = decoder.inFrame() ? attemptsInFlight.get(decoder.id()) : null;
         close();
         pool.logFailure(reason, attemptsInFlight.size());
-        for (Attempt attempt : new ArrayList<>(attemptsInFlight.values())) {
+        for (EndpointAttempt attempt : new ArrayList<>(attemptsInFlight.values())) {
             attemptsInFlight.remove(attempt.clientRequest().id());
             pool.onCompleted(
                     attempt,
--- a/src/main/java/brooklock/platform/EndpointConnectionPool.java
+++ b/src/main/java/brooklock/platform/EndpointConnectionPool.java
@@ -36,7 +36,7 @@
     private final ConnectionOpener opener;
     private final List<EndpointConnection> connections = new ArrayList<>();
     private final ArrayDeque<EndpointConnection> idleConnections = new ArrayDeque<>();
-    private final ArrayDeque<Attempt> queue = new ArrayDeque<>();
+    private final ArrayDeque<EndpointAttempt> queue = new ArrayDeque<>();
     private boolean retired;
 
     /**
@@ -66,7 +66,7 @@
      * Sends an attempt: on an idle connection, else on a new one, else on the one with the fewest
      * attempts in flight.
      */
-    void send(Attempt attempt) {
+    void send(EndpointAttempt attempt) {
         EndpointConnection free = selectConnection(attempt);
         if (free != null) {
             startOrRelease(attempt, free);
@@ -80,7 +80,7 @@
 
     // A connection that was taken from the idle ones for an attempt that does not start goes back
     // to them.
-    private void startOrRelease(Attempt attempt, EndpointConnection connection) {
+    private void startOrRelease(EndpointAttempt attempt, EndpointConnection connection) {
         if (!start(attempt, connection) && connection.inFlight() == 0) {
             onIdle(connection);
         }
@@ -88,7 +88,7 @@
 
     // The frame is made at this moment, so that it promises the endpoint only the time that is
     // left, and an attempt whose grounds have changed while it waited goes back to the router.
-    private boolean start(Attempt attempt, EndpointConnection connection) {
+    private boolean start(EndpointAttempt attempt, EndpointConnection connection) {
         Optional<ByteBuffer> frame = attemptHandler.startFrame(attempt);
         if (frame.isEmpty()) {
             attemptHandler.onCompleted(
@@ -99,7 +99,7 @@
         return true;
     }
 
-    private EndpointConnection selectConnection(Attempt attempt) {
+    private EndpointConnection selectConnection(EndpointAttempt attempt) {
         for (EndpointConnection connection : idleConnections) {
             if (connection.canCarry(attempt.request(), maxInFlight)) {
                 idleConnections.remove(connection);
@@ -109,7 +109,7 @@
         return budget.permits(connectionCount()) ? null : leastBusy(attempt);
     }
 
-    private EndpointConnection leastBusy(Attempt attempt) {
+    private EndpointConnection leastBusy(EndpointAttempt attempt) {
         EndpointConnection best = null;
         for (EndpointConnection connection : connections) {
             if (connection.canCarry(attempt.request(), maxInFlight)
@@ -136,7 +136,7 @@
 
     @Override
     public void onSlow() {
-        for (Attempt attempt : queuedAttempts()) {
+        for (EndpointAttempt attempt : queuedAttempts()) {
             EndpointConnection shared = leastBusy(attempt);
             if (shared != null && queue.remove(attempt)) {
                 idleConnections.remove(shared);
@@ -147,7 +147,7 @@
 
     @Override
     public void onFailed(String reason) {
-        Attempt first = queue.poll();
+        EndpointAttempt first = queue.poll();
         logFailure(reason, queue.size() + 1);
         if (first != null) {
             failUnconnected(first);
@@ -155,14 +155,14 @@
         openConnections();
     }
 
-    private void failUnconnected(Attempt attempt) {
+    private void failUnconnected(EndpointAttempt attempt) {
         attemptHandler.onCompleted(
                 attempt, AttemptResult.withoutResponse(AttemptOutcome.CONNECT_FAILED));
     }
 
     /** Gives a connection that has nothing in flight the attempts that wait, or keeps it idle. */
     void onIdle(EndpointConnection connection) {
-        for (Attempt attempt = queue.peek();
+        for (EndpointAttempt attempt = queue.peek();
                 attempt != null && connection.canCarry(attempt.request(), maxInFlight);
                 attempt = queue.peek()) {
             queue.poll();
@@ -178,7 +178,7 @@
     }
 
     /** Takes the result of an attempt that was in flight. */
-    void onCompleted(Attempt attempt, AttemptResult result) {
+    void onCompleted(EndpointAttempt attempt, AttemptResult result) {
         attemptHandler.onCompleted(attempt, result);
     }
 
@@ -190,12 +190,12 @@
     }
 
     /** Returns the attempts that wait for a connection; a copy. */
-    List<Attempt> queuedAttempts() {
+    List<EndpointAttempt> queuedAttempts() {
         return List.copyOf(queue);
     }
 
     /** Forgets an attempt that waits for a connection. */
-    void dequeue(Attempt attempt) {
+    void dequeue(EndpointAttempt attempt) {
         queue.remove(attempt);
     }
 
@@ -230,7 +230,7 @@
     void retire() {
         retired = true;
         opener.cancelAll();
-        for (Attempt attempt = queue.poll(); attempt != null; attempt = queue.poll()) {
+        for (EndpointAttempt attempt = queue.poll(); attempt != null; attempt = queue.poll()) {
             failUnconnected(attempt);
         }
         for (EndpointConnection connection = idleConnections.peek();
--- a/src/main/java/brooklock/platform/EndpointConnectionPools.java
+++ b/src/main/java/brooklock/platform/EndpointConnectionPools.java
@@ -17,19 +17,19 @@
     private static final int MIN_CONNECTIONS_PER_ENDPOINT = 2;
 
     private final ConnectionSettings settings;
-    private final EndpointTable table;
+    private final DiscoveredEndpointTable table;
     private final AttemptHandler attemptHandler;
     private final Map<Long, EndpointConnectionPool> poolsById = new HashMap<>();
 
     EndpointConnectionPools(
-            ConnectionSettings settings, EndpointTable table, AttemptHandler attemptHandler) {
+            ConnectionSettings settings, DiscoveredEndpointTable table, AttemptHandler attemptHandler) {
         this.settings = settings;
         this.table = table;
         this.attemptHandler = attemptHandler;
     }
 
     /** Returns the pool of an endpoint; makes it if there is none. */
-    EndpointConnectionPool getOrCreate(EndpointTable.Entry endpoint) {
+    EndpointConnectionPool getOrCreate(DiscoveredEndpointTable.Entry endpoint) {
         EndpointConnectionPool pool = poolsById.get(endpoint.id());
         if (pool == null) {
             pool =
@@ -52,7 +52,7 @@
 
     /** Retires the pools of endpoints that have left the list or have another address in it. */
     void retireOutdated() {
-        for (EndpointTable.Entry entry : table.all()) {
+        for (DiscoveredEndpointTable.Entry entry : table.all()) {
             EndpointConnectionPool pool = poolsById.get(entry.id());
             if (pool != null && (entry.isGone() || !pool.hasAddress(entry.address()))) {
                 poolsById.remove(entry.id());
--- a/src/main/java/brooklock/platform/EndpointConnector.java
+++ b/src/main/java/brooklock/platform/EndpointConnector.java
@@ -19,7 +19,7 @@
     private static final long SWEEP_INTERVAL_NS = 1_000_000_000L;
 
     private final IoLoop loop;
-    private final EndpointTable table;
+    private final DiscoveredEndpointTable table;
     private final EndpointConnectionPools pools;
     private RequestExecutor executor;
     private boolean closed;
@@ -30,7 +30,7 @@
      * @param table the endpoint list
      * @param settings what holds for the connections to every endpoint
      */
-    EndpointConnector(EndpointTable table, ConnectionSettings settings) {
+    EndpointConnector(DiscoveredEndpointTable table, ConnectionSettings settings) {
         loop = settings.loop();
         this.table = table;
         pools = new EndpointConnectionPools(settings, table, this);
@@ -77,9 +77,9 @@
                                 : group == attempt.clientRequest().group());
     }
 
-    private void returnQueued(Predicate<Attempt> affected) {
+    private void returnQueued(Predicate<EndpointAttempt> affected) {
         for (EndpointConnectionPool pool : pools.all()) {
-            for (Attempt attempt : pool.queuedAttempts()) {
+            for (EndpointAttempt attempt : pool.queuedAttempts()) {
                 if (affected.test(attempt)) {
                     pool.dequeue(attempt);
                     onCompleted(attempt, AttemptResult.withoutResponse(AttemptOutcome.NOT_STARTED));
@@ -88,9 +88,9 @@
         }
     }
 
-    private boolean isCurrent(Attempt attempt) {
-        EndpointTable.Entry endpoint = table.get(attempt.decision().endpoint());
-        EndpointTable.Entry source = table.get(attempt.decision().fillSource());
+    private boolean isCurrent(EndpointAttempt attempt) {
+        DiscoveredEndpointTable.Entry endpoint = table.get(attempt.decision().endpoint());
+        DiscoveredEndpointTable.Entry source = table.get(attempt.decision().fillSource());
         return endpoint != null
                 && source != null
                 && attempt.wasDecidedOn(endpoint.listing(), source.listing());
@@ -108,9 +108,9 @@
     }
 
     @Override
-    public void send(Attempt attempt) {
-        EndpointTable.Entry endpoint = table.get(attempt.decision().endpoint());
-        EndpointTable.Entry source = table.get(attempt.decision().fillSource());
+    public void send(EndpointAttempt attempt) {
+        DiscoveredEndpointTable.Entry endpoint = table.get(attempt.decision().endpoint());
+        DiscoveredEndpointTable.Entry source = table.get(attempt.decision().fillSource());
         if (endpoint == null || source == null || endpoint.isGone()) {
             // It left after the router chose it; the router's event of that is still queued.
             onCompleted(attempt, AttemptResult.withoutResponse(AttemptOutcome.CONNECT_FAILED));
@@ -121,7 +121,7 @@
     }
 
     @Override
-    public void dropQueued(Attempt attempt) {
+    public void dropQueued(EndpointAttempt attempt) {
         EndpointConnectionPool pool = pools.get(attempt.decision().endpoint());
         if (pool != null) {
             pool.dequeue(attempt);
@@ -129,7 +129,7 @@
     }
 
     @Override
-    public Optional<ByteBuffer> startFrame(Attempt attempt) {
+    public Optional<ByteBuffer> startFrame(EndpointAttempt attempt) {
         long nowNs = executor.nowNs();
         long waitedNs = nowNs - attempt.decidedAtNs();
         if (attempt.hasEnded()
@@ -148,7 +148,7 @@
     }
 
     @Override
-    public void onCompleted(Attempt attempt, AttemptResult result) {
+    public void onCompleted(EndpointAttempt attempt, AttemptResult result) {
         executor.completeAttempt(attempt, result);
     }
 }
--- a/src/main/java/brooklock/platform/PendingRequest.java
+++ b/src/main/java/brooklock/platform/PendingClientRequest.java
@@ -10,14 +10,14 @@
  * <p>It is open until it is completed: by its final response, or by a client that cancels it or
  * disconnects. Attempts in flight may outlive that; the request is finished once none is left.
  */
-final class PendingRequest {
+final class PendingClientRequest {
     private final long routingId;
     private final ClientRequest clientRequest;
     private final long acceptedAtNs;
     private final long deadlineNs;
     private final ClientConnection connection;
     private final long messageId;
-    private final List<Attempt> attempts = new ArrayList<>(2);
+    private final List<EndpointAttempt> attempts = new ArrayList<>(2);
     private final List<EndpointConnection> usedConnections = new ArrayList<>(1);
     private boolean completed;
     private int openAttempts;
@@ -32,7 +32,7 @@
      * @param connection where the response goes
      * @param messageId the call that the response answers
      */
-    PendingRequest(
+    PendingClientRequest(
             long routingId,
             ClientRequest clientRequest,
             long acceptedAtNs,
@@ -72,15 +72,15 @@
     }
 
     /** Adds an attempt that the router decided. */
-    Attempt addAttempt(StartAttempt decision, long nowNs) {
-        Attempt attempt = new Attempt(this, attempts.size(), decision, nowNs);
+    EndpointAttempt addAttempt(StartAttempt decision, long nowNs) {
+        EndpointAttempt attempt = new EndpointAttempt(this, attempts.size(), decision, nowNs);
         attempts.add(attempt);
         openAttempts++;
         return attempt;
     }
 
     /** Returns the attempt of that index, or null if there is none. */
-    Attempt attempt(int index) {
+    EndpointAttempt attempt(int index) {
         return index < attempts.size() ? attempts.get(index) : null;
     }
 
--- a/src/main/java/brooklock/platform/PendingRequestTable.java
+++ b/src/main/java/brooklock/platform/PendingClientRequestTable.java
@@ -7,7 +7,7 @@
  * The requests that were accepted and are not finished, and the bounds on them. Owned by the I/O
  * thread.
  */
-final class PendingRequestTable {
+final class PendingClientRequestTable {
     // More than one core can serve within a deadline; what comes above it would only wait.
     private static final int MAX_PENDING_REQUESTS = 8192;
     // The bodies of pending requests may take the heap divided by this; more would leave no room
@@ -15,8 +15,8 @@
     private static final int BODY_HEAP_DIVISOR = 8;
     private static final long NS_PER_MS = 1_000_000L;
 
-    private final Map<Long, PendingRequest> byRoutingId = new HashMap<>();
-    private final Map<Long, PendingRequest> openByClientId = new HashMap<>();
+    private final Map<Long, PendingClientRequest> byRoutingId = new HashMap<>();
+    private final Map<Long, PendingClientRequest> openByClientId = new HashMap<>();
     private long lastRoutingId;
     private int openCount;
     private long heldBodyBytes;
@@ -41,10 +41,10 @@
      * @param messageId the call that the response answers
      * @param nowNs the time on the router's clock
      */
-    PendingRequest add(
+    PendingClientRequest add(
             ClientRequest clientRequest, ClientConnection connection, long messageId, long nowNs) {
-        PendingRequest request =
-                new PendingRequest(
+        PendingClientRequest request =
+                new PendingClientRequest(
                         ++lastRoutingId,
                         clientRequest,
                         nowNs,
@@ -59,13 +59,13 @@
     }
 
     /** Returns the request of that id in router events, or null if it is finished. */
-    PendingRequest get(long routingId) {
+    PendingClientRequest get(long routingId) {
         return byRoutingId.get(routingId);
     }
 
     /** Returns the request of that id in router events, or null if it is completed. */
-    PendingRequest getOpen(long routingId) {
-        PendingRequest request = byRoutingId.get(routingId);
+    PendingClientRequest getOpen(long routingId) {
+        PendingClientRequest request = byRoutingId.get(routingId);
         return request == null || request.isCompleted() ? null : request;
     }
 
@@ -80,7 +80,7 @@
     }
 
     /** Completes an open request; forgets it if no attempt of it is left. */
-    void complete(PendingRequest request) {
+    void complete(PendingClientRequest request) {
         request.complete();
         openCount--;
         openByClientId.remove(request.clientRequest().id(), request);
@@ -88,7 +88,7 @@
     }
 
     /** Forgets a request of which nothing is left. */
-    void removeIfFinished(PendingRequest request) {
+    void removeIfFinished(PendingClientRequest request) {
         if (request.isFinished() && byRoutingId.remove(request.routingId()) != null) {
             heldBodyBytes -= request.clientRequest().body().length;
         }
--- a/src/main/java/brooklock/platform/PlatformDispatcher.java
+++ b/src/main/java/brooklock/platform/PlatformDispatcher.java
@@ -60,7 +60,7 @@
         int clientDescriptors = (int) (descriptors * CLIENT_DESCRIPTOR_FRACTION);
         connector =
                 new EndpointConnector(
-                        new EndpointTable(config.zones(), config.kinds(), clock::fromWallMs),
+                        new DiscoveredEndpointTable(config.zones(), config.kinds(), clock::fromWallMs),
                         ConnectionSettings.of(
                                 loop, this::connect, config, descriptors - clientDescriptors));
         executor =
--- a/src/main/java/brooklock/platform/RequestExecutor.java
+++ b/src/main/java/brooklock/platform/RequestExecutor.java
@@ -24,7 +24,7 @@
     private static final Logger LOG = LoggerFactory.getLogger(RequestExecutor.class);
 
     private final DispatcherStats stats = new DispatcherStats();
-    private final PendingRequestTable requests = new PendingRequestTable();
+    private final PendingClientRequestTable requests = new PendingClientRequestTable();
     private final RoutingStrategy routingStrategy;
     private final MonotonicClock clock;
     private final TimerQueue timers;
@@ -96,14 +96,14 @@
      * @param connection where the response goes
      * @param messageId the call that the response answers
      */
-    PendingRequest accept(
+    PendingClientRequest accept(
             ClientRequest clientRequest, ClientConnection connection, long messageId) {
         stats.accepted();
         return requests.add(clientRequest, connection, messageId, clock.nowNs());
     }
 
     /** Hands an accepted request to the router; its response may come before this returns. */
-    void route(PendingRequest request) {
+    void route(PendingClientRequest request) {
         ClientRequest clientRequest = request.clientRequest();
         submit(
                 new RouterEvent.RequestReceived(
@@ -118,7 +118,7 @@
     }
 
     /** Completes a request whose client has disconnected or wants no response any more. */
-    void cancelByClient(PendingRequest request) {
+    void cancelByClient(PendingClientRequest request) {
         if (!request.isCompleted()) {
             requests.complete(request);
             stats.cancelled();
@@ -130,12 +130,12 @@
      * Ends an attempt and reports it to the router. The first {@link AttemptOutcome#OK} is the
      * request's final response. Does nothing for an attempt that has ended.
      */
-    void completeAttempt(Attempt attempt, AttemptResult result) {
+    void completeAttempt(EndpointAttempt attempt, AttemptResult result) {
         if (attempt.hasEnded()) {
             return;
         }
         attempt.end();
-        PendingRequest request = attempt.request();
+        PendingClientRequest request = attempt.request();
         request.onAttemptEnded();
         stats.attemptEnded(result.outcome());
         if (result.outcome() == AttemptOutcome.OK && !request.isCompleted()) {
@@ -213,7 +213,7 @@
     }
 
     private void rejectRequest(RouterAction.RejectRequest reject) {
-        PendingRequest request = requests.getOpen(reject.id());
+        PendingClientRequest request = requests.getOpen(reject.id());
         if (request != null) {
             requests.complete(request);
             stats.rejected();
@@ -222,7 +222,7 @@
     }
 
     private void failRequest(RouterAction.FailRequest fail) {
-        PendingRequest request = requests.getOpen(fail.id());
+        PendingClientRequest request = requests.getOpen(fail.id());
         if (request != null) {
             requests.complete(request);
             stats.failed();
@@ -231,19 +231,19 @@
     }
 
     private void cancelAttempt(RouterAction.CancelAttempt cancel) {
-        PendingRequest request = requests.get(cancel.id());
-        Attempt attempt = request == null ? null : request.attempt(cancel.attempt());
+        PendingClientRequest request = requests.get(cancel.id());
+        EndpointAttempt attempt = request == null ? null : request.attempt(cancel.attempt());
         if (attempt != null) {
             abortAttempt(attempt, AttemptOutcome.CANCELLED);
         }
     }
 
     private void startAttempt(RouterAction.StartAttempt decision) {
-        PendingRequest request = requests.get(decision.id());
+        PendingClientRequest request = requests.get(decision.id());
         if (request == null) {
             return;
         }
-        Attempt attempt = request.addAttempt(decision, clock.nowNs());
+        EndpointAttempt attempt = request.addAttempt(decision, clock.nowNs());
         long decidedAtNs = attempt.decidedAtNs();
         if (request.isCompleted() || decidedAtNs >= request.deadlineNs()) {
             completeAttempt(attempt, AttemptResult.withoutResponse(AttemptOutcome.NOT_STARTED));
@@ -259,18 +259,18 @@
         transport.send(attempt);
     }
 
-    private void abortUnlessStarted(Attempt attempt) {
-        if (attempt.state() == Attempt.State.QUEUED) {
+    private void abortUnlessStarted(EndpointAttempt attempt) {
+        if (attempt.state() == EndpointAttempt.State.QUEUED) {
             abortAttempt(attempt, AttemptOutcome.NOT_STARTED);
         }
     }
 
     // An attempt that still waits for a connection has no effect, whatever stops it.
-    private void abortAttempt(Attempt attempt, AttemptOutcome outcomeInFlight) {
-        if (attempt.state() == Attempt.State.QUEUED) {
+    private void abortAttempt(EndpointAttempt attempt, AttemptOutcome outcomeInFlight) {
+        if (attempt.state() == EndpointAttempt.State.QUEUED) {
             completeAttempt(attempt, AttemptResult.withoutResponse(AttemptOutcome.NOT_STARTED));
             transport.dropQueued(attempt);
-        } else if (attempt.state() == Attempt.State.IN_FLIGHT) {
+        } else if (attempt.state() == EndpointAttempt.State.IN_FLIGHT) {
             EndpointConnection connection = attempt.connection();
             completeAttempt(attempt, AttemptResult.withoutResponse(outcomeInFlight));
             connection.cancel(attempt);
--- a/src/main/java/brooklock/platform/RequestFrameEncoder.java
+++ b/src/main/java/brooklock/platform/RequestFrameEncoder.java
@@ -34,7 +34,7 @@
         if (request.idempotencyKey() != null) {
             fields.append(",nonce=").append(request.idempotencyKey());
         }
-        if (decision.fills()) {
+        if (decision.fillsOnMiss()) {
             fields.append(",up=").append(fillSourceName);
         }
         if (decision.cachePriority() > 0) {
--- a/src/main/java/brooklock/platform/StartupWarmup.java
+++ b/src/main/java/brooklock/platform/StartupWarmup.java
@@ -56,7 +56,7 @@
         MonotonicClock clock = new MonotonicClock();
         connector =
                 new EndpointConnector(
-                        new EndpointTable(config.zones(), config.kinds(), clock::fromWallMs),
+                        new DiscoveredEndpointTable(config.zones(), config.kinds(), clock::fromWallMs),
                         ConnectionSettings.of(
                                 loop, this::connect, config, CALLS_PER_ROUND * ENDPOINTS));
         executor =
--- a/src/main/java/brooklock/proxy/EndpointListUpdater.java
+++ b/src/main/java/brooklock/proxy/EndpointListUpdater.java
@@ -126,7 +126,7 @@
                             result[0] = apply(description, change);
                             closeIdleConnections(result[0].affected());
                             return forRouter(
-                                    context.endpointRegistry().toEndpointList(result[0], kind));
+                                    context.endpointRegistry().toListEvent(result[0], kind));
                         },
                         () ->
                                 store.save(
@@ -146,7 +146,7 @@
                                 forRouter(
                                         Optional.of(
                                                 context.endpointRegistry()
-                                                        .fullEndpointList(EndpointListKind.FULL))),
+                                                        .fullListEvent(EndpointListKind.FULL))),
                         () -> {});
     }
 
--- a/src/main/java/brooklock/proxy/PrefetchSender.java
+++ b/src/main/java/brooklock/proxy/PrefetchSender.java
@@ -27,7 +27,7 @@
     /** Sends a prefetch. */
     void send(Prefetch<PrefetchTarget> prefetch, Consumer<PrefetchRequest.Result> listener) {
         ListedEndpoint endpoint = context.endpointRegistry().find(prefetch.endpointId());
-        ListedEndpoint source = context.endpointRegistry().find(prefetch.sourceId());
+        ListedEndpoint source = context.endpointRegistry().find(prefetch.peerId());
         RequestHead head = buildHead(prefetch, endpoint, source);
         IoLoop loop = ioThreads.loop(nextLoop++ % ioThreads.size());
         loop.execute(
@@ -35,7 +35,7 @@
                         new PrefetchRequest(
                                         context,
                                         prefetch.endpointId(),
-                                        prefetch.sourceId(),
+                                        prefetch.peerId(),
                                         listener)
                                 .send(loop, endpoint.address(), head));
     }
--- a/src/main/java/brooklock/proxy/RequestAuthorizer.java
+++ b/src/main/java/brooklock/proxy/RequestAuthorizer.java
@@ -208,7 +208,7 @@
     /** Appends the lines of the state page. */
     void appendState(StringBuilder page) {
         files.appendState(page);
-        page.append("token-checks-waiting ").append(verificationExecutor.queued()).append('\n');
+        page.append("token-checks-waiting ").append(verificationExecutor.queueSize()).append('\n');
         page.append("denied ").append(denialLog.total()).append('\n');
     }
 }
--- a/src/main/java/brooklock/proxy/StatePage.java
+++ b/src/main/java/brooklock/proxy/StatePage.java
@@ -60,7 +60,7 @@
         long nowMs = System.currentTimeMillis();
         for (EventSource source : state.sources().values()) {
             page.append(source).append(" heard-ms-ago ");
-            page.append(Math.max(0, nowMs - source.lastHeardMs())).append('\n');
+            page.append(Math.max(0, nowMs - source.lastEventMs())).append('\n');
         }
         // "by-hand" is the page's word for an override.
         state.overrides()
--- a/src/main/java/brooklock/proxy/UpstreamAttempt.java
+++ b/src/main/java/brooklock/proxy/UpstreamAttempt.java
@@ -299,7 +299,7 @@
 
     /** Returns endpoint, fill source, outcome, cache status and duration, for the access log. */
     String describe() {
-        String source = action.fills() ? "<" + nameOf(action.fillSource()) : "";
+        String source = action.fillsOnMiss() ? "<" + nameOf(action.fillSource()) : "";
         String cacheStatus =
                 result == null ? "" : "/" + TraceVocabulary.wordOf(result.cacheStatus());
         return nameOf(action.endpoint())
--- a/src/main/java/brooklock/proxy/UpstreamRequestBuilder.java
+++ b/src/main/java/brooklock/proxy/UpstreamRequestBuilder.java
@@ -66,7 +66,7 @@
         }
         long maxAgeNs =
                 action.maxAgeNs() > 0 ? action.maxAgeNs() : requestClass.freshnessLifetimeNs();
-        boolean fills = action.fills();
+        boolean fills = action.fillsOnMiss();
         String cacheControl = cacheControl(fills, maxAgeNs);
         if (!cacheControl.isEmpty() && !requestClass.passThrough()) {
             fields.add("Cache-Control", cacheControl);
--- a/src/main/java/brooklock/proxy/WarmingCoordinator.java
+++ b/src/main/java/brooklock/proxy/WarmingCoordinator.java
@@ -77,7 +77,7 @@
                         limits(settings),
                         (object, part, endpoint) ->
                                 RendezvousHash.score(
-                                        RendezvousHash.copy(object, part), endpoint, 1),
+                                        RendezvousHash.copyHash(object, part), endpoint, 1),
                         settings.localZone(),
                         settings.name(),
                         context.clock().nowNs());
@@ -103,7 +103,7 @@
     void onEndpointListChanged() {
         List<CacheWarming.CacheEndpoint> caches = new ArrayList<>();
         for (Endpoint endpoint :
-                context.endpointRegistry().fullEndpointList(EndpointListKind.FULL).endpoints()) {
+                context.endpointRegistry().fullListEvent(EndpointListKind.FULL).endpoints()) {
             ListedEndpoint listed = context.endpointRegistry().find(endpoint.id());
             if (listed.kind() == EndpointKind.CACHE && listed.state() != EndpointState.GONE) {
                 caches.add(
@@ -131,7 +131,7 @@
                 endpoint.zone(),
                 endpoint.kind(),
                 endpoint.state(),
-                weight * warming.loadShare(endpoint.id()),
+                weight * warming.announcedLoadShare(endpoint.id()),
                 endpoint.startedAtNs());
     }
 
@@ -161,7 +161,7 @@
      */
     long selectFillPeer(StartAttempt action, RouteTable.Match match) {
         boolean fillsCopy =
-                action.fills()
+                action.fillsOnMiss()
                         && action.cachePriority() != 0
                         && !match.requestClass().passThrough();
         return fillsCopy
@@ -183,7 +183,7 @@
                     nowNs);
             if (observation.storesCopy()) {
                 RouteTable.Match match = observation.match();
-                warming.onFilled(event.endpoint(), match.object(), match.part());
+                warming.onPartCached(event.endpoint(), match.object(), match.part());
             }
         } else if (isEndpointFailure(event)) {
             warming.onFailure(event.endpoint(), isConnectionFailure(event.outcome()), nowNs);
@@ -266,7 +266,7 @@
     }
 
     private Optional<RouterEvent> changedWeights() {
-        Map<Long, Double> changedShares = warming.changedShares(context.clock().nowNs());
+        Map<Long, Double> changedShares = warming.pollChangedShares(context.clock().nowNs());
         if (++ticks % TICKS_PER_SNAPSHOT == 0) {
             snapshotStore.ifPresent(store -> store.save(warming.snapshot(context.clock().nowNs())));
         }
@@ -279,7 +279,7 @@
                         EndpointListKind.DELTA,
                         context
                                 .endpointRegistry()
-                                .fullEndpointList(EndpointListKind.DELTA)
+                                .fullListEvent(EndpointListKind.DELTA)
                                 .endpoints()
                                 .stream()
                                 .filter(endpoint -> changedShares.containsKey(endpoint.id()))
@@ -316,7 +316,7 @@
                             peerResult ->
                                     onPeerResult(
                                             prefetch.endpointId(),
-                                            prefetch.sourceId(),
+                                            prefetch.peerId(),
                                             peerResult,
                                             nowNs));
             onLoadFields(prefetch, response.fields(), response.sentAtNs(), nowNs);
@@ -332,7 +332,7 @@
         LoadReportParser.ofEndpoint(fields, sentAtNs, nowNs)
                 .ifPresent(load -> warming.onReport(prefetch.endpointId(), load));
         LoadReportParser.ofPeer(fields, sentAtNs, nowNs)
-                .ifPresent(load -> warming.onReport(prefetch.sourceId(), load));
+                .ifPresent(load -> warming.onReport(prefetch.peerId(), load));
     }
 
     /** Appends the lines of the state page. */
--- a/src/main/java/brooklock/routing/FillReach.java
+++ b/src/main/java/brooklock/routing/AdmittedTier.java
@@ -1,7 +1,7 @@
 package brooklock.routing;
 
 /** How far behind its endpoint an attempt may reach for the object. */
-enum FillReach {
+enum AdmittedTier {
     /** Not at all: the request is not admitted now. */
     NONE,
     /** Only the cached copy of the endpoint. */
--- a/src/main/java/brooklock/routing/Attempt.java
+++ b/src/main/java/brooklock/routing/Attempt.java
@@ -7,7 +7,7 @@
     /** Where the endpoint fills a miss from; the endpoint itself if it shall not fill. */
     final RoutedEndpoint fillSource;
 
-    final FillReach reach;
+    final AdmittedTier reach;
 
     /** When the router decided it; the endpoint gets it later if it waits for a connection. */
     final long decidedAtNs;
@@ -27,7 +27,7 @@
     /** Whether its response has begun to go to the client. */
     boolean responseStarted;
 
-    Attempt(RoutedEndpoint endpoint, RoutedEndpoint fillSource, FillReach reach, long decidedAtNs) {
+    Attempt(RoutedEndpoint endpoint, RoutedEndpoint fillSource, AdmittedTier reach, long decidedAtNs) {
         this.endpoint = endpoint;
         this.fillSource = fillSource;
         this.reach = reach;
--- a/src/main/java/brooklock/routing/CacheSelector.java
+++ b/src/main/java/brooklock/routing/CacheSelector.java
@@ -61,7 +61,7 @@
      * allows, even an ejected one. Null only where slow start allows none.
      */
     RoutedEndpoint select(PendingRequest request, long now) {
-        double bound = scoreAll(RendezvousHash.copy(request.event.object(), request.event.part()));
+        double bound = scoreAll(RendezvousHash.copyHash(request.event.object(), request.event.part()));
         RoutedEndpoint best = null;
         int left = HotList.cacheCount(request.demand);
         for (int i = 0; i < caches.size(); i++) {
--- a/src/main/java/brooklock/routing/DecayingRate.java
+++ b/src/main/java/brooklock/routing/DecayingRate.java
@@ -23,7 +23,7 @@
     }
 
     /** Mean amount per nanosecond over the span. */
-    public double perNs(long now) {
+    public double ratePerNs(long now) {
         return sum(now) / spanNs;
     }
 
--- a/src/main/java/brooklock/routing/FillAdmission.java
+++ b/src/main/java/brooklock/routing/FillAdmission.java
@@ -41,10 +41,10 @@
     }
 
     /** How far the request may reach now; objects off the hot list wait for a narrow origin. */
-    FillReach reach(PendingRequest request, RoutedEndpoint target, long now) {
+    AdmittedTier reach(PendingRequest request, RoutedEndpoint target, long now) {
         double work = request.workNs;
         if (!target.isCache) {
-            return fillLimit.admits(work, now) ? FillReach.ORIGIN : FillReach.NONE;
+            return fillLimit.admits(work, now) ? AdmittedTier.ORIGIN : AdmittedTier.NONE;
         }
         boolean fill = fillLimit.admits(work * (request.missed ? 1 : missRatio), now);
         boolean origin =
@@ -53,9 +53,9 @@
         if (!target.limit.admits(work, now)
                 || (request.missed && !fill)
                 || (request.parentMissed && !origin)) {
-            return FillReach.NONE;
+            return AdmittedTier.NONE;
         }
-        return !fill ? FillReach.CACHE : origin ? FillReach.ORIGIN : FillReach.PARENT;
+        return !fill ? AdmittedTier.CACHE : origin ? AdmittedTier.ORIGIN : AdmittedTier.PARENT;
     }
 
     /** Share of the request's work that is expected at the origin, by the misses known so far. */
@@ -72,11 +72,11 @@
         attempt.endpoint.limit.acquire(attempt.endpointWorkNs);
         boolean certain = request.missed || !request.isCacheableAt(attempt.endpoint);
         attempt.fillWorkNs =
-                attempt.reach == FillReach.CACHE || request.requestClass.passThrough()
+                attempt.reach == AdmittedTier.CACHE || request.requestClass.passThrough()
                         ? 0
                         : certain ? request.workNs : request.workNs * missRatio;
         attempt.originWorkNs =
-                attempt.reach != FillReach.ORIGIN
+                attempt.reach != AdmittedTier.ORIGIN
                         ? 0
                         : attempt.fillWorkNs * (request.parentMissed ? 1 : parentMissRatio);
         fillLimit.acquire(attempt.fillWorkNs);
@@ -145,13 +145,13 @@
         if (ok || excused) {
             return null;
         }
-        return attempt.reach == FillReach.CACHE ? attempt.endpoint.limit : fillLimit;
+        return attempt.reach == AdmittedTier.CACHE ? attempt.endpoint.limit : fillLimit;
     }
 
     private void learnMissRatios(
             PendingRequest request, Attempt attempt, AttemptCompleted completed) {
         if (completed.outcome() != AttemptOutcome.OK
-                || attempt.reach != FillReach.ORIGIN
+                || attempt.reach != AdmittedTier.ORIGIN
                 || !attempt.endpoint.isCache) {
             return;
         }
--- a/src/main/java/brooklock/routing/FillSourceSelector.java
+++ b/src/main/java/brooklock/routing/FillSourceSelector.java
@@ -49,7 +49,7 @@
     }
 
     private RoutedEndpoint bestOf(List<RoutedEndpoint> parents, PendingRequest request, long now) {
-        long copy = RendezvousHash.copy(request.event.object(), request.event.part());
+        long copy = RendezvousHash.copyHash(request.event.object(), request.event.part());
         RoutedEndpoint best = null;
         double bestScore = 0;
         for (int i = 0; i < parents.size(); i++) {
--- a/src/main/java/brooklock/routing/PendingRequest.java
+++ b/src/main/java/brooklock/routing/PendingRequest.java
@@ -103,7 +103,7 @@
         for (int i = 0; i < attempts.size(); i++) {
             Attempt attempt = attempts.get(i);
             if (attempt.endpoint == endpoint
-                    && attempt.reach == FillReach.ORIGIN
+                    && attempt.reach == AdmittedTier.ORIGIN
                     && !attempt.isOvertaken()) {
                 return true;
             }
--- a/src/main/java/brooklock/routing/RendezvousHash.java
+++ b/src/main/java/brooklock/routing/RendezvousHash.java
@@ -27,7 +27,7 @@
     }
 
     /** The hash of one part of an object. */
-    public static long copy(long object, int part) {
+    public static long copyHash(long object, int part) {
         return mix(object * 31 + part);
     }
 
--- a/src/main/java/brooklock/routing/Router.java
+++ b/src/main/java/brooklock/routing/Router.java
@@ -162,10 +162,10 @@
             }
         }
         if (target != null) {
-            FillReach reach =
-                    passThrough ? FillReach.ORIGIN : admission.reach(request, target, now);
-            if (reach != FillReach.NONE) {
-                boolean noFill = fillSource == null || reach == FillReach.CACHE;
+            AdmittedTier reach =
+                    passThrough ? AdmittedTier.ORIGIN : admission.reach(request, target, now);
+            if (reach != AdmittedTier.NONE) {
+                boolean noFill = fillSource == null || reach == AdmittedTier.CACHE;
                 send(request, new Attempt(target, noFill ? target : fillSource, reach, now));
                 return true;
             }
@@ -200,7 +200,7 @@
                         hotList.cachePriority(request, endpoint, now),
                         purges.maxAgeNs(request, now),
                         settings.collapsesRequests() && !request.requestClass.passThrough(),
-                        attempt.reach == FillReach.PARENT && fillSource.isParent,
+                        attempt.reach == AdmittedTier.PARENT && fillSource.isParent,
                         RetryPolicy.startWithinNs(request, timeoutNs, now)));
     }
 
@@ -297,9 +297,9 @@
             return;
         }
         Attempt last = request.lastAttempt();
-        if (last.reach != FillReach.ORIGIN && outcome == AttemptOutcome.CACHE_MISS) {
+        if (last.reach != AdmittedTier.ORIGIN && outcome == AttemptOutcome.CACHE_MISS) {
             request.missed = true;
-            request.parentMissed |= last.reach == FillReach.PARENT;
+            request.parentMissed |= last.reach == AdmittedTier.PARENT;
             if (startAttempt(request) || request.finished) {
                 return;
             }
--- a/src/main/java/brooklock/routing/RouterAction.java
+++ b/src/main/java/brooklock/routing/RouterAction.java
@@ -33,7 +33,7 @@
             implements RouterAction {
 
         /** Returns whether a cache miss is filled. */
-        public boolean fills() {
+        public boolean fillsOnMiss() {
             return fillSource != endpoint;
         }
     }
--- a/src/main/java/brooklock/routing/SlowStart.java
+++ b/src/main/java/brooklock/routing/SlowStart.java
@@ -60,7 +60,7 @@
      * @param initialCapacity share of its capacity at its start
      * @param warmUpNs time after which it has all of it, ns
      */
-    public static double capacityAt(long ageNs, double initialCapacity, long warmUpNs) {
+    public static double capacityShareAt(long ageNs, double initialCapacity, long warmUpNs) {
         return ageNs >= warmUpNs
                 ? 1
                 : initialCapacity + (1 - initialCapacity) * Math.max(0, ageNs) / warmUpNs;
@@ -71,7 +71,7 @@
      *
      * @param overloadMultiple multiple that overloads it
      */
-    public static double plannedMultiple(double overloadMultiple) {
+    public static double plannedCapacityMultiple(double overloadMultiple) {
         return Math.min(MAX_PLANNED_MULTIPLE, overloadMultiple * PLANNED_OVERLOAD_SHARE);
     }
 
@@ -110,7 +110,7 @@
             RoutedEndpoint endpoint, Peers peers, double capacity, double costNs, long now) {
         // While none is warm the rate stands as it was measured last: decay would shut the budgets.
         long measuredAt = peers.warmWeight(now) > 0 ? now : peers.rate.updatedAtNs();
-        double warmPeerRate = peers.rate.perNs(measuredAt) * endpoint.weight;
+        double warmPeerRate = peers.rate.ratePerNs(measuredAt) * endpoint.weight;
         double refillRate = warmPeerRate * capacity * peers.plannedMultiple;
         double maxBudgetNs = Math.max(refillRate * overloadWindowNs / 2, costNs);
         long refilledAtNs = Math.max(endpoint.slowStartUpdatedAtNs, endpoint.startedAtNs);
@@ -171,14 +171,14 @@
             this.endpoints = endpoints;
             this.initialCapacity = initialCapacity;
             this.warmUpNs = warmUpNs;
-            plannedMultiple = plannedMultiple(overloadMultiple);
+            plannedMultiple = plannedCapacityMultiple(overloadMultiple);
         }
 
         /** Share of its capacity that an endpoint surely has by now. */
         double capacityOf(RoutedEndpoint endpoint, long now) {
             return endpoint.startedAtNs == 0
                     ? 1
-                    : capacityAt(now - endpoint.startedAtNs, initialCapacity, warmUpNs);
+                    : capacityShareAt(now - endpoint.startedAtNs, initialCapacity, warmUpNs);
         }
 
         /** Weight of all that are warm, kept until the list, a restart or time changes it. */
--- a/src/main/java/brooklock/warming/CacheState.java
+++ b/src/main/java/brooklock/warming/CacheState.java
@@ -27,8 +27,8 @@
 
     private final WarmingLimits limits;
     private final String dispatcherName;
-    private final HitRatio sameZoneFills = new HitRatio();
-    private final HitRatio otherZoneFills = new HitRatio();
+    private final HitRatioEstimator sameZoneFills = new HitRatioEstimator();
+    private final HitRatioEstimator otherZoneFills = new HitRatioEstimator();
     private CacheEndpoint endpoint;
     // By the endpoint list or by its lost connections, whichever is later.
     private long startedNs;
--- a/src/main/java/brooklock/warming/CacheTable.java
+++ b/src/main/java/brooklock/warming/CacheTable.java
@@ -85,7 +85,7 @@
 
     /** This dispatcher's part of what a warm cache can serve, in requests per ns. */
     double dispatcherSharePerNs(long nowNs) {
-        return limits.dispatcherSharePerNs(warmCacheRate.perNs(nowNs));
+        return limits.dispatcherSharePerNs(warmCacheRate.ratePerNs(nowNs));
     }
 
     /** Whether a cache lacks the copies that it had before its last start. */
--- a/src/main/java/brooklock/warming/CacheWarming.java
+++ b/src/main/java/brooklock/warming/CacheWarming.java
@@ -54,12 +54,12 @@
      * A part to be fetched by a cache from a peer, and from nowhere else.
      *
      * @param endpointId the cache
-     * @param sourceId the peer
+     * @param peerId the peer
      * @param object the object
      * @param part the part of the object
      * @param request what is needed to request it
      */
-    public record Prefetch<T>(long endpointId, long sourceId, long object, int part, T request) {}
+    public record Prefetch<T>(long endpointId, long peerId, long object, int part, T request) {}
 
     /** What became of the request of a part from a peer. */
     public enum PeerResult {
@@ -125,7 +125,7 @@
     }
 
     /** A cache has served a part and kept it, so it need not be prefetched. */
-    public void onFilled(long endpointId, long object, int part) {
+    public void onPartCached(long endpointId, long object, int part) {
         CacheState cache = caches.find(endpointId);
         if (cache != null && cache.hasStartedLately()) {
             cache.markCached(new PartKey(object, part));
@@ -203,10 +203,10 @@
      * Returns the shares of caches that have changed enough to be announced to the router, by id, 0
      * to 1.
      */
-    public Map<Long, Double> changedShares(long nowNs) {
+    public Map<Long, Double> pollChangedShares(long nowNs) {
         Map<Long, Double> changed = new TreeMap<>();
         for (CacheState cache : caches.all()) {
-            double share = loadShare(cache, nowNs);
+            double share = announcedLoadShare(cache, nowNs);
             double announced = cache.announcedShare();
             boolean recovered = share == 1 && announced != 1;
             if (recovered || Math.abs(share - announced) >= MIN_SHARE_CHANGE) {
@@ -218,13 +218,13 @@
     }
 
     /** Returns the share of an endpoint that was announced last; 1 for one that is no cache. */
-    public double loadShare(long endpointId) {
+    public double announcedLoadShare(long endpointId) {
         CacheState cache = caches.find(endpointId);
         return cache == null ? 1 : cache.announcedShare();
     }
 
     // Caches of other zones get their clients' requests from dispatchers there.
-    private double loadShare(CacheState cache, long nowNs) {
+    private double announcedLoadShare(CacheState cache, long nowNs) {
         return caches.isLocal(cache) ? cache.loadShare(nowNs) : 1;
     }
 
@@ -265,7 +265,7 @@
                     new SnapshotEntry(
                             cache.id(),
                             cache.startedMs(),
-                            loadShare(cache, nowNs),
+                            announcedLoadShare(cache, nowNs),
                             cache.loadLimit().fraction()));
         }
         return entries;
--- a/src/main/java/brooklock/warming/HitRatio.java
+++ b/src/main/java/brooklock/warming/HitRatioEstimator.java
@@ -3,7 +3,7 @@
 import brooklock.routing.DecayingRate;
 
 /** How often peers of one kind recently held what was requested from them. */
-final class HitRatio {
+final class HitRatioEstimator {
     private final DecayingRate requests = new DecayingRate(CacheTable.RATE_SPAN_NS);
     private final DecayingRate hits = new DecayingRate(CacheTable.RATE_SPAN_NS);
 
--- a/src/main/java/brooklock/warming/PrefetchBudget.java
+++ b/src/main/java/brooklock/warming/PrefetchBudget.java
@@ -4,7 +4,7 @@
 
 /**
  * How many parts may be prefetched at one cache that is warming up. Clients get up to {@link
- * SlowStart#plannedMultiple} of the cache's present capacity; prefetching gets half of what is left
+ * SlowStart#plannedCapacityMultiple} of the cache's present capacity; prefetching gets half of what is left
  * up to the overload multiple, and never more than half of the capacity. So clients and prefetching
  * together stay below every overload multiple.
  */
@@ -54,7 +54,7 @@
      */
     static double maxPrefetchShare(WarmingLimits limits, double capacity) {
         double multiple = limits.overloadMultiple();
-        double router = SlowStart.plannedMultiple(multiple);
+        double router = SlowStart.plannedCapacityMultiple(multiple);
         double share = Math.min(MAX_CAPACITY_SHARE, SHARE_OF_REST * Math.max(0, multiple - router));
         return capacity * share;
     }
--- a/src/main/java/brooklock/warming/WarmingLimits.java
+++ b/src/main/java/brooklock/warming/WarmingLimits.java
@@ -63,6 +63,6 @@
 
     /** Share of its capacity that a cache has for certain at an age, given in ns. */
     public double capacityAt(long ageNs) {
-        return SlowStart.capacityAt(ageNs, initialCapacity, warmUpNs);
+        return SlowStart.capacityShareAt(ageNs, initialCapacity, warmUpNs);
     }
 }
--- a/src/test/java/brooklock/faulttest/InvariantCheckerTest.java
+++ b/src/test/java/brooklock/faulttest/InvariantCheckerTest.java
@@ -145,7 +145,7 @@
 
         @Override
         protected void interceptAction(RouterAction action, List<RouterAction> forwarded) {
-            boolean fill = action instanceof StartAttempt start && start.fills();
+            boolean fill = action instanceof StartAttempt start && start.fillsOnMiss();
             forwarded.add(
                     coldEndpoint != 0 && fill ? toColdEndpoint((StartAttempt) action) : action);
         }
--- a/src/test/java/brooklock/membership/EndpointRegistryTest.java
+++ b/src/test/java/brooklock/membership/EndpointRegistryTest.java
@@ -29,7 +29,7 @@
                         membership ->
                                 membership.apply(
                                         1, WatchEvent.unversioned(full, List.of(endpoints))));
-        return registry.toEndpointList(
+        return registry.toListEvent(
                 result, full ? EndpointListKind.FULL : EndpointListKind.DELTA);
     }
 
--- a/src/test/java/brooklock/membership/MembershipPropertyTest.java
+++ b/src/test/java/brooklock/membership/MembershipPropertyTest.java
@@ -130,7 +130,7 @@
         private void restart() {
             Membership restarted = TestEndpoints.membership();
             restarted.restore(
-                    EndpointRegistryCodec.decode(EndpointRegistryCodec.encode(membership.state())));
+                    MembershipStateCodec.decode(MembershipStateCodec.encode(membership.state())));
             assertEquals(membership.state().sources(), restarted.state().sources());
             membership = restarted;
         }
--- a/src/test/java/brooklock/membership/SavedEndpointListSampleTest.java
+++ b/src/test/java/brooklock/membership/SavedEndpointListSampleTest.java
@@ -86,6 +86,6 @@
         String expected =
                 resource("registry-list.saved")
                         .replace("hand c2 draining\nend 5 f407e9ab\n", "end 4 ce627b5f\n");
-        assertEquals(expected, EndpointRegistryCodec.encode(membership.state()));
+        assertEquals(expected, MembershipStateCodec.encode(membership.state()));
     }
 }
--- a/src/test/java/brooklock/platform/CutBytes.java
+++ b/src/test/java/brooklock/platform/DecoderTestUtil.java
@@ -5,13 +5,13 @@
 import java.util.List;
 
 /** Feeds decoders with bytes that come in pieces, as from a connection. */
-final class CutBytes {
+final class DecoderTestUtil {
     /** The method of a decoder that reads one message, or null if more bytes are needed. */
     interface Decoder<T> {
         T next(ByteBuffer in) throws MalformedMessageException;
     }
 
-    private CutBytes() {}
+    private DecoderTestUtil() {}
 
     /**
      * Decodes bytes that come in two pieces; what is left of the first stands before the second.
--- a/src/test/java/brooklock/platform/EndpointTableTest.java
+++ b/src/test/java/brooklock/platform/DiscoveredEndpointTableTest.java
@@ -15,10 +15,10 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** The endpoint list and the router's events of it. */
-class EndpointTableTest {
+class DiscoveredEndpointTableTest {
     private final long[] routerTimeNs = {100};
-    private final EndpointTable table =
-            new EndpointTable(
+    private final DiscoveredEndpointTable table =
+            new DiscoveredEndpointTable(
                     List.of("west"), List.of("box", "origin"), wallMs -> routerTimeNs[0]++);
 
     private static DiscoveryEvent.Endpoint endpoint(
@@ -28,7 +28,7 @@
     }
 
     private static EndpointListReceived apply(
-            EndpointTable to, boolean snapshot, DiscoveryEvent.Endpoint... endpoints) {
+            DiscoveredEndpointTable to, boolean snapshot, DiscoveryEvent.Endpoint... endpoints) {
         return to.apply(new DiscoveryEvent.EndpointListUpdate(1, snapshot, List.of(endpoints)));
     }
 
@@ -44,8 +44,8 @@
         assertEquals(EndpointListKind.FULL, first.kind());
         assertEquals(1, first.endpoints().size());
         long id = first.endpoints().get(0).id();
-        EndpointTable other =
-                new EndpointTable(List.of("west"), List.of("box", "origin"), wallMs -> 1);
+        DiscoveredEndpointTable other =
+                new DiscoveredEndpointTable(List.of("west"), List.of("box", "origin"), wallMs -> 1);
         assertEquals(id, apply(other, true, a).endpoints().get(0).id());
         EndpointListReceived again = apply(table, false, a);
         assertEquals(EndpointListKind.DELTA, again.kind());
--- a/src/test/java/brooklock/platform/DiscoveryEventDecoderTest.java
+++ b/src/test/java/brooklock/platform/DiscoveryEventDecoderTest.java
@@ -33,7 +33,7 @@
         byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
         for (int cut = 0; cut <= bytes.length; cut++) {
             List<DiscoveryEvent> events =
-                    CutBytes.decode(new DiscoveryEventDecoder()::next, bytes, cut);
+                    DecoderTestUtil.decode(new DiscoveryEventDecoder()::next, bytes, cut);
             assertEquals(5, events.size());
             assertEquals(
                     List.of(
--- a/src/test/java/brooklock/platform/DispatcherFixture.java
+++ b/src/test/java/brooklock/platform/DispatcherFixture.java
@@ -106,7 +106,7 @@
                 PlatformConfigReader.parse(TestConfigs.config("127.0.0.1:9", List.of()));
         connector =
                 new EndpointConnector(
-                        new EndpointTable(config.zones(), config.kinds(), clock::fromWallMs),
+                        new DiscoveredEndpointTable(config.zones(), config.kinds(), clock::fromWallMs),
                         ConnectionSettings.of(
                                 loop,
                                 (to, timeoutNs, onConnected, onFailed) -> {
--- a/src/test/java/brooklock/platform/FrameDecoderTest.java
+++ b/src/test/java/brooklock/platform/FrameDecoderTest.java
@@ -29,7 +29,7 @@
                         response(Frame.OK, -5, "rev=4be0,tell=hit", body),
                         response(Frame.MISS, 6, "", new byte[0]));
         for (int cut = 0; cut <= bytes.length; cut++) {
-            List<Frame> frames = CutBytes.decode(new FrameDecoder()::next, bytes, cut);
+            List<Frame> frames = DecoderTestUtil.decode(new FrameDecoder()::next, bytes, cut);
             assertEquals(2, frames.size());
             assertEquals(-5, frames.get(0).id());
             assertEquals(Map.of("rev", "4be0", "tell", "hit"), frames.get(0).fields());
@@ -70,7 +70,7 @@
     void framesThatDoNotFitAreRejectedAtOnce(String text) {
         assertThrows(
                 MalformedMessageException.class,
-                () -> CutBytes.decode(new FrameDecoder()::next, CutBytes.hex(text), 0));
+                () -> DecoderTestUtil.decode(new FrameDecoder()::next, DecoderTestUtil.hex(text), 0));
     }
 
     @ParameterizedTest
--- a/src/test/java/brooklock/platform/EndpointFaultTest.java
+++ b/src/test/java/brooklock/platform/PlatformEndpointFaultTest.java
@@ -12,7 +12,7 @@
 
 /** Endpoints that respond with garbage, break off, are silent or are not there. */
 @Timeout(120)
-class EndpointFaultTest {
+class PlatformEndpointFaultTest {
     private static final byte[] BODY = LoopbackDispatcher.BODY;
 
     @RegisterExtension private final LoopbackDispatcher loopback = new LoopbackDispatcher();
--- a/src/test/java/brooklock/platform/RequestForwardingTest.java
+++ b/src/test/java/brooklock/platform/PlatformRequestForwardingTest.java
@@ -13,7 +13,7 @@
 
 /** What endpoints get of a request and what the client gets of their responses. */
 @Timeout(120)
-class RequestForwardingTest {
+class PlatformRequestForwardingTest {
     @RegisterExtension private final LoopbackDispatcher loopback = new LoopbackDispatcher();
 
     @Test
--- a/src/test/java/brooklock/platform/RpcDecoderTest.java
+++ b/src/test/java/brooklock/platform/RpcDecoderTest.java
@@ -24,7 +24,7 @@
                         RpcTestClient.encodeCancel(7),
                         RpcTestClient.encodeCall(300, "isWell", Map.of(), null));
         for (int cut = 0; cut <= bytes.length; cut++) {
-            List<RpcMessage> messages = CutBytes.decode(new RpcDecoder()::next, bytes, cut);
+            List<RpcMessage> messages = DecoderTestUtil.decode(new RpcDecoder()::next, bytes, cut);
             assertEquals(3, messages.size());
             RpcMessage.Call call = (RpcMessage.Call) messages.get(0);
             assertEquals(7, call.messageId());
@@ -59,6 +59,6 @@
     void bytesThatAreNoMessageAreRejectedAtOnce(String text) {
         assertThrows(
                 MalformedMessageException.class,
-                () -> CutBytes.decode(new RpcDecoder()::next, CutBytes.hex(text), 0));
+                () -> DecoderTestUtil.decode(new RpcDecoder()::next, DecoderTestUtil.hex(text), 0));
     }
 }
--- a/src/test/java/brooklock/platform/RpcEncoderTest.java
+++ b/src/test/java/brooklock/platform/RpcEncoderTest.java
@@ -30,25 +30,25 @@
     void errorsHaveTheNamesOfTheProtocol(RpcError error, String name) {
         byte[] expected =
                 RpcTestClient.concat(
-                        CutBytes.hex("94 01 07 92"),
+                        DecoderTestUtil.hex("94 01 07 92"),
                         new byte[] {(byte) (0xa0 | name.length())},
                         ascii(name),
-                        CutBytes.hex("80 c0"));
+                        DecoderTestUtil.hex("80 c0"));
         assertArrayEquals(expected, bytesOf(RpcEncoder.error(7, error)));
         assertEquals(3, RpcError.values().length);
     }
 
     @Test
     void aRejectionNamesWhenToRetryInWholeMilliseconds() {
-        byte[] head = CutBytes.hex("94 01 ce 0000012c 92 aa 4f7665726c6f61646564");
+        byte[] head = DecoderTestUtil.hex("94 01 ce 0000012c 92 aa 4f7665726c6f61646564");
         assertArrayEquals(
-                RpcTestClient.concat(head, CutBytes.hex("80 c0")),
+                RpcTestClient.concat(head, DecoderTestUtil.hex("80 c0")),
                 bytesOf(RpcEncoder.rejected(300, 0)));
         assertArrayEquals(
-                RpcTestClient.concat(head, CutBytes.hex("81 a1 77 a1 31 c0")),
+                RpcTestClient.concat(head, DecoderTestUtil.hex("81 a1 77 a1 31 c0")),
                 bytesOf(RpcEncoder.rejected(300, 1)));
         assertArrayEquals(
-                RpcTestClient.concat(head, CutBytes.hex("81 a1 77 a4 31353030 c0")),
+                RpcTestClient.concat(head, DecoderTestUtil.hex("81 a1 77 a4 31353030 c0")),
                 bytesOf(RpcEncoder.rejected(300, 1_500_999_999)));
     }
 
@@ -58,22 +58,22 @@
         byte[] body = new byte[length];
         assertArrayEquals(
                 RpcTestClient.concat(
-                        CutBytes.hex("94 01 07 c0 92" + head), body, CutBytes.hex("80")),
+                        DecoderTestUtil.hex("94 01 07 c0 92" + head), body, DecoderTestUtil.hex("80")),
                 bytesOf(RpcEncoder.served(7, body)));
     }
 
     @Test
     void aConfirmedCopyHasNoBody() {
         assertArrayEquals(
-                CutBytes.hex("94 01 07 c0 92 c400 81 a6 6e6f746d6f64 a1 31"),
+                DecoderTestUtil.hex("94 01 07 c0 92 c400 81 a6 6e6f746d6f64 a1 31"),
                 bytesOf(RpcEncoder.notModified(7)));
     }
 
     @Test
     void aHealthCheckIsAnsweredTrueOrFalse() {
         assertArrayEquals(
-                CutBytes.hex("94 01 07 c0 92 c3 80"), bytesOf(RpcEncoder.health(7, true)));
+                DecoderTestUtil.hex("94 01 07 c0 92 c3 80"), bytesOf(RpcEncoder.health(7, true)));
         assertArrayEquals(
-                CutBytes.hex("94 01 07 c0 92 c2 80"), bytesOf(RpcEncoder.health(7, false)));
+                DecoderTestUtil.hex("94 01 07 c0 92 c2 80"), bytesOf(RpcEncoder.health(7, false)));
     }
 }
--- a/src/test/java/brooklock/routing/CacheSelectorTest.java
+++ b/src/test/java/brooklock/routing/CacheSelectorTest.java
@@ -52,7 +52,7 @@
         endpoints.add(RouterFixture.origin());
         RouterFixture fixture = new RouterFixture();
         fixture.onEvent(new EndpointListReceived(EndpointListKind.CACHED, endpoints));
-        long copy = RendezvousHash.copy(7, 0);
+        long copy = RendezvousHash.copyHash(7, 0);
         List<Long> nearest =
                 endpoints.stream()
                         .map(Endpoint::id)
--- a/src/test/java/brooklock/routing/FillAdmissionTest.java
+++ b/src/test/java/brooklock/routing/FillAdmissionTest.java
@@ -27,7 +27,7 @@
         boolean cachedOnly = false;
         for (int i = 0; i < 30; i++) {
             StartAttempt attempt = fixture.request(PAGE, 5000 + i);
-            cachedOnly |= attempt != null && !attempt.fills();
+            cachedOnly |= attempt != null && !attempt.fillsOnMiss();
         }
         assertTrue(cachedOnly);
     }
@@ -63,7 +63,7 @@
         for (int i = 0; i < 20; i++) {
             RequestReceived request = withoutSize(fixture.newRequest(PAGE, 12_000 + i));
             StartAttempt attempt = attemptIn(fixture.onEvent(request));
-            assertTrue(attempt.fills(), "a fill is allowed with the request");
+            assertTrue(attempt.fillsOnMiss(), "a fill is allowed with the request");
         }
     }
 
@@ -135,7 +135,7 @@
             fixture.now += 100 * MS;
             StartAttempt attempt = fixture.request(PAGE, 1000 + i);
             while (attempt != null) {
-                boolean cachedOnly = attempt.onlyIfCached() || !attempt.fills();
+                boolean cachedOnly = attempt.onlyIfCached() || !attempt.fillsOnMiss();
                 attempt =
                         attemptIn(
                                 fixture.complete(
--- a/src/test/java/brooklock/simulator/ActionEncoderTest.java
+++ b/src/test/java/brooklock/simulator/ActionEncoderTest.java
@@ -22,11 +22,11 @@
         assertEquals(frame.capacity() - 4, frame.getInt(0));
         byte[] timer = new byte[21];
         frame.position(frame.capacity() - 21).get(timer);
-        assertArrayEquals(Records.hex("14 10000000 03000000 4d000000 9024361302000000"), timer);
+        assertArrayEquals(TestRecords.hex("14 10000000 03000000 4d000000 9024361302000000"), timer);
         byte[] start = new byte[43];
         frame.position(4).get(start);
         assertArrayEquals(
-                Records.hex(
+                TestRecords.hex(
                         "1c 26000000 03000000 c4913a5d3ef60e00 074a1203 3c00000000000000 f211902c"
                                 + "02 0700000000000000 03"),
                 start);
--- a/src/test/java/brooklock/simulator/EventDecoderTest.java
+++ b/src/test/java/brooklock/simulator/EventDecoderTest.java
@@ -16,7 +16,7 @@
 /** Records as the simulator writes them, byte by byte. */
 class EventDecoderTest {
     private static EventDecoder decoder(String hex) {
-        EventDecoder decoder = new EventDecoder(Records.hex(hex));
+        EventDecoder decoder = new EventDecoder(TestRecords.hex(hex));
         assertTrue(decoder.nextRecord());
         return decoder;
     }
--- a/src/test/java/brooklock/simulator/SimulatorHostTest.java
+++ b/src/test/java/brooklock/simulator/SimulatorHostTest.java
@@ -1,10 +1,10 @@
 package brooklock.simulator;
 
-import static brooklock.simulator.Records.SETTINGS;
-import static brooklock.simulator.Records.frame;
-import static brooklock.simulator.Records.hex;
-import static brooklock.simulator.Records.record;
-import static brooklock.simulator.Records.start;
+import static brooklock.simulator.TestRecords.SETTINGS;
+import static brooklock.simulator.TestRecords.frame;
+import static brooklock.simulator.TestRecords.hex;
+import static brooklock.simulator.TestRecords.record;
+import static brooklock.simulator.TestRecords.start;
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
--- a/src/test/java/brooklock/simulator/Records.java
+++ b/src/test/java/brooklock/simulator/TestRecords.java
@@ -7,7 +7,7 @@
 import java.util.HexFormat;
 
 /** Builds the bytes of records and frames. */
-final class Records {
+final class TestRecords {
     static final String SETTINGS =
             """
             {"lanes": [{"name": "page", "effect": "read_like", "onTimeNs": 300000000, "giveUpNs": 3000000000}],
@@ -16,7 +16,7 @@
 
     private static final int START = 16;
 
-    private Records() {}
+    private TestRecords() {}
 
     /** Bytes written as hexadecimal digits, with spaces anywhere. */
     static byte[] hex(String text) {
--- a/src/test/java/brooklock/warming/PrefetchTest.java
+++ b/src/test/java/brooklock/warming/PrefetchTest.java
@@ -76,7 +76,7 @@
         CacheWarming<String> lateMiss = fleet(LIMITS, START);
         requestObjects(lateMiss, START - S);
         lateMiss.onResponse(1, false, true, START);
-        lateMiss.onFilled(1, 1, 0);
+        lateMiss.onPartCached(1, 1, 0);
         List<Prefetch<String>> all = prefetches(lateMiss, START, START + 8 * S);
         assertFalse(all.isEmpty(), "its fill source was late");
         assertTrue(
--- a/src/test/java/brooklock/warming/WarmingSnapshotTest.java
+++ b/src/test/java/brooklock/warming/WarmingSnapshotTest.java
@@ -29,7 +29,7 @@
     void overloadAndSave() {
         CacheWarming<String> warming = fleet(LIMITS, START);
         warming.onReport(1, report(0.95, 0.1, START + S));
-        assertEquals(0.5, warming.changedShares(START + S).get(1L));
+        assertEquals(0.5, warming.pollChangedShares(START + S).get(1L));
         snapshot = warming.snapshot(START + S);
     }
 
@@ -39,7 +39,7 @@
     void age(long ageSeconds, double share) {
         CacheWarming<String> restarted = fleet(LIMITS, START);
         restarted.restore(snapshot, ageSeconds * S, START + S);
-        assertEquals(share, restarted.changedShares(START + S).getOrDefault(1L, 1.0), 0.01);
+        assertEquals(share, restarted.pollChangedShares(START + S).getOrDefault(1L, 1.0), 0.01);
     }
 
     @Test
@@ -48,7 +48,7 @@
         CacheWarming<String> restarted = fleet(LIMITS, START);
         restarted.onEndpointList(List.of(cold(1, START + S / 2), warm(2)), START + S);
         restarted.restore(snapshot, S, START + S);
-        assertEquals(1, restarted.loadShare(1));
-        assertTrue(restarted.changedShares(START + S).isEmpty());
+        assertEquals(1, restarted.announcedLoadShare(1));
+        assertTrue(restarted.pollChangedShares(START + S).isEmpty());
     }
 }
