--- a/src/main/java/brooklock/credentials/MonotonicWallClock.java
+++ b/src/main/java/brooklock/credentials/MonotonicWallClock.java
@@ -1,48 +1,48 @@
 package brooklock.credentials;
 
 /**
- * Wall time that never goes back. If the system's clock were set back and believed, expired
- * credentials would be valid again. Meanwhile the time goes on by the monotonic clock, until the
- * system's clock is ahead again. Not thread-safe.
+ * A wall clock that never goes back. If it followed a system clock that is set back, expired
+ * credentials would be valid again. After such a change it advances with the monotonic clock until
+ * the system clock is ahead again. Not thread-safe.
  */
 public final class MonotonicWallClock {
-    /** A clock. */
+    /** A source of time in ms. */
     public interface MillisClock {
-        /** The time, in ms. */
+        /** Returns the current time, in ms. */
         long nowMs();
     }
 
-    private final MillisClock wall;
-    private final MillisClock monotonic;
-    private long anchorWallMs;
-    private long anchorMonotonicMs;
+    private final MillisClock wallClock;
+    private final MillisClock monotonicClock;
+    private long referenceWallMs;
+    private long referenceMonotonicMs;
 
-    /** Creates a clock from the system's clocks. */
+    /** Creates a new clock based on the system's clocks. */
     public MonotonicWallClock() {
         this(System::currentTimeMillis, () -> System.nanoTime() / 1_000_000);
     }
 
     /**
-     * Creates a clock from others.
+     * Creates a new clock based on the given clocks.
      *
-     * @param wall wall time, since 1970
-     * @param monotonic a time that never goes back, from any origin
+     * @param wallClock the wall time since 1970, which may go back
+     * @param monotonicClock a time that never goes back, from an arbitrary origin
      */
-    public MonotonicWallClock(MillisClock wall, MillisClock monotonic) {
-        this.wall = wall;
-        this.monotonic = monotonic;
-        anchorWallMs = wall.nowMs();
-        anchorMonotonicMs = monotonic.nowMs();
+    public MonotonicWallClock(MillisClock wallClock, MillisClock monotonicClock) {
+        this.wallClock = wallClock;
+        this.monotonicClock = monotonicClock;
+        referenceWallMs = wallClock.nowMs();
+        referenceMonotonicMs = monotonicClock.nowMs();
     }
 
-    /** The time, in ms since 1970. */
+    /** Returns the current time, in ms since 1970; never less than an earlier result. */
     public long nowMs() {
-        long monotonicMs = monotonic.nowMs();
-        long expectedMs = anchorWallMs + monotonicMs - anchorMonotonicMs;
-        long wallMs = wall.nowMs();
+        long monotonicMs = monotonicClock.nowMs();
+        long expectedMs = referenceWallMs + monotonicMs - referenceMonotonicMs;
+        long wallMs = wallClock.nowMs();
         if (wallMs > expectedMs) {
-            anchorWallMs = wallMs;
-            anchorMonotonicMs = monotonicMs;
+            referenceWallMs = wallMs;
+            referenceMonotonicMs = monotonicMs;
             return wallMs;
         }
         return expectedMs;
--- a/src/main/java/brooklock/warming/PrefetchPlanner.java
+++ b/src/main/java/brooklock/warming/PrefetchPlanner.java
@@ -14,14 +14,14 @@
 import java.util.function.BiPredicate;
 
 /**
- * Plans prefetches: the hottest parts that belong by hash to a cache that lacks its copies, each
- * from a peer that holds it, within the cache's {@link PrefetchBudget} and the peer's {@link
- * PeerLoadLimit}.
+ * Plans prefetches for caches that lack their copies. A cache prefetches the hottest parts that it
+ * owns by hash, each from a peer that is expected to hold it, within the cache's {@link
+ * PrefetchBudget} and the peer's {@link PeerLoadLimit}. Not thread-safe.
  *
- * @param <T> what is needed to request a part
+ * @param <T> the information needed to request a part
  */
 final class PrefetchPlanner<T> {
-    // Bounds of the work of one call, and of the parts queued for one cache.
+    // Bound the work of one call and the number of parts queued for one cache.
     private static final int MAX_PARTS_EXAMINED = 64;
     private static final int MAX_PARTS_SKIPPED = 8;
     private static final int MAX_QUEUED_PARTS = 256;
@@ -29,34 +29,38 @@
 
     private final WarmingLimits limits;
     private final CacheTable caches;
-    private final PeerSelector peers;
+    private final PeerSelector peerSelector;
     private final EndpointScore score;
     private final HotParts<T> hotParts;
-    private List<HotPart<T>> hottest = List.of();
-    private long hottestRefreshNs;
-    private int nextHottest;
+    private List<HotPart<T>> hottestParts = List.of();
+    private long nextRefreshNs;
+    private int nextHottestIndex;
     private final Map<CacheState, ArrayDeque<HotPart<T>>> queues = new LinkedHashMap<>();
 
     PrefetchPlanner(
             WarmingLimits limits,
             CacheTable caches,
-            PeerSelector peers,
+            PeerSelector peerSelector,
             EndpointScore score,
             HotParts<T> hotParts) {
         this.limits = limits;
         this.caches = caches;
-        this.peers = peers;
+        this.peerSelector = peerSelector;
         this.score = score;
         this.hotParts = hotParts;
     }
 
-    /** A client has requested a part that a cache will store. */
+    /** Records that a client requested a part that a cache will store. */
     void onRequest(PartKey key, T request, long nowNs) {
         hotParts.recordRequest(key, request, nowNs);
     }
 
-    /** Returns the prefetches to send now and counts them as in flight. */
-    List<Prefetch<T>> next(long nowNs, BiPredicate<Long, T> allowed) {
+    /**
+     * Returns the prefetches to send now, counts them as in flight and acquires their permits.
+     *
+     * @param copyAllowed tests whether a copy of an object may be passed on now
+     */
+    List<Prefetch<T>> next(long nowNs, BiPredicate<Long, T> copyAllowed) {
         List<CacheState> targets =
                 caches.all().stream().filter(cache -> isTarget(cache, nowNs)).toList();
         if (targets.isEmpty()) {
@@ -67,7 +71,7 @@
         for (CacheState target : targets) {
             ArrayDeque<HotPart<T>> queue = queues.get(target);
             if (queue != null) {
-                addPrefetches(target, queue, allowed, prefetches, nowNs);
+                addPrefetches(target, queue, copyAllowed, prefetches, nowNs);
             }
         }
         return prefetches;
@@ -83,23 +87,24 @@
     private void addPrefetches(
             CacheState target,
             ArrayDeque<HotPart<T>> queue,
-            BiPredicate<Long, T> allowed,
+            BiPredicate<Long, T> copyAllowed,
             List<Prefetch<T>> prefetches,
             long nowNs) {
-        double dispatcherSharePerNs = caches.dispatcherSharePerNs(nowNs);
+        double dispatcherCapacityPerNs = caches.dispatcherCapacityPerNs(nowNs);
         int skipped = 0;
         while (!queue.isEmpty()
                 && skipped < MAX_PARTS_SKIPPED
                 && target.prefetchBudget()
-                        .canAcquire(limits, target.capacity(nowNs), dispatcherSharePerNs, nowNs)) {
+                        .refillAndCheck(
+                                limits, target.capacity(nowNs), dispatcherCapacityPerNs, nowNs)) {
             HotPart<T> part = queue.poll();
             PartKey key = part.key();
             if (target.hasCached(key)) {
                 continue;
             }
             Optional<CacheState> peer =
-                    allowed.test(key.object(), part.request())
-                            ? peers.select(target, key, nowNs)
+                    copyAllowed.test(key.object(), part.request())
+                            ? peerSelector.select(target, key, nowNs)
                             : Optional.empty();
             if (peer.isEmpty()) {
                 queue.add(part);
@@ -120,21 +125,22 @@
     }
 
     /**
-     * Queues the hottest parts at the caches they belong to: some more at each call, all anew at
-     * each refresh.
+     * Adds the hottest parts to the queues of the caches that own them. Each call examines a
+     * bounded number of further parts; each refresh discards the queues and starts from the hottest
+     * part.
      */
     private void fillQueues(List<CacheState> targets, long nowNs) {
-        if (nowNs >= hottestRefreshNs) {
-            hottest = hotParts.hottest(nowNs);
-            hottestRefreshNs = nowNs + HOT_PARTS_REFRESH_NS;
-            nextHottest = 0;
+        if (nowNs >= nextRefreshNs) {
+            hottestParts = hotParts.hottest(nowNs);
+            nextRefreshNs = nowNs + HOT_PARTS_REFRESH_NS;
+            nextHottestIndex = 0;
             queues.clear();
             targets.forEach(target -> queues.put(target, new ArrayDeque<>()));
         }
         int examined = 0;
-        while (examined < MAX_PARTS_EXAMINED && nextHottest < hottest.size()) {
-            HotPart<T> part = hottest.get(nextHottest++);
-            if (!part.hasOwnerOf(caches.listVersion())) {
+        while (examined < MAX_PARTS_EXAMINED && nextHottestIndex < hottestParts.size()) {
+            HotPart<T> part = hottestParts.get(nextHottestIndex++);
+            if (!part.hasOwnerFor(caches.listVersion())) {
                 part.setOwner(owningCache(part.key()), caches.listVersion());
                 examined++;
             }
@@ -146,7 +152,7 @@
         }
     }
 
-    /** Returns the id of the local cache that a part belongs to by hash; 0 if there is none. */
+    /** Returns the id of the ready local cache that owns a part by hash, or 0 if there is none. */
     private long owningCache(PartKey key) {
         return caches.all().stream()
                 .filter(cache -> cache.isReady() && caches.isLocal(cache))
--- a/src/test/java/brooklock/routing/OutlierDetectorTest.java
+++ b/src/test/java/brooklock/routing/OutlierDetectorTest.java
@@ -2,7 +2,7 @@
 
 import static brooklock.routing.RouterFixture.MS;
 import static brooklock.routing.RouterFixture.PAGE;
-import static brooklock.routing.RouterFixture.attemptIn;
+import static brooklock.routing.RouterFixture.firstAttempt;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
@@ -14,11 +14,11 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** When endpoints are ejected, and whom errors are attributed to. */
+/** Tests when endpoints are ejected and to which endpoints errors are attributed. */
 class OutlierDetectorTest {
     /**
-     * One cache responds with errors at once, so it looks less loaded than all others and would
-     * draw requests.
+     * One cache responds with errors at once. It looks less loaded than the others and would
+     * attract requests.
      */
     @Test
     void aCacheThatFailsFastIsEjectedAfterAFewErrors() {
@@ -26,11 +26,11 @@
         int errors = 0;
         for (int i = 0; i < 200; i++) {
             fixture.now += 10 * MS;
-            StartAttempt attempt = fixture.request(PAGE, i);
+            StartAttempt attempt = fixture.startRequest(PAGE, i);
             if (attempt.endpoint() == 12) {
                 errors++;
                 attempt =
-                        attemptIn(
+                        firstAttempt(
                                 fixture.complete(
                                         attempt, AttemptOutcome.ERROR, CacheStatus.NONE, 1));
             }
@@ -43,24 +43,28 @@
 
     /**
      * Clients send requests that every endpoint answers with an error. The endpoints are healthy:
-     * none may be ejected, no object may move, and each such request ends after three endpoints.
+     * none may be ejected, no object may move to another cache, and each such request must end
+     * after at most three endpoints.
      */
     @Test
     void requestsThatNoEndpointCanServeEjectNone() {
         RouterFixture fixture = new RouterFixture().withEndpoints();
-        Map<Long, Long> homes = new HashMap<>();
+        Map<Long, Long> firstEndpoints = new HashMap<>();
         int moved = 0;
         for (int i = 0; i < 400; i++) {
             fixture.now += 20 * MS;
             long object = i % 40;
-            StartAttempt good = fixture.requestServed(PAGE, object);
-            moved += homes.computeIfAbsent(object, k -> good.endpoint()) == good.endpoint() ? 0 : 1;
+            StartAttempt good = fixture.serveRequest(PAGE, object);
+            moved +=
+                    firstEndpoints.computeIfAbsent(object, k -> good.endpoint()) == good.endpoint()
+                            ? 0
+                            : 1;
             if (i % 8 == 0) {
                 int attempts = 0;
-                StartAttempt bad = fixture.request(PAGE, 1000 + i);
+                StartAttempt bad = fixture.startRequest(PAGE, 1000 + i);
                 for (; bad != null; attempts++) {
                     bad =
-                            attemptIn(
+                            firstAttempt(
                                     fixture.complete(
                                             bad, AttemptOutcome.ERROR, CacheStatus.NONE, 1));
                 }
@@ -70,13 +74,16 @@
         assertEquals(0, moved);
     }
 
-    /** A fill source rejects a fill. The next attempt names another: the cache is not at fault. */
+    /**
+     * A fill source rejects a fill. The error is not the cache's, so the next attempt must name
+     * another fill source.
+     */
     @Test
-    void aFailedFillIsAttributedToItsSource() {
+    void aFailedFillIsAttributedToTheFillSource() {
         RouterFixture fixture = new RouterFixture().withEndpoints();
-        StartAttempt first = fixture.request(PAGE, 42);
+        StartAttempt first = fixture.startRequest(PAGE, 42);
         StartAttempt next =
-                attemptIn(
+                firstAttempt(
                         fixture.complete(
                                 first,
                                 AttemptOutcome.OVERLOADED,
@@ -88,7 +95,7 @@
 
     /**
      * The origin fails behind the parent for the objects of one cache. That cache is healthy and
-     * keeps its share.
+     * must keep its share of the requests.
      */
     @Test
     void anOriginThatFailsBehindTheParentDoesNotEjectTheCache() {
@@ -96,11 +103,11 @@
         int sent = 0;
         for (int i = 0; i < 60; i++) {
             fixture.now += 5 * MS;
-            StartAttempt attempt = fixture.request(PAGE, i);
+            StartAttempt attempt = fixture.startRequest(PAGE, i);
             boolean failing = attempt.endpoint() == 12;
             sent += failing ? 1 : 0;
             StartAttempt next =
-                    attemptIn(
+                    firstAttempt(
                             fixture.complete(
                                     attempt,
                                     failing ? AttemptOutcome.ERROR : AttemptOutcome.OK,
@@ -114,20 +121,20 @@
     }
 
     /**
-     * A parent fails for minutes. With a health check a second it would get most of this
-     * dispatcher's fills, so the pause between checks grows.
+     * A parent fails for minutes. With a health check each second it would get most of this
+     * dispatcher's fills, so the pause between health checks must grow.
      */
     @Test
-    void aParentThatKeepsFailingIsCheckedMoreAndMoreSeldom() {
+    void aParentThatKeepsFailingIsCheckedAtGrowingIntervals() {
         RouterFixture fixture = new RouterFixture().withEndpoints();
         int late = 0;
         for (int i = 0; i < 120; i++) {
             fixture.now += 500 * MS;
-            StartAttempt attempt = fixture.request(PAGE, 2000 + i);
+            StartAttempt attempt = fixture.startRequest(PAGE, 2000 + i);
             if (attempt.fillSource() == 801) {
                 late += i >= 40 ? 1 : 0;
                 attempt =
-                        attemptIn(
+                        firstAttempt(
                                 fixture.onEvent(
                                         new AttemptCompleted(
                                                 attempt.id(),
@@ -146,14 +153,14 @@
         assertTrue(late >= 1 && late <= 6, "health checks in 40 s: " + late);
     }
 
-    /** A parent's link ages: its fills come, but late. It is ejected before it breaks off. */
+    /** A parent responds to fills, but late. It must be ejected before its fills fail. */
     @Test
-    void aParentThatGrowsSlowIsEjectedBeforeItFails() {
+    void aSlowParentIsEjectedBeforeItFails() {
         RouterFixture fixture = new RouterFixture().withEndpoints();
         int late = 0;
         for (int i = 0; i < 60; i++) {
             fixture.now += 500 * MS;
-            StartAttempt attempt = fixture.request(PAGE, 2000 + i);
+            StartAttempt attempt = fixture.startRequest(PAGE, 2000 + i);
             boolean slow = attempt.fillSource() == 801;
             late += i >= 20 && slow ? 1 : 0;
             fixture.complete(
--- a/src/test/java/brooklock/simulator/TestRecords.java
+++ b/src/test/java/brooklock/simulator/TestRecords.java
@@ -6,7 +6,7 @@
 import java.util.Arrays;
 import java.util.HexFormat;
 
-/** Builds the bytes of records and frames. */
+/** Builds the bytes of records and frames for tests. */
 final class TestRecords {
     static final String SETTINGS =
             """
@@ -14,11 +14,11 @@
              "extra": {"secondTierKind": 1, "storeKind": 2, "passThroughOk": true, "unheardOf": [1]},
              "limits": {"tryLimit": 6}, "tickNs": 2000000, "zone": 1, "machineTypes": ["c", "p", "o"]}""";
 
-    private static final int START = 16;
+    private static final int EVENT_START = 16;
 
     private TestRecords() {}
 
-    /** Bytes written as hexadecimal digits, with spaces anywhere. */
+    /** Returns the bytes that a text has as hexadecimal digits, with white space anywhere. */
     static byte[] hex(String text) {
         return HexFormat.of().parseHex(text.replaceAll("\\s", ""));
     }
@@ -31,11 +31,11 @@
                 .array();
     }
 
-    /** A record that starts an instance. */
-    static byte[] start(int instance, String settings) {
+    /** Returns a record that starts an instance. */
+    static byte[] startRecord(int instance, String settings) {
         byte[] text = settings.getBytes(StandardCharsets.UTF_8);
         return record(
-                START,
+                EVENT_START,
                 littleEndian(16 + text.length)
                         .putInt(instance)
                         .putLong(9)
