--- a/src/main/java/brooklock/net/PendingConnect.java
+++ b/src/main/java/brooklock/net/AbstractConnectAttempt.java
@@ -10,13 +10,13 @@
  * An outgoing connection that is being established. It settles once: established, failed, timed out
  * or cancelled; whatever else happens later is ignored. Used on its I/O thread only.
  */
-abstract class PendingConnect {
+abstract class AbstractConnectAttempt {
     final IoLoop loop;
     private IoFuture<? extends StreamConnection> future;
     private XnioExecutor.Key timer;
     private boolean settled;
 
-    PendingConnect(IoLoop loop) {
+    AbstractConnectAttempt(IoLoop loop) {
         this.loop = loop;
     }
 
--- a/src/main/java/brooklock/net/ConnectAttempt.java
+++ b/src/main/java/brooklock/net/ConnectAttempt.java
@@ -10,7 +10,7 @@
 import org.xnio.StreamConnection;
 
 /** A {@link RawConnection} that is being established. */
-public final class ConnectAttempt extends PendingConnect {
+public final class ConnectAttempt extends AbstractConnectAttempt {
     private final InetSocketAddress address;
     private final Consumer<RawConnection> onOpened;
     private final Consumer<String> onFailed;
--- a/src/main/java/brooklock/net/PooledConnectAttempt.java
+++ b/src/main/java/brooklock/net/PooledConnectAttempt.java
@@ -16,7 +16,7 @@
  * A connection of a pool that is being established, TLS handshake included. It belongs to no call:
  * once established it serves whichever call has waited longest.
  */
-final class PooledConnectAttempt extends PendingConnect {
+final class PooledConnectAttempt extends AbstractConnectAttempt {
     private final HttpConnectionPool pool;
     private final InetSocketAddress address;
     private final JsseXnioSsl tls;
