--- a/src/main/java/brooklock/faulttest/ArrivalSource.java
+++ b/src/main/java/brooklock/faulttest/ArrivalSource.java
@@ -16,7 +16,7 @@
     /**
      * One client that has arrived.
      *
-     * @param path what it requests, up to the part's number
+     * @param pathPrefix what it requests, up to the part's number
      * @param parts number of parts that it requests, one after another
      * @param gapNs time between two of them
      * @param tenant its tenant; -1 for none
@@ -25,7 +25,7 @@
     record Arrival(
             int zone,
             RequestClassSettings requestClass,
-            String path,
+            String pathPrefix,
             int parts,
             long gapNs,
             int tenant,
@@ -36,7 +36,7 @@
     private final UniformRandomProvider random;
     private final List<Scenario.ClassLoad> classLoads;
     private final List<SharedStateDiscreteSampler> popularity = new ArrayList<>();
-    private final double rateShare;
+    private final double workerShare;
     private final String namePrefix;
     private long nameCount;
 
@@ -44,25 +44,28 @@
     ArrivalSource(
             ClientPopulation population,
             Scenario scenario,
-            int worker,
+            int workerIndex,
             int workerCount,
             String namePrefix) {
         this.population = population;
         this.scenario = scenario;
         this.namePrefix = namePrefix;
-        random = RandomSource.XO_RO_SHI_RO_128_PP.create(scenario.seed * 100 + worker);
+        random = RandomSource.XO_RO_SHI_RO_128_PP.create(scenario.seed * 100 + workerIndex);
         classLoads = List.copyOf(scenario.classLoads.values());
         classLoads.forEach(
                 load ->
                         popularity.add(
                                 RejectionInversionZipfSampler.of(
                                         random, load.objects(), load.zipf())));
-        rateShare = 1.0 / workerCount;
+        workerShare = 1.0 / workerCount;
     }
 
     /** Draws the time to the next arrival, ns. */
-    long nextPauseNs() {
-        double rate = scenario.requestsPerS * (population.rateMultiple + floodRate()) * rateShare;
+    long nextInterarrivalNs() {
+        double rate =
+                scenario.requestsPerS
+                        * (population.rateMultiple + floodRateMultiple())
+                        * workerShare;
         return (long) (-Math.log(1 - random.nextDouble()) / rate * 1e9);
     }
 
@@ -71,12 +74,12 @@
         int index = nextClassIndex();
         Scenario.ClassLoad load = classLoads.get(index);
         int zone = nextZone();
-        int object = floodedObject(popularity.get(index).sample());
+        int object = applyFlood(popularity.get(index).sample());
         int group = object % scenario.groupCount;
         // Groups belong to the tenants in turn; now and then a client requests another's.
         int owner = scenario.tenantCount == 0 ? -1 : group % scenario.tenantCount;
         int tenant =
-                owner >= 0 && random.nextDouble() < scenario.trespassShare
+                owner >= 0 && random.nextDouble() < scenario.crossTenantShare
                         ? (owner + 1) % scenario.tenantCount
                         : owner;
         String objectName = nextObjectName(object);
@@ -123,16 +126,17 @@
     }
 
     // What one tenant's flood adds, as a share of the rate without it.
-    private double floodRate() {
+    private double floodRateMultiple() {
         ClientPopulation.TenantFlood flood = population.tenantFlood;
         return scenario.tenantCount == 0 ? 0 : (flood.multiple() - 1) / scenario.tenantCount;
     }
 
     // A client that the flood adds requests an object of the flooding tenant's nearest group.
-    private int floodedObject(int object) {
-        double floodRate = floodRate();
-        if (floodRate <= 0
-                || random.nextDouble() >= floodRate / (population.rateMultiple + floodRate)) {
+    private int applyFlood(int object) {
+        double floodRateMultiple = floodRateMultiple();
+        if (floodRateMultiple <= 0
+                || random.nextDouble()
+                        >= floodRateMultiple / (population.rateMultiple + floodRateMultiple)) {
             return object;
         }
         int group = object % scenario.groupCount;
@@ -142,10 +146,12 @@
     }
 
     private String nextObjectName(int object) {
-        if (random.nextDouble() < population.heavyShare) {
+        if (random.nextDouble() < population.largeObjectShare) {
             return "heavy" + uniqueName();
         }
-        return random.nextDouble() < population.scanShare ? "once" + uniqueName() : "o" + object;
+        return random.nextDouble() < population.uniqueObjectShare
+                ? "once" + uniqueName()
+                : "o" + object;
     }
 
     private String uniqueName() {
--- a/src/main/java/brooklock/faulttest/CheckResult.java
+++ b/src/main/java/brooklock/faulttest/CheckResult.java
@@ -18,7 +18,7 @@
         long cases,
         List<String> violations,
         List<String> inconclusive) {
-    private static final int MAX_SHOWN = 5;
+    private static final int MAX_FINDINGS_SHOWN = 5;
 
     /** Whether cases were seen and each of them was right; an unseen invariant does not hold. */
     boolean holds() {
@@ -51,13 +51,13 @@
                 + " cases, "
                 + verdict()
                 + late
-                + shown(violations, "\n    ")
-                + shown(inconclusive, "\n    (rig late) ");
+                + formatFindings(violations, "\n    ")
+                + formatFindings(inconclusive, "\n    (rig late) ");
     }
 
-    private static String shown(List<String> findings, String indent) {
+    private static String formatFindings(List<String> findings, String indent) {
         return findings.stream()
-                .limit(MAX_SHOWN)
+                .limit(MAX_FINDINGS_SHOWN)
                 .map(finding -> indent + finding)
                 .collect(Collectors.joining());
     }
--- a/src/main/java/brooklock/faulttest/ClientAttempt.java
+++ b/src/main/java/brooklock/faulttest/ClientAttempt.java
@@ -6,7 +6,7 @@
  */
 final class ClientAttempt {
     /** How it ended, as the client saw it. The names are printed in the report. */
-    enum End {
+    enum Outcome {
         /** It has not ended. */
         OPEN,
         /** With a complete response. */
@@ -25,7 +25,7 @@
         LOST_WITH_DISPATCHER
     }
 
-    final String name;
+    final String requestId;
     final String className;
     final int dispatcher;
 
@@ -40,22 +40,22 @@
     /** When its first byte was written; 0 while it waits for a connection. */
     volatile long sentNs;
 
-    volatile End end = End.OPEN;
+    volatile Outcome outcome = Outcome.OPEN;
     volatile long endNs;
 
     /** Status of the response; 0 for none. */
     volatile int status;
 
-    volatile boolean wrongBytes;
+    volatile boolean bodyMismatch;
 
     ClientAttempt(
-            String name,
+            String requestId,
             String className,
             int dispatcher,
             int incarnation,
             long deadlineAfterNs,
             boolean authorized) {
-        this.name = name;
+        this.requestId = requestId;
         this.className = className;
         this.dispatcher = dispatcher;
         this.incarnation = incarnation;
@@ -63,7 +63,7 @@
         this.authorized = authorized;
     }
 
-    void sent(long nowNs) {
+    void markSent(long nowNs) {
         sentNs = nowNs;
     }
 
@@ -72,33 +72,38 @@
     }
 
     /** Ends the attempt; only the first end counts. */
-    void end(End how, long nowNs) {
-        if (end == End.OPEN) {
+    void complete(Outcome newOutcome, long nowNs) {
+        if (outcome == Outcome.OPEN) {
             endNs = nowNs;
-            end = how;
+            outcome = newOutcome;
         }
     }
 
     /** Whether the dispatcher gave a final response, of whatever kind. */
-    boolean isAnswered() {
-        return end == End.WHOLE || end == End.BROKEN || end == End.REFUSED || end == End.FAILED;
+    boolean hasFinalResponse() {
+        return outcome == Outcome.WHOLE
+                || outcome == Outcome.BROKEN
+                || outcome == Outcome.REFUSED
+                || outcome == Outcome.FAILED;
     }
 
     /** Whether the attempt reached no dispatcher that lived long enough to answer it. */
     boolean isLost() {
-        return end == End.UNREACHED || end == End.LOST_WITH_DISPATCHER || end == End.OPEN;
+        return outcome == Outcome.UNREACHED
+                || outcome == Outcome.LOST_WITH_DISPATCHER
+                || outcome == Outcome.OPEN;
     }
 
     @Override
     public String toString() {
         return "request "
-                + name
+                + requestId
                 + " ("
                 + className
                 + ") at dispatcher "
                 + dispatcher
                 + ": "
-                + end
+                + outcome
                 + " "
                 + status;
     }
--- a/src/main/java/brooklock/faulttest/ClientAttemptHandler.java
+++ b/src/main/java/brooklock/faulttest/ClientAttemptHandler.java
@@ -20,16 +20,16 @@
     private final ClientAttempt attempt;
     private final DispatcherRunner dispatcher;
     private final String target;
-    private final Runnable retryElsewhere;
-    private final Runnable retryLater;
+    private final Runnable retryOnOtherDispatcher;
+    private final Runnable retryAfterRejection;
     private ClientCall call;
     private byte[] firstBytes = new byte[0];
 
     /**
      * Creates a handler.
      *
-     * @param retryElsewhere called where the dispatcher is gone
-     * @param retryLater called where the request was rejected
+     * @param retryOnOtherDispatcher called where the dispatcher is gone
+     * @param retryAfterRejection called where the request was rejected
      */
     ClientAttemptHandler(
             IoLoop loop,
@@ -37,33 +37,33 @@
             ClientAttempt attempt,
             DispatcherRunner dispatcher,
             String target,
-            Runnable retryElsewhere,
-            Runnable retryLater) {
+            Runnable retryOnOtherDispatcher,
+            Runnable retryAfterRejection) {
         this.loop = loop;
         this.request = request;
         this.attempt = attempt;
         this.dispatcher = dispatcher;
         this.target = target;
-        this.retryElsewhere = retryElsewhere;
-        this.retryLater = retryLater;
+        this.retryOnOtherDispatcher = retryOnOtherDispatcher;
+        this.retryAfterRejection = retryAfterRejection;
     }
 
-    void setCall(ClientCall started) {
-        call = started;
+    void setCall(ClientCall newCall) {
+        call = newCall;
     }
 
     @Override
     public boolean shouldSend() {
         if (attempt.sentNs == 0) {
-            attempt.sent(System.nanoTime());
+            attempt.markSent(System.nanoTime());
             loop.schedule(attempt.deadlineAfterNs + ClientPopulation.GRACE_NS, this::onTimeout);
         }
         return true;
     }
 
     private void onTimeout() {
-        if (attempt.end == ClientAttempt.End.OPEN) {
-            attempt.end(ClientAttempt.End.GAVE_UP, System.nanoTime());
+        if (attempt.outcome == ClientAttempt.Outcome.OPEN) {
+            attempt.complete(ClientAttempt.Outcome.GAVE_UP, System.nanoTime());
             call.cancel();
         }
     }
@@ -86,14 +86,14 @@
     public void onComplete(Fields trailers) {
         long nowNs = System.nanoTime();
         if (attempt.status == 200) {
-            attempt.wrongBytes = !startsWithTarget();
-            attempt.end(ClientAttempt.End.WHOLE, nowNs);
+            attempt.bodyMismatch = !startsWithTarget();
+            attempt.complete(ClientAttempt.Outcome.WHOLE, nowNs);
             request.completedNs = nowNs;
         } else if (attempt.status == 503) {
-            attempt.end(ClientAttempt.End.REFUSED, nowNs);
-            retryLater.run();
+            attempt.complete(ClientAttempt.Outcome.REFUSED, nowNs);
+            retryAfterRejection.run();
         } else {
-            attempt.end(ClientAttempt.End.FAILED, nowNs);
+            attempt.complete(ClientAttempt.Outcome.FAILED, nowNs);
         }
     }
 
@@ -109,16 +109,18 @@
         boolean dispatcherGone =
                 dispatcher.incarnation() != attempt.incarnation
                         || !dispatcher.alive
-                        || (attempt.sentNs != 0 && dispatcher.killedNs - attempt.sentNs > 0);
+                        || (attempt.sentNs != 0 && dispatcher.lastKilledNs - attempt.sentNs > 0);
         if (failure == CallFailure.NOT_CONNECTED) {
-            attempt.end(ClientAttempt.End.UNREACHED, nowNs);
-            retryElsewhere.run();
+            attempt.complete(ClientAttempt.Outcome.UNREACHED, nowNs);
+            retryOnOtherDispatcher.run();
         } else if (dispatcherGone) {
-            attempt.end(ClientAttempt.End.LOST_WITH_DISPATCHER, nowNs);
-            retryElsewhere.run();
+            attempt.complete(ClientAttempt.Outcome.LOST_WITH_DISPATCHER, nowNs);
+            retryOnOtherDispatcher.run();
         } else {
-            attempt.end(
-                    attempt.status == 0 ? ClientAttempt.End.GAVE_UP : ClientAttempt.End.BROKEN,
+            attempt.complete(
+                    attempt.status == 0
+                            ? ClientAttempt.Outcome.GAVE_UP
+                            : ClientAttempt.Outcome.BROKEN,
                     nowNs);
         }
     }
--- a/src/main/java/brooklock/faulttest/ClientPopulation.java
+++ b/src/main/java/brooklock/faulttest/ClientPopulation.java
@@ -48,10 +48,10 @@
     volatile TenantFlood tenantFlood = TenantFlood.NONE;
 
     /** Share of arrivals that request an object nobody else does. */
-    volatile double scanShare;
+    volatile double uniqueObjectShare;
 
     /** Share of arrivals that request an object ten times as large. */
-    volatile double heavyShare;
+    volatile double largeObjectShare;
 
     private final IoThreads ioThreads = IoThreads.start("crowd", CLIENT_THREADS);
     private final List<ClientWorker> workers = new ArrayList<>();
@@ -82,7 +82,7 @@
                             dispatchersByZone,
                             dispatchers,
                             issuer));
-            monitor.watch("crowd " + i, ioThreads.loop(i));
+            monitor.watchLoop("crowd " + i, ioThreads.loop(i));
         }
     }
 
--- a/src/main/java/brooklock/faulttest/ClientWorker.java
+++ b/src/main/java/brooklock/faulttest/ClientWorker.java
@@ -68,7 +68,7 @@
 
     ClientWorker(
             ClientPopulation population,
-            int number,
+            int workerIndex,
             int workerCount,
             Scenario scenario,
             IoLoop loop,
@@ -83,9 +83,10 @@
         this.dispatchersByZone = dispatchersByZone;
         this.dispatchers = dispatchers;
         this.issuer = issuer;
-        namePrefix = Character.toString('a' + number);
-        arrivals = new ArrivalSource(population, scenario, number, workerCount, namePrefix);
-        choiceRandom = RandomSource.XO_RO_SHI_RO_128_PP.create(scenario.seed * 100 + 50 + number);
+        namePrefix = Character.toString('a' + workerIndex);
+        arrivals = new ArrivalSource(population, scenario, workerIndex, workerCount, namePrefix);
+        choiceRandom =
+                RandomSource.XO_RO_SHI_RO_128_PP.create(scenario.seed * 100 + 50 + workerIndex);
     }
 
     // ---- Handshakes before the test
@@ -153,7 +154,7 @@
                 return;
             }
             requestPart(arrivals.next(), nextDueNs, 0);
-            nextDueNs += arrivals.nextPauseNs();
+            nextDueNs += arrivals.nextInterarrivalNs();
         }
         long nextNs = nextDueNs;
         loop.schedule(nextNs - System.nanoTime(), () -> scheduleArrivals(nextNs));
@@ -161,7 +162,7 @@
 
     private void requestPart(ArrivalSource.Arrival arrival, long dueNs, int part) {
         RequestClassSettings requestClass = arrival.requestClass();
-        String target = arrival.path() + part;
+        String target = arrival.pathPrefix() + part;
         double bytes = scenario.sizeBytes(target, requestClass.name());
         long transferNs =
                 (long)
@@ -181,7 +182,7 @@
         if (arrival.authorized()) {
             population.requests.add(request);
         }
-        attempt(
+        startAttempt(
                 new PendingAttempt(
                         request, arrival.zone(), requestClass, scenario.retries, 0, null));
         if (part + 1 < arrival.parts()) {
@@ -194,10 +195,10 @@
 
     // ---- Attempts
 
-    private void attempt(PendingAttempt pending) {
+    private void startAttempt(PendingAttempt pending) {
         PartRequest request = pending.request;
         RequestClassSettings requestClass = pending.requestClass;
-        DispatcherRunner dispatcher = choose(pending);
+        DispatcherRunner dispatcher = chooseDispatcher(pending);
         ClientAttempt attempt =
                 new ClientAttempt(
                         "v" + namePrefix + ++attemptCount,
@@ -214,20 +215,20 @@
                         attempt,
                         dispatcher,
                         request.target,
-                        () -> retryElsewhere(pending.afterLoss(dispatcher)),
-                        () -> retryLater(pending));
+                        () -> retryOnOtherDispatcher(pending.afterLoss(dispatcher)),
+                        () -> retryAfterRejection(pending));
         RequestHead head =
                 new RequestHead(
                         requestClass.passThrough() ? "POST" : "GET",
                         request.target,
                         AUTHORITY,
                         1,
-                        fields(attempt, request, requestClass));
+                        requestFields(attempt, request, requestClass));
         byte[] body = new byte[requestClass.passThrough() ? BODY_BYTES : 0];
         handler.setCall(client.send(dispatcher.clientAddress, head, body, handler));
     }
 
-    private DispatcherRunner choose(PendingAttempt pending) {
+    private DispatcherRunner chooseDispatcher(PendingAttempt pending) {
         List<DispatcherRunner> candidates =
                 dispatchersByZone.get(pending.zone).stream()
                         .filter(dispatcher -> dispatcher != pending.excluded)
@@ -237,9 +238,9 @@
                 : candidates.get(choiceRandom.nextInt(candidates.size()));
     }
 
-    private Fields fields(
+    private Fields requestFields(
             ClientAttempt attempt, PartRequest request, RequestClassSettings requestClass) {
-        Fields fields = new Fields().add("X-Request-Id", attempt.name);
+        Fields fields = new Fields().add("X-Request-Id", attempt.requestId);
         if (requestClass.passThrough()) {
             fields.add("Content-Length", Integer.toString(BODY_BYTES));
         }
@@ -252,15 +253,15 @@
         return fields;
     }
 
-    private void retryLater(PendingAttempt pending) {
+    private void retryAfterRejection(PendingAttempt pending) {
         if (pending.retriesLeft > 0) {
-            loop.schedule(RETRY_DELAY_NS, () -> attempt(pending.afterRejection()));
+            loop.schedule(RETRY_DELAY_NS, () -> startAttempt(pending.afterRejection()));
         }
     }
 
     // The dispatcher is gone: another one at once, then with growing delays of uneven length, so
     // that its clients do not return all together.
-    private void retryElsewhere(PendingAttempt pending) {
+    private void retryOnOtherDispatcher(PendingAttempt pending) {
         if (pending.dispatcherChanges > MAX_DISPATCHER_CHANGES) {
             return;
         }
@@ -269,6 +270,7 @@
                         ? 0
                         : FIRST_BACKOFF_NS << (pending.dispatcherChanges - 2);
         loop.schedule(
-                (long) (backoffNs * (0.5 + choiceRandom.nextDouble())), () -> attempt(pending));
+                (long) (backoffNs * (0.5 + choiceRandom.nextDouble())),
+                () -> startAttempt(pending));
     }
 }
--- a/src/main/java/brooklock/faulttest/ControlPublisher.java
+++ b/src/main/java/brooklock/faulttest/ControlPublisher.java
@@ -32,7 +32,7 @@
     /**
      * Applied, applied before, or older than what is applied: this version or a newer one holds.
      */
-    private static final Set<String> REPLIES_IN_FORCE = Set.of("taken", "repeated", "older");
+    private static final Set<String> REPLIES_APPLIED = Set.of("taken", "repeated", "older");
 
     /** One endpoint list sent to a dispatcher. Times are {@link System#nanoTime}. */
     static final class ListDelivery {
@@ -51,7 +51,7 @@
     }
 
     /** A purge of a group, its moment on both clocks. */
-    record Purge(int number, String group, long momentNs, double wallMs) {}
+    record Purge(int number, String group, long purgedAtNs, double purgedAtWallMs) {}
 
     /** A dispatcher, in one of its runs, has acknowledged a purge. */
     record PurgeDelivery(int dispatcher, int incarnation, Purge purge, long atNs) {}
@@ -97,7 +97,7 @@
         sendFullList(dispatcher);
         recentPurges.forEach(
                 purge -> {
-                    if (purge.momentNs() - purgesSinceNs > 0) {
+                    if (purge.purgedAtNs() - purgesSinceNs > 0) {
                         sendPurge(dispatcher, purge);
                     }
                 });
@@ -122,7 +122,7 @@
                 reply -> {
                     if (reply.equals(REPLY_GAP)) {
                         sendFullList(index);
-                    } else if (REPLIES_IN_FORCE.contains(reply)) {
+                    } else if (REPLIES_APPLIED.contains(reply)) {
                         delivery.acknowledgedNs = System.nanoTime();
                     } else {
                         throw new UnexpectedReplyException(
@@ -143,7 +143,7 @@
     private void sendPurge(int index, Purge purge) {
         DispatcherRunner dispatcher = dispatchers.get(index);
         int incarnation = dispatcher.incarnation();
-        String moment = String.format(Locale.ROOT, "%.3f", purge.wallMs());
+        String moment = String.format(Locale.ROOT, "%.3f", purge.purgedAtWallMs());
         client.post(
                 dispatcher,
                 "/purge?group=" + purge.group() + "&at=" + moment,
--- a/src/main/java/brooklock/faulttest/CredentialIssuer.java
+++ b/src/main/java/brooklock/faulttest/CredentialIssuer.java
@@ -29,15 +29,15 @@
     private static final String ALGORITHM = "EdDSA";
 
     /** A key and its identifier, kept together so that a key is never used with another's name. */
-    private record Signer(String kid, KeyPair pair) {}
+    private record SigningKey(String kid, KeyPair pair) {}
 
-    private record Token(Signer signer, long createdNs, String text) {}
+    private record Token(SigningKey signingKey, long createdNs, String text) {}
 
     private final Scenario scenario;
     private final KeySetFile keySet;
     private final Token[] tokens;
     private final SSLContext clientContext;
-    private volatile Signer signer = new Signer("k1", KeySetFile.generate(ALGORITHM));
+    private volatile SigningKey signingKey = new SigningKey("k1", KeySetFile.generate(ALGORITHM));
     private int keyCount = 1;
 
     /** Writes the files that {@link #settingsLines} names into a directory. */
@@ -49,7 +49,7 @@
         if (scenario.tenantCount > 0) {
             Files.deleteIfExists(keys);
             Files.writeString(dir.resolve("policy"), policyText());
-            addKey(signer, KeySet.State.SIGNING);
+            addKey(signingKey, KeySet.State.SIGNING);
         }
         clientContext = scenario.tls ? createCertificate(dir) : null;
     }
@@ -99,10 +99,10 @@
     /** A tenant's token; the clients' threads share them. */
     synchronized String token(int tenant) {
         long nowNs = System.nanoTime();
-        Signer current = signer;
+        SigningKey current = signingKey;
         Token token = tokens[tenant];
         if (token == null
-                || !token.signer.equals(current)
+                || !token.signingKey.equals(current)
                 || nowNs - token.createdNs > TOKEN_RENEWAL_NS) {
             token = new Token(current, nowNs, sign(current, tenant, nowNs));
             tokens[tenant] = token;
@@ -110,10 +110,10 @@
         return token.text;
     }
 
-    private static String sign(Signer signer, int tenant, long nonce) {
+    private static String sign(SigningKey signingKey, int tenant, long nonce) {
         return TokenSigner.sign(
-                signer.pair.getPrivate(),
-                signer.kid,
+                signingKey.pair.getPrivate(),
+                signingKey.kid,
                 Map.of(
                         "tenant",
                         "t" + tenant,
@@ -133,21 +133,21 @@
         if (scenario.tenantCount == 0) {
             return;
         }
-        String previousKid = signer.kid;
-        Signer next = new Signer("k" + ++keyCount, KeySetFile.generate(ALGORITHM));
+        String previousKid = signingKey.kid;
+        SigningKey next = new SigningKey("k" + ++keyCount, KeySetFile.generate(ALGORITHM));
         applyUnchecked(() -> addKey(next, KeySet.State.ANNOUNCED));
         fleet.schedule(
                 2 * SECOND_NS,
                 () -> {
                     applyUnchecked(() -> keySet.setState(next.kid, KeySet.State.SIGNING, 0));
-                    signer = next;
+                    signingKey = next;
                 });
         fleet.schedule(
                 4 * SECOND_NS,
                 () -> applyUnchecked(() -> keySet.setState(previousKid, KeySet.State.RETIRED, 0)));
     }
 
-    private void addKey(Signer added, KeySet.State state) throws IOException {
+    private void addKey(SigningKey added, KeySet.State state) throws IOException {
         keySet.addKey(KeySetFile.toJwk(added.kid, ALGORITHM, added.pair, state));
     }
 
--- a/src/main/java/brooklock/faulttest/DispatcherRunner.java
+++ b/src/main/java/brooklock/faulttest/DispatcherRunner.java
@@ -24,27 +24,27 @@
  */
 abstract class DispatcherRunner {
     final String name;
-    final Path file;
+    final Path settingsFile;
     final String settings;
     volatile InetSocketAddress clientAddress;
     volatile InetSocketAddress controlAddress;
     volatile boolean alive;
 
     /** When it was killed last, {@link System#nanoTime}; 0 for never. */
-    volatile long killedNs;
+    volatile long lastKilledNs;
 
-    private final AtomicInteger starts = new AtomicInteger();
+    private final AtomicInteger startCount = new AtomicInteger();
 
     /** Creates a runner that writes its settings to a file at each start. */
-    DispatcherRunner(String name, Path file, String settings) {
+    DispatcherRunner(String name, Path settingsFile, String settings) {
         this.name = name;
-        this.file = file;
+        this.settingsFile = settingsFile;
         this.settings = settings;
     }
 
     /** Number of its present or last run, from 1; 0 before the first. */
     final int incarnation() {
-        return starts.get();
+        return startCount.get();
     }
 
     /**
@@ -54,7 +54,7 @@
      */
     final void start() throws IOException {
         Files.writeString(
-                file,
+                settingsFile,
                 "name "
                         + name
                         + "\nlisten 127.0.0.1:"
@@ -64,7 +64,7 @@
                         + "\n"
                         + settings);
         launch();
-        starts.incrementAndGet();
+        startCount.incrementAndGet();
         alive = true;
     }
 
@@ -75,7 +75,7 @@
     /** Kills it without any notice. */
     final void kill() {
         alive = false;
-        killedNs = System.nanoTime();
+        lastKilledNs = System.nanoTime();
         terminate();
     }
 
@@ -119,7 +119,7 @@
         @Override
         void launch() throws IOException {
             try {
-                dispatcher = Dispatcher.start(SettingsReader.read(file), strategyFactory);
+                dispatcher = Dispatcher.start(SettingsReader.read(settingsFile), strategyFactory);
                 setPorts(dispatcher.address().getPort(), dispatcher.controlAddress().getPort());
             } catch (SettingsException e) {
                 throw new IOException(e.getMessage(), e);
@@ -166,8 +166,8 @@
                                     System.getProperty("java.class.path"),
                                     "brooklock.Main",
                                     "serve",
-                                    file.toString())
-                            .redirectError(file.resolveSibling(name + ".log").toFile())
+                                    settingsFile.toString())
+                            .redirectError(settingsFile.resolveSibling(name + ".log").toFile())
                             .start();
             RUNNING.add(process);
             BufferedReader out =
--- a/src/main/java/brooklock/faulttest/DrainCheck.java
+++ b/src/main/java/brooklock/faulttest/DrainCheck.java
@@ -23,10 +23,10 @@
     private final Findings findings;
 
     /** For each dispatcher: the newest acknowledged version at each moment since the start. */
-    private final List<TreeMap<Long, Long>> acknowledged = new ArrayList<>();
+    private final List<TreeMap<Long, Long>> acknowledgedVersions = new ArrayList<>();
 
     /** For each dispatcher: the newest version sent at each moment since the start. */
-    private final List<TreeMap<Long, Long>> sent = new ArrayList<>();
+    private final List<TreeMap<Long, Long>> sentVersions = new ArrayList<>();
 
     DrainCheck(TestFleet fleet, Map<String, Integer> dispatcherIndexes) {
         this.fleet = fleet;
@@ -49,21 +49,22 @@
     // Moments count from the start of the test, so that they can be compared: nanoTime may wrap.
     private void collectVersions() {
         for (int i = 0; i < fleet.dispatchers.size(); i++) {
-            acknowledged.add(new TreeMap<>());
-            sent.add(new TreeMap<>());
+            acknowledgedVersions.add(new TreeMap<>());
+            sentVersions.add(new TreeMap<>());
         }
         for (ControlPublisher.ListDelivery delivery : fleet.publisher.listDeliveries) {
-            sent.get(delivery.dispatcher)
+            sentVersions
+                    .get(delivery.dispatcher)
                     .merge(delivery.sentNs - fleet.startedNs, delivery.version, Math::max);
             long acknowledgedNs = delivery.acknowledgedNs;
             if (acknowledgedNs != 0) {
-                acknowledged
+                acknowledgedVersions
                         .get(delivery.dispatcher)
                         .merge(acknowledgedNs - fleet.startedNs, delivery.version, Math::max);
             }
         }
-        acknowledged.forEach(DrainCheck::toRunningMax);
-        sent.forEach(DrainCheck::toRunningMax);
+        acknowledgedVersions.forEach(DrainCheck::toRunningMax);
+        sentVersions.forEach(DrainCheck::toRunningMax);
     }
 
     private static void toRunningMax(NavigableMap<Long, Long> versionsByMoment) {
@@ -79,11 +80,11 @@
         long graceNs = fleet.scenario.invariants().drainGraceNs() + Findings.SLACK_NS;
         long atNs = recorded.atNs - fleet.startedNs;
         Map.Entry<Long, Long> newestAcknowledged =
-                acknowledged.get(dispatcher).floorEntry(atNs - graceNs);
+                acknowledgedVersions.get(dispatcher).floorEntry(atNs - graceNs);
         if (newestAcknowledged == null) {
             return;
         }
-        long newestSent = sent.get(dispatcher).floorEntry(atNs).getValue();
+        long newestSent = sentVersions.get(dispatcher).floorEntry(atNs).getValue();
         check(recorded, recorded.server, dispatcher, newestAcknowledged.getValue(), newestSent);
         if (recorded.source != null) {
             check(recorded, recorded.source, dispatcher, newestAcknowledged.getValue(), newestSent);
@@ -94,17 +95,17 @@
             RecordedRequest recorded,
             String endpoint,
             int dispatcher,
-            long oldestVersion,
+            long newestAcknowledged,
             long newestVersion) {
         NavigableMap<Long, EndpointState> states = fleet.publisher.stateHistory.get(endpoint);
-        Long stateVersion = states.floorKey(oldestVersion);
+        Long stateVersion = states.floorKey(newestAcknowledged);
         if (states.subMap(stateVersion, true, newestVersion, true)
                 .containsValue(EndpointState.READY)) {
             return;
         }
         // The list that binds the dispatcher: the first acknowledged one that had this state.
-        long boundNs =
-                acknowledged.get(dispatcher).entrySet().stream()
+        long effectiveNs =
+                acknowledgedVersions.get(dispatcher).entrySet().stream()
                         .filter(entry -> entry.getValue() >= stateVersion)
                         .findFirst()
                         .orElseThrow()
@@ -113,11 +114,11 @@
         long graceNs = fleet.scenario.invariants().drainGraceNs() + Findings.SLACK_NS;
         findings.report(
                 recorded.atNs,
-                atNs - boundNs - graceNs,
+                atNs - effectiveNs - graceNs,
                 recorded
                         + (endpoint.equals(recorded.server) ? "" : " naming " + endpoint)
                         + ": "
-                        + (atNs - boundNs) / 1_000_000
+                        + (atNs - effectiveNs) / 1_000_000
                         + " ms after it was told that it is "
                         + states.get(stateVersion));
     }
--- a/src/main/java/brooklock/faulttest/Fault.java
+++ b/src/main/java/brooklock/faulttest/Fault.java
@@ -8,7 +8,7 @@
  * @param amount a share of 1 or a multiple, depending on the kind
  * @param target what it strikes; null where nothing in particular
  * @param spanNs how long an endpoint stays down, a drain lasts, or restarts are spread
- * @param reset whether a lost response shows as a connection reset
+ * @param byReset whether a lost response shows as a connection reset
  * @param line the line of the scenario, for the report
  */
 record Fault(
@@ -18,7 +18,7 @@
         double amount,
         Target target,
         long spanNs,
-        boolean reset,
+        boolean byReset,
         String line) {
     /** What can happen. The names in lower case are words of the scenario. */
     enum Kind {
--- a/src/main/java/brooklock/faulttest/FaultReader.java
+++ b/src/main/java/brooklock/faulttest/FaultReader.java
@@ -13,7 +13,7 @@
     private double amount;
     private Fault.Target target;
     private long spanNs = DEFAULT_SPAN_NS;
-    private boolean reset;
+    private boolean byReset;
 
     private FaultReader(Statement statement) {
         this.statement = statement;
@@ -39,7 +39,7 @@
         if (toNs > scenario.durationNs + fromNs) {
             throw new InvalidStatementException("this lasts longer than the day");
         }
-        return new Fault(fromNs, toNs, kind, amount, target, spanNs, reset, line);
+        return new Fault(fromNs, toNs, kind, amount, target, spanNs, byReset, line);
     }
 
     private long readEnd(long fromNs) {
@@ -100,7 +100,7 @@
                 case "for", "within" -> spanNs = statement.nextDurationNs("a time");
                 case "by" -> {
                     expectWord("reset");
-                    reset = true;
+                    byReset = true;
                 }
                 default ->
                         throw new InvalidStatementException(
@@ -146,11 +146,11 @@
         return word;
     }
 
-    private void expectWord(String needed) {
-        String word = statement.nextWord("'" + needed + "'");
-        if (!word.equals(needed)) {
+    private void expectWord(String expected) {
+        String word = statement.nextWord("'" + expected + "'");
+        if (!word.equals(expected)) {
             throw new InvalidStatementException(
-                    "'" + word + "' stands where '" + needed + "' should");
+                    "'" + word + "' stands where '" + expected + "' should");
         }
     }
 
--- a/src/main/java/brooklock/faulttest/FaultTestResult.java
+++ b/src/main/java/brooklock/faulttest/FaultTestResult.java
@@ -74,7 +74,7 @@
 
     /** Share of all requests that were served in time. */
     public double servedShare() {
-        return serviceReport.all.share();
+        return serviceReport.all.inTimeShare();
     }
 
     /** What the test has recorded. */
--- a/src/main/java/brooklock/faulttest/FaultTestRunner.java
+++ b/src/main/java/brooklock/faulttest/FaultTestRunner.java
@@ -107,9 +107,9 @@
             Path dir,
             TestFleet.RunnerFactory runnerFactory,
             Consumer<String> progress,
-            Consumer<TestFleet> afterwards)
+            Consumer<TestFleet> onScenarioEnd)
             throws IOException, InterruptedException {
-        return play(scenario, dir, runnerFactory, new GroundTruth(), progress, afterwards);
+        return play(scenario, dir, runnerFactory, new GroundTruth(), progress, onScenarioEnd);
     }
 
     private static FaultTestResult play(
@@ -118,10 +118,10 @@
             TestFleet.RunnerFactory runnerFactory,
             GroundTruth groundTruth,
             Consumer<String> progress,
-            Consumer<TestFleet> afterwards)
+            Consumer<TestFleet> onScenarioEnd)
             throws IOException, InterruptedException {
         try (TestFleet fleet = new TestFleet(scenario, dir, runnerFactory, groundTruth)) {
-            awaitFirstLists(fleet);
+            awaitInitialLists(fleet);
             fleet.population.warmUp();
             long startNs = System.nanoTime();
             fleet.startedNs = startNs;
@@ -135,12 +135,12 @@
             new ScenarioPlayer(fleet, timedProgress).start();
             awaitEnd(fleet, progress);
             Thread.sleep(SETTLE_NS / 1_000_000);
-            afterwards.accept(fleet);
+            onScenarioEnd.accept(fleet);
             return judge(fleet);
         }
     }
 
-    private static void awaitFirstLists(TestFleet fleet) throws InterruptedException {
+    private static void awaitInitialLists(TestFleet fleet) throws InterruptedException {
         while (fleet.publisher.listDeliveries.stream()
                         .filter(delivery -> delivery.acknowledgedNs != 0)
                         .count()
@@ -176,7 +176,7 @@
 
     private static long openAttempts(TestFleet fleet) {
         return fleet.population.attempts.stream()
-                .filter(attempt -> attempt.end == ClientAttempt.End.OPEN)
+                .filter(attempt -> attempt.outcome == ClientAttempt.Outcome.OPEN)
                 .count();
     }
 
@@ -189,7 +189,7 @@
                 .forEach(tally::add);
         return String.format(
                 "%5d s  %4d due, %3.0f%% in time, %d tries open now",
-                second, tally.requested, 100 * tally.share(), openAttempts(fleet));
+                second, tally.requested, 100 * tally.inTimeShare(), openAttempts(fleet));
     }
 
     private static FaultTestResult judge(TestFleet fleet) {
@@ -198,7 +198,9 @@
                         .map(
                                 request ->
                                         new FaultTestResult.RecordedClientRequest(
-                                                request.target, request.dueNs, request.isInTime()))
+                                                request.target,
+                                                request.dueNs,
+                                                request.metLatencyObjective()))
                         .toList();
         return new FaultTestResult(
                 new InvariantChecker(fleet).checkAll(),
@@ -210,8 +212,8 @@
     }
 
     private static String attemptSummary(TestFleet fleet) {
-        Map<ClientAttempt.End, Long> counts = new EnumMap<>(ClientAttempt.End.class);
-        fleet.population.attempts.forEach(attempt -> counts.merge(attempt.end, 1L, Long::sum));
+        Map<ClientAttempt.Outcome, Long> counts = new EnumMap<>(ClientAttempt.Outcome.class);
+        fleet.population.attempts.forEach(attempt -> counts.merge(attempt.outcome, 1L, Long::sum));
         return counts.toString().toLowerCase(Locale.ROOT).replaceAll("[{}]", "").replace('_', ' ');
     }
 }
--- a/src/main/java/brooklock/faulttest/Findings.java
+++ b/src/main/java/brooklock/faulttest/Findings.java
@@ -24,15 +24,15 @@
      * Reports what was seen at a moment and exceeds its bound. If the harness was late by as much
      * within the slack before, the fault may be the harness's, and nothing can be concluded.
      *
-     * @param overNs by how much the bound is exceeded, slack already subtracted
+     * @param excessNs by how much the bound is exceeded, slack already subtracted
      */
-    void report(long atNs, long overNs, String description) {
-        report(atNs - overNs - SLACK_NS, atNs, overNs, description);
+    void report(long atNs, long excessNs, String description) {
+        report(atNs - excessNs - SLACK_NS, atNs, excessNs, description);
     }
 
     /** The same, for what began at {@code fromNs}. */
-    void report(long fromNs, long atNs, long overNs, String description) {
-        if (monitor.maxDelayNs(fromNs, atNs) >= overNs) {
+    void report(long fromNs, long atNs, long excessNs, String description) {
+        if (monitor.maxDelayNs(fromNs, atNs) >= excessNs) {
             inconclusive.add(description);
         } else {
             violations.add(description);
--- a/src/main/java/brooklock/faulttest/HarnessMonitor.java
+++ b/src/main/java/brooklock/faulttest/HarnessMonitor.java
@@ -28,7 +28,7 @@
  */
 final class HarnessMonitor implements Closeable {
     /** A heartbeat that comes later than this is recorded; the checks' slack covers the rest. */
-    static final long MAX_LATE_NS = 20_000_000L;
+    static final long MIN_RECORDED_DELAY_NS = 20_000_000L;
 
     /** A step of the wall clock over this is recorded: starts and purges are sent in wall time. */
     private static final long MAX_CLOCK_STEP_NS = 20_000_000L;
@@ -65,7 +65,7 @@
     }
 
     /** Watches an I/O thread. */
-    void watch(String source, IoLoop loop) {
+    void watchLoop(String source, IoLoop loop) {
         loop.execute(() -> heartbeat(source, loop, System.nanoTime()));
     }
 
@@ -104,7 +104,7 @@
                 socket.getInputStream().read();
                 recordIfLate(source, fromNs);
             } catch (IOException e) {
-                add(new Delay(source, fromNs, System.nanoTime()));
+                addDelay(new Delay(source, fromNs, System.nanoTime()));
             }
             openProbes.remove(source);
             LockSupport.parkNanos(PROBE_INTERVAL_NS);
@@ -125,7 +125,7 @@
             long offsetNs = wallClockNs() - System.nanoTime();
             long stepNs = Math.abs(offsetNs - clockOffsetNs);
             if (stepNs > MAX_CLOCK_STEP_NS) {
-                add(new Delay("clock", System.nanoTime() - stepNs, System.nanoTime()));
+                addDelay(new Delay("clock", System.nanoTime() - stepNs, System.nanoTime()));
                 clockOffsetNs = offsetNs;
             }
         }
@@ -144,12 +144,12 @@
 
     private void recordIfLate(String source, long dueNs) {
         long nowNs = System.nanoTime();
-        if (nowNs - dueNs > MAX_LATE_NS) {
-            add(new Delay(source, dueNs, nowNs));
+        if (nowNs - dueNs > MIN_RECORDED_DELAY_NS) {
+            addDelay(new Delay(source, dueNs, nowNs));
         }
     }
 
-    private synchronized void add(Delay delay) {
+    private synchronized void addDelay(Delay delay) {
         if (delayCount++ < MAX_DELAYS) {
             delays.add(delay);
         }
@@ -161,7 +161,7 @@
         long nowNs = System.nanoTime();
         openProbes.forEach(
                 (source, sentNs) -> {
-                    if (nowNs - sentNs > MAX_LATE_NS) {
+                    if (nowNs - sentNs > MIN_RECORDED_DELAY_NS) {
                         all.add(new Delay(source, sentNs, nowNs));
                     }
                 });
--- a/src/main/java/brooklock/faulttest/InvariantChecker.java
+++ b/src/main/java/brooklock/faulttest/InvariantChecker.java
@@ -28,7 +28,7 @@
     InvariantChecker(TestFleet fleet) {
         this.fleet = fleet;
         attempts = fleet.population.attempts;
-        attempts.forEach(attempt -> attemptsByName.put(attempt.name, attempt));
+        attempts.forEach(attempt -> attemptsByName.put(attempt.requestId, attempt));
         for (RecordedRequest recorded : fleet.traffic.requests()) {
             if (recorded.request != null) {
                 recordedByRequest
@@ -57,8 +57,8 @@
         return results;
     }
 
-    private List<RecordedRequest> recordedOf(ClientAttempt attempt) {
-        return recordedByRequest.getOrDefault(attempt.name, List.of());
+    private List<RecordedRequest> requestsOf(ClientAttempt attempt) {
+        return recordedByRequest.getOrDefault(attempt.requestId, List.of());
     }
 
     // ---- 1: one final response in time, and nothing sent after it
@@ -71,10 +71,10 @@
             }
             findings.cases++;
             checkInTime(attempt, findings);
-            if (attempt.wrongBytes) {
+            if (attempt.bodyMismatch) {
                 findings.reportCertain(attempt + ": the bytes are not those of its path");
             }
-            for (RecordedRequest recorded : recordedOf(attempt)) {
+            for (RecordedRequest recorded : requestsOf(attempt)) {
                 long afterResponseNs = recorded.atNs - attempt.endNs;
                 if (recorded.isDirect() && afterResponseNs > Findings.SLACK_NS) {
                     findings.report(
@@ -93,7 +93,7 @@
 
     private static void checkInTime(ClientAttempt attempt, Findings findings) {
         long lateNs = attempt.endNs - attempt.deadlineNs() - ClientPopulation.GRACE_NS;
-        if (!attempt.isAnswered()) {
+        if (!attempt.hasFinalResponse()) {
             // The client left when its grace was over: how late a response would be is not known.
             findings.report(
                     attempt.sentNs,
@@ -130,7 +130,7 @@
         boolean keyed = requestClass.effect() == Effect.KEYED;
         long windowNs = requestClass.idempotencyWindowNs() + Findings.SLACK_NS;
         List<RecordedRequest> direct =
-                recordedOf(attempt).stream().filter(RecordedRequest::isDirect).toList();
+                requestsOf(attempt).stream().filter(RecordedRequest::isDirect).toList();
         findings.cases += direct.isEmpty() ? 0 : 1;
         RecordedRequest possiblyExecuted = null;
         for (RecordedRequest recorded : direct) {
@@ -152,12 +152,13 @@
         if (keyed) {
             return;
         }
-        if (possiblyExecuted != null && attempt.end == ClientAttempt.End.REFUSED) {
+        if (possiblyExecuted != null && attempt.outcome == ClientAttempt.Outcome.REFUSED) {
             findings.reportCertain(attempt + ": called harmless to repeat though it may have run");
         }
-        long times = recordedOf(attempt).stream().filter(recorded -> recorded.executed).count();
-        if (times > 1) {
-            findings.reportCertain(attempt + ": took effect " + times + " times");
+        long executions =
+                requestsOf(attempt).stream().filter(recorded -> recorded.executed).count();
+        if (executions > 1) {
+            findings.reportCertain(attempt + ": took effect " + executions + " times");
         }
     }
 
@@ -169,11 +170,15 @@
         for (TrafficRecorder.Overload overload : fleet.traffic.overloads()) {
             // What arrived while the server's own thread was late counts as if it had arrived at
             // once.
-            double excess = overload.workNs() / overload.allowedNs() - 1;
-            long overNs = (long) Math.max(HarnessMonitor.MAX_LATE_NS, windowNs * excess);
+            double relativeExcess = overload.workNs() / overload.allowedNs() - 1;
+            long excessNs =
+                    (long)
+                            Math.max(
+                                    HarnessMonitor.MIN_RECORDED_DELAY_NS,
+                                    windowNs * relativeExcess);
             findings.report(
                     overload.atNs(),
-                    overNs,
+                    excessNs,
                     String.format(
                             "%s was pushed over: %.0f ms of work in its span, %.0f allowed",
                             overload.server(),
@@ -221,23 +226,24 @@
     private void checkPurge(
             RecordedRequest recorded, ControlPublisher.PurgeDelivery delivery, Findings findings) {
         long graceNs = fleet.scenario.invariants().purgeGraceNs() + Findings.SLACK_NS;
-        long sinceNs = recorded.atNs - delivery.atNs();
-        if (sinceNs <= graceNs) {
+        long sinceDeliveryNs = recorded.atNs - delivery.atNs();
+        if (sinceDeliveryNs <= graceNs) {
             return;
         }
         findings.cases++;
-        long olderNs = delivery.purge().momentNs() - fleet.traffic.copyBirthNs(recorded.copySerial);
-        if (olderNs > CLOCK_UNCERTAINTY_NS) {
+        long copyOlderNs =
+                delivery.purge().purgedAtNs() - fleet.traffic.copyBirthNs(recorded.copySerial);
+        if (copyOlderNs > CLOCK_UNCERTAINTY_NS) {
             findings.report(
                     recorded.atNs,
-                    Math.max(olderNs, sinceNs - graceNs),
+                    Math.max(copyOlderNs, sinceDeliveryNs - graceNs),
                     recorded
                             + ": answered from a copy "
-                            + olderNs / 1_000_000
+                            + copyOlderNs / 1_000_000
                             + " ms older than a purge of "
                             + delivery.purge().group()
                             + " told "
-                            + sinceNs / 1_000_000
+                            + sinceDeliveryNs / 1_000_000
                             + " ms before");
         }
     }
@@ -254,15 +260,16 @@
                 }
                 continue;
             }
-            findings.cases += attempt.isAnswered() ? 1 : 0;
-            if (attempt.end == ClientAttempt.End.WHOLE || attempt.end == ClientAttempt.End.BROKEN) {
+            findings.cases += attempt.hasFinalResponse() ? 1 : 0;
+            if (attempt.outcome == ClientAttempt.Outcome.WHOLE
+                    || attempt.outcome == ClientAttempt.Outcome.BROKEN) {
                 findings.reportCertain(attempt + ": bytes went to a caller without the right");
             }
-            if (!recordedOf(attempt).isEmpty()) {
+            if (!requestsOf(attempt).isEmpty()) {
                 findings.reportCertain(
                         attempt
                                 + ": sent to a host though its caller has no right: "
-                                + recordedOf(attempt).get(0));
+                                + requestsOf(attempt).get(0));
             }
         }
         return findings.result(
--- a/src/main/java/brooklock/faulttest/OracleRequest.java
+++ b/src/main/java/brooklock/faulttest/OracleRequest.java
@@ -10,7 +10,7 @@
     final long acceptedNs;
 
     /** Whether the object was requested before, lately: then it is worth a fill and a copy. */
-    final boolean repeated;
+    final boolean recentlyRequested;
 
     final Set<Long> failedEndpoints = new HashSet<>();
     int attemptsSent;
@@ -20,13 +20,13 @@
     boolean inFlight;
 
     /** When the attempt in flight counts as lost. */
-    long lostAtNs;
+    long timeoutAtNs;
 
     boolean possiblyExecuted;
 
-    OracleRequest(RequestReceived request, long acceptedNs, boolean repeated) {
+    OracleRequest(RequestReceived request, long acceptedNs, boolean recentlyRequested) {
         this.request = request;
         this.acceptedNs = acceptedNs;
-        this.repeated = repeated;
+        this.recentlyRequested = recentlyRequested;
     }
 }
--- a/src/main/java/brooklock/faulttest/OracleRouter.java
+++ b/src/main/java/brooklock/faulttest/OracleRouter.java
@@ -47,7 +47,7 @@
     private static final long RECHECK_NS = 25_000_000L;
 
     private static final long COUNT_INTERVAL_NS = 10_000_000_000L;
-    private static final long CLOCK_MARGIN_NS = 5_000_000L;
+    private static final long CLOCK_TOLERANCE_NS = 5_000_000L;
     private static final int MAX_ATTEMPTS = 4;
 
     private final RouterSettings settings;
@@ -63,7 +63,7 @@
 
     OracleRouter(RouterSettings settings, GroundTruth groundTruth) {
         this.settings = settings;
-        selector = new OracleSelector(settings, groundTruth, endpoints, CLOCK_MARGIN_NS);
+        selector = new OracleSelector(settings, groundTruth, endpoints, CLOCK_TOLERANCE_NS);
     }
 
     @Override
@@ -79,10 +79,11 @@
             }
             list.endpoints().forEach(endpoint -> endpoints.put(endpoint.id(), endpoint));
         } else if (event instanceof RequestReceived request) {
-            OracleRequest open = new OracleRequest(request, now, isRepeated(now, request.object()));
-            openRequests.put(request.id(), open);
+            OracleRequest pending =
+                    new OracleRequest(request, now, isRecentlyRequested(now, request.object()));
+            openRequests.put(request.id(), pending);
             out.add(new SetTimer(request.id(), request.deadlineNs() - 2 * settings.timerTickNs()));
-            send(now, open, out);
+            send(now, pending, out);
         } else if (event instanceof ResponseStarted started) {
             openRequests.remove(started.id());
         } else if (event instanceof ClientDisconnected disconnected) {
@@ -98,106 +99,108 @@
 
     // A request's deadline has its own number as token, its other timers the negative of it.
     private void onTimer(long now, TimerFired timer, List<RouterAction> out) {
-        OracleRequest open = openRequests.get(Math.abs(timer.token()));
+        OracleRequest pending = openRequests.get(Math.abs(timer.token()));
         if (timer.token() > 0) {
-            giveUp(open, out);
-        } else if (open != null && (!open.inFlight || mayReplaceAttempt(now, open))) {
-            if (open.inFlight) {
-                out.add(new CancelAttempt(open.request.id(), open.attemptsSent - 1));
-                open.inFlight = false;
-                open.possiblyExecuted = true;
+            rejectOrFail(pending, out);
+        } else if (pending != null && (!pending.inFlight || mayReplaceAttempt(now, pending))) {
+            if (pending.inFlight) {
+                out.add(new CancelAttempt(pending.request.id(), pending.attemptsSent - 1));
+                pending.inFlight = false;
+                pending.possiblyExecuted = true;
             }
-            send(now, open, out);
+            send(now, pending, out);
         }
     }
 
-    private boolean mayReplaceAttempt(long now, OracleRequest open) {
-        return now >= open.lostAtNs
-                && requestClass(open).idempotency() != Idempotency.NOT_IDEMPOTENT;
+    private boolean mayReplaceAttempt(long now, OracleRequest pending) {
+        return now >= pending.timeoutAtNs
+                && requestClass(pending).idempotency() != Idempotency.NOT_IDEMPOTENT;
     }
 
-    private RequestClass requestClass(OracleRequest open) {
-        return settings.classes().get(open.request.classIndex());
+    private RequestClass requestClass(OracleRequest pending) {
+        return settings.classes().get(pending.request.classIndex());
     }
 
     private void onCompleted(long now, AttemptCompleted completed, List<RouterAction> out) {
-        OracleRequest open = openRequests.get(completed.id());
-        if (open == null || completed.attempt() != open.attemptsSent - 1) {
+        OracleRequest pending = openRequests.get(completed.id());
+        if (pending == null || completed.attempt() != pending.attemptsSent - 1) {
             return;
         }
         if (completed.outcome() == AttemptOutcome.OK) {
             openRequests.remove(completed.id());
             return;
         }
-        open.inFlight = false;
-        open.failedEndpoints.add(completed.endpoint());
-        open.possiblyExecuted |= !completed.outcome().provesNotExecuted;
-        send(now, open, out);
+        pending.inFlight = false;
+        pending.failedEndpoints.add(completed.endpoint());
+        pending.possiblyExecuted |= !completed.outcome().provesNotExecuted;
+        send(now, pending, out);
     }
 
-    private void send(long now, OracleRequest open, List<RouterAction> out) {
-        RequestClass requestClass = requestClass(open);
-        long remainingNs = open.request.deadlineNs() - 2 * settings.timerTickNs() - now;
-        boolean maySend = open.attemptsSent < MAX_ATTEMPTS && mayRepeat(now, open, remainingNs);
+    private void send(long now, OracleRequest pending, List<RouterAction> out) {
+        RequestClass requestClass = requestClass(pending);
+        long remainingNs = pending.request.deadlineNs() - 2 * settings.timerTickNs() - now;
+        boolean maySend =
+                pending.attemptsSent < MAX_ATTEMPTS && mayRetry(now, pending, remainingNs);
         StartAttempt chosen =
                 remainingNs > 0 && maySend
-                        ? selector.cheapest(now, open, requestClass, remainingNs)
+                        ? selector.cheapest(now, pending, requestClass, remainingNs)
                         : null;
         if (chosen == null) {
-            long objectiveNs = open.acceptedNs + requestClass.latencyObjectiveNs();
+            long objectiveNs = pending.acceptedNs + requestClass.latencyObjectiveNs();
             if (maySend && now + RECHECK_NS < Math.min(objectiveNs, now + remainingNs)) {
-                out.add(new SetTimer(-open.request.id(), now + RECHECK_NS));
+                out.add(new SetTimer(-pending.request.id(), now + RECHECK_NS));
             } else {
-                giveUp(open, out);
+                rejectOrFail(pending, out);
             }
             return;
         }
-        open.firstSentNs = open.attemptsSent == 0 ? now : open.firstSentNs;
-        open.attemptsSent++;
-        open.inFlight = true;
+        pending.firstSentNs = pending.attemptsSent == 0 ? now : pending.firstSentNs;
+        pending.attemptsSent++;
+        pending.inFlight = true;
         boolean fills = chosen.fillsOnMiss();
-        open.lostAtNs = now + (long) (RESPONSE_START_TIMEOUT_NS + (fills ? FILL_TIMEOUT_NS : 0));
+        pending.timeoutAtNs =
+                now + (long) (RESPONSE_START_TIMEOUT_NS + (fills ? FILL_TIMEOUT_NS : 0));
         out.add(chosen);
-        if (open.attemptsSent < MAX_ATTEMPTS) {
-            out.add(new SetTimer(-open.request.id(), open.lostAtNs));
+        if (pending.attemptsSent < MAX_ATTEMPTS) {
+            out.add(new SetTimer(-pending.request.id(), pending.timeoutAtNs));
         }
     }
 
     // A request with an idempotency key only while every endpoint still remembers the first
     // attempt. Unlike RetryPolicy this does not look at the class's idempotency scope, and requires
     // that the rest of the deadline, too, lies within the key's window.
-    private boolean mayRepeat(long now, OracleRequest open, long remainingNs) {
-        RequestClass requestClass = requestClass(open);
-        return !open.possiblyExecuted
+    private boolean mayRetry(long now, OracleRequest pending, long remainingNs) {
+        RequestClass requestClass = requestClass(pending);
+        return !pending.possiblyExecuted
                 || requestClass.idempotency() == Idempotency.IDEMPOTENT
                 || (requestClass.idempotency() == Idempotency.IDEMPOTENCY_KEY
-                        && now - open.firstSentNs
+                        && now - pending.firstSentNs
                                 < requestClass.idempotencyWindowNs()
-                                        - CLOCK_MARGIN_NS
+                                        - CLOCK_TOLERANCE_NS
                                         - remainingNs);
     }
 
-    private void giveUp(OracleRequest open, List<RouterAction> out) {
-        if (open == null || openRequests.remove(open.request.id()) == null) {
+    private void rejectOrFail(OracleRequest pending, List<RouterAction> out) {
+        if (pending == null || openRequests.remove(pending.request.id()) == null) {
             return;
         }
-        if (open.inFlight) {
-            out.add(new CancelAttempt(open.request.id(), open.attemptsSent - 1));
+        if (pending.inFlight) {
+            out.add(new CancelAttempt(pending.request.id(), pending.attemptsSent - 1));
         }
         // Stricter than RetryPolicy: a request with an idempotency key is rejected only if no
         // attempt
         // may have been executed.
         boolean safeToReject =
-                requestClass(open).idempotency() == Idempotency.IDEMPOTENT
-                        || (!open.inFlight && !open.possiblyExecuted);
+                requestClass(pending).idempotency() == Idempotency.IDEMPOTENT
+                        || (!pending.inFlight && !pending.possiblyExecuted);
         out.add(
                 safeToReject
-                        ? new RejectRequest(open.request.id(), 0)
-                        : new FailRequest(open.request.id()));
+                        ? new RejectRequest(pending.request.id(), 0)
+                        : new FailRequest(pending.request.id()));
     }
 
     // An object requested in this interval or the last is worth more than one requested once.
-    private boolean isRepeated(long now, long object) {
+    private boolean isRecentlyRequested(long now, long object) {
         if (now >= intervalEndNs) {
             previousObjects = currentObjects;
             currentObjects = new HashSet<>();
--- a/src/main/java/brooklock/faulttest/OracleSelector.java
+++ b/src/main/java/brooklock/faulttest/OracleSelector.java
@@ -39,11 +39,11 @@
      */
     private static final double MAX_USE_FIRST_REQUEST = 0.85;
 
-    private static final double MAX_USE_REPEATED = 0.93;
+    private static final double MAX_USE_RECENT = 0.93;
     private static final double MAX_USE_PASS_THROUGH = 0.99;
 
     private static final int PRIORITY_FIRST_REQUEST = 1;
-    private static final int PRIORITY_REPEATED = 2;
+    private static final int PRIORITY_RECENT = 2;
 
     /** Time past the purge window for which a purge is remembered. */
     private static final long PURGE_MEMORY_NS = 1_000_000_000L;
@@ -53,7 +53,7 @@
     private final RouterSettings settings;
     private final GroundTruth groundTruth;
     private final Map<Long, Endpoint> endpoints;
-    private final long clockMarginNs;
+    private final long clockToleranceNs;
 
     /** When each object, or each group under a negative key, was purged last. */
     private final Map<Long, Long> purges = new HashMap<>();
@@ -63,11 +63,11 @@
             RouterSettings settings,
             GroundTruth groundTruth,
             Map<Long, Endpoint> endpoints,
-            long clockMarginNs) {
+            long clockToleranceNs) {
         this.settings = settings;
         this.groundTruth = groundTruth;
         this.endpoints = endpoints;
-        this.clockMarginNs = clockMarginNs;
+        this.clockToleranceNs = clockToleranceNs;
     }
 
     void onPurge(long now, PurgeReceived purge) {
@@ -81,8 +81,8 @@
 
     /** The attempt with the lowest expected latency, or null where no endpoint can be used. */
     StartAttempt cheapest(
-            long now, OracleRequest open, RequestClass requestClass, long remainingNs) {
-        long maxAgeNs = maxAgeNs(now, open.request, requestClass);
+            long now, OracleRequest pending, RequestClass requestClass, long remainingNs) {
+        long maxAgeNs = maxAgeNs(now, pending.request, requestClass);
         boolean passThrough = requestClass.passThrough();
         Choice best = new Choice(null, null, Double.MAX_VALUE);
         for (Endpoint endpoint : endpoints.values()) {
@@ -94,11 +94,11 @@
             if (passThrough ? !origin : !localCache) {
                 continue;
             }
-            double costNs = costNs(endpoint, open, passThrough);
+            double costNs = costNs(endpoint, pending, passThrough);
             Choice choice =
-                    passThrough || hasCopy(endpoint, open.request, maxAgeNs)
+                    passThrough || hasCopy(endpoint, pending.request, maxAgeNs)
                             ? new Choice(endpoint, endpoint, costNs)
-                            : cheapestFill(endpoint, costNs, open, maxAgeNs);
+                            : cheapestFill(endpoint, costNs, pending, maxAgeNs);
             if (choice.costNs < best.costNs) {
                 best = choice;
             }
@@ -106,9 +106,9 @@
         if (best.endpoint == null || best.costNs >= MAX_USABLE_NS) {
             return null;
         }
-        int priority = open.repeated ? PRIORITY_REPEATED : PRIORITY_FIRST_REQUEST;
+        int priority = pending.recentlyRequested ? PRIORITY_RECENT : PRIORITY_FIRST_REQUEST;
         return new StartAttempt(
-                open.request.id(),
+                pending.request.id(),
                 best.endpoint.id(),
                 remainingNs,
                 best.source.id(),
@@ -120,8 +120,8 @@
     }
 
     private Choice cheapestFill(
-            Endpoint endpoint, double endpointCostNs, OracleRequest open, long maxAgeNs) {
-        boolean joinsFill = isFilling(endpoint, open.request);
+            Endpoint endpoint, double endpointCostNs, OracleRequest pending, long maxAgeNs) {
+        boolean joinsFill = isFilling(endpoint, pending.request);
         Choice best = new Choice(endpoint, null, Double.MAX_VALUE);
         for (Endpoint source : endpoints.values()) {
             boolean parent = source.kind() == settings.parentKind();
@@ -132,11 +132,11 @@
             double sourceCostNs =
                     joinsFill && parent && source.state() == EndpointState.READY
                             ? NOMINAL_TRANSFER_NS
-                            : costNs(source, open, false);
+                            : costNs(source, pending, false);
             double totalNs =
                     endpointCostNs
                             + sourceCostNs
-                            + behindSourceCostNs(source, open, parent, joinsFill, maxAgeNs);
+                            + upstreamCostNs(source, pending, parent, joinsFill, maxAgeNs);
             if (totalNs < best.costNs) {
                 best = new Choice(endpoint, source, totalNs);
             }
@@ -146,33 +146,37 @@
 
     // A copy at a parent serves all zones, so that the origin is a source only where no parent
     // can be one.
-    private double behindSourceCostNs(
-            Endpoint source, OracleRequest open, boolean parent, boolean joinsFill, long maxAgeNs) {
+    private double upstreamCostNs(
+            Endpoint source,
+            OracleRequest pending,
+            boolean parent,
+            boolean joinsFill,
+            long maxAgeNs) {
         if (!parent) {
             return FAILURE_COST_NS;
         }
         boolean available =
                 joinsFill
-                        || hasCopy(source, open.request, maxAgeNs)
-                        || isFilling(source, open.request);
-        return available ? 0 : originCostNs(open);
+                        || hasCopy(source, pending.request, maxAgeNs)
+                        || isFilling(source, pending.request);
+        return available ? 0 : originCostNs(pending);
     }
 
-    private double originCostNs(OracleRequest open) {
+    private double originCostNs(OracleRequest pending) {
         return endpoints.values().stream()
                 .filter(endpoint -> endpoint.kind() == settings.originKind())
-                .mapToDouble(endpoint -> costNs(endpoint, open, false))
+                .mapToDouble(endpoint -> costNs(endpoint, pending, false))
                 .min()
                 .orElse(UNUSABLE_NS);
     }
 
     // Expected time until a response has come from an endpoint.
-    private double costNs(Endpoint endpoint, OracleRequest open, boolean passThrough) {
+    private double costNs(Endpoint endpoint, OracleRequest pending, boolean passThrough) {
         TestServer server = server(endpoint);
         double maxUse =
                 passThrough
                         ? MAX_USE_PASS_THROUGH
-                        : open.repeated ? MAX_USE_REPEATED : MAX_USE_FIRST_REQUEST;
+                        : pending.recentlyRequested ? MAX_USE_RECENT : MAX_USE_FIRST_REQUEST;
         if (endpoint.state() != EndpointState.READY
                 || !server.isUp()
                 || server.usedShare() > maxUse
@@ -188,11 +192,11 @@
                                 + server.faults.truncatedShare);
         return NOMINAL_TRANSFER_NS / Math.max(1e-3, server.nextTransferPace())
                 + failureShare / (1 - failureShare) * FAILURE_COST_NS
-                + (open.failedEndpoints.contains(endpoint.id()) ? FAILURE_COST_NS : 0)
-                + TIE_BREAK_NS * hash(open.request, endpoint.id());
+                + (pending.failedEndpoints.contains(endpoint.id()) ? FAILURE_COST_NS : 0)
+                + TIE_BREAK_NS * tieBreakShare(pending.request, endpoint.id());
     }
 
-    private static double hash(RequestReceived request, long endpoint) {
+    private static double tieBreakShare(RequestReceived request, long endpoint) {
         long x =
                 (request.object() * 31 + request.part()) * 0x9e3779b97f4a7c15L
                         ^ endpoint * 0xbf58476d1ce4e5b9L;
@@ -225,7 +229,7 @@
         if (purgedNs == Long.MIN_VALUE) {
             return Math.max(0, freshNs);
         }
-        long sincePurgeNs = Math.max(1, now - purgedNs - clockMarginNs);
+        long sincePurgeNs = Math.max(1, now - purgedNs - clockToleranceNs);
         return freshNs > 0 ? Math.min(freshNs, sincePurgeNs) : sincePurgeNs;
     }
 }
--- a/src/main/java/brooklock/faulttest/PartRequest.java
+++ b/src/main/java/brooklock/faulttest/PartRequest.java
@@ -43,7 +43,7 @@
         this.authorized = authorized;
     }
 
-    boolean isInTime() {
+    boolean metLatencyObjective() {
         return completedNs != 0 && completedNs - startedNs <= latencyObjectiveNs;
     }
 }
--- a/src/main/java/brooklock/faulttest/RandomRouter.java
+++ b/src/main/java/brooklock/faulttest/RandomRouter.java
@@ -61,23 +61,23 @@
         } else if (event instanceof ClientDisconnected disconnected) {
             openRequests.remove(disconnected.id());
         } else if (event instanceof TimerFired timer) {
-            giveUp(timer.token(), out);
+            rejectOrFail(timer.token(), out);
         } else if (event instanceof AttemptCompleted completed) {
             if (completed.outcome() == AttemptOutcome.OK) {
                 openRequests.remove(completed.id());
             } else {
-                giveUp(completed.id(), out);
+                rejectOrFail(completed.id(), out);
             }
         }
     }
 
     private void send(long now, RequestReceived request, List<RouterAction> out) {
         boolean passThrough = settings.classes().get(request.classIndex()).passThrough();
-        Endpoint origin = randomReady(settings.originKind(), ANY_ZONE);
-        Endpoint endpoint = passThrough ? origin : randomReady(CACHE_KIND, settings.zone());
-        Endpoint parent = randomReady(settings.parentKind(), ANY_ZONE);
+        Endpoint origin = randomReadyEndpoint(settings.originKind(), ANY_ZONE);
+        Endpoint endpoint = passThrough ? origin : randomReadyEndpoint(CACHE_KIND, settings.zone());
+        Endpoint parent = randomReadyEndpoint(settings.parentKind(), ANY_ZONE);
         if (endpoint == null || origin == null) {
-            giveUp(request.id(), out);
+            rejectOrFail(request.id(), out);
             return;
         }
         Endpoint source = passThrough || parent == null ? origin : parent;
@@ -95,7 +95,7 @@
                         remainingNs));
     }
 
-    private Endpoint randomReady(int kind, int zone) {
+    private Endpoint randomReadyEndpoint(int kind, int zone) {
         List<Endpoint> ready =
                 endpoints.values().stream()
                         .filter(endpoint -> endpoint.kind() == kind)
@@ -105,7 +105,7 @@
         return ready.isEmpty() ? null : ready.get(random.nextInt(ready.size()));
     }
 
-    private void giveUp(long id, List<RouterAction> out) {
+    private void rejectOrFail(long id, List<RouterAction> out) {
         RequestReceived request = openRequests.remove(id);
         if (request != null) {
             boolean idempotent =
--- a/src/main/java/brooklock/faulttest/Scenario.java
+++ b/src/main/java/brooklock/faulttest/Scenario.java
@@ -49,7 +49,7 @@
     int tenantCount;
 
     /** Share of clients that request what is another tenant's. */
-    double trespassShare;
+    double crossTenantShare;
 
     boolean tls;
 
@@ -59,9 +59,9 @@
     /** Delay with which dispatchers are notified of a purge. */
     long purgeDelayNs = 150_000_000L;
 
-    double cacheTransfers = 16;
-    double parentTransfers = 40;
-    double originTransfers = 60;
+    double maxTransfersPerCache = 16;
+    double maxTransfersPerParent = 40;
+    double maxTransfersAtOrigin = 60;
 
     /** Requests a second above which the origin rejects; 0 for no limit. */
     double originRequestsPerS;
--- a/src/main/java/brooklock/faulttest/ScenarioPlayer.java
+++ b/src/main/java/brooklock/faulttest/ScenarioPlayer.java
@@ -34,9 +34,10 @@
     /** Schedules every fault; its targets are drawn now. */
     void start() {
         for (Fault fault : fleet.scenario.faults) {
-            boolean strikesServers =
+            boolean targetsServers =
                     fault.target() != null && !OTHER_TARGETS.contains(fault.target().kind());
-            List<TestServer> targets = strikesServers ? fleet.targetsOf(fault.target()) : List.of();
+            List<TestServer> targets =
+                    targetsServers ? fleet.drawTargets(fault.target()) : List.of();
             fleet.schedule(
                     fault.fromNs(),
                     () -> {
@@ -60,14 +61,14 @@
             case DEPLOY -> deploy(fault, targets);
             case PURGE -> purge(fault.amount());
             case ROTATE -> fleet.issuer.rotateKeys(fleet);
-            case ROLL -> roll(fault);
+            case ROLL -> rollDispatchers(fault);
             case BURST -> fleet.population.rateMultiple = fault.amount();
-            case SCAN -> fleet.population.scanShare = fault.amount();
-            case HEAVY -> fleet.population.heavyShare = fault.amount();
+            case SCAN -> fleet.population.uniqueObjectShare = fault.amount();
+            case HEAVY -> fleet.population.largeObjectShare = fault.amount();
             case FLOOD ->
                     fleet.population.tenantFlood =
                             new ClientPopulation.TenantFlood(
-                                    number(fault.target()), fault.amount());
+                                    zeroBasedIndex(fault.target()), fault.amount());
             default -> targets.forEach(server -> injectInto(server.faults, fault));
         }
     }
@@ -76,7 +77,7 @@
         switch (fault.kind()) {
             case ERRORS -> faults.errorShare = fault.amount();
             case LOSE -> {
-                faults.lostByReset = fault.reset();
+                faults.lostByReset = fault.byReset();
                 faults.lostShare = fault.amount();
             }
             case CUT -> faults.truncatedShare = fault.amount();
@@ -87,13 +88,13 @@
     }
 
     // Dispatchers and tenants are numbered from 1 in the scenario.
-    private static int number(Fault.Target target) {
+    private static int zeroBasedIndex(Fault.Target target) {
         return Integer.parseInt(target.name()) - 1;
     }
 
     private void kill(Fault fault, List<TestServer> targets) {
         if (targets.isEmpty()) {
-            fleet.killDispatcher(number(fault.target()), fault.spanNs());
+            fleet.killDispatcher(zeroBasedIndex(fault.target()), fault.spanNs());
         }
         targets.forEach(server -> fleet.kill(server, fault.spanNs()));
     }
@@ -110,7 +111,7 @@
                 SILENCE_DELAY_MULTIPLE * fleet.scenario.listDelayNs,
                 () -> {
                     if (server.faults.silent) {
-                        fleet.publishLater(server.name(), EndpointState.GONE);
+                        fleet.publishAfterDelay(server.name(), EndpointState.GONE);
                     }
                 });
     }
@@ -121,7 +122,7 @@
     }
 
     private void publish(TestServer server, EndpointState state) {
-        fleet.publisher.publishState(fleet.listed(server.name(), state));
+        fleet.publisher.publishState(fleet.toListedEndpoint(server.name(), state));
     }
 
     // Batch by batch: drained, then restarted cold; the next batch when its time has come.
@@ -129,11 +130,11 @@
         int batchSize = Math.max(1, (int) Math.round(fault.amount() * targets.size()));
         int batches = (targets.size() + batchSize - 1) / batchSize;
         long stepNs = (fault.toNs() - fault.fromNs()) / batches;
-        List<TestServer> left = new ArrayList<>(targets);
-        for (int i = 0; !left.isEmpty(); i++) {
+        List<TestServer> remaining = new ArrayList<>(targets);
+        for (int i = 0; !remaining.isEmpty(); i++) {
             List<TestServer> batch =
-                    new ArrayList<>(left.subList(0, Math.min(batchSize, left.size())));
-            left.removeAll(batch);
+                    new ArrayList<>(remaining.subList(0, Math.min(batchSize, remaining.size())));
+            remaining.removeAll(batch);
             fleet.schedule(
                     i * stepNs,
                     () -> batch.forEach(server -> drainAndRestart(server, fault.spanNs())));
@@ -153,7 +154,7 @@
         }
     }
 
-    private void roll(Fault fault) {
+    private void rollDispatchers(Fault fault) {
         long stepNs = (fault.toNs() - fault.fromNs()) / fleet.dispatchers.size();
         for (int i = 0; i < fleet.dispatchers.size(); i++) {
             int dispatcher = i;
@@ -174,14 +175,14 @@
                                 fleet.restart(server);
                             });
             case BURST -> fleet.population.rateMultiple = 1;
-            case SCAN -> fleet.population.scanShare = 0;
-            case HEAVY -> fleet.population.heavyShare = 0;
+            case SCAN -> fleet.population.uniqueObjectShare = 0;
+            case HEAVY -> fleet.population.largeObjectShare = 0;
             case FLOOD -> fleet.population.tenantFlood = ClientPopulation.TenantFlood.NONE;
-            default -> targets.forEach(server -> clearIn(server.faults, fault.kind()));
+            default -> targets.forEach(server -> clearFrom(server.faults, fault.kind()));
         }
     }
 
-    private static void clearIn(InjectedFaults faults, Fault.Kind kind) {
+    private static void clearFrom(InjectedFaults faults, Fault.Kind kind) {
         switch (kind) {
             case ERRORS -> faults.errorShare = 0;
             case LOSE -> faults.lostShare = 0;
--- a/src/main/java/brooklock/faulttest/ScenarioReader.java
+++ b/src/main/java/brooklock/faulttest/ScenarioReader.java
@@ -116,7 +116,7 @@
                     scenario.groupCount = statement.nextPositiveInt("the number of purge groups");
             case "tenants" ->
                     scenario.tenantCount = statement.nextPositiveInt("the number of tenants");
-            case "trespass" -> scenario.trespassShare = FaultReader.nextShare(statement);
+            case "trespass" -> scenario.crossTenantShare = FaultReader.nextShare(statement);
             case "list-delay" -> scenario.listDelayNs = statement.nextDurationNs("a time");
             case "purge-delay" -> scenario.purgeDelayNs = statement.nextDurationNs("a time");
             case "zone" ->
@@ -135,9 +135,9 @@
                     scenario.transferBytesPerS =
                             Units.parseBytesPerSecond(statement.nextWord("a pace"));
             case "flows" -> {
-                scenario.cacheTransfers = statement.nextNumber("a cache's transfers");
-                scenario.parentTransfers = statement.nextNumber("a parent's transfers");
-                scenario.originTransfers = statement.nextNumber("the origin's transfers");
+                scenario.maxTransfersPerCache = statement.nextNumber("a cache's transfers");
+                scenario.maxTransfersPerParent = statement.nextNumber("a parent's transfers");
+                scenario.maxTransfersAtOrigin = statement.nextNumber("the origin's transfers");
             }
             case "origin-rate" -> scenario.originRequestsPerS = nextRate(statement);
             case "slots" ->
--- a/src/main/java/brooklock/faulttest/ServiceReport.java
+++ b/src/main/java/brooklock/faulttest/ServiceReport.java
@@ -16,7 +16,7 @@
     private static final long AFTERMATH_NS = 2_000_000_000L;
 
     private static final long SECOND_NS = 1_000_000_000L;
-    private static final int SECONDS_A_LINE = 5;
+    private static final int SECONDS_PER_LINE = 5;
 
     /** Two routers whose served shares differ by less than this span no scale. */
     private static final double MIN_SCALE_SPAN = 0.02;
@@ -31,25 +31,25 @@
         void add(PartRequest request) {
             requested++;
             if (request.completedNs != 0) {
-                inTime += request.isInTime() ? 1 : 0;
-                late += request.isInTime() ? 0 : 1;
+                inTime += request.metLatencyObjective() ? 1 : 0;
+                late += request.metLatencyObjective() ? 0 : 1;
                 latencyUs.recordValue(Math.max(0, request.completedNs - request.startedNs) / 1000);
             }
         }
 
-        String line(String name) {
+        String formatLine(String name) {
             return String.format(
                     "  %-10s %6d asked, %5.1f%% in time, %4.1f%% late, p50 %d ms, p99 %d ms%n",
                     name,
                     requested,
-                    100 * share(),
+                    100 * inTimeShare(),
                     100.0 * late / Math.max(1, requested),
                     latencyUs.getValueAtPercentile(50) / 1000,
                     latencyUs.getValueAtPercentile(99) / 1000);
         }
 
         /** Share that was served in time; 1 where nothing was requested. */
-        double share() {
+        double inTimeShare() {
             return requested == 0 ? 1 : inTime / (double) requested;
         }
     }
@@ -101,9 +101,9 @@
     /** The lines of the report. */
     String report() {
         StringBuilder text = new StringBuilder("service, stand-ins on loopback:\n");
-        byClass.forEach((name, tally) -> text.append(tally.line(name)));
+        byClass.forEach((name, tally) -> text.append(tally.formatLine(name)));
         for (int tenant = 0; tenant < byTenant.size(); tenant++) {
-            text.append(byTenant.get(tenant).line("tenant " + (tenant + 1)));
+            text.append(byTenant.get(tenant).formatLine("tenant " + (tenant + 1)));
         }
         long lateSeconds = harnessDelayNs.stream().filter(delayNs -> delayNs > 0).count();
         String late =
@@ -114,7 +114,8 @@
                                 + " of "
                                 + harnessDelayNs.size()
                                 + " seconds";
-        text.append(String.format("  all        %5.1f%% in time%s%n", 100 * all.share(), late));
+        text.append(
+                String.format("  all        %5.1f%% in time%s%n", 100 * all.inTimeShare(), late));
         text.append(
                 "by the second in which it was due: asked, in time, ms that the rig itself was"
                         + " late\n");
@@ -129,12 +130,12 @@
             text.append(
                     String.format(
                             "%s%3d s %5d %3.0f%%%s",
-                            i % SECONDS_A_LINE == 0 ? "  " : "   ",
+                            i % SECONDS_PER_LINE == 0 ? "  " : "   ",
                             i,
                             tally.requested,
-                            100 * tally.share(),
+                            100 * tally.inTimeShare(),
                             delayNs == 0 ? "     " : String.format("%5d", delayNs / 1_000_000)));
-            if (i % SECONDS_A_LINE == SECONDS_A_LINE - 1 || i == bySecond.size() - 1) {
+            if (i % SECONDS_PER_LINE == SECONDS_PER_LINE - 1 || i == bySecond.size() - 1) {
                 text.append('\n');
             }
         }
@@ -169,18 +170,19 @@
 
     private static void appendRow(
             StringBuilder text, String name, Tally tested, Tally random, Tally oracle) {
-        double span = oracle.share() - random.share();
+        double span = oracle.inTimeShare() - random.inTimeShare();
         String scale =
                 span < MIN_SCALE_SPAN
                         ? "-"
-                        : String.format("%.2f", (tested.share() - random.share()) / span);
+                        : String.format(
+                                "%.2f", (tested.inTimeShare() - random.inTimeShare()) / span);
         text.append(
                 String.format(
                         "%-48s %6.1f%% %6.1f%% %8.1f%% %6s%n",
                         name,
-                        100 * random.share(),
-                        100 * tested.share(),
-                        100 * oracle.share(),
+                        100 * random.inTimeShare(),
+                        100 * tested.inTimeShare(),
+                        100 * oracle.inTimeShare(),
                         scale));
     }
 }
--- a/src/main/java/brooklock/faulttest/TestFleet.java
+++ b/src/main/java/brooklock/faulttest/TestFleet.java
@@ -55,7 +55,7 @@
          * @param file where its settings are written
          * @param settings all of them but name and addresses
          */
-        DispatcherRunner make(String name, Path file, String settings);
+        DispatcherRunner create(String name, Path file, String settings);
     }
 
     final Scenario scenario;
@@ -95,13 +95,14 @@
                         new HttpClient(
                                 loop, ClientLimits.STANDARD.withConnections(4096, 4096, 256)),
                         dispatchers);
-        servers.keySet().forEach(name -> publisher.addInitial(listed(name, EndpointState.READY)));
+        servers.keySet()
+                .forEach(name -> publisher.addInitial(toListedEndpoint(name, EndpointState.READY)));
         List<List<DispatcherRunner>> byZone = createDispatchers(dir, runnerFactory);
         for (DispatcherRunner dispatcher : dispatchers) {
             dispatcher.start();
         }
         population = new ClientPopulation(scenario, byZone, dispatchers, issuer, monitor);
-        monitor.watch("notices", loop);
+        monitor.watchLoop("notices", loop);
         monitor.watchMachine();
         loop.execute(
                 () -> {
@@ -115,20 +116,20 @@
         for (int i = 0; i < SERVER_THREADS; i++) {
             IoThreads thread = IoThreads.start("hosts" + i, 1);
             serverThreads.add(thread);
-            monitor.watch("hosts " + i, thread.loop(0));
+            monitor.watchLoop("hosts " + i, thread.loop(0));
             monitor.watchSockets("hosts " + i, thread);
         }
         for (Scenario.ClassLoad load : scenario.classLoads.values()) {
             meanWorkNs.put(load.className(), load.sizeBytes() / scenario.transferBytesPerS * 1e9);
         }
-        TestServer origin = addServer("o1", Role.ORIGIN, HUB, scenario.originTransfers, null);
+        TestServer origin = addServer("o1", Role.ORIGIN, HUB, scenario.maxTransfersAtOrigin, null);
         for (int i = 1; i <= scenario.parentCount; i++) {
-            addServer("p" + i, Role.PARENT, HUB, scenario.parentTransfers, origin.address());
+            addServer("p" + i, Role.PARENT, HUB, scenario.maxTransfersPerParent, origin.address());
         }
         for (Scenario.Zone zone : scenario.zones) {
             for (int i = 1; i <= zone.caches(); i++) {
                 String name = zone.name() + "-" + i;
-                addServer(name, Role.CACHE, zone.name(), scenario.cacheTransfers, null);
+                addServer(name, Role.CACHE, zone.name(), scenario.maxTransfersPerCache, null);
             }
         }
     }
@@ -177,8 +178,10 @@
             for (int i = 1; i <= zone.dispatchers(); i++) {
                 String name = "d" + (dispatchers.size() + 1);
                 DispatcherRunner dispatcher =
-                        runnerFactory.make(
-                                name, dir.resolve(name + ".conf"), settings(zone.name(), name));
+                        runnerFactory.create(
+                                name,
+                                dir.resolve(name + ".conf"),
+                                dispatcherSettings(zone.name(), name));
                 dispatchers.add(dispatcher);
                 local.add(dispatcher);
             }
@@ -187,7 +190,7 @@
         return byZone;
     }
 
-    private String settings(String zone, String dispatcher) {
+    private String dispatcherSettings(String zone, String dispatcher) {
         String additional = issuer.settingsLines() + "list " + dispatcher + ".list\n";
         StringBuilder text =
                 new StringBuilder(scenario.settings(zone, scenario.tenantCount > 0, additional));
@@ -206,7 +209,7 @@
     }
 
     /** A server as an endpoint list has it. */
-    ListedEndpoint listed(String serverName, EndpointState state) {
+    ListedEndpoint toListedEndpoint(String serverName, EndpointState state) {
         TestServer server = servers.get(serverName);
         return new ListedEndpoint(
                 serverName,
@@ -222,7 +225,7 @@
     // ---- What a fault strikes
 
     /** Draws the servers that a target means. */
-    List<TestServer> targetsOf(Fault.Target target) {
+    List<TestServer> drawTargets(Fault.Target target) {
         List<TestServer> candidates =
                 new ArrayList<>(
                         servers.values().stream()
@@ -254,13 +257,15 @@
         loop.schedule(delayNs, () -> monitor.runGuarded(task));
     }
 
-    void publishLater(String serverName, EndpointState state) {
-        schedule(scenario.listDelayNs, () -> publisher.publishState(listed(serverName, state)));
+    void publishAfterDelay(String serverName, EndpointState state) {
+        schedule(
+                scenario.listDelayNs,
+                () -> publisher.publishState(toListedEndpoint(serverName, state)));
     }
 
     void kill(TestServer server, long downtimeNs) {
         server.kill();
-        publishLater(server.name(), EndpointState.GONE);
+        publishAfterDelay(server.name(), EndpointState.GONE);
         schedule(downtimeNs, () -> restart(server));
     }
 
@@ -268,7 +273,7 @@
         try {
             server.restart();
             if (!server.isOverloaded()) {
-                publishLater(server.name(), EndpointState.READY);
+                publishAfterDelay(server.name(), EndpointState.READY);
             }
         } catch (IOException e) {
             throw new UncheckedIOException(server.name() + " does not come back", e);
--- a/src/test/java/brooklock/faulttest/FaultTestRunnerTest.java
+++ b/src/test/java/brooklock/faulttest/FaultTestRunnerTest.java
@@ -19,7 +19,7 @@
      */
     @Test
     @DisplayName("all invariants hold under mixed faults, with a dispatcher process killed")
-    void mixedFaultsWithADispatcherKilled() throws Exception {
+    void invariantsHoldUnderMixedFaultsWithDispatcherKilled() throws Exception {
         FaultTestResult result =
                 play(
                         """
@@ -44,7 +44,7 @@
      * invariants hold.
      */
     @Test
-    void tenantsOverTlsGetNothingOfEachOther() throws Exception {
+    void tenantsOverTlsCannotReadEachOthersObjects() throws Exception {
         FaultTestResult result =
                 play(
                         """
@@ -67,7 +67,7 @@
      * better than the one that floods.
      */
     @Test
-    void oneTenantsFloodDoesNotTakeTheOthersCapacity() throws Exception {
+    void tenantFloodDoesNotStarveOtherTenants() throws Exception {
         String scenario =
                 SCENARIO.replace("rate 120/s", "rate 70/s")
                                 .replace("flows 14 30 60", "flows 4 12 30")
@@ -84,7 +84,7 @@
         assertTrue(flooding.requested > 6 * first.requested, result.report());
         double others =
                 (first.inTime + third.inTime) / (double) (first.requested + third.requested);
-        assertTrue(others > 0.5 && others > 1.5 * flooding.share(), result.report());
+        assertTrue(others > 0.5 && others > 1.5 * flooding.inTimeShare(), result.report());
     }
 
     /**
@@ -92,7 +92,7 @@
      * once. The dispatchers together overload none of them.
      */
     @Test
-    void aWholeFleetRestartedWithinASecondIsNotOverloaded() throws Exception {
+    void fleetRestartedWithinOneSecondIsNotOverloaded() throws Exception {
         String scenario =
                 SCENARIO.replace("zone north 5 2", "zone north 20 2")
                                 .replace("rate 120/s", "rate 250/s")
@@ -124,20 +124,20 @@
                         at 8s purge 20% of groups
                         at 9s drain south-1 for 2s
                         """;
-        long[] givenByPeers = new long[1];
+        long[] fillsFromPeers = new long[1];
         FaultTestResult result =
                 FaultTestRunner.play(
                         Scenario.parse("day", scenario),
                         dir,
                         inProcess(RoutingStrategy::newRouter),
                         line -> {},
-                        fleet -> givenByPeers[0] = countGivenByPeers(fleet));
+                        fleet -> fillsFromPeers[0] = countFillsFromPeers(fleet));
         assertNotBroken(result);
         assertTrue(checkResult(result, 4).cases() > 100, result.report());
-        assertTrue(givenByPeers[0] > 0, "nothing was given by peers\n" + result.report());
+        assertTrue(fillsFromPeers[0] > 0, "nothing was given by peers\n" + result.report());
     }
 
-    private static long countGivenByPeers(TestFleet fleet) {
+    private static long countFillsFromPeers(TestFleet fleet) {
         return fleet.traffic.requests().stream()
                 .filter(recorded -> recorded.sender.startsWith("north-"))
                 .filter(
@@ -152,7 +152,7 @@
      * A scenario without faults shows nothing about drains, warm-up and purges: it does not pass.
      */
     @Test
-    void anInvariantOfWhichNoCaseWasSeenDoesNotHold() throws Exception {
+    void invariantWithoutCasesDoesNotHold() throws Exception {
         FaultTestResult result =
                 playScenario(
                         SCENARIO.replace("length 6s", "length 1s"),
@@ -174,7 +174,7 @@
      * that the harness was late.
      */
     @Test
-    void delaysOfTheHarnessAreNotTakenForViolations() throws Exception {
+    void harnessDelaysAreNotReportedAsViolations() throws Exception {
         List<Thread> delayed = new ArrayList<>();
         FaultTestResult result =
                 FaultTestRunner.play(
@@ -214,7 +214,7 @@
      * of every server: the second serves more in time and keeps the invariants.
      */
     @Test
-    void theOracleRouterServesMoreThanTheRandomOne() throws Exception {
+    void oracleRouterServesMoreInTimeThanRandomRouter() throws Exception {
         String scenario =
                 SCENARIO
                         + """
--- a/src/test/java/brooklock/faulttest/InvariantCheckerTest.java
+++ b/src/test/java/brooklock/faulttest/InvariantCheckerTest.java
@@ -46,14 +46,13 @@
 
     /** A dispatcher that never rejects a request it cannot serve leaves its client waiting. */
     @Test
-    void requestsWithoutAFinalResponseAreFound() throws Exception {
+    void requestsWithoutFinalResponseAreReported() throws Exception {
         assertViolated(
-                play("from 500ms to 4s lose 60% at caches\n", inProcess(WithoutRejections::new)),
-                1);
+                play("from 500ms to 4s lose 60% at caches\n", inProcess(DropsRejections::new)), 1);
     }
 
-    private static final class WithoutRejections extends InterceptingRouter {
-        WithoutRejections(RouterSettings settings) {
+    private static final class DropsRejections extends InterceptingRouter {
+        DropsRejections(RouterSettings settings) {
             super(settings);
         }
 
@@ -70,16 +69,16 @@
      * router sends requests again that must not run twice.
      */
     @Test
-    void requestsExecutedTwiceAreFound() throws Exception {
+    void requestsExecutedTwiceAreReported() throws Exception {
         assertViolated(
                 play(
                         "from 500ms to 5s lose 50% at origin by reset\n",
-                        inProcess(ResetsTakenForRejections::new)),
+                        inProcess(TreatsResetsAsRejections::new)),
                 2);
     }
 
-    private static final class ResetsTakenForRejections extends InterceptingRouter {
-        ResetsTakenForRejections(RouterSettings settings) {
+    private static final class TreatsResetsAsRejections extends InterceptingRouter {
+        TreatsResetsAsRejections(RouterSettings settings) {
             super(settings);
         }
 
@@ -105,17 +104,17 @@
      * is cold, and sends it everything.
      */
     @Test
-    void anOverloadedColdServerIsFound() throws Exception {
+    void overloadedColdServerIsReported() throws Exception {
         String scenario =
                 SCENARIO.replace("cold-from 0.25 cold-for 4s", "cold-from 0.04 cold-for 20s")
                         + "at 1s restart north-1 within 1ms\n";
-        assertViolated(playScenario(scenario, inProcess(AllToTheColdOne::new)), 4);
+        assertViolated(playScenario(scenario, inProcess(RoutesAllToColdEndpoint::new)), 4);
     }
 
-    private static final class AllToTheColdOne extends InterceptingRouter {
+    private static final class RoutesAllToColdEndpoint extends InterceptingRouter {
         private long coldEndpoint;
 
-        AllToTheColdOne(RouterSettings settings) {
+        RoutesAllToColdEndpoint(RouterSettings settings) {
             super(settings);
         }
 
@@ -130,10 +129,13 @@
                 }
             }
             return new EndpointListReceived(
-                    list.kind(), list.endpoints().stream().map(AllToTheColdOne::warm).toList());
+                    list.kind(),
+                    list.endpoints().stream()
+                            .map(RoutesAllToColdEndpoint::withoutStartTime)
+                            .toList());
         }
 
-        private static Endpoint warm(Endpoint endpoint) {
+        private static Endpoint withoutStartTime(Endpoint endpoint) {
             return new Endpoint(
                     endpoint.id(),
                     endpoint.zone(),
@@ -166,12 +168,12 @@
 
     /** The router learns of no purge, and serves copies from before it. */
     @Test
-    void ignoredPurgesAreFound() throws Exception {
-        assertViolated(play("at 1s purge 100% of groups\n", inProcess(WithoutPurges::new)), 5);
+    void ignoredPurgesAreReported() throws Exception {
+        assertViolated(play("at 1s purge 100% of groups\n", inProcess(DropsPurges::new)), 5);
     }
 
-    private static final class WithoutPurges extends InterceptingRouter {
-        WithoutPurges(RouterSettings settings) {
+    private static final class DropsPurges extends InterceptingRouter {
+        DropsPurges(RouterSettings settings) {
             super(settings);
         }
 
@@ -197,7 +199,7 @@
 
         /** The registry's lists are acknowledged and dropped. */
         @Test
-        void ignoredDrainsAreFound() throws Exception {
+        void ignoredDrainsAreReported() throws Exception {
             FaultTestResult result =
                     playTampered((exchange, body, forward) -> acknowledge(exchange));
             assertViolated(result, 3);
@@ -209,7 +211,7 @@
 
         /** Each list is acknowledged and takes effect only a second and a half later. */
         @Test
-        void drainsAppliedLateAreFound() throws Exception {
+        void drainsAppliedLateAreReported() throws Exception {
             FaultTestResult result =
                     playTampered(
                             (exchange, body, forward) -> {
@@ -225,7 +227,7 @@
          * gets requests from dispatchers is a violation as well.
          */
         @Test
-        void drainsIgnoredForFillSourcesAreFound() throws Exception {
+        void drainsIgnoredForFillSourcesAreReported() throws Exception {
             FaultTestResult result =
                     playTampered(
                             (exchange, body, forward) -> {
@@ -252,7 +254,7 @@
          * dispatcher that takes the later arrival for the newer list goes back to the old one.
          */
         @Test
-        void anOldListAppliedOverANewerOneIsFound() throws Exception {
+        void oldListAppliedOverNewerListIsReported() throws Exception {
             Map<InetSocketAddress, String> firstLists = new ConcurrentHashMap<>();
             FaultTestResult result =
                     playTampered(
--- a/src/test/java/brooklock/faulttest/ScenarioReaderTest.java
+++ b/src/test/java/brooklock/faulttest/ScenarioReaderTest.java
@@ -37,7 +37,7 @@
     }
 
     @Test
-    void theBuiltInScenarioHoldsEveryKindOfFault() throws Exception {
+    void builtInScenarioContainsEveryKindOfFault() throws Exception {
         Scenario scenario = Scenario.parse("built-in", FaultTestRunner.builtInScenario());
         assertEquals(
                 Fault.Kind.values().length,
