--- a/src/main/java/brooklock/faulttest/ClientPopulation.java
+++ b/src/main/java/brooklock/faulttest/ClientPopulation.java
@@ -13,9 +13,9 @@
 
 /**
  * The simulated clients of a test. They arrive at random (an open loop), request objects by
- * popularity, one part after another, and retry rejected requests and lost dispatchers as clients
- * are asked to. They run on I/O threads that {@link #close} stops. {@link ScenarioPlayer} sets the
- * rates and shares from another thread.
+ * popularity, one part after another, retry rejected requests, and change to another dispatcher if
+ * theirs is lost. They run on I/O threads that {@link #close} stops. {@link ScenarioPlayer} sets
+ * the rates and shares from another thread.
  */
 final class ClientPopulation implements AutoCloseable {
     /**
--- a/src/main/java/brooklock/faulttest/ControlClient.java
+++ b/src/main/java/brooklock/faulttest/ControlClient.java
@@ -100,8 +100,7 @@
         }
 
         // A dispatcher that was killed receives every update again after its restart. One that
-        // still
-        // runs was too busy to accept the connection, so the request is retried.
+        // still runs was too busy to accept the connection, so the request is retried.
         @Override
         public void onFailure(CallFailure failure, String reason) {
             loop.schedule(
--- a/src/main/java/brooklock/faulttest/ControlPublisher.java
+++ b/src/main/java/brooklock/faulttest/ControlPublisher.java
@@ -108,8 +108,8 @@
      * Sends the full list and the recent purges to a dispatcher that has started.
      *
      * @param dispatcher index of the dispatcher
-     * @param purgesSinceNs time after which a purge is sent again, {@link System#nanoTime}; caches
-     *     may still hold copies that a later purge concerns
+     * @param purgesSinceNs time from which purges are sent again, {@link System#nanoTime};
+     *     endpoints have completed the earlier ones
      */
     void onDispatcherStarted(int dispatcher, long purgesSinceNs) {
         sendFullList(dispatcher);
--- a/src/main/java/brooklock/faulttest/FaultTestResult.java
+++ b/src/main/java/brooklock/faulttest/FaultTestResult.java
@@ -5,7 +5,6 @@
 
 /**
  * The result of a fault test: the verdict on the invariants, and how well the clients were served.
- * Immutable.
  */
 public final class FaultTestResult {
     private static final int MAX_FAILURES_SHOWN = 5;
@@ -59,9 +58,9 @@
     }
 
     /**
-     * Returns the verdict: {@link Verdict#NOT_JUDGED} if the harness failed or an invariant without
-     * violations is inconclusive, and {@link Verdict#BROKEN} if an invariant was violated or not
-     * seen.
+     * Returns the verdict. It is {@link Verdict#NOT_JUDGED} if the harness failed, or if some
+     * invariant is inconclusive and none was violated. Otherwise it is {@link Verdict#BROKEN} if an
+     * invariant was violated or not seen.
      */
     public Verdict verdict() {
         if (!harnessFailures.isEmpty()) {
--- a/src/main/java/brooklock/faulttest/HarnessMonitor.java
+++ b/src/main/java/brooklock/faulttest/HarnessMonitor.java
@@ -28,12 +28,14 @@
  * #close} stops the heartbeats and probes.
  */
 final class HarnessMonitor implements Closeable {
-    /** Delay from which a heartbeat is recorded; the slack of the checks covers shorter delays. */
+    /**
+     * Delay of a heartbeat above which it is recorded; the slack of the checks covers shorter ones.
+     */
     static final long MIN_RECORDED_DELAY_NS = 20_000_000L;
 
     /**
-     * Step of the wall clock above which it is recorded as a delay, because start times and purges
-     * are sent in wall-clock time.
+     * Step of the wall clock above which the step is recorded as a delay, because start times and
+     * the times of purges are sent in wall-clock time.
      */
     private static final long MAX_CLOCK_STEP_NS = 20_000_000L;
 
--- a/src/main/java/brooklock/faulttest/InvariantChecker.java
+++ b/src/main/java/brooklock/faulttest/InvariantChecker.java
@@ -173,9 +173,9 @@
         Findings findings = new Findings(fleet.monitor);
         long windowNs = fleet.scenario.invariants().overloadWindowNs();
         for (TrafficRecorder.Overload overload : fleet.traffic.overloads()) {
-            // Requests that arrived during a delay of the server's thread are counted as if they
-            // had
-            // arrived at the same time, so the excess is compared with the harness's delays.
+            // Requests that wait during a delay of the server's thread are counted as if they had
+            // arrived at the same time. The excess is therefore converted into the delay that
+            // could explain it.
             double relativeExcess = overload.workNs() / overload.allowedNs() - 1;
             long excessNs =
                     (long)
--- a/src/main/java/brooklock/faulttest/OracleRouter.java
+++ b/src/main/java/brooklock/faulttest/OracleRouter.java
@@ -36,8 +36,8 @@
  */
 final class OracleRouter implements RoutingStrategy {
     /**
-     * Time after which an attempt whose response has not started is treated as lost, without a
-     * fill.
+     * Time after which an attempt without a fill is treated as lost if its response has not
+     * started.
      */
     private static final double RESPONSE_START_TIMEOUT_NS = 60e6;
 
@@ -174,9 +174,8 @@
     }
 
     // A request with an idempotency key may be retried only while every endpoint still remembers
-    // the
-    // first attempt. Unlike RetryPolicy, this ignores the idempotency scope of the class, and it
-    // requires that the remaining time until the deadline also lies within the window of the key.
+    // the first attempt. Unlike RetryPolicy, this ignores the idempotency scope of the class, and
+    // it requires that the time until the deadline also lies within the window of the key.
     private boolean mayRetry(long now, OracleRequest pending, long remainingNs) {
         RequestClass requestClass = requestClass(pending);
         return !pending.possiblyExecuted
--- a/src/main/java/brooklock/faulttest/OracleSelector.java
+++ b/src/main/java/brooklock/faulttest/OracleSelector.java
@@ -163,9 +163,8 @@
     }
 
     // Returns the expected time that the fill source needs to get the object itself. Filling from
-    // the
-    // origin costs a penalty, so that it is used only if no parent is available: a copy at a parent
-    // can serve all zones.
+    // the origin incurs a penalty, so that it is used only if no parent is available: a copy at a
+    // parent can serve all zones.
     private double upstreamCostNs(
             Endpoint source,
             OracleRequest pending,
