--- a/src/main/java/brooklock/config/FleetReader.java
+++ b/src/main/java/brooklock/config/FleetSettingsReader.java
@@ -7,7 +7,7 @@
 import java.util.List;
 
 /** Reads the statements about the fleet as a whole: guards, fleet, warming. */
-final class FleetReader {
+final class FleetSettingsReader {
     private static final long MILLISECOND_NS = 1_000_000L;
     private static final long SECOND_NS = 1000 * MILLISECOND_NS;
 
@@ -27,7 +27,7 @@
     private FleetSettings fleet = new FleetSettings(5e6, true, true, true, false);
     private WarmingSettings warming = WarmingSettings.DISABLED;
 
-    FleetReader(Path base) {
+    FleetSettingsReader(Path base) {
         this.base = base;
     }
 
--- a/src/main/java/brooklock/config/Problems.java
+++ b/src/main/java/brooklock/config/ProblemCollector.java
@@ -5,7 +5,7 @@
 import java.util.List;
 
 /** Collects the mistakes of one file, so that all of them are reported at once. */
-public final class Problems {
+public final class ProblemCollector {
     /** The line of a mistake that concerns the file as a whole. */
     public static final int WHOLE_FILE = 0;
 
@@ -13,7 +13,7 @@
     private final List<Problem> collected = new ArrayList<>();
 
     /** Creates an empty collection for a file. */
-    public Problems(String file) {
+    public ProblemCollector(String file) {
         this.file = file;
     }
 
--- a/src/main/java/brooklock/config/RouteReader.java
+++ b/src/main/java/brooklock/config/RouteReader.java
@@ -26,7 +26,7 @@
             boolean requiresAuthorization,
             boolean requiresCertificate) {}
 
-    private final Problems problems;
+    private final ProblemCollector problems;
     private final LinkedHashMap<String, RequestClassSettings> classes = new LinkedHashMap<>();
 
     /** Names of all classes, those with a mistake included: a route to one of them is right. */
@@ -35,7 +35,7 @@
     private final List<UnresolvedRoute> unresolved = new ArrayList<>();
     private final List<Route> routes = new ArrayList<>();
 
-    RouteReader(Problems problems) {
+    RouteReader(ProblemCollector problems) {
         this.problems = problems;
     }
 
@@ -214,10 +214,10 @@
 
     void validate() {
         if (classNames.isEmpty()) {
-            problems.add(Problems.WHOLE_FILE, "there is no class");
+            problems.add(ProblemCollector.WHOLE_FILE, "there is no class");
         }
         if (unresolved.isEmpty()) {
-            problems.add(Problems.WHOLE_FILE, "there is no route");
+            problems.add(ProblemCollector.WHOLE_FILE, "there is no route");
         }
     }
 
--- a/src/main/java/brooklock/config/SettingsReader.java
+++ b/src/main/java/brooklock/config/SettingsReader.java
@@ -17,11 +17,11 @@
 public final class SettingsReader {
     private static final long MILLISECOND_NS = 1_000_000L;
 
-    private final Problems problems;
+    private final ProblemCollector problems;
     private final StatementIndex index = new StatementIndex();
     private final TopologyReader topology;
     private final RouteReader routes;
-    private final FleetReader fleet;
+    private final FleetSettingsReader fleet;
     private final OutputFilesReader files;
     private final ResourceLimitsReader limits = new ResourceLimitsReader();
     private final AccessSettingsReader access;
@@ -30,10 +30,10 @@
     private InetSocketAddress control;
 
     private SettingsReader(String file, Path base) {
-        problems = new Problems(file);
+        problems = new ProblemCollector(file);
         topology = new TopologyReader(problems, index);
         routes = new RouteReader(problems);
-        fleet = new FleetReader(base);
+        fleet = new FleetSettingsReader(base);
         files = new OutputFilesReader(base);
         access = new AccessSettingsReader(base);
     }
@@ -60,7 +60,7 @@
 
     private static SettingsException unreadable(String file, String message, IOException cause) {
         SettingsException e =
-                new SettingsException(List.of(new Problem(file, Problems.WHOLE_FILE, message)));
+                new SettingsException(List.of(new Problem(file, ProblemCollector.WHOLE_FILE, message)));
         e.initCause(cause);
         return e;
     }
@@ -159,7 +159,7 @@
                             if (requestClass.deadlineNs()
                                     <= 2 * bounds.tickNs() + bounds.connectTimeoutNs()) {
                                 problems.add(
-                                        Problems.WHOLE_FILE,
+                                        ProblemCollector.WHOLE_FILE,
                                         "the deadline of class '"
                                                 + requestClass.name()
                                                 + "' leaves no time for one connection (connect "
@@ -169,18 +169,18 @@
                         });
         if (routes.requireAuthorization()) {
             access.missingForAuthorization()
-                    .forEach(missing -> problems.add(Problems.WHOLE_FILE, missing));
+                    .forEach(missing -> problems.add(ProblemCollector.WHOLE_FILE, missing));
         }
         if (bounds.maxRequestBodyBytes() > bounds.maxTotalBodyBytes()) {
             problems.add(
-                    Problems.WHOLE_FILE,
+                    ProblemCollector.WHOLE_FILE,
                     "one request body (body) may be larger than all of them together (bodies)");
         }
     }
 
     private void requireStatement(Object value, String keyword, String form) {
         if (value == null && !index.contains(keyword)) {
-            problems.add(Problems.WHOLE_FILE, "the statement '" + form + "' is missing");
+            problems.add(ProblemCollector.WHOLE_FILE, "the statement '" + form + "' is missing");
         }
     }
 }
--- a/src/main/java/brooklock/config/TopologyReader.java
+++ b/src/main/java/brooklock/config/TopologyReader.java
@@ -28,7 +28,7 @@
             InetSocketAddress address,
             double weight) {}
 
-    private final Problems problems;
+    private final ProblemCollector problems;
     private final StatementIndex index;
     private final LinkedHashMap<String, Integer> zoneLines = new LinkedHashMap<>();
     private final Map<String, String> hubNames = new HashMap<>();
@@ -37,7 +37,7 @@
     private String localZoneName;
     private int dispatcherCount = 1;
 
-    TopologyReader(Problems problems, StatementIndex index) {
+    TopologyReader(ProblemCollector problems, StatementIndex index) {
         this.problems = problems;
         this.index = index;
     }
@@ -144,7 +144,7 @@
 
     void validateOrigin() {
         if (unresolved.stream().noneMatch(e -> e.kind() == EndpointKind.ORIGIN)) {
-            problems.add(Problems.WHOLE_FILE, "there is no origin among the hosts");
+            problems.add(ProblemCollector.WHOLE_FILE, "there is no origin among the hosts");
         }
     }
 
--- a/src/main/java/brooklock/faulttest/DrainCheck.java
+++ b/src/main/java/brooklock/faulttest/DrainCheck.java
@@ -74,11 +74,11 @@
 
     private void check(RecordedRequest recorded) {
         Integer dispatcher = dispatcherIndexes.get(recorded.dispatcher);
-        if (dispatcher == null || !recorded.isDirect()) {
+        if (dispatcher == null || !recorded.isFromDispatcher()) {
             return;
         }
         long graceNs = fleet.scenario.invariants().drainGraceNs() + Findings.SLACK_NS;
-        long atNs = recorded.atNs - fleet.startedNs;
+        long atNs = recorded.arrivedNs - fleet.startedNs;
         Map.Entry<Long, Long> newestAcknowledged =
                 acknowledgedVersions.get(dispatcher).floorEntry(atNs - graceNs);
         if (newestAcknowledged == null) {
@@ -110,10 +110,10 @@
                         .findFirst()
                         .orElseThrow()
                         .getKey();
-        long atNs = recorded.atNs - fleet.startedNs;
+        long atNs = recorded.arrivedNs - fleet.startedNs;
         long graceNs = fleet.scenario.invariants().drainGraceNs() + Findings.SLACK_NS;
         findings.report(
-                recorded.atNs,
+                recorded.arrivedNs,
                 atNs - effectiveNs - graceNs,
                 recorded
                         + (endpoint.equals(recorded.server) ? "" : " naming " + endpoint)
--- a/src/main/java/brooklock/faulttest/InvariantChecker.java
+++ b/src/main/java/brooklock/faulttest/InvariantChecker.java
@@ -30,15 +30,15 @@
         attempts = fleet.population.attempts;
         attempts.forEach(attempt -> attemptsByName.put(attempt.requestId, attempt));
         for (RecordedRequest recorded : fleet.traffic.requests()) {
-            if (recorded.request != null) {
+            if (recorded.requestId != null) {
                 recordedByRequest
-                        .computeIfAbsent(recorded.request, key -> new ArrayList<>())
+                        .computeIfAbsent(recorded.requestId, key -> new ArrayList<>())
                         .add(recorded);
             }
         }
         recordedByRequest
                 .values()
-                .forEach(list -> list.sort(Comparator.comparingLong(recorded -> recorded.atNs)));
+                .forEach(list -> list.sort(Comparator.comparingLong(recorded -> recorded.arrivedNs)));
         for (int i = 0; i < fleet.dispatchers.size(); i++) {
             dispatcherIndexes.put(fleet.dispatchers.get(i).name, i);
         }
@@ -79,10 +79,10 @@
                 findings.reportCertain(attempt + ": the bytes are not those of its path");
             }
             for (RecordedRequest recorded : requestsOf(attempt)) {
-                long afterResponseNs = recorded.atNs - attempt.endNs;
-                if (recorded.isDirect() && afterResponseNs > Findings.SLACK_NS) {
+                long afterResponseNs = recorded.arrivedNs - attempt.endNs;
+                if (recorded.isFromDispatcher() && afterResponseNs > Findings.SLACK_NS) {
                     findings.report(
-                            recorded.atNs,
+                            recorded.arrivedNs,
                             afterResponseNs - Findings.SLACK_NS,
                             attempt
                                     + ": sent "
@@ -135,7 +135,7 @@
         boolean keyed = requestClass.effect() == Effect.KEYED;
         long windowNs = requestClass.idempotencyWindowNs() + Findings.SLACK_NS;
         List<RecordedRequest> direct =
-                requestsOf(attempt).stream().filter(RecordedRequest::isDirect).toList();
+                requestsOf(attempt).stream().filter(RecordedRequest::isFromDispatcher).toList();
         findings.cases += direct.isEmpty() ? 0 : 1;
         RecordedRequest possiblyExecuted = null;
         for (RecordedRequest recorded : direct) {
@@ -144,10 +144,10 @@
             } else if (!keyed) {
                 findings.reportCertain(
                         recorded + ": sent again though " + possiblyExecuted + " may have run");
-            } else if (recorded.atNs - possiblyExecuted.atNs > windowNs) {
+            } else if (recorded.arrivedNs - possiblyExecuted.arrivedNs > windowNs) {
                 findings.report(
-                        recorded.atNs,
-                        recorded.atNs - possiblyExecuted.atNs - windowNs,
+                        recorded.arrivedNs,
+                        recorded.arrivedNs - possiblyExecuted.arrivedNs - windowNs,
                         recorded
                                 + ": sent again outside the window of "
                                 + possiblyExecuted
@@ -183,7 +183,7 @@
                                     HarnessMonitor.MIN_RECORDED_DELAY_NS,
                                     windowNs * relativeExcess);
             findings.report(
-                    overload.atNs(),
+                    overload.failedAtNs(),
                     excessNs,
                     String.format(
                             "%s was pushed over: %.0f ms of work in its span, %.0f allowed",
@@ -210,10 +210,10 @@
         }
         for (RecordedRequest recorded : fleet.traffic.requests()) {
             Integer dispatcher = dispatcherIndexes.get(recorded.dispatcher);
-            if (dispatcher == null || !recorded.isDirect() || recorded.copySerial == 0) {
+            if (dispatcher == null || !recorded.isFromDispatcher() || recorded.copySerial == 0) {
                 continue;
             }
-            ClientAttempt attempt = attemptsByName.get(recorded.request);
+            ClientAttempt attempt = attemptsByName.get(recorded.requestId);
             for (ControlPublisher.PurgeDelivery delivery :
                     deliveries.getOrDefault(purgeKey(dispatcher, recorded.group), List.of())) {
                 // A purge applies only to the incarnation of the dispatcher that acknowledged it.
@@ -232,16 +232,16 @@
     private void checkPurge(
             RecordedRequest recorded, ControlPublisher.PurgeDelivery delivery, Findings findings) {
         long graceNs = fleet.scenario.invariants().purgeGraceNs() + Findings.SLACK_NS;
-        long sinceDeliveryNs = recorded.atNs - delivery.atNs();
+        long sinceDeliveryNs = recorded.arrivedNs - delivery.atNs();
         if (sinceDeliveryNs <= graceNs) {
             return;
         }
         findings.cases++;
         long copyOlderNs =
-                delivery.purge().purgedAtNs() - fleet.traffic.copyBirthNs(recorded.copySerial);
+                delivery.purge().purgedAtNs() - fleet.traffic.copyCreatedNs(recorded.copySerial);
         if (copyOlderNs > CLOCK_UNCERTAINTY_NS) {
             findings.report(
-                    recorded.atNs,
+                    recorded.arrivedNs,
                     Math.max(copyOlderNs, sinceDeliveryNs - graceNs),
                     recorded
                             + ": answered from a copy "
--- a/src/main/java/brooklock/faulttest/OracleSelector.java
+++ b/src/main/java/brooklock/faulttest/OracleSelector.java
@@ -198,7 +198,7 @@
                         : pending.recentlyRequested ? MAX_USE_RECENT : MAX_USE_FIRST_REQUEST;
         if (endpoint.state() != EndpointState.READY
                 || !server.isUp()
-                || server.usedShare() > maxUse
+                || server.utilization() > maxUse
                 || server.warmUpLoad() > MAX_WARM_UP_LOAD) {
             return UNUSABLE_NS;
         }
@@ -209,7 +209,7 @@
                                 + server.faults.errorShare
                                 + server.faults.rejectShare
                                 + server.faults.truncatedShare);
-        return NOMINAL_TRANSFER_NS / Math.max(1e-3, server.nextTransferPace())
+        return NOMINAL_TRANSFER_NS / Math.max(1e-3, server.nextTransferRateShare())
                 + failureShare / (1 - failureShare) * FAILURE_COST_NS
                 + (pending.failedEndpoints.contains(endpoint.id()) ? FAILURE_COST_NS : 0)
                 + TIE_BREAK_NS * tieBreakShare(pending.request, endpoint.id());
--- a/src/main/java/brooklock/faulttest/ScenarioReader.java
+++ b/src/main/java/brooklock/faulttest/ScenarioReader.java
@@ -1,7 +1,7 @@
 package brooklock.faulttest;
 
 import brooklock.config.InvalidStatementException;
-import brooklock.config.Problems;
+import brooklock.config.ProblemCollector;
 import brooklock.config.SettingsException;
 import brooklock.config.SettingsReader;
 import brooklock.config.Statement;
@@ -13,7 +13,7 @@
 /** Reads a scenario and reports every mistake with its line. An instance reads one scenario. */
 final class ScenarioReader {
     private final String file;
-    private final Problems problems;
+    private final ProblemCollector problems;
     private final Scenario scenario = new Scenario();
 
     /** The line numbers of {@link Scenario#settingsLines} in the scenario. */
@@ -21,7 +21,7 @@
 
     ScenarioReader(String file) {
         this.file = file;
-        problems = new Problems(file);
+        problems = new ProblemCollector(file);
     }
 
     /**
@@ -33,7 +33,7 @@
         problems.readStatements(text, this::onStatement);
         if (scenario.zones.isEmpty() || scenario.classLoads.isEmpty()) {
             problems.add(
-                    Problems.WHOLE_FILE,
+                    ProblemCollector.WHOLE_FILE,
                     "expected at least one 'zone' and one 'ask' statement but found "
                             + scenario.zones.size()
                             + " and "
@@ -41,7 +41,7 @@
         }
         if (scenario.tenantCount > scenario.groupCount) {
             problems.add(
-                    Problems.WHOLE_FILE,
+                    ProblemCollector.WHOLE_FILE,
                     "purge groups are assigned to the tenants in turn: expected at most "
                             + scenario.groupCount
                             + " tenants, the number of groups, but found "
@@ -69,14 +69,14 @@
                         int index = problem.line() - headLines - 1;
                         boolean known = index >= 0 && index < settingsLineNumbers.size();
                         problems.add(
-                                known ? settingsLineNumbers.get(index) : Problems.WHOLE_FILE,
+                                known ? settingsLineNumbers.get(index) : ProblemCollector.WHOLE_FILE,
                                 problem.message());
                     });
         }
         for (String className : scenario.classLoads.keySet()) {
             if (!scenario.passThroughByClass.containsKey(className)) {
                 problems.add(
-                        Problems.WHOLE_FILE,
+                        ProblemCollector.WHOLE_FILE,
                         "expected a 'class' statement for the class '"
                                 + className
                                 + "' of an 'ask' statement but found none");
--- a/src/main/java/brooklock/testserver/RecordedRequest.java
+++ b/src/main/java/brooklock/testserver/RecordedRequest.java
@@ -6,7 +6,7 @@
  */
 public final class RecordedRequest {
     /** When it arrived. */
-    public final long atNs;
+    public final long arrivedNs;
 
     /** The server that it reached. */
     public final String server;
@@ -18,7 +18,7 @@
     public final String sender;
 
     /** The client's name of its request; null where it has none. */
-    public final String request;
+    public final String requestId;
 
     /** Number of the attempt. */
     public final int attempt;
@@ -69,11 +69,11 @@
     public volatile boolean executed;
 
     RecordedRequest(long atNs, String server, String target, ServerRequest request) {
-        this.atNs = atNs;
+        this.arrivedNs = atNs;
         this.server = server;
         dispatcher = request.dispatcher();
         sender = request.sender();
-        this.request = request.request();
+        this.requestId = request.request();
         this.target = target;
         attempt = request.attempt();
         object = request.object();
@@ -83,7 +83,7 @@
     }
 
     /** Whether a dispatcher sent it, and not a cache that fills. */
-    public boolean isDirect() {
+    public boolean isFromDispatcher() {
         return dispatcher.equals(sender);
     }
 
@@ -95,7 +95,7 @@
     @Override
     public String toString() {
         return "request "
-                + request
+                + requestId
                 + " try "
                 + attempt
                 + " by "
--- a/src/main/java/brooklock/testserver/ResponseSender.java
+++ b/src/main/java/brooklock/testserver/ResponseSender.java
@@ -100,7 +100,7 @@
                         .add("Content-Type", "application/octet-stream")
                         .add(
                                 "Brooklock-Age",
-                                Long.toString((recorded.atNs - copy.bornNs()) / 1000));
+                                Long.toString((recorded.arrivedNs - copy.bornNs()) / 1000));
         load.addReport(fields);
         if (!cacheStatus.isEmpty()) {
             fields.add("Cache-Status", cacheStatus);
--- a/src/main/java/brooklock/testserver/TestServer.java
+++ b/src/main/java/brooklock/testserver/TestServer.java
@@ -25,7 +25,7 @@
  */
 public final class TestServer {
     /** Sizes of what the origin gives. */
-    public interface Sizes {
+    public interface ObjectSizes {
         /** Bytes of the object that a path of a class names. */
         int of(String path, String className);
     }
@@ -34,7 +34,7 @@
     private final IoLoop loop;
     private final ServerModel model;
     private final TrafficRecorder traffic;
-    private final Sizes sizes;
+    private final ObjectSizes sizes;
     private final ToDoubleFunction<String> meanWorkNs;
     private final UniformRandomProvider random;
     private final OverloadModel overloadModel;
@@ -67,7 +67,7 @@
             IoThreads ioThreads,
             ServerModel model,
             TrafficRecorder traffic,
-            Sizes sizes,
+            ObjectSizes sizes,
             ToDoubleFunction<String> meanWorkNs,
             InetSocketAddress origin,
             long seed)
@@ -94,7 +94,7 @@
             IoThreads ioThreads,
             ServerModel model,
             TrafficRecorder traffic,
-            Sizes sizes,
+            ObjectSizes sizes,
             ToDoubleFunction<String> meanWorkNs,
             InetSocketAddress origin,
             long seed,
@@ -167,7 +167,7 @@
     /**
      * Use of the nearer one of its limits (requests at once, requests a second) as a share of it.
      */
-    public double usedShare() {
+    public double utilization() {
         return load.usedShare(System.nanoTime());
     }
 
@@ -182,7 +182,7 @@
     }
 
     /** Rate that one more transfer would get, as a share of the full rate. */
-    public double nextTransferPace() {
+    public double nextTransferRateShare() {
         double carried = model.maxTransfers() * overloadModel.warmUpShare(System.nanoTime());
         return Math.min(1, carried / (load.openTransfers() + 1)) / faults.slowdown;
     }
--- a/src/main/java/brooklock/testserver/TrafficRecorder.java
+++ b/src/main/java/brooklock/testserver/TrafficRecorder.java
@@ -20,11 +20,11 @@
     /**
      * A server that failed because it was overloaded while it warmed up.
      *
-     * @param atNs when it failed, {@link System#nanoTime}
+     * @param failedAtNs when it failed, {@link System#nanoTime}
      * @param workNs work that had reached it within its window, as time of one transfer
      * @param allowedNs work that it could bear
      */
-    public record Overload(String server, long atNs, double workNs, double allowedNs) {}
+    public record Overload(String server, long failedAtNs, double workNs, double allowedNs) {}
 
     private final ConcurrentLinkedQueue<RecordedRequest> requests = new ConcurrentLinkedQueue<>();
     private final ConcurrentLinkedQueue<Overload> overloads = new ConcurrentLinkedQueue<>();
@@ -62,7 +62,7 @@
     }
 
     /** When the origin created a copy, {@link System#nanoTime}, or null for an unknown one. */
-    public Long copyBirthNs(long serial) {
+    public Long copyCreatedNs(long serial) {
         return copyBirthNs.get(serial);
     }
 }
--- a/src/test/java/brooklock/proxy/DrainTest.java
+++ b/src/test/java/brooklock/proxy/DrainTest.java
@@ -47,7 +47,7 @@
                             .noneMatch(
                                     recorded ->
                                             recorded.server.equals("c1")
-                                                    && recorded.atNs > acknowledgedAtNs));
+                                                    && recorded.arrivedNs > acknowledgedAtNs));
         }
     }
 
@@ -70,7 +70,7 @@
                     fleet.recorder.requests().stream()
                             .noneMatch(
                                     recorded ->
-                                            recorded.atNs > acknowledgedAtNs
+                                            recorded.arrivedNs > acknowledgedAtNs
                                                     && ("p1".equals(recorded.source)
                                                             || recorded.server.equals("p1"))));
         }
@@ -98,7 +98,7 @@
                             .noneMatch(
                                     recorded ->
                                             recorded.server.equals("c1")
-                                                    && recorded.atNs > acknowledgedAtNs));
+                                                    && recorded.arrivedNs > acknowledgedAtNs));
         }
     }
 }
--- a/src/test/java/brooklock/proxy/EndpointFaultTest.java
+++ b/src/test/java/brooklock/proxy/EndpointFaultTest.java
@@ -30,7 +30,7 @@
             assertTrue(response.aborted(), "a short body must not look whole");
             assertEquals(
                     1,
-                    fleet.recordedRequests("b").stream().filter(RecordedRequest::isDirect).count(),
+                    fleet.recordedRequests("b").stream().filter(RecordedRequest::isFromDispatcher).count(),
                     "after the head has gone out no second answer starts");
         }
     }
--- a/src/test/java/brooklock/proxy/LoopbackFleet.java
+++ b/src/test/java/brooklock/proxy/LoopbackFleet.java
@@ -291,7 +291,7 @@
     /** Returns what reached the servers for a client's request, in its order. */
     public List<RecordedRequest> recordedRequests(String request) {
         return recorder.requests().stream()
-                .filter(recorded -> request.equals(recorded.request))
+                .filter(recorded -> request.equals(recorded.requestId))
                 .toList();
     }
 
--- a/src/test/java/brooklock/proxy/PurgeTest.java
+++ b/src/test/java/brooklock/proxy/PurgeTest.java
@@ -69,14 +69,14 @@
     private static void assertYounger(LoopbackFleet fleet, String request, long momentNs) {
         RecordedRequest s =
                 fleet.recordedRequests(request).stream()
-                        .filter(RecordedRequest::isDirect)
+                        .filter(RecordedRequest::isFromDispatcher)
                         .reduce((a, b) -> b)
                         .orElseThrow();
         assertTrue(s.copySerial > 0);
         assertTrue(
-                fleet.recorder.copyBirthNs(s.copySerial) - momentNs > 0,
+                fleet.recorder.copyCreatedNs(s.copySerial) - momentNs > 0,
                 "born "
-                        + (fleet.recorder.copyBirthNs(s.copySerial) - momentNs)
+                        + (fleet.recorder.copyCreatedNs(s.copySerial) - momentNs)
                                 / LoopbackFleet.NS_PER_MS
                         + " ms from the purge");
     }
--- a/src/test/java/brooklock/proxy/TenantBoundaryTest.java
+++ b/src/test/java/brooklock/proxy/TenantBoundaryTest.java
@@ -100,7 +100,7 @@
             assertEquals(
                     ok,
                     fleet.recordedRequests("carl").stream()
-                            .filter(RecordedRequest::isDirect)
+                            .filter(RecordedRequest::isFromDispatcher)
                             .count());
         }
     }
--- a/src/test/java/brooklock/proxy/TokenAuthorizationTest.java
+++ b/src/test/java/brooklock/proxy/TokenAuthorizationTest.java
@@ -86,7 +86,7 @@
             assertTrue(rows > 280, "rows " + rows);
             assertTrue(
                     fleet.recorder.requests().stream()
-                            .noneMatch(recorded -> recorded.request != null));
+                            .noneMatch(recorded -> recorded.requestId != null));
         }
     }
 
--- a/src/test/java/brooklock/proxy/WarmingCoordinatorTest.java
+++ b/src/test/java/brooklock/proxy/WarmingCoordinatorTest.java
@@ -91,7 +91,7 @@
                 .filter(
                         recorded ->
                                 isFromC1ToAPeer(recorded)
-                                        && recorded.atNs - after > 0
+                                        && recorded.arrivedNs - after > 0
                                         && recorded.copySerial != 0)
                 .count();
     }
@@ -153,8 +153,8 @@
                                 .noneMatch(
                                         recorded ->
                                                 recorded.server.equals("c3")
-                                                        && recorded.atNs - acknowledgedAtNs > 0
-                                                        && recorded.isDirect()),
+                                                        && recorded.arrivedNs - acknowledgedAtNs > 0
+                                                        && recorded.isFromDispatcher()),
                         "nor is it sent requests");
                 assertTrue(
                         fleet.recorder.requests().stream()
@@ -162,7 +162,7 @@
                                         recorded ->
                                                 isFromC1ToAPeer(recorded)
                                                         && recorded.server.equals("c3")
-                                                        && recorded.atNs - acknowledgedAtNs > 0));
+                                                        && recorded.arrivedNs - acknowledgedAtNs > 0));
             }
         }
     }
@@ -191,11 +191,11 @@
                 requestAllObjects(socket, 3);
             }
             for (RecordedRequest recorded : fleet.recorder.requests()) {
-                if (recorded.isDirect()
-                        && recorded.atNs - acknowledgedAtNs > 0
+                if (recorded.isFromDispatcher()
+                        && recorded.arrivedNs - acknowledgedAtNs > 0
                         && recorded.copySerial != 0) {
                     assertTrue(
-                            fleet.recorder.copyBirthNs(recorded.copySerial) - moment
+                            fleet.recorder.copyCreatedNs(recorded.copySerial) - moment
                                     > -2 * LoopbackFleet.NS_PER_MS,
                             recorded + ": an old copy");
                 }
@@ -257,8 +257,8 @@
                 .anyMatch(
                         recorded ->
                                 recorded.server.equals("c1")
-                                        && recorded.isDirect()
-                                        && recorded.request == null
+                                        && recorded.isFromDispatcher()
+                                        && recorded.requestId == null
                                         && recorded.source != null
                                         && recorded.source.startsWith("c"));
     }
