--- a/src/main/java/brooklock/platform/EndpointConnector.java
+++ b/src/main/java/brooklock/platform/EndpointConnector.java
@@ -8,12 +8,13 @@
 import java.util.function.Predicate;
 
 /**
- * Carries attempts to the endpoints of the list: caches, parents and the origin. Owned by the I/O
- * thread, which also owns the endpoint list.
+ * Sends attempts to the endpoints of the list: caches, parents and the origin. Not thread-safe;
+ * owned by the I/O thread, which also owns the endpoint list. {@link #start} must be called before
+ * any other method.
  *
- * <p>An attempt that waits for a connection is sent as it was decided or not at all. When the list
- * entry of its endpoint or fill source changes, or its object is purged, it goes back to the router
- * as {@link AttemptOutcome#NOT_STARTED} and is decided anew.
+ * <p>A queued attempt is sent only if the state that the router decided on is still valid. When the
+ * list entry of its endpoint or fill source changes, or when its object is purged, the attempt ends
+ * as {@link AttemptOutcome#NOT_STARTED} and the router decides again.
  */
 final class EndpointConnector implements AttemptTransport, AttemptHandler {
     private static final long SWEEP_INTERVAL_NS = 1_000_000_000L;
@@ -28,7 +29,7 @@
      * Creates a connector without connections.
      *
      * @param table the endpoint list
-     * @param settings what holds for the connections to every endpoint
+     * @param settings the settings of the connections to endpoints
      */
     EndpointConnector(DiscoveredEndpointTable table, ConnectionSettings settings) {
         loop = settings.loop();
@@ -37,9 +38,10 @@
     }
 
     /**
-     * Begins to serve an executor.
+     * Sets the executor and starts the periodic removal of idle connections and of endpoints that
+     * have left the list.
      *
-     * @param requestExecutor takes the results of attempts
+     * @param requestExecutor receives the results of attempts
      */
     void start(RequestExecutor requestExecutor) {
         executor = requestExecutor;
@@ -55,33 +57,37 @@
         loop.schedule(SWEEP_INTERVAL_NS, this::sweep);
     }
 
-    /** Takes a change of the endpoint list and hands it to the router. */
+    /**
+     * Applies an update of the endpoint list, submits it to the router and returns the queued
+     * attempts whose list entries have changed.
+     */
     void onListUpdate(DiscoveryEvent.EndpointListUpdate update) {
         EndpointListReceived list = table.apply(update);
         pools.retireOutdated();
         executor.submit(list);
-        returnQueued(attempt -> !isCurrent(attempt));
+        returnQueuedToRouter(attempt -> !isCurrent(attempt));
     }
 
     /**
-     * Takes a purge that the router has taken.
+     * Returns the queued attempts of purged objects to the router. Must be called after the purge
+     * has been submitted to the router, which then decides with the purge taken into account.
      *
-     * @param objectId the object; 0 means all objects of the group
+     * @param objectId the id of the purged object; 0 for all objects of the group
      * @param group the purge group
      */
     void onPurge(long objectId, int group) {
-        returnQueued(
+        returnQueuedToRouter(
                 attempt ->
                         objectId != 0
                                 ? objectId == attempt.clientRequest().objectId()
                                 : group == attempt.clientRequest().group());
     }
 
-    private void returnQueued(Predicate<EndpointAttempt> affected) {
+    private void returnQueuedToRouter(Predicate<EndpointAttempt> affected) {
         for (EndpointConnectionPool pool : pools.all()) {
             for (EndpointAttempt attempt : pool.queuedAttempts()) {
                 if (affected.test(attempt)) {
-                    pool.dequeue(attempt);
+                    pool.removeQueued(attempt);
                     onCompleted(attempt, AttemptResult.withoutResponse(AttemptOutcome.NOT_STARTED));
                 }
             }
@@ -90,19 +96,19 @@
 
     private boolean isCurrent(EndpointAttempt attempt) {
         DiscoveredEndpointTable.Entry endpoint = table.get(attempt.decision().endpoint());
-        DiscoveredEndpointTable.Entry source = table.get(attempt.decision().fillSource());
+        DiscoveredEndpointTable.Entry fillSource = table.get(attempt.decision().fillSource());
         return endpoint != null
-                && source != null
-                && attempt.wasDecidedOn(endpoint.listing(), source.listing());
+                && fillSource != null
+                && attempt.matchesDecisionListings(endpoint.listing(), fillSource.listing());
     }
 
-    /** Closes idle connections at once and the others as they become idle. */
+    /** Closes idle connections immediately and the others as they become idle. */
     void close() {
         closed = true;
         pools.retireAll();
     }
 
-    /** Returns each endpoint's connections and attempts, for the log. */
+    /** Returns the connections and attempts of each endpoint, for the log. */
     String summary() {
         return pools.summary();
     }
@@ -110,13 +116,14 @@
     @Override
     public void send(EndpointAttempt attempt) {
         DiscoveredEndpointTable.Entry endpoint = table.get(attempt.decision().endpoint());
-        DiscoveredEndpointTable.Entry source = table.get(attempt.decision().fillSource());
-        if (endpoint == null || source == null || endpoint.isGone()) {
-            // It left after the router chose it; the router's event of that is still queued.
+        DiscoveredEndpointTable.Entry fillSource = table.get(attempt.decision().fillSource());
+        if (endpoint == null || fillSource == null || endpoint.isGone()) {
+            // The endpoint left the list after the router chose it; the router has not processed
+            // that update yet.
             onCompleted(attempt, AttemptResult.withoutResponse(AttemptOutcome.CONNECT_FAILED));
             return;
         }
-        attempt.rememberListing(endpoint.listing(), source.listing());
+        attempt.setDecisionListings(endpoint.listing(), fillSource.listing());
         pools.getOrCreate(endpoint).send(attempt);
     }
 
@@ -124,12 +131,12 @@
     public void dropQueued(EndpointAttempt attempt) {
         EndpointConnectionPool pool = pools.get(attempt.decision().endpoint());
         if (pool != null) {
-            pool.dequeue(attempt);
+            pool.removeQueued(attempt);
         }
     }
 
     @Override
-    public Optional<ByteBuffer> startFrame(EndpointAttempt attempt) {
+    public Optional<ByteBuffer> startAndEncode(EndpointAttempt attempt) {
         long nowNs = executor.nowNs();
         long waitedNs = nowNs - attempt.decidedAtNs();
         if (attempt.hasEnded()
--- a/src/main/java/brooklock/platform/StartupWarmup.java
+++ b/src/main/java/brooklock/platform/StartupWarmup.java
@@ -17,26 +17,28 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Runs requests within the program before clients come, so that the classes of a request's path are
- * linked and its hottest methods compiled. It has a client, endpoints and a router of its own,
- * which are dropped afterwards, and uses pipes instead of sockets.
+ * Runs requests inside the process before clients connect, so that the classes on the request path
+ * are linked and its hottest methods are compiled. The warm-up has its own client, endpoints and
+ * router, which are dropped afterwards, and connects them by pipes instead of sockets.
  *
- * <p>Without it the first requests would be late while their code is still interpreted. The router
- * would take that for overloaded endpoints and reject requests after each start.
+ * <p>Without a warm-up the first requests would exceed their latency objective while their code is
+ * interpreted. The router would attribute that to overloaded endpoints and reject requests after
+ * each start.
  *
- * <p>{@link #run} waits on the starting thread; everything else is on the I/O thread.
+ * <p>{@link #run} blocks the calling thread; everything else runs on the I/O thread.
  */
 final class StartupWarmup {
     private static final Logger LOG = LoggerFactory.getLogger(StartupWarmup.class);
     private static final String CONFIG_RESOURCE = "startup-warmup.json";
     private static final int ROUNDS = 6;
     private static final int CALLS_PER_ROUND = 16;
-    // It ends after this time however far it is, ns: to serve late is worse than to be slow at
-    // first.
+    // The warm-up ends after this time even if it is incomplete, ns: delaying the start further
+    // would be worse than slow first requests.
     private static final long MAX_DURATION_NS = 1_500_000_000L;
     private static final long POLL_INTERVAL_NS = 1_000_000L;
     private static final int BODY_BYTES = 20_000;
-    // Endpoints in the configuration; each may have a connection for each call of a round.
+    // Number of endpoints in the configuration; each may need a connection for each call of a
+    // round.
     private static final int ENDPOINTS = 5;
 
     private final IoLoop loop;
@@ -45,7 +47,7 @@
     private final ClientListener clientListener;
     private final PlatformConfig config;
     private final CountDownLatch done = new CountDownLatch(1);
-    private final long endAtNs = System.nanoTime() + MAX_DURATION_NS;
+    private final long deadlineNs = System.nanoTime() + MAX_DURATION_NS;
     private RawConnection client;
     private int round;
     private long lastMessageId;
@@ -66,23 +68,27 @@
         clientListener = new ClientListener(loop, config.requestClasses(), 1, executor);
     }
 
-    /** Opens the configuration that a warm-up uses. */
+    /** Opens the configuration of the warm-up, a resource of this package. */
     static InputStream openConfig() {
         return StartupWarmup.class.getResourceAsStream(CONFIG_RESOURCE);
     }
 
     /**
-     * Runs a warm-up and returns once it has ended. A failed one is logged; the start goes on.
+     * Runs a warm-up and returns once it has ended. A failure is logged and does not prevent the
+     * start.
      *
-     * @param loop an I/O thread that has nothing else to do yet
+     * @param loop the I/O thread, which must not be in use yet
      */
     static void run(IoLoop loop) {
-        try (InputStream in = openConfig()) {
-            String text = new String(in.readAllBytes(), StandardCharsets.UTF_8);
+        try (InputStream configInput = openConfig()) {
+            String text = new String(configInput.readAllBytes(), StandardCharsets.UTF_8);
             StartupWarmup warmup = new StartupWarmup(loop, PlatformConfigReader.parse(text));
             loop.execute(warmup::start);
             if (!warmup.done.await(2 * MAX_DURATION_NS, TimeUnit.NANOSECONDS)) {
-                LOG.warn("start-up warm-up failed: it did not end in time");
+                LOG.warn(
+                        "start-up warm-up failed: not finished within {} ms; the dispatcher starts"
+                                + " nevertheless",
+                        2 * MAX_DURATION_NS / 1_000_000);
             }
         } catch (IOException e) {
             LOG.warn("start-up warm-up failed: {}", e.getMessage());
@@ -109,9 +115,9 @@
     }
 
     private void runRound() {
-        if (executor.openRequests() > 0 && System.nanoTime() < endAtNs) {
+        if (executor.openRequests() > 0 && System.nanoTime() < deadlineNs) {
             loop.schedule(POLL_INTERVAL_NS, this::runRound);
-        } else if (round == ROUNDS || System.nanoTime() >= endAtNs) {
+        } else if (round == ROUNDS || System.nanoTime() >= deadlineNs) {
             client.close();
             connector.close();
             done.countDown();
@@ -125,9 +131,9 @@
         }
     }
 
-    // The first object of a round is written, the others are read.
+    // The first call of a round writes its object, the others read theirs.
     private static ByteBuffer encodeCall(long messageId, int index) {
-        boolean write = index == 0;
+        boolean isWrite = index == 0;
         String id = String.format("%016x", messageId);
         String[] fields = {
             ClientRequestParser.ID,
@@ -142,11 +148,11 @@
             "1",
             ClientRequestParser.SIZE,
             "20.5",
-            write ? ClientRequestParser.IDEMPOTENCY_KEY : ClientRequestParser.ETAG,
-            write ? id + id : id
+            isWrite ? ClientRequestParser.IDEMPOTENCY_KEY : ClientRequestParser.ETAG,
+            isWrite ? id + id : id
         };
         return RpcEncoder.call(
-                messageId, write ? "write" : "read", fields, new byte[write ? 1 : 0]);
+                messageId, isWrite ? "write" : "read", fields, new byte[isWrite ? 1 : 0]);
     }
 
     private Runnable connect(
@@ -167,25 +173,25 @@
         return () -> {};
     }
 
-    /** Reads responses and drops them. */
+    /** Reads and discards all input. */
     private static class DiscardingListener implements RawConnection.EventListener {
         @Override
-        public void onBytes(ByteBuffer in) {
-            in.position(in.limit());
+        public void onBytes(ByteBuffer input) {
+            input.position(input.limit());
         }
 
         @Override
         public void onClose(String reason) {
-            // Nothing here waits for more.
+            // Nothing waits for input on this connection.
         }
     }
 
-    /** Serves every request from its cache. */
+    /** Responds to every request with a cache hit. */
     private static final class SimulatedEndpoint extends DiscardingListener {
         private static final byte[] BODY = new byte[BODY_BYTES];
         private static final String FIELDS = "tell=hit,fill=1.5,rev=1,since=1";
         private final FrameDecoder decoder =
-                new FrameDecoder(Frame.DISPATCHER_MARK, Frame.REQUEST, Frame.CANCEL);
+                new FrameDecoder(Frame.DISPATCHER_MAGIC, Frame.REQUEST, Frame.CANCEL);
         private final RawConnection transport;
 
         SimulatedEndpoint(RawConnection transport) {
@@ -193,12 +199,14 @@
         }
 
         @Override
-        public void onBytes(ByteBuffer in) {
+        public void onBytes(ByteBuffer input) {
             try {
-                for (Frame frame = decoder.next(in); frame != null; frame = decoder.next(in)) {
+                for (Frame frame = decoder.next(input);
+                        frame != null;
+                        frame = decoder.next(input)) {
                     transport.write(
                             FrameEncoder.encode(
-                                    Frame.ENDPOINT_MARK, Frame.OK, frame.id(), FIELDS, BODY));
+                                    Frame.ENDPOINT_MAGIC, Frame.OK, frame.id(), FIELDS, BODY));
                 }
             } catch (MalformedMessageException e) {
                 transport.close();
--- a/src/test/java/brooklock/platform/ClientCallTest.java
+++ b/src/test/java/brooklock/platform/ClientCallTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.extension.RegisterExtension;
 
-/** Clients that cancel, send what is no valid call, send too much or say nothing. */
+/** Tests clients that cancel calls, send invalid or too many calls, or send nothing. */
 @Timeout(120)
 class ClientCallTest {
     private static final byte[] BODY = LoopbackDispatcher.BODY;
@@ -26,7 +26,7 @@
                 new byte[0]);
     }
 
-    // Serves every request but one, which never gets a response.
+    // Returns a handler that never responds to one request and serves all others.
     private static FakeEndpoint.FrameHandler servingAllBut(long id) {
         return (request, out, socket) -> {
             if (request.id() != id) {
@@ -36,11 +36,11 @@
     }
 
     /**
-     * A client cancels a call and uses its message id again. The cancelled call must get no
-     * response, or the client would take it for that of the second.
+     * A client cancels a call and reuses its message id. If the cancelled call were answered, the
+     * client would mistake that for the response to the second call.
      */
     @Test
-    void aCancelledRequestGetsNoResponseAndItsMessageIdIsFree() throws Exception {
+    void aCancelledRequestGetsNoResponseAndItsMessageIdIsReusable() throws Exception {
         loopback.start(servingAllBut(0x18));
         loopback.client().send(read(1, 0x18, 0x87, 2000));
         loopback.client().send(RpcTestClient.encodeCancel(1));
@@ -48,11 +48,12 @@
     }
 
     /**
-     * A client sends calls and cancels them in the same write. They cost the endpoints nothing,
-     * since calls that came in one read are submitted only after it.
+     * A client sends calls and cancels them in the same write. Calls received in one read are
+     * submitted only after all of its input was decoded, so that almost none of them may reach an
+     * endpoint.
      */
     @Test
-    void callsThatAreCancelledInTheSameReadReachNoEndpoint() throws Exception {
+    void callsCancelledInTheSameReadReachNoEndpoint() throws Exception {
         loopback.start(FakeEndpoint.serving(BODY));
         byte[] burst = new byte[0];
         for (int i = 1; i <= 60; i++) {
@@ -69,12 +70,12 @@
     }
 
     /**
-     * A client uses a request id that is open elsewhere, names a class that does not exist, and
-     * then sends bytes that are no message. Each is answered or closed on its own connection; the
-     * request that is open on another one is not touched.
+     * A client uses the id of a request that is open on another connection, calls an unknown class,
+     * and then sends an invalid message. The calls are answered with errors and the message closes
+     * the client's own connection; the request on the other connection must not be affected.
      */
     @Test
-    void invalidCallsAreAnsweredAndHarmNoOtherClient() throws Exception {
+    void invalidCallsAreAnsweredAndDoNotAffectOtherClients() throws Exception {
         loopback.start(servingAllBut(0x20));
         loopback.client().send(read(1, 0x20, 0x88, 2000));
         LoopbackDispatcher.await(() -> !loopback.cache(0).received.isEmpty());
@@ -90,9 +91,9 @@
         assertArrayEquals(BODY, loopback.client().request(2, 0x22, 0x88, 2000).body());
     }
 
-    /** A client opens one call more than the protocol allows: that one alone is rejected. */
+    /** A client opens one call more than the protocol allows; only that call must be rejected. */
     @Test
-    void callsAboveTheBoundOfAConnectionAreRejected() throws Exception {
+    void callsAboveTheOpenCallLimitAreRejected() throws Exception {
         loopback.start((request, out, socket) -> {});
         for (int i = 1; i <= ClientConnection.MAX_OPEN_CALLS + 1; i++) {
             loopback.client().send(read(i, 0x200 + i, 0x300 + i, 2400));
@@ -103,11 +104,11 @@
     }
 
     /**
-     * One client connects and says nothing, another stops in the middle of a message. Both are
-     * closed, so that they hold no descriptor for ever.
+     * One client sends nothing, another stops in the middle of a message. Both connections must be
+     * closed, or they would occupy file descriptors indefinitely.
      */
     @Test
-    void aClientThatSaysNothingIsClosed() throws Exception {
+    void aSilentClientIsDisconnected() throws Exception {
         loopback.start(FakeEndpoint.serving(BODY));
         assertNull(loopback.client().response());
         try (RpcTestClient half = loopback.newClient()) {
@@ -117,11 +118,11 @@
     }
 
     /**
-     * Clients that say nothing take all descriptors that clients may hold. One that comes with a
-     * request must be let in all the same: a silent one gives way.
+     * Silent clients occupy all connections that clients may have. A new client with a request must
+     * be accepted nevertheless, in place of a silent one.
      */
     @Test
-    void silentClientsGiveWayToThoseWithRequests() throws Exception {
+    void silentClientsAreEvictedForNewConnections() throws Exception {
         loopback.start(FakeEndpoint.serving(BODY));
         for (int i = 0; i < 300; i++) {
             loopback.newClient();
@@ -129,9 +130,9 @@
         assertArrayEquals(BODY, loopback.newClient().request(1, 0x23, 0x89, 2000).body());
     }
 
-    /** A health check is answered without any endpoint. */
+    /** A health check must be answered without a request to an endpoint. */
     @Test
-    void aHealthCheckIsAnsweredTrueAfterTheStart() throws Exception {
+    void aHealthCheckIsAnsweredWithTrueAfterTheStart() throws Exception {
         loopback.start((request, out, socket) -> {});
         loopback.client().send(RpcTestClient.encodeCall(1, "isWell", Map.of(), null));
         assertTrue(loopback.client().response().healthy());
--- a/src/test/java/brooklock/platform/FrameDecoderTest.java
+++ b/src/test/java/brooklock/platform/FrameDecoderTest.java
@@ -14,14 +14,14 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Endpoints' frames at every cut, and bytes that are none. */
+/** Tests the decoding of frames from input split at any byte, and of invalid frames. */
 class FrameDecoderTest {
     private static byte[] response(int code, long id, String fields, byte[] body) {
-        return FrameEncoder.encode(Frame.ENDPOINT_MARK, code, id, fields, body).array();
+        return FrameEncoder.encode(Frame.ENDPOINT_MAGIC, code, id, fields, body).array();
     }
 
     @Test
-    void framesAreDecodedAtEveryCut() throws MalformedMessageException {
+    void framesAreDecodedAtEverySplit() throws MalformedMessageException {
         byte[] body = new byte[700];
         new Random(9).nextBytes(body);
         byte[] bytes =
@@ -39,11 +39,11 @@
     }
 
     /**
-     * One bit of a frame is wrong, each in its turn. No such frame may be taken for the response
-     * that was sent: it has no valid checksum, waits for more bytes, or has another code or id.
+     * Flips each bit of a frame in turn. The result must not be decoded as the original response:
+     * it is malformed, incomplete, or has another code or id.
      */
     @Test
-    void everyBitOfAFrameCounts() {
+    void everySingleBitErrorIsDetected() {
         byte[] good = response(Frame.OK, 77, "rev=4b,tell=hit", new byte[40]);
         for (int bit = 0; bit < good.length * 8; bit++) {
             byte[] bad = good.clone();
@@ -63,21 +63,21 @@
             strings = {
                 "5a 40 0000 c0000000 0000000000000001", // a body of 3 GB
                 "5a 40 ffff 00000000 0000000000000001", // fields of 64 KB
-                "a5 40 0000 00000000 0000000000000001", // the mark of a dispatcher
+                "a5 40 0000 00000000 0000000000000001", // the magic byte of a dispatcher
                 "5a 10 0000 00000000 0000000000000001", // the code of a request
                 "5a 40 0000 00000000 0000000000000001 00000001", // a wrong checksum
             })
-    void framesThatDoNotFitAreRejectedAtOnce(String text) {
+    void invalidFramesAreRejectedWithoutMoreInput(String text) {
         assertThrows(
                 MalformedMessageException.class,
                 () ->
                         DecoderTestUtil.decode(
-                                new FrameDecoder()::next, DecoderTestUtil.hex(text), 0));
+                                new FrameDecoder()::next, DecoderTestUtil.parseHex(text), 0));
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"rev", "=1", "a=1,a=2", "a=1,", ","})
-    void fieldsAreStrict(String fields) {
+    void malformedFieldsAreRejected(String fields) {
         assertThrows(
                 MalformedMessageException.class,
                 () -> FrameDecoder.parseFields(fields.getBytes(StandardCharsets.ISO_8859_1)));
--- a/src/test/java/brooklock/platform/PlatformEndpointFaultTest.java
+++ b/src/test/java/brooklock/platform/PlatformEndpointFaultTest.java
@@ -10,7 +10,10 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.extension.RegisterExtension;
 
-/** Endpoints that respond with garbage, break off, are silent or are not there. */
+/**
+ * Tests endpoints that send malformed, truncated or unexpected responses, are silent or do not
+ * listen.
+ */
 @Timeout(120)
 class PlatformEndpointFaultTest {
     private static final byte[] BODY = LoopbackDispatcher.BODY;
@@ -18,14 +21,13 @@
     @RegisterExtension private final LoopbackDispatcher loopback = new LoopbackDispatcher();
 
     /**
-     * A cache's response is damaged on its way: one bit of the body is wrong. The checksum shows it
-     * before a byte has gone to the client, so the request is retried at the other cache, and the
-     * client gets the object whole.
+     * One bit in the body of a cache's response is flipped. The checksum must reveal that before
+     * any byte is sent to the client; the request is retried at the other cache.
      */
     @Test
     void aDamagedResponseIsNotForwardedAndTheRequestIsRetried() throws Exception {
         AtomicInteger responses = new AtomicInteger();
-        FakeEndpoint.FrameHandler damagesFirst =
+        FakeEndpoint.FrameHandler corruptsFirst =
                 (request, out, socket) -> {
                     byte[] frame = FakeEndpoint.frame(Frame.OK, request.id(), "tell=hit", BODY);
                     if (responses.getAndIncrement() == 0) {
@@ -33,19 +35,19 @@
                     }
                     out.write(frame);
                 };
-        loopback.start(damagesFirst, damagesFirst);
+        loopback.start(corruptsFirst, corruptsFirst);
         assertArrayEquals(BODY, loopback.client().request(1, 0x14, 0x82, 2000).body());
         assertEquals(2, responses.get());
     }
 
     /**
-     * A cache responds with a field that can't be used. The attempt must end at once, as failed,
-     * and not wait for its time-out; the request is retried at the other cache.
+     * A cache responds with a malformed field. The attempt must fail immediately instead of waiting
+     * for its time-out; the request is retried at the other cache.
      */
     @Test
-    void aResponseWhoseFieldsCannotBeUsedEndsItsAttemptAtOnce() throws Exception {
+    void aResponseWithAMalformedFieldEndsItsAttemptImmediately() throws Exception {
         AtomicInteger requests = new AtomicInteger();
-        FakeEndpoint.FrameHandler spoilsFirst =
+        FakeEndpoint.FrameHandler firstIsMalformed =
                 (request, out, socket) ->
                         out.write(
                                 FakeEndpoint.frame(
@@ -55,17 +57,17 @@
                                                 ? "tell=hit,fill=soon"
                                                 : "tell=hit",
                                         BODY));
-        loopback.start(spoilsFirst, spoilsFirst);
+        loopback.start(firstIsMalformed, firstIsMalformed);
         assertArrayEquals(BODY, loopback.client().request(1, 0x31, 0x95, 2000).body());
         assertEquals(2, requests.get());
     }
 
     /**
-     * A cache responds to requests that nobody made, and twice to those that were made. The
-     * superfluous responses are read and dropped; each client request gets exactly one.
+     * A cache responds to unknown requests and twice to each actual request. The unexpected
+     * responses must be dropped; each client request gets exactly one response.
      */
     @Test
-    void responsesThatNobodyWaitsForAreDropped() throws Exception {
+    void unexpectedResponsesAreDropped() throws Exception {
         loopback.start(
                 (request, out, socket) -> {
                     out.write(FakeEndpoint.frame(Frame.OK, 999, "tell=hit", new byte[5000]));
@@ -78,13 +80,13 @@
     }
 
     /**
-     * A cache dies in the middle of a response. The client must not see the part that came; the
-     * request is retried at the other cache.
+     * A cache closes its connection in the middle of a response. The client must not receive the
+     * truncated response; the request is retried at the other cache.
      */
     @Test
-    void anEndpointThatBreaksOffIsReplacedByAnother() throws Exception {
+    void aRequestIsRetriedAfterATruncatedResponse() throws Exception {
         AtomicInteger requests = new AtomicInteger();
-        FakeEndpoint.FrameHandler breaksOffFirst =
+        FakeEndpoint.FrameHandler truncatesFirst =
                 (request, out, socket) -> {
                     if (requests.getAndIncrement() == 0) {
                         out.write(
@@ -96,25 +98,25 @@
                         FakeEndpoint.serving(BODY).handle(request, out, socket);
                     }
                 };
-        loopback.start(breaksOffFirst, breaksOffFirst);
+        loopback.start(truncatesFirst, truncatesFirst);
         assertArrayEquals(BODY, loopback.client().request(1, 0x15, 0x84, 2000).body());
     }
 
     /**
-     * A machine vanishes without a sign: its connections stay open and silent. The client must get
-     * a final response by its deadline all the same, with the time after which it may retry.
+     * A machine fails without closing its connections. The client must nevertheless get a final
+     * response by its deadline, with the time after which it may retry.
      */
     @Test
-    void aSilentEndpointLeavesNoRequestWithoutAResponse() throws Exception {
+    void aRequestToASilentEndpointIsAnsweredByItsDeadline() throws Exception {
         loopback.start((request, out, socket) -> {});
         Response response = loopback.client().request(1, 0x16, 0x85, 300);
         assertEquals("Overloaded", response.error());
         assertEquals("2000", response.fields().get("w"));
     }
 
-    /** No endpoint of the list listens any more. The client gets an error, not silence. */
+    /** No endpoint of the list listens any more. The client must still get an error response. */
     @Test
-    void endpointsThatAreNotThereLeaveNoRequestWithoutAResponse() throws Exception {
+    void aRequestIsAnsweredIfNoEndpointListens() throws Exception {
         loopback.start(FakeEndpoint.serving(BODY));
         loopback.cache(0).close();
         loopback.origin().close();
--- a/src/test/java/brooklock/proxy/WarmingCoordinatorTest.java
+++ b/src/test/java/brooklock/proxy/WarmingCoordinatorTest.java
@@ -162,7 +162,8 @@
                                         recorded ->
                                                 isFromC1ToAPeer(recorded)
                                                         && recorded.server.equals("c3")
-                                                        && recorded.arrivedNs - acknowledgedAtNs > 0));
+                                                        && recorded.arrivedNs - acknowledgedAtNs
+                                                                > 0));
             }
         }
     }
