--- a/src/main/java/brooklock/faulttest/FaultReader.java
+++ b/src/main/java/brooklock/faulttest/FaultReader.java
@@ -151,7 +151,7 @@
         int tenant = statement.nextPositiveInt("a tenant number");
         if (tenant > tenantCount) {
             throw new InvalidStatementException(
-                    "expected a tenant number from 1 to "
+                    "expected a tenant number of at most "
                             + tenantCount
                             + " (statement 'tenants') but received "
                             + tenant);
--- a/src/main/java/brooklock/faulttest/InvariantChecker.java
+++ b/src/main/java/brooklock/faulttest/InvariantChecker.java
@@ -38,7 +38,10 @@
         }
         recordedByRequest
                 .values()
-                .forEach(list -> list.sort(Comparator.comparingLong(recorded -> recorded.arrivedNs)));
+                .forEach(
+                        list ->
+                                list.sort(
+                                        Comparator.comparingLong(recorded -> recorded.arrivedNs)));
         for (int i = 0; i < fleet.dispatchers.size(); i++) {
             dispatcherIndexes.put(fleet.dispatchers.get(i).name, i);
         }
--- a/src/main/java/brooklock/faulttest/ScenarioReader.java
+++ b/src/main/java/brooklock/faulttest/ScenarioReader.java
@@ -69,7 +69,9 @@
                         int index = problem.line() - headLines - 1;
                         boolean known = index >= 0 && index < settingsLineNumbers.size();
                         problems.add(
-                                known ? settingsLineNumbers.get(index) : ProblemCollector.WHOLE_FILE,
+                                known
+                                        ? settingsLineNumbers.get(index)
+                                        : ProblemCollector.WHOLE_FILE,
                                 problem.message());
                     });
         }
