--- a/src/main/java/brooklock/proxy/StatePage.java
+++ b/src/main/java/brooklock/proxy/StatePage.java
@@ -7,10 +7,11 @@
 import java.util.Optional;
 
 /**
- * Writes the state page: what the dispatcher has counted and how full it is. Any thread may call.
+ * Renders the state page, which contains the dispatcher's counters and its current load.
+ * Thread-safe.
  *
- * <p>One line an item, words parted by blanks. Dashboards read it, so the words stay when names in
- * the code change; {@code docs/operating.md} has them.
+ * <p>Each item is one line of words separated by spaces. Dashboards read the page, so its words
+ * must not change when names in the code change; {@code docs/operating.md} documents them.
  */
 final class StatePage {
     private final ProxyContext context;
@@ -35,20 +36,20 @@
         this.warming = warming;
     }
 
-    /** Returns the page as it is now. */
-    String write() {
+    /** Returns the current page. */
+    String render() {
         StringBuilder page = new StringBuilder();
-        line(page, "name", context.settings().name());
-        line(page, "open", capacity.openRequests());
-        line(page, "clients", clientListener.openConnections());
-        line(page, "clients-turned-away", clientListener.rejectedConnections());
-        line(page, "body-bytes", capacity.reservedBodyBytes());
+        appendLine(page, "name", context.settings().name());
+        appendLine(page, "open", capacity.openRequests());
+        appendLine(page, "clients", clientListener.openConnections());
+        appendLine(page, "clients-turned-away", clientListener.rejectedConnections());
+        appendLine(page, "body-bytes", capacity.reservedBodyBytes());
         RoutingThread routing = context.routingThread();
-        line(page, "decided", routing.processedEntries());
-        line(page, "decision-busy-us", routing.busyNs() / 1000);
-        line(page, "decision-waiting", routing.queueLength());
-        line(page, "decision-longest", routing.maxQueueLength());
-        line(page, "decision-overflows", routing.rejectedRequests());
+        appendLine(page, "decided", routing.processedEntries());
+        appendLine(page, "decision-busy-us", routing.busyNs() / 1000);
+        appendLine(page, "decision-waiting", routing.queueLength());
+        appendLine(page, "decision-longest", routing.maxQueueLength());
+        appendLine(page, "decision-overflows", routing.rejectedRequests());
         counters.appendState(page);
         authorizer.appendState(page);
         warming.ifPresent(coordinator -> coordinator.appendState(page));
@@ -62,11 +63,11 @@
             page.append(source).append(" heard-ms-ago ");
             page.append(Math.max(0, nowMs - source.lastEventMs())).append('\n');
         }
-        // "by-hand" is the page's word for an override.
+        // The page shows an override as "by-hand".
         state.overrides()
                 .forEach(
                         (id, override) ->
-                                line(
+                                appendLine(
                                         page,
                                         "by-hand",
                                         state.endpoints().get(id).name() + " " + override));
@@ -76,7 +77,7 @@
         }
     }
 
-    private static void line(StringBuilder page, String word, Object value) {
-        page.append(word).append(' ').append(value).append('\n');
+    private static void appendLine(StringBuilder page, String key, Object value) {
+        page.append(key).append(' ').append(value).append('\n');
     }
 }
--- a/src/test/java/brooklock/proxy/AccessLogTest.java
+++ b/src/test/java/brooklock/proxy/AccessLogTest.java
@@ -23,10 +23,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The keys and words of the access log.
- *
- * <p>Operators search it by them, and old files lie beside new ones. A constant renamed in the code
- * must not rename the word in the log.
+ * Tests that the keys and words of the access log are stable. Operators search old and new files
+ * for the same words, so renaming a constant must not change a word.
  */
 class AccessLogTest {
     private static final Pattern ATTEMPT =
@@ -39,35 +37,36 @@
     @TempDir Path dir;
     private final Logger logger = (Logger) LoggerFactory.getLogger("answers");
     private final ListAppender<ILoggingEvent> appender = new ListAppender<>();
-    private Level levelBefore;
+    private Level originalLevel;
 
     @BeforeEach
-    void listen() {
-        levelBefore = logger.getLevel();
+    void attachAppender() {
+        originalLevel = logger.getLevel();
         logger.setLevel(Level.INFO);
         appender.start();
         logger.addAppender(appender);
     }
 
     @AfterEach
-    void stopListening() {
+    void detachAppender() {
         logger.detachAppender(appender);
-        logger.setLevel(levelBefore);
+        logger.setLevel(originalLevel);
     }
 
-    private Map<String, Object> entryOf(String request) throws InterruptedException {
-        LoopbackFleet.await("the entry of " + request, () -> !entries(request).isEmpty());
-        assertEquals(1, entries(request).size());
-        return entries(request).get(0);
+    private Map<String, Object> entryOf(String requestId) throws InterruptedException {
+        LoopbackFleet.await(
+                "the access log entry of " + requestId, () -> !entries(requestId).isEmpty());
+        assertEquals(1, entries(requestId).size());
+        return entries(requestId).get(0);
     }
 
-    private List<Map<String, Object>> entries(String request) {
+    private List<Map<String, Object>> entries(String requestId) {
         return List.copyOf(appender.list).stream()
                 .map(
                         event ->
                                 event.getKeyValuePairs().stream()
                                         .collect(Collectors.toMap(p -> p.key, p -> p.value)))
-                .filter(entry -> entry.get("request").equals(request))
+                .filter(entry -> entry.get("request").equals(requestId))
                 .toList();
     }
 
@@ -112,7 +111,7 @@
     }
 
     @Test
-    void rejectedAndFailedRequestsAreLoggedByTheWordsOfTheProtocol() throws Exception {
+    void rejectedAndFailedRequestsAreLoggedWithTheirDocumentedWords() throws Exception {
         try (LoopbackFleet fleet = new LoopbackFleet(dir, 2, 1, "").start()) {
             fleet.servers.get("o1").faults.rejectShare = 1;
             fleet.send(post("/notes/x", requestIdField("full"), "body"));
--- a/src/test/java/brooklock/proxy/AdmissionLimitTest.java
+++ b/src/test/java/brooklock/proxy/AdmissionLimitTest.java
@@ -16,18 +16,21 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What the dispatcher cannot hold is rejected at once, and nothing hangs. */
+/**
+ * Tests that requests and connections over a limit are rejected at once and no client waits in
+ * vain.
+ */
 class AdmissionLimitTest {
     @TempDir Path dir;
 
     /**
-     * The routing thread stands still. Requests go on arriving; those that find the queue half full
-     * are rejected at once, with Retry-After, in place of a wait that ends in a timeout. Those in
-     * the queue are served when the thread goes on.
+     * The routing thread is blocked while requests arrive. Requests that find the queue half full
+     * must be rejected at once with Retry-After and not wait until they time out. The queued
+     * requests are served after the thread continues.
      */
     @Test
     void fullRoutingQueueRejectsAtOnceWithRetryAfter() throws Exception {
-        CountDownLatch stuck = new CountDownLatch(1);
+        CountDownLatch routingUnblocked = new CountDownLatch(1);
         try (LoopbackFleet fleet =
                 new LoopbackFleet(dir, 1, 1, "limits open 8")
                         .start(
@@ -38,7 +41,7 @@
                                                     RouterEvent event) {
                                                 if (event instanceof RequestReceived) {
                                                     try {
-                                                        stuck.await();
+                                                        routingUnblocked.await();
                                                     } catch (InterruptedException e) {
                                                         Thread.currentThread().interrupt();
                                                     }
@@ -46,44 +49,49 @@
                                                 return event;
                                             }
                                         })) {
-            List<CompletableFuture<LoopbackFleet.Response>> all = new ArrayList<>();
+            List<CompletableFuture<LoopbackFleet.Response>> responses = new ArrayList<>();
             for (int i = 0; i < 40; i++) {
-                all.add(fleet.sendAsync(get("/scans/g/q" + i + "/0", "")));
+                responses.add(fleet.sendAsync(get("/scans/g/q" + i + "/0", "")));
             }
             LoopbackFleet.await(
-                    "most to be rejected",
-                    () -> all.stream().filter(CompletableFuture::isDone).count() >= 32);
+                    "most requests to be rejected",
+                    () -> responses.stream().filter(CompletableFuture::isDone).count() >= 32);
             LoopbackFleet.Response response =
-                    all.stream().filter(CompletableFuture::isDone).findFirst().orElseThrow().get();
+                    responses.stream()
+                            .filter(CompletableFuture::isDone)
+                            .findFirst()
+                            .orElseThrow()
+                            .get();
             assertEquals(503, response.status());
             assertTrue(response.head().contains("Retry-After: "), response.head());
-            stuck.countDown();
-            for (CompletableFuture<LoopbackFleet.Response> pending : all) {
+            routingUnblocked.countDown();
+            for (CompletableFuture<LoopbackFleet.Response> pending : responses) {
                 assertTrue(pending.get().status() == 200 || pending.get().status() == 503);
             }
         }
     }
 
     /**
-     * More clients connect than the limit allows. Each one over it gets a 503 in place of a
-     * connection that never answers; when another leaves, there is capacity again.
+     * More clients connect than the limit allows. Each client over the limit must get a 503 and not
+     * wait in vain. After another client disconnects, a new one is accepted.
      */
     @Test
     void clientsOverTheConnectionLimitAreRejected() throws Exception {
         try (LoopbackFleet fleet = new LoopbackFleet(dir, 1, 1, "limits clients 4").start()) {
-            List<Socket> held = new ArrayList<>();
+            List<Socket> connections = new ArrayList<>();
             for (int i = 0; i < 4; i++) {
-                held.add(fleet.connect());
-                LoopbackFleet.write(held.get(i), get("/scans/g/o/0", ""));
+                connections.add(fleet.connect());
+                LoopbackFleet.write(connections.get(i), get("/scans/g/o/0", ""));
                 assertEquals(
-                        200, LoopbackFleet.readResponse(held.get(i).getInputStream()).status());
+                        200,
+                        LoopbackFleet.readResponse(connections.get(i).getInputStream()).status());
             }
             try (Socket fifth = fleet.connect()) {
                 assertEquals(503, LoopbackFleet.readResponse(fifth.getInputStream()).status());
             }
-            held.get(0).close();
+            connections.get(0).close();
             LoopbackFleet.await(
-                    "room",
+                    "a free connection",
                     () -> {
                         try {
                             return fleet.send(get("/scans/g/o/0", "")).status() == 200;
@@ -91,7 +99,7 @@
                             return false;
                         }
                     });
-            for (Socket socket : held) {
+            for (Socket socket : connections) {
                 socket.close();
             }
         }
--- a/src/test/java/brooklock/proxy/ClientFaultTest.java
+++ b/src/test/java/brooklock/proxy/ClientFaultTest.java
@@ -13,16 +13,16 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Clients that read slowly, leave, or send slowly. */
+/** Tests clients that read slowly, send slowly or disconnect. */
 class ClientFaultTest {
     @TempDir Path dir;
 
     /**
-     * Forty clients request 8 MB each and read nothing. If the dispatcher read ahead of them it
-     * would hold 320 MB; if it waited for them in its I/O thread, nobody else would be served.
+     * Forty clients request 8 MB each and read nothing. A dispatcher that buffered the responses
+     * would use 320 MB, and one that blocked an I/O thread for these clients could serve no others.
      */
     @Test
-    void slowReadersHoldLittleMemoryAndDelayNobody() throws Exception {
+    void slowReadersUseLittleMemoryAndDelayNoOtherClient() throws Exception {
         try (LoopbackFleet fleet = new LoopbackFleet(dir, 2, 1, "").start()) {
             for (int i = 0; i < 2; i++) {
                 assertEquals(8_000_000, fleet.send(get("/huge/x", "")).body().length);
@@ -35,32 +35,37 @@
                 LoopbackFleet.write(socket, get("/huge/x", ""));
                 readers.add(socket);
             }
-            LoopbackFleet.await("all to be answered", () -> fleet.dispatcher.openRequests() == 40);
+            LoopbackFleet.await(
+                    "all requests to be open", () -> fleet.dispatcher.openRequests() == 40);
             for (int i = 0; i < 50; i++) {
                 assertEquals(200, fleet.send(get("/scans/g/s" + i + "/0", "")).status());
             }
-            long direct =
+            long directBufferBytes =
                     ManagementFactory.getPlatformMXBeans(BufferPoolMXBean.class).stream()
                             .filter(p -> p.getName().equals("direct"))
                             .mapToLong(BufferPoolMXBean::getMemoryUsed)
                             .sum();
             assertTrue(
-                    direct < 64_000_000,
-                    "buffers hold " + direct + " bytes for 40 answers of 8 MB");
+                    directBufferBytes < 64_000_000,
+                    "direct buffers use "
+                            + directBufferBytes
+                            + " bytes for 40 responses of 8 MB; expected less than 64000000");
             for (Socket socket : readers) {
                 socket.close();
             }
             LoopbackFleet.await(
-                    "those who left to be forgotten", () -> fleet.dispatcher.openRequests() == 0);
+                    "the disconnected clients' requests to end",
+                    () -> fleet.dispatcher.openRequests() == 0);
         }
     }
 
     /**
-     * Clients disconnect within a head, within a body and while they wait. Whatever a request has
-     * reserved until then is released, and nothing more is sent to an endpoint for it.
+     * Clients disconnect within a head, within a body and while they wait for a response. Whatever
+     * a request has reserved until then must be released, and nothing more may be sent to an
+     * endpoint for it.
      */
     @Test
-    void clientsThatDisconnectAreForgottenAtEachStage() throws Exception {
+    void disconnectReleasesResourcesAtEachStage() throws Exception {
         try (LoopbackFleet fleet = new LoopbackFleet(dir, 2, 1, "").start()) {
             fleet.servers.get("c1").faults.silent = true;
             fleet.servers.get("c2").faults.silent = true;
@@ -76,15 +81,18 @@
             midBody.close();
             Socket waiting = fleet.connect();
             LoopbackFleet.write(waiting, get("/scans/g/o/0", LoopbackFleet.requestIdField("w")));
-            LoopbackFleet.await("the attempt", () -> fleet.recordedRequests("w").size() == 1);
+            LoopbackFleet.await(
+                    "the attempt to reach a cache", () -> fleet.recordedRequests("w").size() == 1);
             waiting.close();
-            LoopbackFleet.await("all to be forgotten", () -> fleet.dispatcher.openRequests() == 0);
-            int before = fleet.recordedRequests("w").size();
+            LoopbackFleet.await("all requests to end", () -> fleet.dispatcher.openRequests() == 0);
+            int sentBefore = fleet.recordedRequests("w").size();
             fleet.servers.get("c1").faults.silent = false;
             fleet.servers.get("c2").faults.silent = false;
             assertEquals(200, fleet.send(get("/scans/g/other/0", "")).status());
             assertEquals(
-                    before, fleet.recordedRequests("w").size(), "nothing is sent for one who left");
+                    sentBefore,
+                    fleet.recordedRequests("w").size(),
+                    "nothing is sent for a client that has disconnected");
             assertEquals(0, fleet.recordedRequests("mb").size());
             assertTrue(
                     fleet.dispatcher.statePage().contains("body-bytes 0"),
@@ -93,8 +101,8 @@
     }
 
     /**
-     * A client sends two requests at once and asks for the connection to be closed after the
-     * second. The close must not overtake the first response.
+     * A client sends two requests at once, the second with Connection: close. The connection must
+     * not be closed before both responses are sent.
      */
     @Test
     void clientThatClosesAfterItsLastPipelinedRequestGetsAllResponses() throws Exception {
@@ -109,15 +117,15 @@
     }
 
     /**
-     * A client sends a byte every now and then, so that its connection is never idle. With enough
-     * of such clients all connections would be in use for ever; the time for a whole head is
-     * therefore bounded.
+     * A client sends its request one byte at a time, so that its connection never becomes idle.
+     * Enough such clients would occupy all connections forever; therefore the time for a complete
+     * head is bounded.
      */
     @Test
-    void requestThatComesByteByByteTimesOutAndOthersAreServed() throws Exception {
+    void requestSentByteByByteTimesOutAndOthersAreServed() throws Exception {
         try (LoopbackFleet fleet = new LoopbackFleet(dir, 1, 1, "limits head 400ms").start();
                 Socket socket = fleet.connect()) {
-            long begun = System.nanoTime();
+            long startedAtNs = System.nanoTime();
             String request = get("/scans/g/o/0", "");
             int sent = 0;
             while (socket.getInputStream().available() == 0 && sent < request.length()) {
@@ -125,17 +133,17 @@
                 Thread.sleep(50);
             }
             assertEquals(408, LoopbackFleet.readResponse(socket.getInputStream()).status());
-            assertTrue(System.nanoTime() - begun < 10_000 * LoopbackFleet.NS_PER_MS);
+            assertTrue(System.nanoTime() - startedAtNs < 10_000 * LoopbackFleet.NS_PER_MS);
             assertEquals(200, fleet.send(get("/scans/g/o/0", "")).status());
         }
     }
 
     /**
-     * A body may come after 100-continue, in chunks, or be longer than the limit. Each is read
-     * whole, or rejected before it is read.
+     * A body may be sent after 100-continue, in chunks, or be longer than the limit. Each must be
+     * read completely, or rejected before it is read.
      */
     @Test
-    void expectedAndChunkedBodiesAreReadWholeAndLongOnesRejected() throws Exception {
+    void expectedAndChunkedBodiesAreReadAndOversizedOnesRejected() throws Exception {
         try (LoopbackFleet fleet = new LoopbackFleet(dir, 1, 1, "").start();
                 Socket socket = fleet.connect()) {
             LoopbackFleet.write(
--- a/src/test/java/brooklock/proxy/PurgeTest.java
+++ b/src/test/java/brooklock/proxy/PurgeTest.java
@@ -10,13 +10,13 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** After a purge no older copy is served. */
+/** Tests that no older copy is served after a purge. */
 class PurgeTest {
     @TempDir Path dir;
 
     /**
-     * An object is purged because it is wrong. Caches drop their copies within a stated time; from
-     * then on nobody may get the old one.
+     * An object is purged because its content is wrong. Caches drop their copies within a
+     * documented time, after which no client may get the old copy.
      */
     @Test
     void noOlderCopyIsServedAfterThePurgeIsComplete() throws Exception {
@@ -25,16 +25,16 @@
                 fleet.send(get("/scans/g/o/0", ""));
             }
             purgeAndWait(fleet, "group=g");
-            long moment = System.nanoTime() - 500 * LoopbackFleet.NS_PER_MS;
+            long oldestAllowedNs = System.nanoTime() - 500 * LoopbackFleet.NS_PER_MS;
             fleet.send(get("/scans/g/o/0", LoopbackFleet.requestIdField("after")));
-            assertYounger(fleet, "after", moment);
+            assertCopyFetchedAfter(fleet, "after", oldestAllowedNs);
         }
     }
 
     /**
-     * A slow fill has begun before the purge and ends after it. The request that waits for it may
-     * have the copy; for a request that came after the purge it is too old, although it arrived at
-     * the cache after the purge.
+     * A slow fill begins before the purge and ends after it. The request that waits for the fill
+     * may get the copy. For a request that arrives after the purge the copy is too old, even though
+     * it reaches the cache after the purge.
      */
     @Test
     void fillInFlightDuringThePurgeServesNoLaterRequest() throws Exception {
@@ -48,36 +48,39 @@
                             fleet.recordedRequests("before").stream()
                                     .anyMatch(recorded -> recorded.copySerial > 0));
             purgeAndWait(fleet, "url=http://a.example/big/x");
-            long moment = System.nanoTime() - 500 * LoopbackFleet.NS_PER_MS;
+            long oldestAllowedNs = System.nanoTime() - 500 * LoopbackFleet.NS_PER_MS;
             assertEquals(
                     200, fleet.send(get("/big/x", LoopbackFleet.requestIdField("after"))).status());
-            assertYounger(fleet, "after", moment);
+            assertCopyFetchedAfter(fleet, "after", oldestAllowedNs);
             assertEquals(200, first.get().status());
         }
     }
 
-    private static void purgeAndWait(LoopbackFleet fleet, String what) throws Exception {
-        long at = System.currentTimeMillis();
-        assertEquals(200, fleet.sendControl("POST", "/purge?" + what + "&at=" + at, "").status());
+    private static void purgeAndWait(LoopbackFleet fleet, String selector) throws Exception {
+        long issuedAtMs = System.currentTimeMillis();
         assertEquals(
                 200,
-                fleet.sendControl("POST", "/purge?" + what + "&at=" + at, "").status(),
-                "again, without harm");
+                fleet.sendControl("POST", "/purge?" + selector + "&at=" + issuedAtMs, "").status());
+        assertEquals(
+                200,
+                fleet.sendControl("POST", "/purge?" + selector + "&at=" + issuedAtMs, "").status(),
+                "repeating a purge is harmless");
         Thread.sleep(500);
     }
 
-    private static void assertYounger(LoopbackFleet fleet, String request, long momentNs) {
-        RecordedRequest s =
-                fleet.recordedRequests(request).stream()
+    private static void assertCopyFetchedAfter(
+            LoopbackFleet fleet, String requestId, long oldestAllowedNs) {
+        RecordedRequest lastDirect =
+                fleet.recordedRequests(requestId).stream()
                         .filter(RecordedRequest::isFromDispatcher)
                         .reduce((a, b) -> b)
                         .orElseThrow();
-        assertTrue(s.copySerial > 0);
+        assertTrue(lastDirect.copySerial > 0);
         assertTrue(
-                fleet.recorder.copyCreatedNs(s.copySerial) - momentNs > 0,
-                "born "
-                        + (fleet.recorder.copyCreatedNs(s.copySerial) - momentNs)
+                fleet.recorder.copyCreatedNs(lastDirect.copySerial) - oldestAllowedNs > 0,
+                "the copy was created "
+                        + (fleet.recorder.copyCreatedNs(lastDirect.copySerial) - oldestAllowedNs)
                                 / LoopbackFleet.NS_PER_MS
-                        + " ms from the purge");
+                        + " ms after the oldest allowed time");
     }
 }
--- a/src/test/java/brooklock/proxy/TenantBoundaryTest.java
+++ b/src/test/java/brooklock/proxy/TenantBoundaryTest.java
@@ -15,12 +15,12 @@
 import java.util.Locale;
 import org.junit.jupiter.api.Test;
 
-/** What goes no further than the dispatcher: credentials, and requests over a tenant's limits. */
+/** Tests that neither credentials nor requests over a tenant's limits are forwarded. */
 class TenantBoundaryTest extends AuthorizationTestBase {
     /**
-     * A cache that gets a client's token, or a cookie, could use it or log it; a response with
-     * Set-Cookie would give one client's session to all. Credentials end at the dispatcher, in both
-     * directions.
+     * A cache could use or log a client's token or cookie, and a cached response with Set-Cookie
+     * would share one client's session with all others. The dispatcher must remove credentials in
+     * both directions.
      */
     @Test
     void credentialsAreNotForwarded() throws Exception {
@@ -75,30 +75,32 @@
     }
 
     /**
-     * A tenant sends more than its rate. What is over it is answered with 429 and Retry-After and
-     * reaches neither the router nor an endpoint, so that it costs the other tenants nothing.
+     * A tenant exceeds its request rate. Requests over the rate must get a 429 with Retry-After and
+     * reach neither the router nor an endpoint, so that they do not affect other tenants.
      */
     @Test
     void requestsOverATenantsLimitReachNoEndpoint() throws Exception {
         try (LoopbackFleet fleet = newFleet().start()) {
-            String carl = bearer("carl");
-            int ok = 0;
-            int held = 0;
+            String credential = bearer("carl");
+            int served = 0;
+            int rateLimited = 0;
             for (int i = 0; i < 30; i++) {
                 LoopbackFleet.Response response =
-                        fleet.send(get("/own/carl/x/" + i, carl + "X-Request-Id: carl\r\n"));
-                ok += response.status() == 200 ? 1 : 0;
-                held +=
+                        fleet.send(get("/own/carl/x/" + i, credential + "X-Request-Id: carl\r\n"));
+                served += response.status() == 200 ? 1 : 0;
+                rateLimited +=
                         response.status() == 429
                                         && response.head().contains("Retry-After:")
                                         && response.head().contains("http_request_denied")
                                 ? 1
                                 : 0;
             }
-            assertEquals(30, ok + held);
-            assertTrue(ok >= 5 && held > 0, ok + " served, " + held + " held back");
+            assertEquals(30, served + rateLimited);
+            assertTrue(
+                    served >= 5 && rateLimited > 0,
+                    served + " served, " + rateLimited + " over the limit");
             assertEquals(
-                    ok,
+                    served,
                     fleet.recordedRequests("carl").stream()
                             .filter(RecordedRequest::isFromDispatcher)
                             .count());
--- a/src/test/java/brooklock/proxy/TraceTest.java
+++ b/src/test/java/brooklock/proxy/TraceTest.java
@@ -14,12 +14,12 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What a trace holds is enough to replay the router's decisions without a socket. */
+/** Tests that a trace is sufficient to replay the router's decisions without sockets. */
 class TraceTest {
     @TempDir Path dir;
 
-    private Path traced(String bound) throws Exception {
-        try (LoopbackFleet fleet = new LoopbackFleet(dir, 3, 2, "trace t.log " + bound).start()) {
+    private Path recordTrace(String maxSize) throws Exception {
+        try (LoopbackFleet fleet = new LoopbackFleet(dir, 3, 2, "trace t.log " + maxSize).start()) {
             fleet.servers.get("c1").faults.errorShare = 0.5;
             for (int i = 0; i < 60; i++) {
                 fleet.send(LoopbackFleet.get("/scans/g/o" + i % 7 + "/0", ""));
@@ -32,23 +32,23 @@
     }
 
     /**
-     * An incident is over, and only its trace is left. Fed to a new router, its events give the
-     * same actions again, so that the decisions can be looked at one by one.
+     * The trace of an incident is replayed to analyse the decisions. A new router must return the
+     * same actions for its events.
      */
     @Test
     void traceOfTrafficReplaysWithoutADifference() throws Exception {
-        TraceReplay.Result r = TraceReplay.replay(traced("64MB"));
-        assertEquals(Optional.empty(), r.difference());
-        assertTrue(r.events() > 120 && r.actions() > 120, r.toString());
+        TraceReplay.Result result = TraceReplay.replay(recordTrace("64MB"));
+        assertEquals(Optional.empty(), result.difference());
+        assertTrue(result.events() > 120 && result.actions() > 120, result.toString());
     }
 
     /**
-     * The router was changed, and the same events give another action. The replay says so, with its
-     * line.
+     * The router was changed and returns another action for the same event. The replay must report
+     * the difference.
      */
     @Test
     void replayNamesTheFirstActionThatDiffers() throws Exception {
-        Path trace = traced("64MB");
+        Path trace = recordTrace("64MB");
         String text = Files.readString(trace);
         int at = text.indexOf("action Get(");
         Files.writeString(
@@ -58,12 +58,13 @@
     }
 
     /**
-     * A trace has reached its size, or its writer was killed within a line. What is there still
-     * replays. A damaged trace does not: it would show decisions that were never made.
+     * A trace that reached its maximum size, or whose writer was killed within a line, must replay
+     * up to its end. A damaged trace must be rejected, because it would show decisions that were
+     * never made.
      */
     @Test
-    void fullAndCutTracesReplayAndDamagedOnesAreRejected() throws Exception {
-        Path trace = traced("9KB");
+    void fullAndTruncatedTracesReplayAndDamagedOnesAreRejected() throws Exception {
+        Path trace = recordTrace("9KB");
         assertTrue(Files.size(trace) < 9_100);
         assertEquals(Optional.empty(), TraceReplay.replay(trace).difference());
         String text = Files.readString(trace);
@@ -74,12 +75,12 @@
     }
 
     /**
-     * A record that is not read back as it was written would make the replay differ where nothing
-     * has changed.
+     * A record that is decoded differently from how it was encoded would cause a difference in the
+     * replay although nothing has changed.
      */
     @Test
-    void recordsAreReadBackAndOtherTextsRejected() {
-        RouterEvent e =
+    void recordsAreDecodedAndOtherTextsRejected() {
+        RouterEvent event =
                 new RouterEvent.AttemptCompleted(
                         3,
                         1,
@@ -89,8 +90,8 @@
                         7,
                         8,
                         true);
-        assertEquals(e, TraceCodec.read(TraceCodec.write(e)));
-        assertThrows(IllegalArgumentException.class, () -> TraceCodec.read("Done(1,2"));
-        assertThrows(IllegalArgumentException.class, () -> TraceCodec.read("Nothing(1)"));
+        assertEquals(event, TraceCodec.decode(TraceCodec.encode(event)));
+        assertThrows(IllegalArgumentException.class, () -> TraceCodec.decode("Done(1,2"));
+        assertThrows(IllegalArgumentException.class, () -> TraceCodec.decode("Nothing(1)"));
     }
 }
