--- a/src/main/java/brooklock/faulttest/ArrivalSource.java
+++ b/src/main/java/brooklock/faulttest/ArrivalSource.java
@@ -9,23 +9,26 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /**
- * Draws the arrivals of one {@link ClientWorker}: when clients arrive and what they request.
- * Depends on the scenario's seed and faults alone.
+ * Generates the client arrivals of one {@link ClientWorker}: when each client arrives and what it
+ * requests. The sequence depends only on the scenario's seed and faults, never on responses. Used
+ * on the worker's I/O thread only.
  */
 final class ArrivalSource {
     /**
-     * One client that has arrived.
+     * A client that has arrived.
      *
-     * @param path what it requests, up to the part's number
+     * @param zone index of the client's zone in the scenario
+     * @param requestClass settings of the class of its requests
+     * @param pathPrefix requested path without the part number that ends it
      * @param parts number of parts that it requests, one after another
-     * @param gapNs time between two of them
-     * @param tenant its tenant; -1 for none
+     * @param gapNs time between the requests for two consecutive parts, in nanoseconds
+     * @param tenant index of its tenant, or -1 if the scenario has no tenants
      * @param authorized whether the policy allows the requests
      */
     record Arrival(
             int zone,
             RequestClassSettings requestClass,
-            String path,
+            String pathPrefix,
             int parts,
             long gapNs,
             int tenant,
@@ -36,33 +39,39 @@
     private final UniformRandomProvider random;
     private final List<Scenario.ClassLoad> classLoads;
     private final List<SharedStateDiscreteSampler> popularity = new ArrayList<>();
-    private final double rateShare;
+    private final double workerShare;
     private final String namePrefix;
     private long nameCount;
 
-    /** Creates the source of one of {@code workerCount} workers. */
+    /**
+     * Creates a source that generates an equal share of the arrivals for each of {@code
+     * workerCount} workers.
+     */
     ArrivalSource(
             ClientPopulation population,
             Scenario scenario,
-            int worker,
+            int workerIndex,
             int workerCount,
             String namePrefix) {
         this.population = population;
         this.scenario = scenario;
         this.namePrefix = namePrefix;
-        random = RandomSource.XO_RO_SHI_RO_128_PP.create(scenario.seed * 100 + worker);
+        random = RandomSource.XO_RO_SHI_RO_128_PP.create(scenario.seed * 100 + workerIndex);
         classLoads = List.copyOf(scenario.classLoads.values());
         classLoads.forEach(
                 load ->
                         popularity.add(
                                 RejectionInversionZipfSampler.of(
                                         random, load.objects(), load.zipf())));
-        rateShare = 1.0 / workerCount;
+        workerShare = 1.0 / workerCount;
     }
 
-    /** Draws the time to the next arrival, ns. */
-    long nextPauseNs() {
-        double rate = scenario.requestsPerS * (population.rateMultiple + floodRate()) * rateShare;
+    /** Draws the time until the next arrival, in nanoseconds, from an exponential distribution. */
+    long nextInterarrivalNs() {
+        double rate =
+                scenario.requestsPerS
+                        * (population.rateMultiple + floodRateMultiple())
+                        * workerShare;
         return (long) (-Math.log(1 - random.nextDouble()) / rate * 1e9);
     }
 
@@ -71,12 +80,13 @@
         int index = nextClassIndex();
         Scenario.ClassLoad load = classLoads.get(index);
         int zone = nextZone();
-        int object = floodedObject(popularity.get(index).sample());
+        int object = applyFlood(popularity.get(index).sample());
         int group = object % scenario.groupCount;
-        // Groups belong to the tenants in turn; now and then a client requests another's.
+        // Groups are assigned to the tenants round-robin. A configured share of clients requests an
+        // object of another tenant.
         int owner = scenario.tenantCount == 0 ? -1 : group % scenario.tenantCount;
         int tenant =
-                owner >= 0 && random.nextDouble() < scenario.trespassShare
+                owner >= 0 && random.nextDouble() < scenario.crossTenantShare
                         ? (owner + 1) % scenario.tenantCount
                         : owner;
         String objectName = nextObjectName(object);
@@ -110,7 +120,7 @@
         return index;
     }
 
-    // By the number of caches.
+    // Zones receive arrivals in proportion to their number of caches.
     private int nextZone() {
         List<Scenario.Zone> zones = scenario.zones;
         double remaining =
@@ -122,17 +132,19 @@
         return index;
     }
 
-    // What one tenant's flood adds, as a share of the rate without it.
-    private double floodRate() {
+    // Returns the arrivals that the flood of one tenant adds, as a multiple of the normal rate.
+    private double floodRateMultiple() {
         ClientPopulation.TenantFlood flood = population.tenantFlood;
         return scenario.tenantCount == 0 ? 0 : (flood.multiple() - 1) / scenario.tenantCount;
     }
 
-    // A client that the flood adds requests an object of the flooding tenant's nearest group.
-    private int floodedObject(int object) {
-        double floodRate = floodRate();
-        if (floodRate <= 0
-                || random.nextDouble() >= floodRate / (population.rateMultiple + floodRate)) {
+    // Attributes the flood's share of the arrivals to the flooding tenant: their object is replaced
+    // by one of the closest group that this tenant owns. Other arrivals keep their object.
+    private int applyFlood(int object) {
+        double floodRateMultiple = floodRateMultiple();
+        if (floodRateMultiple <= 0
+                || random.nextDouble()
+                        >= floodRateMultiple / (population.rateMultiple + floodRateMultiple)) {
             return object;
         }
         int group = object % scenario.groupCount;
@@ -142,10 +154,12 @@
     }
 
     private String nextObjectName(int object) {
-        if (random.nextDouble() < population.heavyShare) {
+        if (random.nextDouble() < population.largeObjectShare) {
             return "heavy" + uniqueName();
         }
-        return random.nextDouble() < population.scanShare ? "once" + uniqueName() : "o" + object;
+        return random.nextDouble() < population.uniqueObjectShare
+                ? "once" + uniqueName()
+                : "o" + object;
     }
 
     private String uniqueName() {
--- a/src/main/java/brooklock/faulttest/CheckResult.java
+++ b/src/main/java/brooklock/faulttest/CheckResult.java
@@ -4,13 +4,14 @@
 import java.util.stream.Collectors;
 
 /**
- * What was found about one invariant.
+ * The result of checking one invariant.
  *
- * @param invariant its number in docs/fault-testing.md
- * @param description what was checked
- * @param cases how many cases of it were seen
- * @param violations each with what was seen
- * @param inconclusive what would be a violation, had the harness itself not been late by as much
+ * @param invariant the number of the invariant in docs/fault-testing.md
+ * @param description what was checked, as printed in the report
+ * @param cases number of recorded cases to which the invariant applies
+ * @param violations a description of each violation
+ * @param inconclusive a description of each case that exceeds its bound by no more than a recorded
+ *     delay of the harness, which may have caused it
  */
 record CheckResult(
         int invariant,
@@ -18,9 +19,12 @@
         long cases,
         List<String> violations,
         List<String> inconclusive) {
-    private static final int MAX_SHOWN = 5;
+    private static final int MAX_FINDINGS_SHOWN = 5;
 
-    /** Whether cases were seen and each of them was right; an unseen invariant does not hold. */
+    /**
+     * Returns whether at least one case was seen and none was a violation or inconclusive. An
+     * invariant without cases does not hold.
+     */
     boolean holds() {
         return cases > 0 && violations.isEmpty() && inconclusive.isEmpty();
     }
@@ -35,7 +39,7 @@
         return cases == 0 ? "NOT SEEN" : "kept";
     }
 
-    /** The lines of the report. */
+    /** Returns the lines of the report. */
     @Override
     public String toString() {
         String late =
@@ -51,13 +55,13 @@
                 + " cases, "
                 + verdict()
                 + late
-                + shown(violations, "\n    ")
-                + shown(inconclusive, "\n    (rig late) ");
+                + formatFindings(violations, "\n    ")
+                + formatFindings(inconclusive, "\n    (rig late) ");
     }
 
-    private static String shown(List<String> findings, String indent) {
+    private static String formatFindings(List<String> findings, String indent) {
         return findings.stream()
-                .limit(MAX_SHOWN)
+                .limit(MAX_FINDINGS_SHOWN)
                 .map(finding -> indent + finding)
                 .collect(Collectors.joining());
     }
--- a/src/main/java/brooklock/faulttest/ClientWorker.java
+++ b/src/main/java/brooklock/faulttest/ClientWorker.java
@@ -13,28 +13,29 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /**
- * The clients that one I/O thread plays. Which dispatcher a client tries, and how long it waits, is
- * drawn from another random stream than its arrival, so that responses change no later arrival.
+ * Simulates the clients of one I/O thread. The choice of a dispatcher and the back-off times are
+ * drawn from a random stream separate from that of the arrivals, so that responses do not change
+ * later arrivals. Except for {@link #warmUp} and {@link #start}, used on that I/O thread only.
  */
 final class ClientWorker {
     private static final String AUTHORITY = "day.example";
     private static final int BODY_BYTES = 100;
 
     /**
-     * A client whose dispatcher is gone goes to another at once, then after delays that double from
-     * here.
+     * First delay before a client whose dispatcher is lost changes dispatchers again. The first
+     * change is immediate; from the third on, the delay doubles with each change.
      */
     private static final long FIRST_BACKOFF_NS = 50_000_000L;
 
     private static final int MAX_DISPATCHER_CHANGES = 8;
 
-    /** A client whose request was rejected sends it again after so long. */
+    /** Delay after which a client repeats a rejected request. */
     private static final long RETRY_DELAY_NS = 400_000_000L;
 
-    /** Handshakes, one after another, before a test over TLS. */
+    /** Number of consecutive handshakes in each warm-up sequence before a test over TLS. */
     private static final int HANDSHAKES = 6;
 
-    /** One part that a client wants, from attempt to attempt. */
+    /** A requested part together with the state of its retries before the next attempt. */
     private record PendingAttempt(
             PartRequest request,
             int zone,
@@ -68,7 +69,7 @@
 
     ClientWorker(
             ClientPopulation population,
-            int number,
+            int workerIndex,
             int workerCount,
             Scenario scenario,
             IoLoop loop,
@@ -83,14 +84,18 @@
         this.dispatchersByZone = dispatchersByZone;
         this.dispatchers = dispatchers;
         this.issuer = issuer;
-        namePrefix = Character.toString('a' + number);
-        arrivals = new ArrivalSource(population, scenario, number, workerCount, namePrefix);
-        choiceRandom = RandomSource.XO_RO_SHI_RO_128_PP.create(scenario.seed * 100 + 50 + number);
+        namePrefix = Character.toString('a' + workerIndex);
+        arrivals = new ArrivalSource(population, scenario, workerIndex, workerCount, namePrefix);
+        choiceRandom =
+                RandomSource.XO_RO_SHI_RO_128_PP.create(scenario.seed * 100 + 50 + workerIndex);
     }
 
     // ---- Handshakes before the test
 
-    /** Makes handshakes with each dispatcher, {@code concurrent} at a time. */
+    /**
+     * Performs handshakes with each dispatcher, {@code concurrent} at a time, and runs {@code
+     * onDone} on the I/O thread when all have ended. May be called from any thread.
+     */
     void warmUp(int concurrent, Runnable onDone) {
         loop.execute(
                 () -> {
@@ -110,7 +115,8 @@
                 });
     }
 
-    // No route is requested: any response will do. All connections but the last are closed.
+    // The path matches no route, and any response completes the handshake. All connections but the
+    // last of the sequence are closed.
     private void handshake(DispatcherRunner dispatcher, int handshakesLeft, Runnable onDone) {
         Fields fields = handshakesLeft > 1 ? new Fields().add("Connection", "close") : new Fields();
         client.send(
@@ -140,12 +146,13 @@
 
     // ---- Arrivals
 
+    /** Starts the arrivals; may be called from any thread. Times are {@link System#nanoTime}. */
     void start(long startNs, long stopNs) {
         endNs = stopNs;
         loop.execute(() -> scheduleArrivals(startNs));
     }
 
-    // Open loop: a client's arrival does not wait for the responses to those before it.
+    // Arrivals form an open loop: they do not wait for the responses to earlier requests.
     private void scheduleArrivals(long dueNs) {
         long nextDueNs = dueNs;
         while (nextDueNs - System.nanoTime() <= 0) {
@@ -153,7 +160,7 @@
                 return;
             }
             requestPart(arrivals.next(), nextDueNs, 0);
-            nextDueNs += arrivals.nextPauseNs();
+            nextDueNs += arrivals.nextInterarrivalNs();
         }
         long nextNs = nextDueNs;
         loop.schedule(nextNs - System.nanoTime(), () -> scheduleArrivals(nextNs));
@@ -161,7 +168,7 @@
 
     private void requestPart(ArrivalSource.Arrival arrival, long dueNs, int part) {
         RequestClassSettings requestClass = arrival.requestClass();
-        String target = arrival.path() + part;
+        String target = arrival.pathPrefix() + part;
         double bytes = scenario.sizeBytes(target, requestClass.name());
         long transferNs =
                 (long)
@@ -181,7 +188,7 @@
         if (arrival.authorized()) {
             population.requests.add(request);
         }
-        attempt(
+        startAttempt(
                 new PendingAttempt(
                         request, arrival.zone(), requestClass, scenario.retries, 0, null));
         if (part + 1 < arrival.parts()) {
@@ -194,10 +201,10 @@
 
     // ---- Attempts
 
-    private void attempt(PendingAttempt pending) {
+    private void startAttempt(PendingAttempt pending) {
         PartRequest request = pending.request;
         RequestClassSettings requestClass = pending.requestClass;
-        DispatcherRunner dispatcher = choose(pending);
+        DispatcherRunner dispatcher = chooseDispatcher(pending);
         ClientAttempt attempt =
                 new ClientAttempt(
                         "v" + namePrefix + ++attemptCount,
@@ -214,20 +221,20 @@
                         attempt,
                         dispatcher,
                         request.target,
-                        () -> retryElsewhere(pending.afterLoss(dispatcher)),
-                        () -> retryLater(pending));
+                        () -> retryOnOtherDispatcher(pending.afterLoss(dispatcher)),
+                        () -> retryAfterRejection(pending));
         RequestHead head =
                 new RequestHead(
                         requestClass.passThrough() ? "POST" : "GET",
                         request.target,
                         AUTHORITY,
                         1,
-                        fields(attempt, request, requestClass));
+                        requestFields(attempt, request, requestClass));
         byte[] body = new byte[requestClass.passThrough() ? BODY_BYTES : 0];
         handler.setCall(client.send(dispatcher.clientAddress, head, body, handler));
     }
 
-    private DispatcherRunner choose(PendingAttempt pending) {
+    private DispatcherRunner chooseDispatcher(PendingAttempt pending) {
         List<DispatcherRunner> candidates =
                 dispatchersByZone.get(pending.zone).stream()
                         .filter(dispatcher -> dispatcher != pending.excluded)
@@ -237,9 +244,9 @@
                 : candidates.get(choiceRandom.nextInt(candidates.size()));
     }
 
-    private Fields fields(
+    private Fields requestFields(
             ClientAttempt attempt, PartRequest request, RequestClassSettings requestClass) {
-        Fields fields = new Fields().add("X-Request-Id", attempt.name);
+        Fields fields = new Fields().add("X-Request-Id", attempt.requestId);
         if (requestClass.passThrough()) {
             fields.add("Content-Length", Integer.toString(BODY_BYTES));
         }
@@ -252,15 +259,15 @@
         return fields;
     }
 
-    private void retryLater(PendingAttempt pending) {
+    private void retryAfterRejection(PendingAttempt pending) {
         if (pending.retriesLeft > 0) {
-            loop.schedule(RETRY_DELAY_NS, () -> attempt(pending.afterRejection()));
+            loop.schedule(RETRY_DELAY_NS, () -> startAttempt(pending.afterRejection()));
         }
     }
 
-    // The dispatcher is gone: another one at once, then with growing delays of uneven length, so
-    // that its clients do not return all together.
-    private void retryElsewhere(PendingAttempt pending) {
+    // Retries on another dispatcher, the first time immediately, then with randomized exponential
+    // back-off, so that the clients of a lost dispatcher do not return all at once.
+    private void retryOnOtherDispatcher(PendingAttempt pending) {
         if (pending.dispatcherChanges > MAX_DISPATCHER_CHANGES) {
             return;
         }
@@ -269,6 +276,7 @@
                         ? 0
                         : FIRST_BACKOFF_NS << (pending.dispatcherChanges - 2);
         loop.schedule(
-                (long) (backoffNs * (0.5 + choiceRandom.nextDouble())), () -> attempt(pending));
+                (long) (backoffNs * (0.5 + choiceRandom.nextDouble())),
+                () -> startAttempt(pending));
     }
 }
--- a/src/main/java/brooklock/faulttest/CredentialIssuer.java
+++ b/src/main/java/brooklock/faulttest/CredentialIssuer.java
@@ -15,32 +15,43 @@
 import javax.net.ssl.SSLContext;
 
 /**
- * The credentials of a test: the tenants' policy and tokens, the issuer's keys, the dispatchers'
- * certificate. Tokens are made on the clients' threads, keys are replaced on the fleet's.
+ * Issues the credentials of a test: the tenants' policy and tokens, the issuer's key set and the
+ * dispatchers' certificate. Tokens are requested on the clients' threads, keys are rotated on the
+ * fleet's thread.
  */
 final class CredentialIssuer {
     private static final long SECOND_NS = 1_000_000_000L;
 
-    /** Tokens are made anew so often, since clients that come and go have different ones. */
+    /**
+     * Interval at which a tenant's token is replaced, so that dispatchers see different tokens, as
+     * from a changing set of clients.
+     */
     private static final long TOKEN_RENEWAL_NS = SECOND_NS;
 
     private static final long TOKEN_LIFETIME_S = 60;
     private static final long CERTIFICATE_LIFETIME_MS = 3_600_000;
     private static final String ALGORITHM = "EdDSA";
 
-    /** A key and its identifier, kept together so that a key is never used with another's name. */
-    private record Signer(String kid, KeyPair pair) {}
+    /**
+     * A key pair with its key ID, kept together so that a key is never used with the ID of another.
+     */
+    private record SigningKey(String kid, KeyPair pair) {}
 
-    private record Token(Signer signer, long createdNs, String text) {}
+    private record Token(SigningKey signingKey, long createdNs, String text) {}
 
     private final Scenario scenario;
     private final KeySetFile keySet;
     private final Token[] tokens;
     private final SSLContext clientContext;
-    private volatile Signer signer = new Signer("k1", KeySetFile.generate(ALGORITHM));
+    private volatile SigningKey signingKey = new SigningKey("k1", KeySetFile.generate(ALGORITHM));
     private int keyCount = 1;
 
-    /** Writes the files that {@link #settingsLines} names into a directory. */
+    /**
+     * Creates an issuer and writes the files that {@link #settingsLines} refers to.
+     *
+     * @param dir the directory of the dispatchers' settings
+     * @throws IOException if a file cannot be written or the certificate cannot be created
+     */
     CredentialIssuer(Scenario scenario, Path dir) throws IOException {
         this.scenario = scenario;
         Path keys = dir.resolve("keys.json");
@@ -49,7 +60,7 @@
         if (scenario.tenantCount > 0) {
             Files.deleteIfExists(keys);
             Files.writeString(dir.resolve("policy"), policyText());
-            addKey(signer, KeySet.State.SIGNING);
+            addKey(signingKey, KeySet.State.SIGNING);
         }
         clientContext = scenario.tls ? createCertificate(dir) : null;
     }
@@ -64,7 +75,12 @@
             CertificateTrust trust = authority.createTrust(dir);
             return TlsContexts.clientContext(null, () -> trust, System::currentTimeMillis);
         } catch (Exception e) {
-            throw new IOException("no certificates for the day: " + e.getMessage(), e);
+            throw new IOException(
+                    "failed to create the certificates of the test in "
+                            + dir
+                            + ": "
+                            + e.getMessage(),
+                    e);
         }
     }
 
@@ -85,24 +101,24 @@
         return text.toString();
     }
 
-    /** Lines for the dispatchers' settings. */
+    /** Returns the settings lines with which a dispatcher uses these credentials. */
     String settingsLines() {
         return (scenario.tenantCount > 0 ? "rights policy\ntokens keys.json audience edge\n" : "")
                 + (scenario.tls ? "tls edge.pem edge.key\n" : "");
     }
 
-    /** How clients connect; null for plain connections. */
+    /** Returns the TLS context of the clients, or null if the test does not use TLS. */
     SSLContext clientContext() {
         return clientContext;
     }
 
-    /** A tenant's token; the clients' threads share them. */
+    /** Returns the current token of a tenant. May be called from any thread. */
     synchronized String token(int tenant) {
         long nowNs = System.nanoTime();
-        Signer current = signer;
+        SigningKey current = signingKey;
         Token token = tokens[tenant];
         if (token == null
-                || !token.signer.equals(current)
+                || !token.signingKey.equals(current)
                 || nowNs - token.createdNs > TOKEN_RENEWAL_NS) {
             token = new Token(current, nowNs, sign(current, tenant, nowNs));
             tokens[tenant] = token;
@@ -110,10 +126,10 @@
         return token.text;
     }
 
-    private static String sign(Signer signer, int tenant, long nonce) {
+    private static String sign(SigningKey signingKey, int tenant, long nonce) {
         return TokenSigner.sign(
-                signer.pair.getPrivate(),
-                signer.kid,
+                signingKey.pair.getPrivate(),
+                signingKey.kid,
                 Map.of(
                         "tenant",
                         "t" + tenant,
@@ -126,28 +142,29 @@
     }
 
     /**
-     * Replaces the key: a new one is announced, signs two seconds later, and the one before is
-     * retired when its tokens have gone.
+     * Rotates the signing key. A new key is announced now, is used for signing two seconds later,
+     * and the previous key is retired after two more seconds, when its tokens have been replaced.
+     * Does nothing if the scenario has no tenants.
      */
     void rotateKeys(TestFleet fleet) {
         if (scenario.tenantCount == 0) {
             return;
         }
-        String previousKid = signer.kid;
-        Signer next = new Signer("k" + ++keyCount, KeySetFile.generate(ALGORITHM));
+        String previousKid = signingKey.kid;
+        SigningKey next = new SigningKey("k" + ++keyCount, KeySetFile.generate(ALGORITHM));
         applyUnchecked(() -> addKey(next, KeySet.State.ANNOUNCED));
         fleet.schedule(
                 2 * SECOND_NS,
                 () -> {
                     applyUnchecked(() -> keySet.setState(next.kid, KeySet.State.SIGNING, 0));
-                    signer = next;
+                    signingKey = next;
                 });
         fleet.schedule(
                 4 * SECOND_NS,
                 () -> applyUnchecked(() -> keySet.setState(previousKid, KeySet.State.RETIRED, 0)));
     }
 
-    private void addKey(Signer added, KeySet.State state) throws IOException {
+    private void addKey(SigningKey added, KeySet.State state) throws IOException {
         keySet.addKey(KeySetFile.toJwk(added.kid, ALGORITHM, added.pair, state));
     }
 
@@ -155,7 +172,7 @@
         void apply() throws IOException;
     }
 
-    // A failure is one of the harness: HarnessMonitor records it.
+    // HarnessMonitor records the exception as a failure of the harness.
     private static void applyUnchecked(KeyChange change) {
         try {
             change.apply();
--- a/src/main/java/brooklock/faulttest/DrainCheck.java
+++ b/src/main/java/brooklock/faulttest/DrainCheck.java
@@ -9,24 +9,24 @@
 import java.util.TreeMap;
 
 /**
- * Invariant 3: a dispatcher sends nothing to an endpoint that drains or is gone, nor names it as a
- * fill source, once it has been notified.
+ * Checks invariant 3: a dispatcher that has been notified of a draining or gone endpoint neither
+ * sends requests to it nor names it as a fill source.
  *
- * <p>A list is in force at a dispatcher at the latest when its acknowledgement arrived, at the
- * earliest when it was sent. So at each moment the version in force lies between the newest that
- * was acknowledged and the newest that was sent. Only what violates the invariant under every one
- * of them is a violation.
+ * <p>A dispatcher applies a list at some time between its sending and the arrival of its
+ * acknowledgement. At each moment the version in force is therefore between the newest acknowledged
+ * and the newest sent version, and a request is a violation only if it violates the invariant under
+ * each version in this range.
  */
 final class DrainCheck {
     private final TestFleet fleet;
     private final Map<String, Integer> dispatcherIndexes;
     private final Findings findings;
 
-    /** For each dispatcher: the newest acknowledged version at each moment since the start. */
-    private final List<TreeMap<Long, Long>> acknowledged = new ArrayList<>();
+    /** The newest acknowledged version per dispatcher, by time since the start in nanoseconds. */
+    private final List<TreeMap<Long, Long>> acknowledgedVersions = new ArrayList<>();
 
-    /** For each dispatcher: the newest version sent at each moment since the start. */
-    private final List<TreeMap<Long, Long>> sent = new ArrayList<>();
+    /** The newest sent version per dispatcher, by time since the start in nanoseconds. */
+    private final List<TreeMap<Long, Long>> sentVersions = new ArrayList<>();
 
     DrainCheck(TestFleet fleet, Map<String, Integer> dispatcherIndexes) {
         this.fleet = fleet;
@@ -46,24 +46,25 @@
         return findings.result(3, "drains kept, as request and as source");
     }
 
-    // Moments count from the start of the test, so that they can be compared: nanoTime may wrap.
+    // Map keys are times since the start of the test, because nanoTime values may wrap around.
     private void collectVersions() {
         for (int i = 0; i < fleet.dispatchers.size(); i++) {
-            acknowledged.add(new TreeMap<>());
-            sent.add(new TreeMap<>());
+            acknowledgedVersions.add(new TreeMap<>());
+            sentVersions.add(new TreeMap<>());
         }
         for (ControlPublisher.ListDelivery delivery : fleet.publisher.listDeliveries) {
-            sent.get(delivery.dispatcher)
+            sentVersions
+                    .get(delivery.dispatcher)
                     .merge(delivery.sentNs - fleet.startedNs, delivery.version, Math::max);
             long acknowledgedNs = delivery.acknowledgedNs;
             if (acknowledgedNs != 0) {
-                acknowledged
+                acknowledgedVersions
                         .get(delivery.dispatcher)
                         .merge(acknowledgedNs - fleet.startedNs, delivery.version, Math::max);
             }
         }
-        acknowledged.forEach(DrainCheck::toRunningMax);
-        sent.forEach(DrainCheck::toRunningMax);
+        acknowledgedVersions.forEach(DrainCheck::toRunningMax);
+        sentVersions.forEach(DrainCheck::toRunningMax);
     }
 
     private static void toRunningMax(NavigableMap<Long, Long> versionsByMoment) {
@@ -79,11 +80,11 @@
         long graceNs = fleet.scenario.invariants().drainGraceNs() + Findings.SLACK_NS;
         long atNs = recorded.arrivedNs - fleet.startedNs;
         Map.Entry<Long, Long> newestAcknowledged =
-                acknowledged.get(dispatcher).floorEntry(atNs - graceNs);
+                acknowledgedVersions.get(dispatcher).floorEntry(atNs - graceNs);
         if (newestAcknowledged == null) {
             return;
         }
-        long newestSent = sent.get(dispatcher).floorEntry(atNs).getValue();
+        long newestSent = sentVersions.get(dispatcher).floorEntry(atNs).getValue();
         check(recorded, recorded.server, dispatcher, newestAcknowledged.getValue(), newestSent);
         if (recorded.source != null) {
             check(recorded, recorded.source, dispatcher, newestAcknowledged.getValue(), newestSent);
@@ -94,17 +95,17 @@
             RecordedRequest recorded,
             String endpoint,
             int dispatcher,
-            long oldestVersion,
+            long newestAcknowledged,
             long newestVersion) {
         NavigableMap<Long, EndpointState> states = fleet.publisher.stateHistory.get(endpoint);
-        Long stateVersion = states.floorKey(oldestVersion);
+        Long stateVersion = states.floorKey(newestAcknowledged);
         if (states.subMap(stateVersion, true, newestVersion, true)
                 .containsValue(EndpointState.READY)) {
             return;
         }
-        // The list that binds the dispatcher: the first acknowledged one that had this state.
-        long boundNs =
-                acknowledged.get(dispatcher).entrySet().stream()
+        // The obligation starts with the first acknowledged list that contains this state.
+        long effectiveNs =
+                acknowledgedVersions.get(dispatcher).entrySet().stream()
                         .filter(entry -> entry.getValue() >= stateVersion)
                         .findFirst()
                         .orElseThrow()
@@ -113,11 +114,11 @@
         long graceNs = fleet.scenario.invariants().drainGraceNs() + Findings.SLACK_NS;
         findings.report(
                 recorded.arrivedNs,
-                atNs - boundNs - graceNs,
+                atNs - effectiveNs - graceNs,
                 recorded
                         + (endpoint.equals(recorded.server) ? "" : " naming " + endpoint)
                         + ": "
-                        + (atNs - boundNs) / 1_000_000
+                        + (atNs - effectiveNs) / 1_000_000
                         + " ms after it was told that it is "
                         + states.get(stateVersion));
     }
--- a/src/main/java/brooklock/faulttest/InvariantChecker.java
+++ b/src/main/java/brooklock/faulttest/InvariantChecker.java
@@ -12,11 +12,11 @@
 import java.util.Map;
 
 /**
- * Checks the recorded traffic of a test against the invariants of docs/fault-testing.md. An
- * invariant of which no case was seen does not hold.
+ * Checks the recorded traffic of a test against the invariants of docs/fault-testing.md. Created
+ * after the scenario has ended and used on one thread. An invariant without cases does not hold.
  */
 final class InvariantChecker {
-    /** Wall clock and monotonic clock are read one after the other. */
+    /** Tolerance for the time between the readings of the wall clock and the monotonic clock. */
     private static final long CLOCK_UNCERTAINTY_NS = 2_000_000L;
 
     private final TestFleet fleet;
@@ -28,7 +28,7 @@
     InvariantChecker(TestFleet fleet) {
         this.fleet = fleet;
         attempts = fleet.population.attempts;
-        attempts.forEach(attempt -> attemptsByName.put(attempt.name, attempt));
+        attempts.forEach(attempt -> attemptsByName.put(attempt.requestId, attempt));
         for (RecordedRequest recorded : fleet.traffic.requests()) {
             if (recorded.requestId != null) {
                 recordedByRequest
@@ -47,6 +47,10 @@
         }
     }
 
+    /**
+     * Returns the results of all invariants that apply to the scenario, in the order of their
+     * numbers.
+     */
     List<CheckResult> checkAll() {
         List<CheckResult> results = new ArrayList<>();
         results.add(checkFinalResponses());
@@ -60,11 +64,11 @@
         return results;
     }
 
-    private List<RecordedRequest> recordedOf(ClientAttempt attempt) {
-        return recordedByRequest.getOrDefault(attempt.name, List.of());
+    private List<RecordedRequest> requestsOf(ClientAttempt attempt) {
+        return recordedByRequest.getOrDefault(attempt.requestId, List.of());
     }
 
-    // ---- 1: one final response in time, and nothing sent after it
+    // ---- Invariant 1: one final response in time, and no request sent after it
 
     private CheckResult checkFinalResponses() {
         Findings findings = new Findings(fleet.monitor);
@@ -74,10 +78,10 @@
             }
             findings.cases++;
             checkInTime(attempt, findings);
-            if (attempt.wrongBytes) {
+            if (attempt.bodyMismatch) {
                 findings.reportCertain(attempt + ": the bytes are not those of its path");
             }
-            for (RecordedRequest recorded : recordedOf(attempt)) {
+            for (RecordedRequest recorded : requestsOf(attempt)) {
                 long afterResponseNs = recorded.arrivedNs - attempt.endNs;
                 if (recorded.isFromDispatcher() && afterResponseNs > Findings.SLACK_NS) {
                     findings.report(
@@ -96,8 +100,9 @@
 
     private static void checkInTime(ClientAttempt attempt, Findings findings) {
         long lateNs = attempt.endNs - attempt.deadlineNs() - ClientPopulation.GRACE_NS;
-        if (!attempt.isAnswered()) {
-            // The client left when its grace was over: how late a response would be is not known.
+        if (!attempt.hasFinalResponse()) {
+            // The client canceled the request after the grace time, so the delay is unknown. A
+            // harness delay of half the grace time makes the case inconclusive.
             findings.report(
                     attempt.sentNs,
                     attempt.endNs,
@@ -115,7 +120,7 @@
         }
     }
 
-    // ---- 2: no effect twice
+    // ---- Invariant 2: no request takes effect twice
 
     private CheckResult checkSingleEffect() {
         Findings findings = new Findings(fleet.monitor);
@@ -133,7 +138,7 @@
         boolean keyed = requestClass.effect() == Effect.KEYED;
         long windowNs = requestClass.idempotencyWindowNs() + Findings.SLACK_NS;
         List<RecordedRequest> direct =
-                recordedOf(attempt).stream().filter(RecordedRequest::isFromDispatcher).toList();
+                requestsOf(attempt).stream().filter(RecordedRequest::isFromDispatcher).toList();
         findings.cases += direct.isEmpty() ? 0 : 1;
         RecordedRequest possiblyExecuted = null;
         for (RecordedRequest recorded : direct) {
@@ -155,28 +160,34 @@
         if (keyed) {
             return;
         }
-        if (possiblyExecuted != null && attempt.end == ClientAttempt.End.REFUSED) {
+        if (possiblyExecuted != null && attempt.outcome == ClientAttempt.Outcome.REFUSED) {
             findings.reportCertain(attempt + ": called harmless to repeat though it may have run");
         }
-        long times = recordedOf(attempt).stream().filter(recorded -> recorded.executed).count();
-        if (times > 1) {
-            findings.reportCertain(attempt + ": took effect " + times + " times");
+        long executions =
+                requestsOf(attempt).stream().filter(recorded -> recorded.executed).count();
+        if (executions > 1) {
+            findings.reportCertain(attempt + ": took effect " + executions + " times");
         }
     }
 
-    // ---- 4: endpoints that warm up are not overloaded
+    // ---- Invariant 4: endpoints that are warming up are not overloaded
 
     private CheckResult checkWarmUp() {
         Findings findings = new Findings(fleet.monitor);
         long windowNs = fleet.scenario.invariants().overloadWindowNs();
         for (TrafficRecorder.Overload overload : fleet.traffic.overloads()) {
-            // What arrived while the server's own thread was late counts as if it had arrived at
-            // once.
-            double excess = overload.workNs() / overload.allowedNs() - 1;
-            long overNs = (long) Math.max(HarnessMonitor.MAX_LATE_NS, windowNs * excess);
+            // Requests that wait during a delay of the server's thread are counted as if they had
+            // arrived at the same time. The excess is therefore converted into the delay that
+            // could explain it.
+            double relativeExcess = overload.workNs() / overload.allowedNs() - 1;
+            long excessNs =
+                    (long)
+                            Math.max(
+                                    HarnessMonitor.MIN_RECORDED_DELAY_NS,
+                                    windowNs * relativeExcess);
             findings.report(
                     overload.failedAtNs(),
-                    overNs,
+                    excessNs,
                     String.format(
                             "%s was pushed over: %.0f ms of work in its span, %.0f allowed",
                             overload.server(),
@@ -188,7 +199,7 @@
         return findings.result(4, "cold hosts not pushed over, by all in sum");
     }
 
-    // ---- 5: no copy older than a purge
+    // ---- Invariant 5: no response from a copy that is older than a purge
 
     private CheckResult checkPurges() {
         Findings findings = new Findings(fleet.monitor);
@@ -208,7 +219,7 @@
             ClientAttempt attempt = attemptsByName.get(recorded.requestId);
             for (ControlPublisher.PurgeDelivery delivery :
                     deliveries.getOrDefault(purgeKey(dispatcher, recorded.group), List.of())) {
-                // A purge binds the run of the dispatcher that it was delivered to.
+                // A purge applies only to the incarnation of the dispatcher that acknowledged it.
                 if (attempt == null || attempt.incarnation == delivery.incarnation()) {
                     checkPurge(recorded, delivery, findings);
                 }
@@ -224,29 +235,29 @@
     private void checkPurge(
             RecordedRequest recorded, ControlPublisher.PurgeDelivery delivery, Findings findings) {
         long graceNs = fleet.scenario.invariants().purgeGraceNs() + Findings.SLACK_NS;
-        long sinceNs = recorded.arrivedNs - delivery.atNs();
-        if (sinceNs <= graceNs) {
+        long sinceDeliveryNs = recorded.arrivedNs - delivery.atNs();
+        if (sinceDeliveryNs <= graceNs) {
             return;
         }
         findings.cases++;
-        long olderNs =
-                delivery.purge().momentNs() - fleet.traffic.copyCreatedNs(recorded.copySerial);
-        if (olderNs > CLOCK_UNCERTAINTY_NS) {
+        long copyOlderNs =
+                delivery.purge().purgedAtNs() - fleet.traffic.copyCreatedNs(recorded.copySerial);
+        if (copyOlderNs > CLOCK_UNCERTAINTY_NS) {
             findings.report(
                     recorded.arrivedNs,
-                    Math.max(olderNs, sinceNs - graceNs),
+                    Math.max(copyOlderNs, sinceDeliveryNs - graceNs),
                     recorded
                             + ": answered from a copy "
-                            + olderNs / 1_000_000
+                            + copyOlderNs / 1_000_000
                             + " ms older than a purge of "
                             + delivery.purge().group()
                             + " told "
-                            + sinceNs / 1_000_000
+                            + sinceDeliveryNs / 1_000_000
                             + " ms before");
         }
     }
 
-    // ---- 6: nothing to unauthorized callers
+    // ---- Invariant 6: no response body for unauthorized callers
 
     private CheckResult checkAuthorization() {
         Findings findings = new Findings(fleet.monitor);
@@ -258,15 +269,16 @@
                 }
                 continue;
             }
-            findings.cases += attempt.isAnswered() ? 1 : 0;
-            if (attempt.end == ClientAttempt.End.WHOLE || attempt.end == ClientAttempt.End.BROKEN) {
+            findings.cases += attempt.hasFinalResponse() ? 1 : 0;
+            if (attempt.outcome == ClientAttempt.Outcome.WHOLE
+                    || attempt.outcome == ClientAttempt.Outcome.BROKEN) {
                 findings.reportCertain(attempt + ": bytes went to a caller without the right");
             }
-            if (!recordedOf(attempt).isEmpty()) {
+            if (!requestsOf(attempt).isEmpty()) {
                 findings.reportCertain(
                         attempt
                                 + ": sent to a host though its caller has no right: "
-                                + recordedOf(attempt).get(0));
+                                + requestsOf(attempt).get(0));
             }
         }
         return findings.result(
--- a/src/main/java/brooklock/faulttest/OracleSelector.java
+++ b/src/main/java/brooklock/faulttest/OracleSelector.java
@@ -12,62 +12,76 @@
 import java.util.Map;
 
 /**
- * Chooses, for {@link OracleRouter}, the endpoint and the fill source with the lowest expected
- * latency, from the true state of the test servers.
+ * Chooses the endpoint and the fill source with the lowest expected latency for {@link
+ * OracleRouter}, based on the true state of the test servers. Used on the routing thread only.
  */
 final class OracleSelector {
-    /** Time of a transfer at full rate, of a response whose size is not known. */
+    /**
+     * Assumed duration of a transfer at full rate, since the size of a response is not known in
+     * advance.
+     */
     static final double NOMINAL_TRANSFER_NS = 100e6;
 
-    /** What a failed attempt costs in time. */
+    /** Expected delay that a failed attempt causes. */
     private static final double FAILURE_COST_NS = 500e6;
 
-    /** Spread of the costs of equal endpoints, so that each part has an endpoint of its own. */
+    /**
+     * Range of the pseudo-random costs added per part and endpoint, so that the parts are
+     * distributed over otherwise equal endpoints.
+     */
     private static final double TIE_BREAK_NS = 20e6;
 
-    /** The cost of what must not or cannot be used, and a bound between it and real costs. */
+    /** Cost of an endpoint that must not or cannot be used. */
     private static final double UNUSABLE_NS = 1e18;
 
+    /** Cost from which a choice is treated as unusable; sums of real costs are far below it. */
     private static final double MAX_USABLE_NS = 1e17;
 
-    /** Share of what an endpoint can bear up to which it is used while it warms up. */
+    /**
+     * Load, as a share of its current overload bound, up to which an endpoint is used while it
+     * warms up.
+     */
     private static final double MAX_WARM_UP_LOAD = 0.75;
 
     /**
-     * Share of an endpoint's limits up to which it is used: for objects requested for the first
-     * time, for repeated ones, and for requests that must pass through.
+     * Share of an endpoint's capacity up to which it is used for objects that are requested for the
+     * first time.
      */
     private static final double MAX_USE_FIRST_REQUEST = 0.85;
 
-    private static final double MAX_USE_REPEATED = 0.93;
+    /** Share of an endpoint's capacity up to which it is used for recently requested objects. */
+    private static final double MAX_USE_RECENT = 0.93;
+
+    /** Share of an endpoint's capacity up to which it is used for pass-through requests. */
     private static final double MAX_USE_PASS_THROUGH = 0.99;
 
     private static final int PRIORITY_FIRST_REQUEST = 1;
-    private static final int PRIORITY_REPEATED = 2;
+    private static final int PRIORITY_RECENT = 2;
 
-    /** Time past the purge window for which a purge is remembered. */
+    /** Time for which a purge is remembered after the end of the purge window. */
     private static final long PURGE_MEMORY_NS = 1_000_000_000L;
 
+    /** A candidate endpoint with its fill source and expected latency. */
     private record Choice(Endpoint endpoint, Endpoint source, double costNs) {}
 
     private final RouterSettings settings;
     private final GroundTruth groundTruth;
     private final Map<Long, Endpoint> endpoints;
-    private final long clockMarginNs;
+    private final long clockToleranceNs;
 
-    /** When each object, or each group under a negative key, was purged last. */
+    /** Time of the last purge of each object, or of each group under its {@link #groupKey}. */
     private final Map<Long, Long> purges = new HashMap<>();
 
-    /** Creates a selector among {@code endpoints}, which its owner changes. */
+    /** Creates a selector among {@code endpoints}, a live map that the router updates. */
     OracleSelector(
             RouterSettings settings,
             GroundTruth groundTruth,
             Map<Long, Endpoint> endpoints,
-            long clockMarginNs) {
+            long clockToleranceNs) {
         this.settings = settings;
         this.groundTruth = groundTruth;
         this.endpoints = endpoints;
-        this.clockMarginNs = clockMarginNs;
+        this.clockToleranceNs = clockToleranceNs;
     }
 
     void onPurge(long now, PurgeReceived purge) {
@@ -79,10 +93,14 @@
         return -1L - group;
     }
 
-    /** The attempt with the lowest expected latency, or null where no endpoint can be used. */
+    /**
+     * Returns the attempt with the lowest expected latency, or null if no endpoint can be used.
+     *
+     * @param remainingNs time until the deadline of the request
+     */
     StartAttempt cheapest(
-            long now, OracleRequest open, RequestClass requestClass, long remainingNs) {
-        long maxAgeNs = maxAgeNs(now, open.request, requestClass);
+            long now, OracleRequest pending, RequestClass requestClass, long remainingNs) {
+        long maxAgeNs = maxAgeNs(now, pending.request, requestClass);
         boolean passThrough = requestClass.passThrough();
         Choice best = new Choice(null, null, Double.MAX_VALUE);
         for (Endpoint endpoint : endpoints.values()) {
@@ -94,11 +112,11 @@
             if (passThrough ? !origin : !localCache) {
                 continue;
             }
-            double costNs = costNs(endpoint, open, passThrough);
+            double costNs = costNs(endpoint, pending, passThrough);
             Choice choice =
-                    passThrough || hasCopy(endpoint, open.request, maxAgeNs)
+                    passThrough || hasCopy(endpoint, pending.request, maxAgeNs)
                             ? new Choice(endpoint, endpoint, costNs)
-                            : cheapestFill(endpoint, costNs, open, maxAgeNs);
+                            : cheapestFill(endpoint, costNs, pending, maxAgeNs);
             if (choice.costNs < best.costNs) {
                 best = choice;
             }
@@ -106,9 +124,9 @@
         if (best.endpoint == null || best.costNs >= MAX_USABLE_NS) {
             return null;
         }
-        int priority = open.repeated ? PRIORITY_REPEATED : PRIORITY_FIRST_REQUEST;
+        int priority = pending.recentlyRequested ? PRIORITY_RECENT : PRIORITY_FIRST_REQUEST;
         return new StartAttempt(
-                open.request.id(),
+                pending.request.id(),
                 best.endpoint.id(),
                 remainingNs,
                 best.source.id(),
@@ -120,23 +138,23 @@
     }
 
     private Choice cheapestFill(
-            Endpoint endpoint, double endpointCostNs, OracleRequest open, long maxAgeNs) {
-        boolean joinsFill = isFilling(endpoint, open.request);
+            Endpoint endpoint, double endpointCostNs, OracleRequest pending, long maxAgeNs) {
+        boolean joinsFill = isFilling(endpoint, pending.request);
         Choice best = new Choice(endpoint, null, Double.MAX_VALUE);
         for (Endpoint source : endpoints.values()) {
             boolean parent = source.kind() == settings.parentKind();
             if (!parent && source.kind() != settings.originKind()) {
                 continue;
             }
-            // A request that joins a fill asks nothing more of its source.
+            // A request that joins a fill in progress causes no load on the fill source.
             double sourceCostNs =
                     joinsFill && parent && source.state() == EndpointState.READY
                             ? NOMINAL_TRANSFER_NS
-                            : costNs(source, open, false);
+                            : costNs(source, pending, false);
             double totalNs =
                     endpointCostNs
                             + sourceCostNs
-                            + behindSourceCostNs(source, open, parent, joinsFill, maxAgeNs);
+                            + upstreamCostNs(source, pending, parent, joinsFill, maxAgeNs);
             if (totalNs < best.costNs) {
                 best = new Choice(endpoint, source, totalNs);
             }
@@ -144,35 +162,40 @@
         return best;
     }
 
-    // A copy at a parent serves all zones, so that the origin is a source only where no parent
-    // can be one.
-    private double behindSourceCostNs(
-            Endpoint source, OracleRequest open, boolean parent, boolean joinsFill, long maxAgeNs) {
+    // Returns the expected time that the fill source needs to get the object itself. Filling from
+    // the origin incurs a penalty, so that it is used only if no parent is available: a copy at a
+    // parent can serve all zones.
+    private double upstreamCostNs(
+            Endpoint source,
+            OracleRequest pending,
+            boolean parent,
+            boolean joinsFill,
+            long maxAgeNs) {
         if (!parent) {
             return FAILURE_COST_NS;
         }
         boolean available =
                 joinsFill
-                        || hasCopy(source, open.request, maxAgeNs)
-                        || isFilling(source, open.request);
-        return available ? 0 : originCostNs(open);
+                        || hasCopy(source, pending.request, maxAgeNs)
+                        || isFilling(source, pending.request);
+        return available ? 0 : originCostNs(pending);
     }
 
-    private double originCostNs(OracleRequest open) {
+    private double originCostNs(OracleRequest pending) {
         return endpoints.values().stream()
                 .filter(endpoint -> endpoint.kind() == settings.originKind())
-                .mapToDouble(endpoint -> costNs(endpoint, open, false))
+                .mapToDouble(endpoint -> costNs(endpoint, pending, false))
                 .min()
                 .orElse(UNUSABLE_NS);
     }
 
-    // Expected time until a response has come from an endpoint.
-    private double costNs(Endpoint endpoint, OracleRequest open, boolean passThrough) {
+    // Returns the expected time until an endpoint has responded, without the time of a fill.
+    private double costNs(Endpoint endpoint, OracleRequest pending, boolean passThrough) {
         TestServer server = server(endpoint);
         double maxUse =
                 passThrough
                         ? MAX_USE_PASS_THROUGH
-                        : open.repeated ? MAX_USE_REPEATED : MAX_USE_FIRST_REQUEST;
+                        : pending.recentlyRequested ? MAX_USE_RECENT : MAX_USE_FIRST_REQUEST;
         if (endpoint.state() != EndpointState.READY
                 || !server.isUp()
                 || server.utilization() > maxUse
@@ -188,11 +211,13 @@
                                 + server.faults.truncatedShare);
         return NOMINAL_TRANSFER_NS / Math.max(1e-3, server.nextTransferRateShare())
                 + failureShare / (1 - failureShare) * FAILURE_COST_NS
-                + (open.failedEndpoints.contains(endpoint.id()) ? FAILURE_COST_NS : 0)
-                + TIE_BREAK_NS * hash(open.request, endpoint.id());
+                + (pending.failedEndpoints.contains(endpoint.id()) ? FAILURE_COST_NS : 0)
+                + TIE_BREAK_NS * tieBreakShare(pending.request, endpoint.id());
     }
 
-    private static double hash(RequestReceived request, long endpoint) {
+    // Returns a pseudo-random number from 0 to 1 that is always the same for a part and an
+    // endpoint.
+    private static double tieBreakShare(RequestReceived request, long endpoint) {
         long x =
                 (request.object() * 31 + request.part()) * 0x9e3779b97f4a7c15L
                         ^ endpoint * 0xbf58476d1ce4e5b9L;
@@ -213,7 +238,7 @@
         return ageNs >= 0 && (maxAgeNs == 0 || ageNs < maxAgeNs);
     }
 
-    // The oldest copy that may be served; 0 for any.
+    // Returns the maximum age of a copy that may be served, or 0 if every copy may.
     private long maxAgeNs(long now, RequestReceived request, RequestClass requestClass) {
         long memoryNs = settings.safetyLimits().purgeWindowNs() + PURGE_MEMORY_NS;
         purges.values().removeIf(purgedNs -> now - purgedNs > memoryNs);
@@ -225,7 +250,7 @@
         if (purgedNs == Long.MIN_VALUE) {
             return Math.max(0, freshNs);
         }
-        long sincePurgeNs = Math.max(1, now - purgedNs - clockMarginNs);
+        long sincePurgeNs = Math.max(1, now - purgedNs - clockToleranceNs);
         return freshNs > 0 ? Math.min(freshNs, sincePurgeNs) : sincePurgeNs;
     }
 }
--- a/src/main/java/brooklock/faulttest/RandomRouter.java
+++ b/src/main/java/brooklock/faulttest/RandomRouter.java
@@ -26,8 +26,10 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /**
- * A lower bound to compare with: any ready cache, any ready parent, every copy cached, one attempt.
- * It heeds endpoint lists only.
+ * A routing strategy that serves as a lower bound in comparisons. It sends each request once, to a
+ * random ready cache of its zone with a random ready parent as fill source, and has every copy
+ * cached. Of the state of the fleet it uses only the endpoint lists. Used on the routing thread
+ * only.
  */
 final class RandomRouter implements RoutingStrategy {
     private static final int CACHE_KIND = 0;
@@ -45,7 +47,7 @@
 
     @Override
     public void start(long now, List<RouterAction> out) {
-        // Nothing to begin with.
+        // There is no state to initialize.
     }
 
     @Override
@@ -61,23 +63,23 @@
         } else if (event instanceof ClientDisconnected disconnected) {
             openRequests.remove(disconnected.id());
         } else if (event instanceof TimerFired timer) {
-            giveUp(timer.token(), out);
+            rejectOrFail(timer.token(), out);
         } else if (event instanceof AttemptCompleted completed) {
             if (completed.outcome() == AttemptOutcome.OK) {
                 openRequests.remove(completed.id());
             } else {
-                giveUp(completed.id(), out);
+                rejectOrFail(completed.id(), out);
             }
         }
     }
 
     private void send(long now, RequestReceived request, List<RouterAction> out) {
         boolean passThrough = settings.classes().get(request.classIndex()).passThrough();
-        Endpoint origin = randomReady(settings.originKind(), ANY_ZONE);
-        Endpoint endpoint = passThrough ? origin : randomReady(CACHE_KIND, settings.zone());
-        Endpoint parent = randomReady(settings.parentKind(), ANY_ZONE);
+        Endpoint origin = randomReadyEndpoint(settings.originKind(), ANY_ZONE);
+        Endpoint endpoint = passThrough ? origin : randomReadyEndpoint(CACHE_KIND, settings.zone());
+        Endpoint parent = randomReadyEndpoint(settings.parentKind(), ANY_ZONE);
         if (endpoint == null || origin == null) {
-            giveUp(request.id(), out);
+            rejectOrFail(request.id(), out);
             return;
         }
         Endpoint source = passThrough || parent == null ? origin : parent;
@@ -95,7 +97,7 @@
                         remainingNs));
     }
 
-    private Endpoint randomReady(int kind, int zone) {
+    private Endpoint randomReadyEndpoint(int kind, int zone) {
         List<Endpoint> ready =
                 endpoints.values().stream()
                         .filter(endpoint -> endpoint.kind() == kind)
@@ -105,7 +107,7 @@
         return ready.isEmpty() ? null : ready.get(random.nextInt(ready.size()));
     }
 
-    private void giveUp(long id, List<RouterAction> out) {
+    private void rejectOrFail(long id, List<RouterAction> out) {
         RequestReceived request = openRequests.remove(id);
         if (request != null) {
             boolean idempotent =
--- a/src/main/java/brooklock/faulttest/ScenarioPlayer.java
+++ b/src/main/java/brooklock/faulttest/ScenarioPlayer.java
@@ -8,35 +8,42 @@
 import java.util.Set;
 import java.util.function.Consumer;
 
-/** Plays the faults of a scenario on a fleet, each at its time. Works on the fleet's I/O thread. */
+/**
+ * Injects the faults of a scenario into a fleet, each at its time, and clears them when they end.
+ * The faults are injected on the fleet's I/O thread.
+ */
 final class ScenarioPlayer {
-    /** Targets that are no server. */
+    /** Kinds of targets other than servers. */
     private static final Set<String> OTHER_TARGETS = Set.of("dispatcher", "tenant");
 
     private static final long RESTART_DOWNTIME_NS = 200_000_000L;
     private static final long DEPLOY_DOWNTIME_NS = 300_000_000L;
 
     /**
-     * The registry learns of a silent machine by so many of its usual delays: a machine that is
-     * silent is found missing later than one whose process died.
+     * Factor by which the list delay is longer for a silent endpoint: the registry notices a
+     * machine that does not respond later than a process that has ended.
      */
     private static final int SILENCE_DELAY_MULTIPLE = 4;
 
     private final TestFleet fleet;
     private final Consumer<String> progress;
 
-    /** Creates a player; {@code progress} receives the line of each fault as it begins. */
+    /**
+     * Creates a player that passes the line of each fault to {@code progress} when the fault
+     * begins.
+     */
     ScenarioPlayer(TestFleet fleet, Consumer<String> progress) {
         this.fleet = fleet;
         this.progress = progress;
     }
 
-    /** Schedules every fault; its targets are drawn now. */
+    /** Draws the targets of every fault and schedules its beginning and end. */
     void start() {
         for (Fault fault : fleet.scenario.faults) {
-            boolean strikesServers =
+            boolean targetsServers =
                     fault.target() != null && !OTHER_TARGETS.contains(fault.target().kind());
-            List<TestServer> targets = strikesServers ? fleet.targetsOf(fault.target()) : List.of();
+            List<TestServer> targets =
+                    targetsServers ? fleet.drawTargets(fault.target()) : List.of();
             fleet.schedule(
                     fault.fromNs(),
                     () -> {
@@ -49,7 +56,7 @@
         }
     }
 
-    // ---- Faults begin
+    // ---- Beginning of faults
 
     private void inject(Fault fault, List<TestServer> targets) {
         switch (fault.kind()) {
@@ -60,14 +67,14 @@
             case DEPLOY -> deploy(fault, targets);
             case PURGE -> purge(fault.amount());
             case ROTATE -> fleet.issuer.rotateKeys(fleet);
-            case ROLL -> roll(fault);
+            case ROLL -> rollDispatchers(fault);
             case BURST -> fleet.population.rateMultiple = fault.amount();
-            case SCAN -> fleet.population.scanShare = fault.amount();
-            case HEAVY -> fleet.population.heavyShare = fault.amount();
+            case SCAN -> fleet.population.uniqueObjectShare = fault.amount();
+            case HEAVY -> fleet.population.largeObjectShare = fault.amount();
             case FLOOD ->
                     fleet.population.tenantFlood =
                             new ClientPopulation.TenantFlood(
-                                    number(fault.target()), fault.amount());
+                                    zeroBasedIndex(fault.target()), fault.amount());
             default -> targets.forEach(server -> injectInto(server.faults, fault));
         }
     }
@@ -76,24 +83,26 @@
         switch (fault.kind()) {
             case ERRORS -> faults.errorShare = fault.amount();
             case LOSE -> {
-                faults.lostByReset = fault.reset();
+                faults.lostByReset = fault.byReset();
                 faults.lostShare = fault.amount();
             }
             case CUT -> faults.truncatedShare = fault.amount();
             case SLOW -> faults.slowdown = fault.amount();
             case REFUSE -> faults.rejectShare = fault.amount();
-            default -> throw new IllegalStateException("no such trouble: " + fault);
+            default ->
+                    throw new IllegalStateException(
+                            "expected a fault of servers' requests but received " + fault);
         }
     }
 
-    // Dispatchers and tenants are numbered from 1 in the scenario.
-    private static int number(Fault.Target target) {
+    // Scenarios number dispatchers and tenants from 1.
+    private static int zeroBasedIndex(Fault.Target target) {
         return Integer.parseInt(target.name()) - 1;
     }
 
     private void kill(Fault fault, List<TestServer> targets) {
         if (targets.isEmpty()) {
-            fleet.killDispatcher(number(fault.target()), fault.spanNs());
+            fleet.killDispatcher(zeroBasedIndex(fault.target()), fault.spanNs());
         }
         targets.forEach(server -> fleet.kill(server, fault.spanNs()));
     }
@@ -110,7 +119,7 @@
                 SILENCE_DELAY_MULTIPLE * fleet.scenario.listDelayNs,
                 () -> {
                     if (server.faults.silent) {
-                        fleet.publishLater(server.name(), EndpointState.GONE);
+                        fleet.publishAfterDelay(server.name(), EndpointState.GONE);
                     }
                 });
     }
@@ -121,19 +130,20 @@
     }
 
     private void publish(TestServer server, EndpointState state) {
-        fleet.publisher.publishState(fleet.listed(server.name(), state));
+        fleet.publisher.publishState(fleet.toListedEndpoint(server.name(), state));
     }
 
-    // Batch by batch: drained, then restarted cold; the next batch when its time has come.
+    // Drains and restarts the targets in batches, at equal intervals over the duration of the
+    // fault.
     private void deploy(Fault fault, List<TestServer> targets) {
         int batchSize = Math.max(1, (int) Math.round(fault.amount() * targets.size()));
         int batches = (targets.size() + batchSize - 1) / batchSize;
         long stepNs = (fault.toNs() - fault.fromNs()) / batches;
-        List<TestServer> left = new ArrayList<>(targets);
-        for (int i = 0; !left.isEmpty(); i++) {
+        List<TestServer> remaining = new ArrayList<>(targets);
+        for (int i = 0; !remaining.isEmpty(); i++) {
             List<TestServer> batch =
-                    new ArrayList<>(left.subList(0, Math.min(batchSize, left.size())));
-            left.removeAll(batch);
+                    new ArrayList<>(remaining.subList(0, Math.min(batchSize, remaining.size())));
+            remaining.removeAll(batch);
             fleet.schedule(
                     i * stepNs,
                     () -> batch.forEach(server -> drainAndRestart(server, fault.spanNs())));
@@ -153,7 +163,7 @@
         }
     }
 
-    private void roll(Fault fault) {
+    private void rollDispatchers(Fault fault) {
         long stepNs = (fault.toNs() - fault.fromNs()) / fleet.dispatchers.size();
         for (int i = 0; i < fleet.dispatchers.size(); i++) {
             int dispatcher = i;
@@ -163,7 +173,7 @@
         }
     }
 
-    // ---- Faults end
+    // ---- End of faults
 
     private void clear(Fault fault, List<TestServer> targets) {
         switch (fault.kind()) {
@@ -174,14 +184,14 @@
                                 fleet.restart(server);
                             });
             case BURST -> fleet.population.rateMultiple = 1;
-            case SCAN -> fleet.population.scanShare = 0;
-            case HEAVY -> fleet.population.heavyShare = 0;
+            case SCAN -> fleet.population.uniqueObjectShare = 0;
+            case HEAVY -> fleet.population.largeObjectShare = 0;
             case FLOOD -> fleet.population.tenantFlood = ClientPopulation.TenantFlood.NONE;
-            default -> targets.forEach(server -> clearIn(server.faults, fault.kind()));
+            default -> targets.forEach(server -> clearFrom(server.faults, fault.kind()));
         }
     }
 
-    private static void clearIn(InjectedFaults faults, Fault.Kind kind) {
+    private static void clearFrom(InjectedFaults faults, Fault.Kind kind) {
         switch (kind) {
             case ERRORS -> faults.errorShare = 0;
             case LOSE -> faults.lostShare = 0;
@@ -189,7 +199,7 @@
             case SLOW -> faults.slowdown = 1;
             case REFUSE -> faults.rejectShare = 0;
             default -> {
-                // It ends by itself.
+                // The fault is momentary or ends by itself.
             }
         }
     }
