--- a/src/main/java/brooklock/platform/AttemptHandler.java
+++ b/src/main/java/brooklock/platform/AttemptHandler.java
@@ -17,6 +17,6 @@
      */
     Optional<ByteBuffer> startAndEncode(EndpointAttempt attempt);
 
-    /** Called with the result of an attempt, also of one that could not be sent. */
+    /** Called with the result of an attempt, including an attempt that could not be sent. */
     void onCompleted(EndpointAttempt attempt, AttemptResult result);
 }
--- a/src/main/java/brooklock/platform/AttemptResult.java
+++ b/src/main/java/brooklock/platform/AttemptResult.java
@@ -7,13 +7,13 @@
  * The result of an attempt.
  *
  * @param outcome how the attempt ended
- * @param cacheStatus the status that the endpoint reports for its cached copy or its fill
+ * @param cacheStatus how the endpoint used its cached copy or its fill source, as it reports
  * @param fillDurationNs the time for which the endpoint waited for its fill source, ns
- * @param notModified whether the endpoint confirmed the client's own copy, so that the response has
- *     no body
+ * @param notModified whether the endpoint reports that the client's copy is current; the response
+ *     then has no body
  * @param body the bytes of the object; empty if the response has no body
  */
-@SuppressWarnings("ArrayRecordComponent") // Never compared; a copy of each body would be wasted.
+@SuppressWarnings("ArrayRecordComponent") // Never compared; not copied, to save memory.
 record AttemptResult(
         AttemptOutcome outcome,
         CacheStatus cacheStatus,
--- a/src/main/java/brooklock/platform/ByteAccumulator.java
+++ b/src/main/java/brooklock/platform/ByteAccumulator.java
@@ -4,9 +4,9 @@
 import java.util.Arrays;
 
 /**
- * Accumulates a text or body of known length that arrives in pieces. The buffer grows with the
- * bytes received and not with the announced length; otherwise a peer could make the dispatcher
- * allocate memory merely by announcing long bodies. Performs no I/O; not thread-safe.
+ * Accumulates a text or body of known length that arrives in pieces. The array grows with the bytes
+ * received and not with the announced length; otherwise a peer could make the dispatcher allocate
+ * memory merely by announcing long bodies. Performs no I/O; not thread-safe.
  */
 final class ByteAccumulator {
     // Holds most texts without growing; the largest body needs a few doublings.
@@ -27,7 +27,7 @@
     }
 
     /**
-     * Appends bytes from a buffer, at most as many as are missing.
+     * Appends bytes from a buffer until the announced length is reached or the buffer is empty.
      *
      * @return whether all announced bytes have been received
      */
--- a/src/main/java/brooklock/platform/ClientConnection.java
+++ b/src/main/java/brooklock/platform/ClientConnection.java
@@ -23,18 +23,22 @@
  * cancelled when their connection closes.
  */
 final class ClientConnection implements RawConnection.EventListener {
-    /** Maximum number of open calls per connection, set by the protocol; more are rejected. */
+    /**
+     * Maximum number of open calls per connection, set by the protocol; further calls are rejected.
+     */
     static final int MAX_OPEN_CALLS = 32;
 
-    // Number of invalid calls that are answered; the next one closes the connection, so that a
-    // client that sends only invalid calls cannot keep the dispatcher busy.
+    // Maximum number of invalid calls per connection that are answered. The next invalid call
+    // closes the connection; otherwise a client that sends only invalid calls could keep the
+    // dispatcher busy.
     private static final int MAX_INVALID_CALLS = 4;
     // Time within which the next bytes of a message, or the first byte on a new connection, must
     // arrive, ns.
     private static final long MESSAGE_PROGRESS_TIMEOUT_NS = 2_000_000_000L;
     // Time within which a client must read at least one byte of the pending output, ns.
     private static final long WRITE_STALL_TIMEOUT_NS = 5_000_000_000L;
-    // Time for a client to close its side after output has been shut down, ns: many round trips.
+    // Time for a client to close its side after output has been shut down, ns; enough for many
+    // round trips.
     private static final long CLOSE_TIMEOUT_NS = 1_000_000_000L;
     // Reading from a client is suspended while more bytes than this wait to be written to it.
     private static final long MAX_PENDING_WRITE_BYTES = 512 * 1024;
@@ -76,7 +80,8 @@
 
     /**
      * Closes the connection gracefully if it is still idle after all input that the operating
-     * system has received was read. Without that read, a call that has just arrived would be lost.
+     * system has received has been read. Otherwise a call that has arrived but has not been read
+     * would be lost.
      *
      * @return whether the connection is now closing
      */
@@ -139,8 +144,9 @@
         }
     }
 
-    // Bounds the duration of a whole message: a client that sends one byte at a time restarts the
-    // progress timeout with each byte and could otherwise occupy its connection indefinitely.
+    // Bounds the duration of a whole message. The progress timeout alone is not enough: a client
+    // that sends one byte at a time restarts it with each byte and could occupy its connection
+    // indefinitely.
     private void checkMessageDuration(boolean messageStarted) throws MalformedMessageException {
         if (messageStarted) {
             messageStartedAtNs = System.nanoTime();
@@ -148,7 +154,7 @@
             throw new MalformedMessageException(
                     "expected a complete message within "
                             + listener.messageTimeoutNs() / 1_000_000
-                            + " ms of its first byte");
+                            + " ms of its first byte but the message is still incomplete");
         }
     }
 
@@ -171,7 +177,7 @@
         }
         if (openRequests.containsKey(messageId) || unsubmittedCalls.containsKey(messageId)) {
             throw new MalformedMessageException(
-                    "expected a message id without an open call but received " + messageId);
+                    "expected a message id that no open call uses but received " + messageId);
         }
         if (message instanceof RpcMessage.HealthCheck) {
             write(RpcEncoder.health(messageId, listener.isHealthy()));
@@ -181,7 +187,7 @@
                     RpcError.REJECTED,
                     "expected at most "
                             + MAX_OPEN_CALLS
-                            + " open calls per connection but received one more, message id "
+                            + " open calls per connection but received another call, with message id "
                             + messageId);
         } else {
             unsubmittedCalls.put(messageId, (RpcMessage.Call) message);
@@ -221,9 +227,9 @@
             respondClientFault(
                     messageId,
                     RpcError.INVALID,
-                    "expected a new request id in field "
+                    "expected a request id that no open request uses in field "
                             + ClientRequestParser.ID
-                            + " but received the id of an open request, message id "
+                            + " but received the id of an open request in the call with message id "
                             + messageId);
         } else if (listener.isRejectingRequests() || !executor.canAccept(clientRequest)) {
             write(RpcEncoder.error(messageId, RpcError.REJECTED));
@@ -249,13 +255,16 @@
             throw new MalformedMessageException(
                     "expected at most "
                             + MAX_INVALID_CALLS
-                            + " invalid calls per connection but received one more, message id "
+                            + " invalid calls per connection but received another, with message id "
                             + messageId);
         }
         write(RpcEncoder.error(messageId, error));
     }
 
-    /** Sends the object, or the confirmation of the client's own copy, as the final response. */
+    /**
+     * Sends the object as the final response or, if the client's copy is current, a response
+     * without a body that states so.
+     */
     void respondServed(PendingClientRequest request, AttemptResult result) {
         if (closeRequest(request)) {
             write(
@@ -266,10 +275,10 @@
     }
 
     /**
-     * Sends a rejection as the final response. The request was not executed, so that the client may
-     * retry it.
+     * Sends a rejection as the final response. The client may retry it: either the request was not
+     * executed, or executing it again is harmless.
      *
-     * @param retryAfterNs the delay after which the client may retry, ns; 0 to name none
+     * @param retryAfterNs the delay after which the client may retry, ns; 0 to omit it
      */
     void respondRejected(PendingClientRequest request, long retryAfterNs) {
         if (closeRequest(request)) {
@@ -277,7 +286,7 @@
         }
     }
 
-    /** Sends an error as the final response: the request may have been executed. */
+    /** Sends an error as the final response. The request may have been executed. */
     void respondFailed(PendingClientRequest request) {
         if (closeRequest(request)) {
             write(RpcEncoder.error(request.messageId(), RpcError.FAILED));
--- a/src/main/java/brooklock/platform/ClientListener.java
+++ b/src/main/java/brooklock/platform/ClientListener.java
@@ -27,13 +27,14 @@
     // Maximum number of established connections that wait in the operating system to be accepted.
     private static final int ACCEPT_BACKLOG = 512;
     // Time after which an idle connection is closed, ns. Clients close idle connections after 4 s;
-    // this timeout is longer so that a client does not send a call while its connection is closed.
+    // with a shorter timeout a client could send a call while the dispatcher closes the connection.
     private static final long IDLE_TIMEOUT_NS = 8_000_000_000L;
     private static final long SWEEP_INTERVAL_NS = 500_000_000L;
     // Maximum duration of a whole message, ns; longer than every deadline.
     private static final long MESSAGE_TIMEOUT_NS = 6_000_000_000L;
-    // The responses that clients have not read yet may occupy the heap size divided by this. Above
-    // that the connection with the most pending bytes is closed; otherwise the heap would fill up.
+    // The responses that clients have not read yet may occupy the heap size divided by this. If
+    // they occupy more, the connection with the most pending bytes is closed; otherwise the heap
+    // would fill up.
     private static final int PENDING_WRITE_HEAP_DIVISOR = 4;
 
     /** Interval at which a shutdown closes connections that have become idle, ns. */
@@ -64,7 +65,7 @@
      * @param loop the I/O thread that owns the listener
      * @param requestClasses the rules of each request class by the name of the class
      * @param maxConnections maximum number of open connections; when it is reached, a new
-     *     connection replaces an idle one, or is closed if none is idle
+     *     connection replaces an idle connection, or is closed if no connection is idle
      * @param executor the executor of the requests
      */
     ClientListener(
@@ -104,7 +105,7 @@
     }
 
     // Evicts the oldest idle connection that has never sent a message, or else the connection that
-    // has been idle for longest. Otherwise silent clients could lock out clients that have
+    // has been idle for longest. Without eviction, silent clients could lock out clients that have
     // requests. Returns whether a connection was evicted.
     private boolean evictIdle() {
         ClientConnection longestIdle = null;
@@ -200,7 +201,10 @@
         return requestClasses;
     }
 
-    /** Returns the answer to health checks: whether new clients are wanted. */
+    /**
+     * Returns whether health checks are answered with true; false once {@link #reportUnhealthy} has
+     * been called.
+     */
     boolean isHealthy() {
         return healthy;
     }
--- a/src/main/java/brooklock/platform/ClientRequest.java
+++ b/src/main/java/brooklock/platform/ClientRequest.java
@@ -4,20 +4,20 @@
  * A client's request, validated by {@link ClientRequestParser}. Immutable; the body must not be
  * modified.
  *
- * @param id the id of the request; a client's retry has a new one
+ * @param id the id of the request; a retry by the client has a new id
  * @param classIndex the router's index of the request class
  * @param className the name of the request class
  * @param objectHex the id of the object, 16 hexadecimal digits
  * @param part the index of the object's part, from 0
  * @param group the purge group of the object
- * @param sizeKb the size of the part in the router's unit, KB; 0 if unknown
+ * @param sizeKb the size of the part, KB; 0 if unknown
  * @param timeoutMs the time for which the client waits for the response, ms
  * @param clientRetry whether the client marked the request as a retry
  * @param idempotencyKey the idempotency key; null if the class does not require one
  * @param etag the entity tag of the client's copy; null if the client has none
- * @param body the body to be written; empty if the request has none
+ * @param body the body that the request writes; empty if it has none
  */
-@SuppressWarnings("ArrayRecordComponent") // Never compared; a copy of each body would be wasted.
+@SuppressWarnings("ArrayRecordComponent") // Never compared; not copied, to save memory.
 record ClientRequest(
         long id,
         int classIndex,
--- a/src/main/java/brooklock/platform/ClientRequestParser.java
+++ b/src/main/java/brooklock/platform/ClientRequestParser.java
@@ -43,6 +43,7 @@
     private static final Pattern DECIMAL = Pattern.compile("[0-9]{1,9}(\\.[0-9]{1,18})?");
     private static final int MAX_PART = 65_535;
     private static final int MAX_GROUP = 255;
+    // The default value that marks an integer field as required.
     private static final int REQUIRED = -1;
 
     private ClientRequestParser() {}
@@ -102,7 +103,7 @@
             throws InvalidRequestException {
         String value = fields.get(name);
         if (value == null) {
-            throw new InvalidRequestException("field " + name + " is missing");
+            throw new InvalidRequestException("expected field " + name + " but it is missing");
         }
         if (!pattern.matcher(value).matches()) {
             throw new InvalidRequestException(
@@ -110,7 +111,7 @@
                             + name
                             + " to match "
                             + pattern
-                            + " but received another value of "
+                            + " but received a different value of "
                             + value.length()
                             + " characters");
         }
@@ -146,7 +147,7 @@
             throw new InvalidRequestException(
                     "expected field "
                             + RETRY
-                            + " to be 0 or 1 but received another value of "
+                            + " to be 0 or 1 but received a different value of "
                             + value.length()
                             + " characters");
         }
@@ -163,7 +164,7 @@
                             + SIZE
                             + " to match "
                             + DECIMAL
-                            + " but received another value of "
+                            + " but received a different value of "
                             + value.length()
                             + " characters");
         }
--- a/src/main/java/brooklock/platform/ConnectionBudget.java
+++ b/src/main/java/brooklock/platform/ConnectionBudget.java
@@ -14,9 +14,9 @@
     boolean permitsConnection(int currentConnections);
 
     /**
-     * Closes the connection that has been idle for longest if all connections are in use, so that
-     * one more can be opened. Must be called only if that is {@linkplain #permitsConnection
-     * permitted}.
+     * Closes the connection that has been idle for longest if the maximum number of connections to
+     * all endpoints is open, so that a new connection can be opened. Must be called only after
+     * {@link #permitsConnection} has returned true.
      */
     void evictIdleIfFull();
 }
--- a/src/main/java/brooklock/platform/ConnectionOpener.java
+++ b/src/main/java/brooklock/platform/ConnectionOpener.java
@@ -9,26 +9,27 @@
  * Opens connections to one endpoint and tracks those that are not established yet. Not thread-safe;
  * owned by the I/O thread.
  *
- * <p>A pending connection is expected at first, slow after a fraction of the connect timeout, and
- * overdue after the whole timeout. It ends as connected, failed or cancelled. Each connection that
- * is not overdue accounts for one queued attempt. An overdue connection is not cancelled, although
- * no attempt waits for it any more: a new connection would be delayed in the same way, and once the
- * overdue one is established it serves later attempts.
+ * <p>A pending connection becomes slow after a fraction of the connect timeout and overdue after
+ * the whole timeout. It ends as connected, failed or cancelled. Each pending connection that is not
+ * overdue is meant for one queued attempt. An overdue connection remains pending until a multiple
+ * of the timeout has passed, although no attempt waits for it any more: a new connection would be
+ * delayed in the same way, and an overdue connection that is established late serves later
+ * attempts.
  */
 final class ConnectionOpener {
     // A pending connection is slow after the connect timeout divided by this.
     private static final int SLOW_CONNECT_DIVISOR = 8;
-    // A pending connection is abandoned after the connect timeout multiplied by this.
+    // A pending connection fails after the connect timeout multiplied by this.
     private static final int MAX_CONNECT_TIMEOUTS = 4;
 
     /** Receives the results of connecting. All methods are called on the I/O thread. */
     interface Listener {
-        /** Called when a connection is established, also if it was overdue. */
+        /** Called when a connection is established, even if it was overdue. */
         void onConnected(RawConnection transport);
 
         /**
-         * Called when a connection is slow. Attempts that wait for it should share an established
-         * connection.
+         * Called when a pending connection becomes slow. Queued attempts should then share an
+         * established connection.
          */
         void onSlow();
 
@@ -116,7 +117,10 @@
     private void onTimeout(PendingConnection pending) {
         if (pendingConnections.contains(pending)) {
             pending.overdue = true;
-            listener.onFailed("no connection in time");
+            listener.onFailed(
+                    "no connection in time: not established within "
+                            + settings.connectTimeoutNs() / 1_000_000
+                            + " ms");
         }
     }
 }
--- a/src/main/java/brooklock/platform/ConnectionSettings.java
+++ b/src/main/java/brooklock/platform/ConnectionSettings.java
@@ -25,7 +25,7 @@
     private static final long IDLE_MARGIN_NS = 5_000_000_000L;
 
     /**
-     * Returns the settings of a configuration.
+     * Creates the settings from a configuration.
      *
      * @param loop the I/O thread that owns the connections
      * @param connectFunction opens connections
--- a/src/main/java/brooklock/platform/DiscoveredEndpointTable.java
+++ b/src/main/java/brooklock/platform/DiscoveredEndpointTable.java
@@ -18,9 +18,10 @@
  * The endpoint list of the discovery service, indexed by name and by the router's endpoint id.
  * Performs no I/O; not thread-safe; owned by the I/O thread.
  *
- * <p>The id of an endpoint is the checksum of its name, so that all dispatchers hash objects to the
- * same endpoints, also after a restart. If two names have the same checksum, which is not expected,
- * the later one gets the next free id, and dispatchers may then differ in the id of that endpoint.
+ * <p>The id of an endpoint is the CRC-32 of its name. All dispatchers therefore assign the same
+ * ids, even after a restart, and hash objects to the same endpoints. If the CRC-32 of a new name is
+ * 0 or is in use, which is unlikely, the endpoint gets the next free id; dispatchers may then
+ * assign different ids to it.
  */
 final class DiscoveredEndpointTable {
     private static final long MAX_ID = 0xffffffffL;
@@ -98,7 +99,8 @@
 
     /**
      * Applies an update of the list. Endpoints of an unknown zone, kind or state, or without a
-     * valid address, are ignored.
+     * valid address, are ignored, unless the update states that an endpoint of the table has left
+     * the list.
      *
      * @return the router's event for the update
      */
@@ -160,7 +162,7 @@
     }
 
     // Returns null for an invalid address instead of throwing: one invalid endpoint must not cause
-    // the rest of its list to be dropped.
+    // the rest of the list to be dropped.
     private static InetSocketAddress parseAddress(DiscoveryEvent.Endpoint endpoint) {
         try {
             return SocketAddressParser.parse(endpoint.address());
--- a/src/main/java/brooklock/platform/DiscoveryClient.java
+++ b/src/main/java/brooklock/platform/DiscoveryClient.java
@@ -12,13 +12,13 @@
 
 /**
  * Receives the events of the discovery service in sequence and delivers each of them once, over
- * connections that may break, fall silent or repeat events. Not thread-safe; owned by the I/O
+ * connections that may be lost, stop sending or repeat events. Not thread-safe; owned by the I/O
  * thread.
  *
  * <p>The client connects, requests the events after the last one that it has received, and reads
- * until the connection is closed, is silent for too long, or delivers events out of sequence. Then
- * it waits for a backoff and reconnects. No event is delivered twice, because at most one
- * connection is open at a time and each sequence number is accepted only once.
+ * until the connection is closed, no line has arrived for too long, or an event is missing. Then it
+ * waits for a backoff and reconnects. No event is delivered twice, because at most one connection
+ * is open at a time and each sequence number is accepted only once.
  */
 final class DiscoveryClient implements RawConnection.EventListener {
     private static final Logger LOG = LoggerFactory.getLogger(DiscoveryClient.class);
@@ -27,12 +27,12 @@
     // Time without a line after which the connection is considered lost, ns; the service sends a
     // heartbeat each second.
     private static final long SILENCE_TIMEOUT_NS = 1_600_000_000L;
-    // Backoff before reconnecting, ns; it doubles with each lost connection until an event is
-    // received.
+    // Backoff before reconnecting, ns; it doubles with each reconnect until an event is received.
     private static final long INITIAL_BACKOFF_NS = 100_000_000L;
     private static final long MAX_BACKOFF_NS = 500_000_000L;
     // Bounds of the random factor by which each backoff is multiplied. A failure of the service
-    // disconnects all dispatchers at once; without jitter they would all reconnect at once.
+    // disconnects all dispatchers at once; without jitter they would all reconnect at the same
+    // time.
     private static final double MIN_JITTER = 0.2;
     private static final double MAX_JITTER = 1.6;
 
@@ -45,6 +45,8 @@
     private RawConnection connection;
     private DiscoveryEventDecoder decoder;
     private long backoffNs = INITIAL_BACKOFF_NS;
+    // Incremented by each connect and each scheduled reconnect. A scheduled reconnect whose
+    // generation is no longer current does nothing.
     private int connectGeneration;
 
     /**
@@ -156,7 +158,7 @@
                                 + lastSequence
                                 + " but received "
                                 + event.sequence()
-                                + ", so that at least one event is missing");
+                                + ": at least one event is missing");
             }
         } else if (event.sequence() > lastSequence + 1) {
             throw new MalformedMessageException(
--- a/src/main/java/brooklock/platform/DiscoveryEvent.java
+++ b/src/main/java/brooklock/platform/DiscoveryEvent.java
@@ -6,7 +6,10 @@
 
 /** An event of the platform's discovery service. Immutable. */
 public sealed interface DiscoveryEvent {
-    /** Returns the sequence number; events are numbered from 1 at the start of a dispatcher. */
+    /**
+     * Returns the sequence number. The events are numbered consecutively, from 1 at the start of a
+     * dispatcher.
+     */
     long sequence();
 
     /**
@@ -17,8 +20,9 @@
      * @param zone the name of its zone; empty if absent
      * @param kind the name of its kind; empty if absent
      * @param state the state; empty if the service sent a state that this program does not know
-     * @param weight the weight
-     * @param startedAtMs the time of its start, Unix ms; 0 if it started long ago
+     * @param weight the capacity of the endpoint relative to its peers; 1 if absent
+     * @param startedAtMs the time of its start, Unix ms; 0 if absent, which means that it started
+     *     long ago
      */
     record Endpoint(
             String name,
@@ -30,11 +34,11 @@
             long startedAtMs) {}
 
     /**
-     * The complete endpoint list or a change of it.
+     * The complete endpoint list or a change to it.
      *
      * @param sequence the sequence number of the event
      * @param snapshot whether the event contains the complete list
-     * @param endpoints the endpoints of the complete list, or the changed ones
+     * @param endpoints the endpoints of the complete list, or only the endpoints that have changed
      */
     record EndpointListUpdate(long sequence, boolean snapshot, List<Endpoint> endpoints)
             implements DiscoveryEvent {}
@@ -44,7 +48,7 @@
      *
      * @param sequence the sequence number of the event
      * @param objectId the id of the object; 0 for all objects of the group
-     * @param group the purge group
+     * @param group the purge group; 0 if absent
      * @param purgedAtMs the time at which the purge was issued, Unix ms
      */
     record Purge(long sequence, long objectId, int group, long purgedAtMs)
--- a/src/main/java/brooklock/platform/DiscoveryEventDecoder.java
+++ b/src/main/java/brooklock/platform/DiscoveryEventDecoder.java
@@ -18,7 +18,7 @@
  * received. Performs no I/O; not thread-safe.
  */
 public final class DiscoveryEventDecoder {
-    /** Maximum length of a line, bytes; enough for a list of some thousand endpoints. */
+    /** Maximum length of a line, bytes; enough for a list of several thousand endpoints. */
     static final int MAX_LINE_BYTES = 1 << 20;
 
     // Maximum number of characters of a line that an exception message quotes.
@@ -46,7 +46,7 @@
                 throw new MalformedMessageException(
                         "expected a line of at most "
                                 + MAX_LINE_BYTES
-                                + " bytes but received a longer one");
+                                + " bytes but received more bytes without a line feed");
             }
             line.write(b);
         }
@@ -82,9 +82,10 @@
     }
 
     /**
-     * Parses an event of a line or of the configuration.
+     * Parses an event, either from a line or from the configuration.
      *
-     * @throws MalformedMessageException if a required field is missing or a field has another type
+     * @throws MalformedMessageException if a required field is missing or a field has the wrong
+     *     type or format
      */
     static DiscoveryEvent parse(JsonObject event) throws MalformedMessageException {
         try {
@@ -98,8 +99,11 @@
             return new DiscoveryEvent.UnknownEvent(sequence);
         } catch (IllegalStateException | NumberFormatException | UnsupportedOperationException e) {
             throw new MalformedMessageException(
-                    "expected a discovery event whose fields have the types and formats of the"
-                            + " protocol but received a field of another type or format");
+                    String.format(
+                            "expected a discovery event whose fields have the types and formats of"
+                                    + " the protocol but received a field of the wrong type or"
+                                    + " format: %.80s",
+                            e.getMessage()));
         }
     }
 
--- a/src/main/java/brooklock/platform/DispatcherStats.java
+++ b/src/main/java/brooklock/platform/DispatcherStats.java
@@ -44,7 +44,7 @@
 
     /**
      * Counts a request that the router rejected. Calls that are rejected before they reach the
-     * router, because of the dispatcher's own bounds or a shutdown, are not counted.
+     * router, because of the dispatcher's own bounds or a shutdown, are not included.
      */
     void recordRejected() {
         rejected++;
@@ -60,12 +60,14 @@
         cancelled++;
     }
 
-    /** Counts a call that was invalid or exceeded the number of open calls of its connection. */
+    /**
+     * Counts a call that was invalid or exceeded the maximum number of open calls per connection.
+     */
     void recordInvalid() {
         invalid++;
     }
 
-    /** Counts an attempt that ended, by its outcome. */
+    /** Counts an attempt that ended with the specified outcome. */
     @SuppressWarnings("EnumOrdinal") // Indexes an array in memory; ordinals are never stored.
     void recordAttemptEnded(AttemptOutcome outcome) {
         attemptOutcomes[outcome.ordinal()]++;
@@ -75,7 +77,7 @@
      * Records how late a timer fired. A large lag means that the I/O thread was busy or was not
      * scheduled on a processor.
      *
-     * @param lagNs the time from the due time to the call, ns
+     * @param lagNs the time from the due time of the timer to its execution, ns
      */
     void recordTimerLag(long lagNs) {
         maxTimerLagNs = Math.max(maxTimerLagNs, lagNs);
--- a/src/main/java/brooklock/platform/EndpointAttempt.java
+++ b/src/main/java/brooklock/platform/EndpointAttempt.java
@@ -8,8 +8,8 @@
  *
  * <p>An attempt is {@link State#QUEUED} until it is assigned a connection, {@link State#IN_FLIGHT}
  * once its request frame is written, and {@link State#ENDED} once its result has been reported. An
- * attempt that ends while queued was never sent, which proves that it had no effect. The first
- * response, time-out or cancellation ends the attempt; later ones are ignored.
+ * attempt that ends while queued was never sent and therefore had no effect. The first response,
+ * time-out or cancellation ends the attempt; later ones are ignored.
  */
 final class EndpointAttempt {
     /** The states of an attempt, in the order in which they are entered; states may be skipped. */
@@ -32,7 +32,7 @@
     /**
      * Creates a queued attempt.
      *
-     * @param request the request that the attempt belongs to
+     * @param request the request to which the attempt belongs
      * @param index the index of the attempt among the request's attempts, from 0
      * @param decision the router's decision
      * @param decidedAtNs the time of the decision on the router's clock, ns
@@ -62,7 +62,7 @@
         return decision;
     }
 
-    /** Returns when the router decided the attempt, on the router's clock, ns. */
+    /** Returns when the router decided to start the attempt, on the router's clock, ns. */
     long decidedAtNs() {
         return decidedAtNs;
     }
@@ -84,7 +84,7 @@
     }
 
     /**
-     * Records the list entries that the decision was based on.
+     * Records the list entries on which the decision was based.
      *
      * @param endpoint the entry of the endpoint that the attempt is sent to
      * @param fillSource the entry of the endpoint that a cache miss is filled from
@@ -94,7 +94,7 @@
         fillSourceAtDecision = fillSource;
     }
 
-    /** Returns whether these list entries equal the ones that the decision was based on. */
+    /** Returns whether the list entries equal those on which the decision was based. */
     boolean matchesDecisionListings(Endpoint endpoint, Endpoint fillSource) {
         return endpointAtDecision.equals(endpoint) && fillSourceAtDecision.equals(fillSource);
     }
--- a/src/main/java/brooklock/platform/EndpointConnectFunction.java
+++ b/src/main/java/brooklock/platform/EndpointConnectFunction.java
@@ -8,7 +8,7 @@
 interface EndpointConnectFunction {
     /**
      * Starts opening a connection and returns immediately. Exactly one of the two consumers is
-     * called later on the I/O thread, unless the connection is cancelled before.
+     * called later on the I/O thread, unless the connection is cancelled first.
      *
      * @param address the address to connect to
      * @param timeoutNs the time within which the connection must be established, ns
--- a/src/main/java/brooklock/platform/EndpointConnection.java
+++ b/src/main/java/brooklock/platform/EndpointConnection.java
@@ -20,10 +20,11 @@
  */
 final class EndpointConnection implements RawConnection.EventListener {
     // Maximum time between two reads within a frame, ns: several times the gaps of the slowest
-    // transfer. Without it the attempt of an incomplete response would wait until its deadline.
+    // transfer. Without this timeout, an attempt whose response is incomplete would wait until its
+    // deadline.
     private static final long FRAME_STALL_TIMEOUT_NS = 1_500_000_000L;
-    // A connection with this many cancelled ids accepts no new attempts: the ids are kept until it
-    // closes and would otherwise use memory without bound.
+    // A connection with this many cancelled ids accepts no new attempts. The ids are kept until the
+    // connection closes and would otherwise use memory without bound.
     private static final int MAX_CANCELLED_IDS = 256;
     private static final byte[] NO_BODY = {};
 
@@ -31,8 +32,9 @@
     private final RawConnection transport;
     private final FrameDecoder decoder = new FrameDecoder();
     private final Map<Long, EndpointAttempt> attemptsInFlight = new HashMap<>();
-    // The ids of cancelled attempts. They are not used again on this connection: a late response to
-    // a cancelled attempt would be mistaken for that of a later attempt with the same id.
+    // The ids of cancelled attempts. No attempt with one of these ids is sent on this connection
+    // again: a late response to the cancelled attempt would be mistaken for the response to the new
+    // one.
     private final Set<Long> cancelledIds = new HashSet<>();
     private long idleSinceNs;
 
--- a/src/main/java/brooklock/platform/EndpointConnectionPool.java
+++ b/src/main/java/brooklock/platform/EndpointConnectionPool.java
@@ -15,10 +15,11 @@
  * A pool of connections to one endpoint, with a queue of attempts that wait for a connection. Not
  * thread-safe; owned by the I/O thread.
  *
- * <p>A connection carries one attempt at a time while more connections may be opened, so that few
- * attempts are lost when a connection breaks. Attempts share a connection only when no more may be
- * opened or when a new connection is slow to be established. The HTTP dispatcher does not use this
- * class, because its connections carry one request at a time and are never shared.
+ * <p>A connection carries one attempt at a time while more connections may be opened, so that the
+ * loss of a connection affects few attempts. Attempts share a connection only when no more
+ * connections may be opened or when a new connection is slow to be established. The HTTP dispatcher
+ * does not use this class, because its connections carry one request at a time and are never
+ * shared.
  *
  * <p>A connection is pending ({@link ConnectionOpener}) at first, then busy or idle, and finally
  * closed. A pool is in use until it is {@linkplain #retire retired}; from then on it starts no
@@ -26,7 +27,8 @@
  */
 final class EndpointConnectionPool implements ConnectionOpener.Listener {
     private static final Logger LOG = LoggerFactory.getLogger(EndpointConnectionPool.class);
-    // Maximum number of attempts that wait for a connection; more fail as not connected.
+    // Maximum number of attempts that wait for a connection; further attempts end as
+    // CONNECT_FAILED.
     private static final int MAX_QUEUED_ATTEMPTS = 1024;
 
     private final String endpointName;
@@ -64,8 +66,10 @@
     }
 
     /**
-     * Sends an attempt on an idle connection, or else on a new one, or, if no more may be opened,
-     * on the one with the fewest attempts in flight.
+     * Sends an attempt on an idle connection, or else on a new one, or, if no more connections may
+     * be opened, on the connection with the fewest attempts in flight. If none of these is possible
+     * or the new connection is not established yet, the attempt waits in the queue. It ends as
+     * {@link AttemptOutcome#CONNECT_FAILED} if the queue is full or the pool is retired.
      */
     void send(EndpointAttempt attempt) {
         EndpointConnection connection = selectConnection(attempt);
@@ -79,16 +83,18 @@
         }
     }
 
-    // Returns the connection to the idle ones if the attempt does not start; otherwise it would be
-    // lost to the pool.
+    // Starts an attempt on a connection that is not in the list of idle connections. If the attempt
+    // does not start and the connection is unused, the connection is added to that list again;
+    // otherwise the pool would not use it any more.
     private void startOrReturnToIdle(EndpointAttempt attempt, EndpointConnection connection) {
         if (!tryStart(attempt, connection) && connection.inFlightCount() == 0) {
             onIdle(connection);
         }
     }
 
-    // Encodes the frame only now, so that its time limit excludes the time spent in the queue, and
-    // so that an attempt is returned to the router if its list entries have changed meanwhile.
+    // Encodes the frame only when a connection is available: the time limit in the frame is reduced
+    // by the time spent in the queue, and an attempt whose list entries have changed in the
+    // meantime is returned to the router.
     private boolean tryStart(EndpointAttempt attempt, EndpointConnection connection) {
         Optional<ByteBuffer> frame = attemptHandler.startAndEncode(attempt);
         if (frame.isEmpty()) {
@@ -163,8 +169,9 @@
     }
 
     /**
-     * Called when a connection has no attempts in flight. Starts the next queued attempt on it, or
-     * keeps it as idle; a retired pool closes it.
+     * Called when a connection has no attempts in flight. Starts the next queued attempt on the
+     * connection. If no attempt starts, the connection becomes idle, or is closed if the pool is
+     * retired.
      */
     void onIdle(EndpointConnection connection) {
         for (EndpointAttempt attempt = queue.peek();
@@ -228,9 +235,9 @@
     }
 
     /**
-     * Stops starting attempts, since the endpoint has left the list or has another address, and its
-     * address may soon belong to another endpoint. Attempts in flight continue; queued ones fail as
-     * not connected.
+     * Stops starting attempts. Called when the endpoint has left the list or its address has
+     * changed, since its old address may soon belong to another endpoint. Attempts in flight
+     * continue; queued attempts end as {@link AttemptOutcome#CONNECT_FAILED}.
      */
     void retire() {
         retired = true;
--- a/src/main/java/brooklock/platform/EndpointConnectionPools.java
+++ b/src/main/java/brooklock/platform/EndpointConnectionPools.java
@@ -9,11 +9,11 @@
  * thread-safe; owned by the I/O thread.
  *
  * <p>Each endpoint may use an equal share of the descriptors, within bounds. When all descriptors
- * are in use, a new connection replaces the one that has been idle for longest, in whichever pool
- * it is.
+ * are in use, a new connection replaces the connection that has been idle for longest among all
+ * pools.
  */
 final class EndpointConnectionPools implements ConnectionBudget {
-    // Bounds of an endpoint's share, for lists of very few or very many endpoints.
+    // Bounds of an endpoint's share; they apply if the list has very few or very many endpoints.
     private static final int MAX_CONNECTIONS_PER_ENDPOINT = 48;
     private static final int MIN_CONNECTIONS_PER_ENDPOINT = 2;
 
--- a/src/main/java/brooklock/platform/EndpointConnector.java
+++ b/src/main/java/brooklock/platform/EndpointConnector.java
@@ -12,9 +12,9 @@
  * owned by the I/O thread, which also owns the endpoint list. {@link #start} must be called before
  * any other method.
  *
- * <p>A queued attempt is sent only if the state that the router decided on is still valid. When the
- * list entry of its endpoint or fill source changes, or when its object is purged, the attempt ends
- * as {@link AttemptOutcome#NOT_STARTED} and the router decides again.
+ * <p>A queued attempt is sent only if the state on which the router based its decision is still
+ * valid. When the list entry of its endpoint or fill source changes, or when its object is purged,
+ * the attempt ends as {@link AttemptOutcome#NOT_STARTED} and the router decides again.
  */
 final class EndpointConnector implements AttemptTransport, AttemptHandler {
     private static final long SWEEP_INTERVAL_NS = 1_000_000_000L;
@@ -58,8 +58,8 @@
     }
 
     /**
-     * Applies an update of the endpoint list, submits it to the router and returns the queued
-     * attempts whose list entries have changed.
+     * Applies an update of the endpoint list, submits it to the router, and then returns to the
+     * router the queued attempts whose list entries have changed.
      */
     void onListUpdate(DiscoveryEvent.EndpointListUpdate update) {
         EndpointListReceived list = table.apply(update);
@@ -70,7 +70,8 @@
 
     /**
      * Returns the queued attempts of purged objects to the router. Must be called after the purge
-     * has been submitted to the router, which then decides with the purge taken into account.
+     * has been submitted to the router; otherwise the router would decide again without regard to
+     * the purge.
      *
      * @param objectId the id of the purged object; 0 for all objects of the group
      * @param group the purge group
@@ -102,7 +103,7 @@
                 && attempt.matchesDecisionListings(endpoint.listing(), fillSource.listing());
     }
 
-    /** Closes idle connections immediately and the others as they become idle. */
+    /** Closes idle connections immediately and busy connections as they become idle. */
     void close() {
         closed = true;
         pools.retireAll();
@@ -118,7 +119,7 @@
         DiscoveredEndpointTable.Entry endpoint = table.get(attempt.decision().endpoint());
         DiscoveredEndpointTable.Entry fillSource = table.get(attempt.decision().fillSource());
         if (endpoint == null || fillSource == null || endpoint.isGone()) {
-            // The endpoint left the list after the router chose it; the router has not processed
+            // The endpoint or the fill source has left the list, but the router has not processed
             // that update yet.
             onCompleted(attempt, AttemptResult.withoutResponse(AttemptOutcome.CONNECT_FAILED));
             return;
--- a/src/main/java/brooklock/platform/Frame.java
+++ b/src/main/java/brooklock/platform/Frame.java
@@ -7,11 +7,11 @@
  * must not be modified.
  *
  * @param code the type of the frame, one of the code constants
- * @param id the id of the request that the frame belongs to
+ * @param id the id of the request to which the frame belongs
  * @param fields the values of the fields by name
  * @param body the body; empty if the frame has none
  */
-@SuppressWarnings("ArrayRecordComponent") // Never compared; a copy of each body would be wasted.
+@SuppressWarnings("ArrayRecordComponent") // Never compared; not copied, to save memory.
 public record Frame(int code, long id, Map<String, String> fields, byte[] body) {
     /** First byte of a frame from a dispatcher. */
     static final int DISPATCHER_MAGIC = 165;
@@ -49,9 +49,12 @@
     /** Length of a frame header, bytes. */
     static final int HEADER_BYTES = 16;
 
-    /** Maximum length of a body, bytes; the protocol's bound on an object. */
+    /** Maximum length of a body, bytes; the protocol's limit for an object. */
     public static final int MAX_BODY_BYTES = 240_000;
 
-    /** Maximum length of all fields together, bytes; several times what the protocol requires. */
+    /**
+     * Maximum total length of all fields, bytes; several times the length that the protocol
+     * requires.
+     */
     public static final int MAX_FIELDS_BYTES = 4096;
 }
--- a/src/main/java/brooklock/platform/FrameDecoder.java
+++ b/src/main/java/brooklock/platform/FrameDecoder.java
@@ -137,7 +137,7 @@
      * Parses fields of the form {@code name=value,name=value}.
      *
      * @return the values by name
-     * @throws MalformedMessageException if a field has no name or no value, or occurs twice
+     * @throws MalformedMessageException if a field has no name or no {@code =}, or occurs twice
      */
     static Map<String, String> parseFields(byte[] bytes) throws MalformedMessageException {
         Map<String, String> values = new HashMap<>();
@@ -150,10 +150,10 @@
                     || values.put(pair.substring(0, separator), pair.substring(separator + 1))
                             != null) {
                 throw new MalformedMessageException(
-                        "expected distinct fields of the form name=value but received a malformed or"
-                                + " repeated one of "
+                        "expected fields of the form name=value with distinct names but received a"
+                                + " field of "
                                 + pair.length()
-                                + " characters");
+                                + " characters that has no name, no '=' or a repeated name");
             }
         }
         return values;
--- a/src/main/java/brooklock/platform/InvalidRequestException.java
+++ b/src/main/java/brooklock/platform/InvalidRequestException.java
@@ -8,7 +8,8 @@
     private static final long serialVersionUID = 1L;
 
     InvalidRequestException(String message) {
-        // No stack trace: clients can trigger this exception at any rate, and a trace is expensive.
+        // No stack trace: clients can trigger this exception at a high rate, and a trace is
+        // expensive.
         super(message, null, false, false);
     }
 }
--- a/src/main/java/brooklock/platform/MalformedMessageException.java
+++ b/src/main/java/brooklock/platform/MalformedMessageException.java
@@ -8,7 +8,8 @@
     private static final long serialVersionUID = 1L;
 
     MalformedMessageException(String message) {
-        // No stack trace: peers can trigger this exception at any rate, and a trace is expensive.
+        // No stack trace: peers can trigger this exception at a high rate, and a trace is
+        // expensive.
         super(message, null, false, false);
     }
 }
--- a/src/main/java/brooklock/platform/MessagePackReader.java
+++ b/src/main/java/brooklock/platform/MessagePackReader.java
@@ -86,8 +86,8 @@
      * the new bytes in the next call.
      *
      * @return true if a token was read; false if more bytes are needed
-     * @throws MalformedMessageException if the input is not a token, is too long, or has a format
-     *     that is not accepted
+     * @throws MalformedMessageException if the format of the token is not accepted, a text or byte
+     *     string is too long, or an unsigned integer is above 2^63 - 1
      */
     boolean next(ByteBuffer input) throws MalformedMessageException {
         input.order(ByteOrder.BIG_ENDIAN);
@@ -138,7 +138,7 @@
             case NEVER_USED, EXT8, EXT16, EXT32, FIXEXT1, FIXEXT2, FIXEXT4, FIXEXT8, FIXEXT16 ->
                     throw new MalformedMessageException(
                             "expected a MessagePack format other than 0xc1 and the extension types"
-                                    + " but received 0x"
+                                    + " but received format 0x"
                                     + Integer.toHexString(format));
             default -> 0;
         };
@@ -191,7 +191,7 @@
             throw new MalformedMessageException(
                     "expected a text or byte string of at most "
                             + maxPayloadBytes
-                            + " bytes but received one of "
+                            + " bytes but received a length of "
                             + length
                             + " bytes");
         }
@@ -218,7 +218,7 @@
     }
 
     /**
-     * Decodes and returns the last text.
+     * Returns the last text.
      *
      * @throws MalformedMessageException if its bytes are not valid UTF-8
      */
--- a/src/main/java/brooklock/platform/PendingClientRequest.java
+++ b/src/main/java/brooklock/platform/PendingClientRequest.java
@@ -31,7 +31,7 @@
      * @param clientRequest the request as the client sent it
      * @param acceptedAtNs the time of its acceptance on the router's clock, ns
      * @param deadlineNs the time until which the client waits, on the router's clock, ns
-     * @param connection the connection that the response is written to
+     * @param connection the connection to which the response is written
      * @param messageId the id of the call that the response answers
      */
     PendingClientRequest(
@@ -110,7 +110,7 @@
         return usedConnections.contains(candidate);
     }
 
-    /** Marks the request as completed: no response will be sent from now on. */
+    /** Marks the request as completed. No response is sent after that. */
     void complete() {
         completed = true;
     }
--- a/src/main/java/brooklock/platform/PendingClientRequestTable.java
+++ b/src/main/java/brooklock/platform/PendingClientRequestTable.java
@@ -8,11 +8,11 @@
  * memory. Not thread-safe; owned by the I/O thread.
  */
 final class PendingClientRequestTable {
-    // Maximum number of open requests: more than one core can serve within a deadline. Further
-    // requests would only wait until they time out.
+    // Maximum number of open requests. A single core cannot serve as many within a deadline, so
+    // further requests would only wait until they time out.
     private static final int MAX_PENDING_REQUESTS = 8192;
-    // The bodies of pending requests may occupy the heap size divided by this; more would leave too
-    // little memory for responses.
+    // The bodies of pending requests may occupy the heap size divided by this; larger bodies would
+    // leave too little memory for responses.
     private static final int BODY_HEAP_DIVISOR = 8;
     private static final long NS_PER_MS = 1_000_000L;
 
@@ -28,7 +28,7 @@
         maxBodyBytes = bytes;
     }
 
-    /** Returns whether the request can be added within the bounds. */
+    /** Returns whether the request can be added without exceeding the bounds. */
     boolean canAccept(ClientRequest clientRequest) {
         return openCount < MAX_PENDING_REQUESTS
                 && totalBodyBytes + clientRequest.body().length <= maxBodyBytes;
@@ -39,7 +39,7 @@
      *
      * @param clientRequest the request as the client sent it; its id must not be {@linkplain
      *     #isOpen open}
-     * @param connection the connection that the response is written to
+     * @param connection the connection to which the response is written
      * @param messageId the id of the call that the response answers
      * @param nowNs the current time on the router's clock, ns
      */
--- a/src/main/java/brooklock/platform/PlatformConfig.java
+++ b/src/main/java/brooklock/platform/PlatformConfig.java
@@ -9,13 +9,13 @@
  * The configuration that the platform gives a dispatcher at its start. Immutable.
  *
  * @param name the name of the dispatcher
- * @param listenAddress the address that clients connect to
+ * @param listenAddress the address on which the dispatcher listens for clients
  * @param discoveryAddress the address of the discovery service, which sends endpoint lists and
  *     purges
- * @param seed the seed of random numbers
+ * @param seed the seed of the jitter in the backoff of {@link DiscoveryClient}
  * @param maxDescriptors maximum number of open file descriptors
  * @param lastSequence the sequence number of the last initial event
- * @param initialEvents the discovery events up to the start
+ * @param initialEvents the discovery events that precede the start, in order
  * @param routerSettings the router's settings
  * @param requestClasses the rules of each request class by the name of the class
  * @param zones the names of the zones in the order of the router's indices
--- a/src/main/java/brooklock/platform/PlatformConfigReader.java
+++ b/src/main/java/brooklock/platform/PlatformConfigReader.java
@@ -18,11 +18,12 @@
 import java.util.Map;
 
 /**
- * Reads the platform's JSON configuration file. A file with any missing or malformed required field
- * is rejected as a whole. Stateless and thread-safe.
+ * Reads the platform's JSON configuration file. A file in which a required field is missing or a
+ * field is malformed is rejected. Stateless and thread-safe.
  */
 final class PlatformConfigReader {
-    // The minimum that the platform guarantees; used if the configuration states no maximum.
+    // Minimum number of file descriptors that the platform guarantees; used if the configuration
+    // states no maximum.
     private static final int DEFAULT_MAX_DESCRIPTORS = 256;
     private static final double NS_PER_MS = 1e6;
 
--- a/src/main/java/brooklock/platform/PlatformDispatcher.java
+++ b/src/main/java/brooklock/platform/PlatformDispatcher.java
@@ -27,8 +27,8 @@
     // File descriptors reserved for the process itself: jars, selectors, the listening socket and
     // the connection to the discovery service.
     private static final int RESERVED_DESCRIPTORS = 56;
-    // Fraction of the other descriptors that clients may use; endpoints use the rest. The protocol
-    // grants clients a third of all descriptors.
+    // Fraction of the unreserved descriptors that clients may use; endpoints use the rest. The
+    // protocol grants clients a third of all descriptors.
     private static final double CLIENT_DESCRIPTOR_FRACTION = 0.5;
     // Time for which requests are still accepted after SIGTERM, ns. Longer than the 0.6 s for which
     // clients continue to send requests, and shorter than the 0.7 s that the platform grants beyond
@@ -91,8 +91,8 @@
      * clients when this method returns.
      *
      * @param configFile the platform's configuration file
-     * @throws IOException if the configuration cannot be read, or if its address is in use or is
-     *     not a local address
+     * @throws IOException if the configuration cannot be read, or if the listening address is in
+     *     use or is not a local address
      */
     public static PlatformDispatcher start(Path configFile) throws IOException {
         PlatformConfig config = PlatformConfigReader.read(configFile);
@@ -141,16 +141,16 @@
         }
     }
 
-    /** Returns the address that clients connect to. */
+    /** Returns the address on which the dispatcher listens for clients. */
     public InetSocketAddress address() {
         return listeningSocket.address();
     }
 
     /**
      * Reads the configuration again and reconnects to the discovery service if its address has
-     * changed. No other setting of a running dispatcher changes. A file that cannot be read is read
-     * again for two seconds; the previous address stays in use until a read succeeds. Returns
-     * without waiting for the reload.
+     * changed. No other setting of a running dispatcher changes. If the file cannot be read,
+     * reading is retried for two seconds; the previous address stays in use until a read succeeds.
+     * Returns without waiting for the reload.
      */
     public void reload() {
         reload(MAX_RELOAD_RETRIES);
--- a/src/main/java/brooklock/platform/PlatformLogging.java
+++ b/src/main/java/brooklock/platform/PlatformLogging.java
@@ -12,9 +12,9 @@
 
 /**
  * Configures logging for a dispatcher on the platform: JSON lines in the format of the other
- * programs on standard error. It is written in code because parsing {@code logback.xml} would
- * lengthen each start. The system property {@code brooklock.log} sets the level; the default is
- * {@code INFO}.
+ * programs on standard error. The configuration is written in code because parsing {@code
+ * logback.xml} would lengthen each start. The system property {@code brooklock.log} sets the level;
+ * the default is {@code INFO}.
  *
  * <p>Logback discovers this class through {@code META-INF/services}. Unless {@link #enable} has
  * been called it does nothing, so that {@code logback.xml} applies to the other programs.
--- a/src/main/java/brooklock/platform/PlatformMain.java
+++ b/src/main/java/brooklock/platform/PlatformMain.java
@@ -36,10 +36,9 @@
     private PlatformMain() {}
 
     /**
-     * Runs a dispatcher. Returns only if the start fails; a running dispatcher ends the process on
-     * SIGTERM.
+     * Runs a dispatcher. Returns only if the start fails; otherwise the process ends on SIGTERM.
      *
-     * @param configPath the path of the configuration file; null if the environment names none
+     * @param configPath the path of the configuration file; null if {@code NODE_CONFIG} is not set
      * @return the exit status of a dispatcher that failed to start
      * @throws InterruptedException if the calling thread is interrupted
      */
--- a/src/main/java/brooklock/platform/RequestExecutor.java
+++ b/src/main/java/brooklock/platform/RequestExecutor.java
@@ -90,12 +90,11 @@
     }
 
     /**
-     * Accepts a request. The caller must have checked that it fits {@linkplain #canAccept within
-     * the bounds} and that its id is not {@linkplain #isOpen open}, and must then call {@link
-     * #route}.
+     * Accepts a request. Must be called only if {@link #canAccept} returns true and the id of the
+     * request is not {@linkplain #isOpen open}. The caller must call {@link #route} afterwards.
      *
      * @param clientRequest the request as the client sent it
-     * @param connection the connection that the response is written to
+     * @param connection the connection to which the response is written
      * @param messageId the id of the call that the response answers
      */
     PendingClientRequest accept(
@@ -104,7 +103,10 @@
         return requests.add(clientRequest, connection, messageId, clock.nowNs());
     }
 
-    /** Passes an accepted request to the router. The response may be sent before this returns. */
+    /**
+     * Passes an accepted request to the router. The response may be sent before this method
+     * returns.
+     */
     void route(PendingClientRequest request) {
         ClientRequest clientRequest = request.clientRequest();
         submit(
@@ -269,8 +271,8 @@
         }
     }
 
-    // An attempt that is still queued was never sent, so it ends as not started whatever the reason
-    // of the abort; the specified outcome applies only to an attempt in flight.
+    // An attempt that is still queued was never sent, so it ends as NOT_STARTED regardless of why
+    // it is aborted; the specified outcome applies only to an attempt in flight.
     private void abortAttempt(EndpointAttempt attempt, AttemptOutcome outcomeInFlight) {
         if (attempt.state() == EndpointAttempt.State.QUEUED) {
             completeAttempt(attempt, AttemptResult.withoutResponse(AttemptOutcome.NOT_STARTED));
--- a/src/main/java/brooklock/platform/RequestFrameEncoder.java
+++ b/src/main/java/brooklock/platform/RequestFrameEncoder.java
@@ -17,7 +17,7 @@
      * @param request the client's request
      * @param decision the router's decision
      * @param fillSourceName the name of the endpoint that a cache miss is filled from
-     * @param timeoutNs the time for which the dispatcher waits for the response from now on, ns
+     * @param timeoutNs the remaining time for which the dispatcher waits for the response, ns
      */
     static ByteBuffer encode(
             ClientRequest request, StartAttempt decision, String fillSourceName, long timeoutNs) {
--- a/src/main/java/brooklock/platform/ResponseFrameDecoder.java
+++ b/src/main/java/brooklock/platform/ResponseFrameDecoder.java
@@ -20,7 +20,7 @@
      * @param response the response frame
      * @param request the request that the frame answers
      * @throws MalformedMessageException if the frame is not a response, has a malformed field, or
-     *     confirms a copy other than the client's
+     *     states that a copy other than the client's is current
      */
     static AttemptResult decode(Frame response, ClientRequest request)
             throws MalformedMessageException {
@@ -32,8 +32,8 @@
             throw new MalformedMessageException(
                     "expected field rev of a response with code "
                             + response.code()
-                            + " to be the entity tag of the client's copy but received another tag"
-                            + " or none");
+                            + " to be the entity tag of the client's copy but the field is absent or"
+                            + " differs, or the client has no copy");
         }
         return new AttemptResult(
                 outcome,
@@ -85,7 +85,7 @@
             throw new MalformedMessageException(
                     "field fill is no time: expected milliseconds that match "
                             + DURATION_MS
-                            + " but received another value of "
+                            + " but received a different value of "
                             + ms.length()
                             + " characters");
         }
--- a/src/main/java/brooklock/platform/RpcDecoder.java
+++ b/src/main/java/brooklock/platform/RpcDecoder.java
@@ -12,7 +12,7 @@
  * used again after it has thrown an exception.
  */
 public final class RpcDecoder {
-    /** Maximum length of a body, bytes; the protocol's bound on a write. */
+    /** Maximum length of a body, bytes; the protocol's limit for a write. */
     public static final int MAX_BODY_BYTES = 48_000;
 
     /** The method of a health check. */
@@ -32,7 +32,7 @@
     private static final String CANCEL_METHOD = "forget";
     private static final byte[] NO_BODY = {};
 
-    // The element of a message that the next token is expected to be.
+    // The element of a message that the next token must be.
     private enum State {
         MESSAGE,
         TYPE,
@@ -133,11 +133,11 @@
             throw new MalformedMessageException(
                     "expected message type "
                             + CALL_TYPE
-                            + " of a call with "
+                            + " for a call of "
                             + CALL_ELEMENTS
                             + " elements or "
                             + NOTIFICATION_TYPE
-                            + " of a notification with "
+                            + " for a notification of "
                             + NOTIFICATION_ELEMENTS
                             + " elements but received type "
                             + reader.value());
@@ -149,9 +149,9 @@
         method = readShortText();
         if (notification && !method.equals(CANCEL_METHOD)) {
             throw new MalformedMessageException(
-                    "expected notification "
+                    "expected method "
                             + CANCEL_METHOD
-                            + " but received an unknown method of "
+                            + " in a notification but received an unknown method of "
                             + method.length()
                             + " characters");
         }
@@ -188,6 +188,7 @@
                             + remainingFields);
         }
         fields = new HashMap<>();
+        // Offsets the decrement in onFieldComplete, which is called here before the first field.
         remainingFields++;
         return onFieldComplete();
     }
--- a/src/main/java/brooklock/platform/RpcEncoder.java
+++ b/src/main/java/brooklock/platform/RpcEncoder.java
@@ -45,7 +45,7 @@
         return result(messageId, body, NO_FIELDS);
     }
 
-    /** Encodes a response that confirms the client's own copy. */
+    /** Encodes a response without a body, which states that the client's copy is current. */
     static ByteBuffer[] notModified(long messageId) {
         return result(messageId, NO_BODY, NOT_MODIFIED_FIELDS);
     }
@@ -62,7 +62,7 @@
      * Encodes a rejection.
      *
      * @param messageId the id of the call
-     * @param retryAfterNs the delay after which the client may retry, ns; 0 to name none
+     * @param retryAfterNs the delay after which the client may retry, ns; 0 to omit it
      */
     static ByteBuffer rejected(long messageId, long retryAfterNs) {
         return retryAfterNs > 0
--- a/src/main/java/brooklock/platform/RpcError.java
+++ b/src/main/java/brooklock/platform/RpcError.java
@@ -2,7 +2,10 @@
 
 /** The errors that a client may receive, with their names in the protocol. */
 enum RpcError {
-    /** The request was rejected and not executed, so that it is safe to retry. */
+    /**
+     * The request was rejected. A retry is safe: either the request was not executed, or executing
+     * it again is harmless.
+     */
     REJECTED("Overloaded"),
     /** The request failed and may have been executed. */
     FAILED("Internal"),
--- a/src/main/java/brooklock/platform/RpcMessage.java
+++ b/src/main/java/brooklock/platform/RpcMessage.java
@@ -5,7 +5,8 @@
 /** A message from a client. Immutable; fields and bodies must not be modified. */
 public sealed interface RpcMessage {
     /**
-     * Returns the id of the call that is made or cancelled, unique among its connection's calls.
+     * Returns the id of the call that is made or cancelled, unique among the open calls of its
+     * connection.
      */
     long messageId();
 
@@ -17,8 +18,7 @@
      * @param fields the values of the fields by name, not validated yet
      * @param body the body; empty if the call has none
      */
-    @SuppressWarnings(
-            "ArrayRecordComponent") // Never compared; a copy of each body would be wasted.
+    @SuppressWarnings("ArrayRecordComponent") // Never compared; not copied, to save memory.
     record Call(long messageId, String method, Map<String, String> fields, byte[] body)
             implements RpcMessage {}
 
@@ -30,7 +30,7 @@
     record HealthCheck(long messageId) implements RpcMessage {}
 
     /**
-     * A notification that cancels a call, to which no response is expected any more.
+     * A notification that cancels a call. The client expects no response to that call any more.
      *
      * @param messageId the id of the cancelled call
      */
--- a/src/main/java/brooklock/platform/StartupWarmup.java
+++ b/src/main/java/brooklock/platform/StartupWarmup.java
@@ -32,13 +32,13 @@
     private static final String CONFIG_RESOURCE = "startup-warmup.json";
     private static final int ROUNDS = 6;
     private static final int CALLS_PER_ROUND = 16;
-    // The warm-up ends after this time even if it is incomplete, ns: delaying the start further
+    // The warm-up ends after this time even if it is incomplete, ns. A longer delay of the start
     // would be worse than slow first requests.
     private static final long MAX_DURATION_NS = 1_500_000_000L;
     private static final long POLL_INTERVAL_NS = 1_000_000L;
     private static final int BODY_BYTES = 20_000;
-    // Number of endpoints in the configuration; each may need a connection for each call of a
-    // round.
+    // Number of endpoints in the warm-up configuration; an endpoint may need one connection for
+    // each call of a round.
     private static final int ENDPOINTS = 5;
 
     private final IoLoop loop;
@@ -131,7 +131,7 @@
         }
     }
 
-    // The first call of a round writes its object, the others read theirs.
+    // The first call of a round is a write and the others are reads; each call has its own object.
     private static ByteBuffer encodeCall(long messageId, int index) {
         boolean isWrite = index == 0;
         String id = String.format("%016x", messageId);
--- a/src/main/java/brooklock/platform/TimerQueue.java
+++ b/src/main/java/brooklock/platform/TimerQueue.java
@@ -33,8 +33,8 @@
     }
 
     /**
-     * Adds a task. The caller must call {@link #arm} afterwards, once for a batch of tasks, so that
-     * the timer is set only once.
+     * Adds a task. The caller must call {@link #arm} afterwards; one call after several tasks is
+     * enough and sets the timer only once.
      *
      * @param atNs the time at which the task is due on the router's clock, ns
      * @param task the task
@@ -43,7 +43,10 @@
         tasks.add(new ScheduledTask(atNs, task));
     }
 
-    /** Sets the timer for the task that is due first, unless it is set for that time or earlier. */
+    /**
+     * Sets the timer for the task that is due first, unless it is already set for that time or
+     * earlier.
+     */
     void arm() {
         ScheduledTask next = tasks.peek();
         if (next == null || timerAtNs <= next.atNs()) {
--- a/src/test/java/brooklock/platform/ClientCallTest.java
+++ b/src/test/java/brooklock/platform/ClientCallTest.java
@@ -37,7 +37,7 @@
 
     /**
      * A client cancels a call and reuses its message id. If the cancelled call were answered, the
-     * client would mistake that for the response to the second call.
+     * client would mistake that answer for the response to the second call.
      */
     @Test
     void aCancelledRequestGetsNoResponseAndItsMessageIdIsReusable() throws Exception {
@@ -48,9 +48,9 @@
     }
 
     /**
-     * A client sends calls and cancels them in the same write. Calls received in one read are
-     * submitted only after all of its input was decoded, so that almost none of them may reach an
-     * endpoint.
+     * A client sends each of its calls together with its cancellation in one write. Calls received
+     * in one read are submitted only after all of that input has been decoded. Only a call that is
+     * split from its cancellation by the end of a read may reach an endpoint.
      */
     @Test
     void callsCancelledInTheSameReadReachNoEndpoint() throws Exception {
--- a/src/test/java/brooklock/platform/ClientRequestParserTest.java
+++ b/src/test/java/brooklock/platform/ClientRequestParserTest.java
@@ -90,7 +90,7 @@
         fields.remove(name);
         InvalidRequestException e =
                 assertThrows(InvalidRequestException.class, () -> parse("pages", fields, 0));
-        assertEquals("field " + name + " is missing", e.getMessage());
+        assertEquals("expected field " + name + " but it is missing", e.getMessage());
     }
 
     @ParameterizedTest
--- a/src/test/java/brooklock/platform/DiscoveryClientTest.java
+++ b/src/test/java/brooklock/platform/DiscoveryClientTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.extension.RegisterExtension;
 
 /**
- * Tests a discovery service that closes connections, repeats or skips events, falls silent or
+ * Tests a discovery service that closes connections, repeats or skips events, stops sending or
  * changes its address.
  */
 @Timeout(120)
@@ -39,7 +39,7 @@
     }
 
     /**
-     * The connection breaks in the middle of event 3. On the next connection the service repeats
+     * The connection is closed in the middle of event 3. On the next connection the service repeats
      * event 2, sends event 3, and then skips event 4. The dispatcher must resume after the last
      * complete event, process each event once, and reconnect when it detects the gap.
      */
--- a/src/test/java/brooklock/platform/DispatcherFixture.java
+++ b/src/test/java/brooklock/platform/DispatcherFixture.java
@@ -30,8 +30,8 @@
 
 /**
  * The components of a dispatcher with a router that is implemented by the test. Clients connect to
- * a real socket; connections to endpoints are established when the test decides, so that it
- * controls the order of concurrent events.
+ * a real socket; connections to endpoints are established only when the test does so. The test
+ * thereby controls the order of concurrent events.
  */
 final class DispatcherFixture implements Closeable {
     /** A pending connection to an endpoint, which the test establishes or fails. */
--- a/src/test/java/brooklock/platform/EndpointConnectionPoolTest.java
+++ b/src/test/java/brooklock/platform/EndpointConnectionPoolTest.java
@@ -59,7 +59,7 @@
     /**
      * An endpoint responds twice to the first attempt of a request, and the second attempt goes to
      * the same endpoint with the same id. It must use another connection, or the duplicate response
-     * to the first attempt would be mistaken for its own.
+     * to the first attempt would be mistaken for the response to the second.
      */
     @Test
     void aDuplicateResponseIsNotMistakenForThatOfALaterAttempt() throws Exception {
@@ -90,8 +90,8 @@
     }
 
     /**
-     * An endpoint confirms a copy with an entity tag other than the client's. If that were passed
-     * on, the client would keep using an outdated copy.
+     * An endpoint states that a copy is current whose entity tag is not that of the client's copy.
+     * If the response were passed on, the client would keep using an outdated copy.
      */
     @Test
     void aCopyIsConfirmedOnlyByItsEntityTag() throws Exception {
@@ -107,8 +107,8 @@
 
     /**
      * A second connection is slow to be established. After an eighth of the connect timeout the
-     * attempt that waits for it must share the first connection; the slow one serves the next
-     * attempt.
+     * attempt that waits for it must share the first connection; the slow connection serves the
+     * next attempt once it is established.
      */
     @Test
     void anAttemptSharesAConnectionIfItsOwnIsSlow() throws Exception {
@@ -175,9 +175,9 @@
     }
 
     /**
-     * All descriptors are in use, one of them by an idle connection to another endpoint. That
-     * connection must be closed for the new request; otherwise the request would wait for the idle
-     * timeout.
+     * All descriptors are in use, one of them by an idle connection to another endpoint. The idle
+     * connection must be closed for the new request; otherwise the request would wait until the
+     * idle timeout closes it.
      */
     @Test
     void anIdleConnectionToAnotherEndpointIsEvicted() throws Exception {
--- a/src/test/java/brooklock/platform/QueuedAttemptTest.java
+++ b/src/test/java/brooklock/platform/QueuedAttemptTest.java
@@ -127,9 +127,9 @@
     }
 
     /**
-     * The object is purged while the attempt is queued. Its maximum age for copies is outdated, and
-     * it could return a purged copy, so it must not be sent. A purge of another object must have no
-     * effect.
+     * The object is purged while the attempt is queued. The attempt must not be sent: the maximum
+     * age of copies in its decision is outdated, and the endpoint could serve a purged copy. A
+     * purge of another object must have no effect.
      */
     @Test
     void aPurgeOfItsObjectReturnsTheAttempt() throws Exception {
@@ -140,7 +140,10 @@
         assertAlreadyReturned(connectRequest);
     }
 
-    /** The whole group of the object is purged while the attempt is queued. It must not be sent. */
+    /**
+     * The purge group of the object is purged while the attempt is queued. The attempt must not be
+     * sent.
+     */
     @Test
     void aPurgeOfItsGroupReturnsTheAttempt() throws Exception {
         DispatcherFixture.ConnectRequest connectRequest = startAndSendRequest(0x14);
@@ -176,7 +179,7 @@
 
     /**
      * The client cancels its request while the attempt is queued, and the router does not cancel
-     * the attempt. It must not be sent nevertheless.
+     * the attempt. The attempt must not be sent even so.
      */
     @Test
     void nothingIsSentOnceTheClientHasCancelled() throws Exception {
@@ -190,8 +193,9 @@
     }
 
     /**
-     * The deadline passes while the attempt is queued. It must end as not started and not as timed
-     * out: the request was certainly not executed, and the endpoint is not to blame.
+     * The deadline passes while the attempt is queued. The attempt must end as not started and not
+     * as timed out: the request was certainly not executed, and the endpoint did not cause the
+     * delay.
      */
     @Test
     void anAttemptQueuedUntilItsDeadlineEndsAsNotStarted() throws Exception {
--- a/src/test/java/brooklock/platform/ResponseFrameDecoderTest.java
+++ b/src/test/java/brooklock/platform/ResponseFrameDecoderTest.java
@@ -89,8 +89,9 @@
     }
 
     /**
-     * An endpoint confirms a copy that the client does not have, or with another entity tag. The
-     * client would keep using an outdated copy, or would have none.
+     * An endpoint states that the client's copy is current, although the client has no copy or has
+     * a copy with another entity tag. If the response were accepted, the client would receive no
+     * body or would keep using an outdated copy.
      */
     @Test
     void onlyTheClientsOwnCopyCanBeConfirmed() {
