--- a/src/main/java/brooklock/platform/ClientListener.java
+++ b/src/main/java/brooklock/platform/ClientListener.java
@@ -138,8 +138,8 @@
     }
 
     /**
-     * Called when a connection starts to close gracefully. It occupies its file descriptor until
-     * {@link #onClosed}.
+     * Called when a connection starts to close gracefully. The connection occupies its file
+     * descriptor until {@link #onClosed} is called.
      */
     void onClosing() {
         closingConnections++;
--- a/src/main/java/brooklock/platform/EndpointConnection.java
+++ b/src/main/java/brooklock/platform/EndpointConnection.java
@@ -85,9 +85,9 @@
     }
 
     /**
-     * Cancels an attempt that has ended. If no other attempt is in flight the connection is closed:
-     * its remaining input is of no use, and a silent endpoint cannot be distinguished from a slow
-     * one.
+     * Cancels an attempt that has ended. If no other attempt is in flight, the connection is
+     * closed: no attempt needs its remaining input, and the endpoint may be silent rather than
+     * slow.
      */
     void cancel(EndpointAttempt attempt) {
         long id = attempt.clientRequest().id();
--- a/src/main/java/brooklock/platform/EndpointConnectionPool.java
+++ b/src/main/java/brooklock/platform/EndpointConnectionPool.java
@@ -270,7 +270,8 @@
      * Logs that a connection failed.
      *
      * @param reason the reason of the failure
-     * @param attempts the number of attempts that were in flight on it or waited for it
+     * @param attempts the number of attempts that were in flight on the connection or waited for
+     *     one
      */
     void logFailure(String reason, int attempts) {
         if (LOG.isDebugEnabled()) {
--- a/src/main/java/brooklock/platform/PlatformDispatcher.java
+++ b/src/main/java/brooklock/platform/PlatformDispatcher.java
@@ -181,7 +181,7 @@
      *   <li>Health checks are answered with false immediately, so that clients choose another
      *       dispatcher.
      *   <li>Requests are accepted for another 0.65 s and then rejected.
-     *   <li>Connections that the operating system has established by then are accepted, and the
+     *   <li>Connections that the operating system has established until then are accepted, and the
      *       listening socket closes.
      *   <li>Each client connection closes gracefully once all of its requests have been answered.
      * </ol>
--- a/src/main/java/brooklock/platform/PlatformMain.java
+++ b/src/main/java/brooklock/platform/PlatformMain.java
@@ -77,7 +77,7 @@
                 });
     }
 
-    // The future of the task is ignored because the tasks report their own failures.
+    // The returned future is ignored because the tasks report their own failures.
     private static void whenStarted(
             CompletableFuture<PlatformDispatcher> started, Consumer<PlatformDispatcher> task) {
         CompletableFuture<Void> unused = started.thenAccept(task);
--- a/src/main/java/brooklock/platform/StartupWarmup.java
+++ b/src/main/java/brooklock/platform/StartupWarmup.java
@@ -22,8 +22,8 @@
  * router, which are dropped afterwards, and connects them by pipes instead of sockets.
  *
  * <p>Without a warm-up the first requests would exceed their latency objective while their code is
- * interpreted. The router would attribute that to overloaded endpoints and reject requests after
- * each start.
+ * interpreted. The router would attribute their latency to overloaded endpoints and reject requests
+ * after each start.
  *
  * <p>{@link #run} blocks the calling thread; everything else runs on the I/O thread.
  */
