--- a/src/main/java/brooklock/membership/EndpointListCodec.java
+++ b/src/main/java/brooklock/membership/EndpointListCodec.java
@@ -23,7 +23,8 @@
  * </pre>
  *
  * <p>The last line states the number of endpoints, so that a truncated list is detected. A list is
- * accepted whole or rejected whole. All methods are static, free of side effects and thread-safe.
+ * rejected if any part of it is invalid. All methods are static, free of side effects and
+ * thread-safe.
  */
 public final class EndpointListCodec {
     /** Maximum number of endpoints in one list. */
@@ -111,7 +112,8 @@
                     || i + 1 == header.length) {
                 throw new MalformedEndpointListException(
                         ("expected 'source NAME epoch E number N', and 'follows M' in a delta,"
-                                        + " but received '%.40s' as word %d of %d")
+                                        + " but received '%.40s', which is not the expected key or"
+                                        + " has no value, as word %d of %d")
                                 .formatted(header[i], i + 1, header.length));
             }
             values[keyIndex] = header[i + 1];
--- a/src/main/java/brooklock/membership/EndpointListFile.java
+++ b/src/main/java/brooklock/membership/EndpointListFile.java
@@ -9,7 +9,7 @@
 
 /**
  * The file in which the endpoint list is saved. After a crash it is the only record of removals and
- * overrides, so the file is replaced atomically and a damaged file is rejected whole.
+ * overrides, so the file is replaced atomically, and nothing is loaded from a damaged file.
  *
  * <p>The methods block on file I/O and must not be called on the routing thread or on I/O threads.
  */
--- a/src/main/java/brooklock/membership/EndpointMerge.java
+++ b/src/main/java/brooklock/membership/EndpointMerge.java
@@ -55,9 +55,8 @@
     }
 
     /**
-     * Returns whether one source takes precedence over another. Versioned sources take precedence
-     * in the order of their names, then comes the source of unversioned events, and the settings
-     * come last.
+     * Returns whether one source takes precedence over another. The order of precedence is:
+     * versioned sources by name, the source of unversioned events, the settings.
      */
     private static boolean takesPrecedence(String source, String other) {
         boolean ordered = !source.startsWith("*");
--- a/src/main/java/brooklock/membership/EventOrder.java
+++ b/src/main/java/brooklock/membership/EventOrder.java
@@ -34,9 +34,9 @@
             boolean conflict = event.full() && !source.hasSameEndpoints(event);
             return rejected(conflict ? Status.CONFLICT : Status.DUPLICATE, source);
         }
-        // A delta whose base is older than the sequence number in force is a gap too. An endpoint
-        // that changed after that base, and has since changed back, is missing from such a delta.
-        // If the first of these changes is in force, the endpoint would keep that outdated state.
+        // A delta whose base is older than the sequence number in force is rejected as a gap, too.
+        // It omits endpoints that changed after the base and then changed back. If this dispatcher
+        // has applied the first change, it would never learn of the second.
         return event.full() || version.baseSequence() == source.sequence()
                 ? Optional.empty()
                 : rejected(Status.GAP, source);
--- a/src/main/java/brooklock/membership/EventSource.java
+++ b/src/main/java/brooklock/membership/EventSource.java
@@ -52,7 +52,7 @@
     }
 
     /**
-     * Returns this source with its order reset, so that its next full list is accepted whatever its
+     * Returns this source with its order reset, so that its next full list is accepted with any
      * epoch.
      */
     EventSource withOrderReset() {
--- a/src/main/java/brooklock/membership/EventVersion.java
+++ b/src/main/java/brooklock/membership/EventVersion.java
@@ -8,9 +8,9 @@
  * @param epoch the source's incarnation, at least 1; increases with each start of the source, so
  *     its start time in ms is a valid epoch
  * @param sequence sequence number of the event, at least 1; increases with each change within an
- *     epoch, and the list is current as of this number
- * @param baseSequence for a delta, the sequence number that it was derived from and that must be in
- *     force for it to apply; 0 for a full list
+ *     epoch; the event brings the list up to date with all changes up to this number
+ * @param baseSequence for a delta, the sequence number that the delta was derived from; the delta
+ *     is applied only while this number is in force. 0 for a full list
  */
 public record EventVersion(String source, long epoch, long sequence, long baseSequence) {
     /** Maximum length of a source name, in characters. */
@@ -39,7 +39,7 @@
         }
         if (baseSequence < 0 || baseSequence >= sequence) {
             throw new IllegalArgumentException(
-                    "expected a delta to follow a number below its own number "
+                    "expected 'follows' to be below the delta's own number "
                             + sequence
                             + " but received "
                             + baseSequence);
--- a/src/main/java/brooklock/membership/Membership.java
+++ b/src/main/java/brooklock/membership/Membership.java
@@ -61,7 +61,7 @@
     // ---- Watch events
 
     /**
-     * Applies an event whole or rejects it whole.
+     * Applies an event atomically: if it is rejected, the endpoints in force do not change.
      *
      * @param wallMs wall time at which the event arrived, in ms since 1970; kept for display only
      */
@@ -192,7 +192,7 @@
     }
 
     /**
-     * Resets the order of a source, so that its next full list is accepted whatever its epoch. The
+     * Resets the order of a source, so that its next full list is accepted with any epoch. The
      * source's endpoints stay in force.
      */
     public UpdateResult resetSource(String sourceName) {
@@ -274,7 +274,7 @@
     }
 
     // Drops the overrides of endpoints that are no longer listed; they would otherwise accumulate
-    // and could not be saved, because only the list knows the endpoint's name.
+    // and could not be saved, because the endpoint's name is found only in the list.
     private static PMap<Long, EndpointState> retainListedOverrides(
             PSortedMap<Long, ListedEndpoint> endpoints, PMap<Long, EndpointState> overrides) {
         PMap<Long, EndpointState> kept = overrides;
--- a/src/main/java/brooklock/membership/MembershipStateCodec.java
+++ b/src/main/java/brooklock/membership/MembershipStateCodec.java
@@ -16,9 +16,9 @@
  * end LINES CHECKSUM
  * </pre>
  *
- * <p>The last line holds a checksum, so that a truncated or damaged file is rejected whole. Lists
- * that were saved before events had versions, in the form of {@link EndpointListCodec}, are decoded
- * too. All methods are static, free of side effects and thread-safe.
+ * <p>The last line holds a checksum, so that a truncated or damaged file is detected and rejected.
+ * Lists that were saved before events had versions, in the form of {@link EndpointListCodec}, are
+ * decoded too. All methods are static, free of side effects and thread-safe.
  */
 final class MembershipStateCodec {
     private static final String HEADER = "members 2";
--- a/src/main/java/brooklock/membership/PurgeTimes.java
+++ b/src/main/java/brooklock/membership/PurgeTimes.java
@@ -29,8 +29,8 @@
     /**
      * Returns the age of a purge, in ns.
      *
-     * @param purge identifies the purge by what is purged and at which time, as the request states
-     *     both
+     * @param purge identifies the purge: the purged object or group and the purge time, as stated
+     *     in the request
      * @param nowNs current time on the router's clock
      * @param wallAgeNs age of the purge by the current wall clock; used on its first arrival only
      */
--- a/src/main/java/brooklock/membership/WatchEvent.java
+++ b/src/main/java/brooklock/membership/WatchEvent.java
@@ -24,8 +24,8 @@
                     full
                             ? "expected a full list without 'follows' but received follows "
                                     + version.baseSequence()
-                            : "expected a numbered delta to state 'follows M' but received no such"
-                                    + " number");
+                            : "expected a versioned delta to state 'follows M' but 'follows' is"
+                                    + " missing");
         }
         endpoints = List.copyOf(endpoints);
     }
--- a/src/main/java/brooklock/membership/package-info.java
+++ b/src/main/java/brooklock/membership/package-info.java
@@ -7,8 +7,7 @@
  *
  * <ul>
  *   <li><b>Versions.</b> Each source orders its own events by epoch and sequence number ({@link
- *       brooklock.membership.EventVersion}). An older event changes nothing, however late it
- *       arrives.
+ *       brooklock.membership.EventVersion}). An event older than the one in force is ignored.
  *   <li><b>Gaps.</b> A delta applies only to the sequence number that it was derived from.
  *       Otherwise it is rejected and its source has to send a full list.
  *   <li><b>Several sources.</b> Events of different sources have no order. An endpoint has the most
--- a/src/main/java/brooklock/net/AbstractConnectAttempt.java
+++ b/src/main/java/brooklock/net/AbstractConnectAttempt.java
@@ -9,7 +9,7 @@
 /**
  * Base class of attempts to establish an outgoing connection. An attempt is settled once it has
  * succeeded, failed, timed out or been cancelled, and later events are ignored. All methods are
- * called on its I/O thread only, {@link #start} first and once.
+ * called on the I/O thread of {@link #loop} only; {@link #start} is called once, before any other.
  */
 abstract class AbstractConnectAttempt {
     final IoLoop loop;
@@ -29,8 +29,8 @@
     abstract void dispatch(Runnable callback);
 
     /**
-     * Called when TCP is connected. This may be after the attempt has settled; the channel must be
-     * closed then, since nobody else owns it.
+     * Called when TCP is connected. If the attempt has settled already, the implementation must
+     * close the channel, because it has no other owner.
      */
     abstract void onChannelOpen(StreamConnection channel);
 
@@ -79,7 +79,7 @@
         return true;
     }
 
-    /** Cancels the connect; its outcome is ignored if the attempt has settled. */
+    /** Cancels the opening of the channel. The caller has settled the attempt. */
     final void cancelChannel() {
         future.cancel();
     }
--- a/src/main/java/brooklock/net/BufferPool.java
+++ b/src/main/java/brooklock/net/BufferPool.java
@@ -24,7 +24,7 @@
         return buffer == null ? ByteBuffer.allocateDirect(BUFFER_BYTES) : buffer;
     }
 
-    /** Takes back a buffer, which the caller must not access afterwards. */
+    /** Returns a buffer to the pool; the caller must not access the buffer afterwards. */
     void release(ByteBuffer buffer) {
         if (pooled.size() < MAX_POOLED_BUFFERS) {
             pooled.addFirst(buffer.clear());
--- a/src/main/java/brooklock/net/ClientCall.java
+++ b/src/main/java/brooklock/net/ClientCall.java
@@ -5,9 +5,8 @@
 
 /**
  * One request that an {@link HttpClient} sends to an endpoint. The call waits for a connection, is
- * carried by one, and ends with {@link ResponseHandler#onComplete}, {@link
- * ResponseHandler#onFailure} or {@link #cancel}. Not thread-safe: all methods must be called on the
- * client's I/O thread.
+ * sent on it, and ends with {@link ResponseHandler#onComplete}, {@link ResponseHandler#onFailure}
+ * or {@link #cancel}. Not thread-safe: all methods must be called on the client's I/O thread.
  */
 public final class ClientCall {
     final RequestHead head;
@@ -61,7 +60,8 @@
 
     /**
      * Resumes reading after {@link ResponseHandler#onBody} returned false. The handler may be
-     * called before this returns, and the piece it was given last is no longer valid.
+     * called before this method returns. The piece that was last passed to the handler is no longer
+     * valid.
      */
     public void resume() {
         if (!ended && connection != null) {
--- a/src/main/java/brooklock/net/ClientLimits.java
+++ b/src/main/java/brooklock/net/ClientLimits.java
@@ -8,13 +8,12 @@
  *
  * @param http limits of a response; a call whose response exceeds one fails with {@link
  *     CallFailure#MALFORMED_RESPONSE}
- * @param maxConnections maximum number of open connections, those being established included;
+ * @param maxConnections maximum number of open connections, including those being established;
  *     further calls wait
  * @param maxConnecting maximum number of connections being established at once; further calls wait
  *     for one of them or for a connection that becomes free
- * @param maxWaitingCalls maximum number of calls that wait for a connection, beyond one for each
- *     connection being established; a further call fails at once with {@link
- *     CallFailure#NOT_CONNECTED}
+ * @param maxWaitingCalls maximum number of waiting calls in excess of the number of connections
+ *     being established; a further call fails at once with {@link CallFailure#NOT_CONNECTED}
  * @param maxIdleConnections maximum number of idle connections kept for reuse
  * @param connectTimeoutNs maximum time to establish a connection, and maximum time that a call
  *     waits for one
--- a/src/main/java/brooklock/net/ConnectAttempt.java
+++ b/src/main/java/brooklock/net/ConnectAttempt.java
@@ -56,8 +56,8 @@
                 address, whenOpen, OptionMap.create(Options.TCP_NODELAY, true));
     }
 
-    // The callback is queued even on the loop's own thread: the caller must have the attempt before
-    // one of its callbacks runs.
+    // The callback is queued even if this is the loop's thread: connect must return the attempt to
+    // its caller before a callback runs.
     @Override
     void dispatch(Runnable callback) {
         loop.execute(callback);
--- a/src/main/java/brooklock/net/Connection.java
+++ b/src/main/java/brooklock/net/Connection.java
@@ -78,8 +78,8 @@
      * Writes the queued output. If the socket does not accept all of it, {@link #onWritable} is
      * called when it accepts more.
      *
-     * @return true if this call wrote the last of output that earlier had to wait for {@code
-     *     onWritable}; false if output remains or none had to wait
+     * @return true if output was pending for {@link #onWritable} and this call wrote the rest of
+     *     it; otherwise false
      * @throws IOException if the connection is lost
      */
     final boolean flushOutput() throws IOException {
@@ -106,7 +106,8 @@
     }
 
     /**
-     * Returns the input buffer to write mode with its unconsumed bytes; releases it if it is empty.
+     * Switches the input buffer back to write mode and keeps its unconsumed bytes; releases the
+     * buffer if there are none.
      */
     final void keepUnconsumed() {
         if (input != null) {
--- a/src/main/java/brooklock/net/DeadlineTimer.java
+++ b/src/main/java/brooklock/net/DeadlineTimer.java
@@ -3,10 +3,10 @@
 import org.xnio.XnioExecutor;
 
 /**
- * A deadline that can be moved cheaply; used on one I/O thread only. To move it later is a field
- * write: the timer that is already scheduled compares the time with the deadline when it fires and
- * is rescheduled if necessary. A connection that is always busy therefore schedules at most one
- * timer per timeout period.
+ * A deadline that can be moved cheaply; used on one I/O thread only. Postponing the deadline only
+ * writes a field: when the timer that is already scheduled fires, it compares the time with the
+ * deadline and is rescheduled if necessary. A connection that is always busy therefore schedules at
+ * most one timer per timeout period.
  */
 final class DeadlineTimer {
     private static final long NONE = Long.MAX_VALUE;
--- a/src/main/java/brooklock/net/HttpClientConnection.java
+++ b/src/main/java/brooklock/net/HttpClientConnection.java
@@ -14,7 +14,7 @@
 /**
  * The client side of one connection to an endpoint, which carries one call at a time. Used on its
  * I/O thread only. Its {@link HttpConnectionPool} calls {@link #start} for each call and {@link
- * #becomeIdle} when none is waiting.
+ * #becomeIdle} when no call is waiting.
  */
 final class HttpClientConnection extends Connection {
     /**
@@ -220,7 +220,7 @@
         }
     }
 
-    /** Resumes reading after the handler paused it, and first delivers what is in the buffer. */
+    /** Resumes reading after the handler paused it; delivers the input in the buffer first. */
     void resume() {
         if (!paused || closed) {
             return;
--- a/src/main/java/brooklock/net/HttpConnectionPool.java
+++ b/src/main/java/brooklock/net/HttpConnectionPool.java
@@ -97,8 +97,8 @@
     }
 
     /**
-     * Called when a connect attempt has failed. The call that has waited longest fails with it,
-     * since no waiting call belongs to a particular attempt.
+     * Called when a connect attempt has failed. The call that has waited longest fails for the same
+     * reason, since waiting calls are not bound to particular attempts.
      */
     void onConnectFailed(String reason) {
         connectingCount--;
@@ -111,7 +111,9 @@
     }
 
     /**
-     * Called when a connection can carry another call: a waiting call starts, or it becomes idle.
+     * Called when a connection can carry another call. Starts the call that has waited longest. If
+     * no call is waiting, keeps the connection for reuse or, beyond {@link
+     * ClientLimits#maxIdleConnections}, closes it.
      */
     void release(HttpClientConnection connection) {
         ClientCall waiting = waitingCalls.pollFirst();
--- a/src/main/java/brooklock/net/HttpExchange.java
+++ b/src/main/java/brooklock/net/HttpExchange.java
@@ -255,8 +255,8 @@
     }
 
     /**
-     * Aborts the exchange by resetting the connection, so that the client cannot take the response
-     * for complete.
+     * Aborts the exchange by resetting the connection, so that the client does not mistake a
+     * truncated response for a complete one.
      */
     public void abort() {
         if (!ended) {
--- a/src/main/java/brooklock/net/HttpListener.java
+++ b/src/main/java/brooklock/net/HttpListener.java
@@ -139,13 +139,16 @@
         return openCount.get();
     }
 
-    /** Returns the number of connections rejected since the start because of the limit on them. */
+    /**
+     * Returns the number of connections rejected since the listener was opened because {@link
+     * ServerLimits#maxConnections} were open already.
+     */
     public long rejectedConnections() {
         return rejectedCount.sum();
     }
 
-    // Unlike RawListener, this accepts every connection that is ready and does not pause after a
-    // failed accept. The loops are separate, since a common one would change one of the listeners.
+    // Accepts every connection that is ready. RawListener has its own loop, because it limits the
+    // accepts per wakeup and pauses after a failed accept; this listener does neither.
     private void accept(AcceptingChannel<? extends StreamConnection> readyChannel) {
         try {
             StreamConnection accepted = readyChannel.accept();
--- a/src/main/java/brooklock/net/HttpServerConnection.java
+++ b/src/main/java/brooklock/net/HttpServerConnection.java
@@ -16,7 +16,7 @@
 /**
  * The server side of one connection. Used on its I/O thread only. Requests are processed one at a
  * time and in order: at most one buffer of a pipelined request is read until the response to the
- * request before it has been written.
+ * previous request has been written.
  */
 final class HttpServerConnection extends Connection {
     /**
@@ -38,7 +38,7 @@
     private boolean lingering;
     private boolean inputEnded;
 
-    /** Creates a connection; if {@code overLimit} is set it is answered with 503 and closed. */
+    /** Creates a connection; if {@code overLimit} is true, {@link #start} rejects it with 503. */
     HttpServerConnection(
             HttpListener listener, IoLoop loop, StreamConnection channel, boolean overLimit) {
         super(loop, channel);
@@ -297,7 +297,7 @@
         }
     }
 
-    // Ends the current exchange, if any, since its request is malformed or exceeds a limit.
+    // Ends the exchange of the malformed or oversized request, if any, and sends the error.
     private void onInvalidRequest(HttpProtocolException error) {
         abandonExchange();
         reject(error.status, error.getMessage());
@@ -353,12 +353,12 @@
         }
     }
 
-    /** Resets the connection, so that a client cannot take a body without a length for complete. */
+    /** Resets the connection, so that a client does not take a truncated body for complete. */
     void abort() {
         try {
             channel.setOption(Options.CLOSE_ABORT, true);
         } catch (IOException e) {
-            // Closed without a reset: a body with a length or in chunks is still incomplete.
+            // Close without a reset; a body with a length or in chunks is detectably incomplete.
         }
         closeNow();
     }
--- a/src/main/java/brooklock/net/IoLoop.java
+++ b/src/main/java/brooklock/net/IoLoop.java
@@ -51,9 +51,9 @@
 
     /**
      * Runs a task on the I/O thread once the delay has passed, and never earlier. XNIO schedules in
-     * milliseconds, so the delay is rounded up to at least one. With a delay of 0 the task would
-     * run before any socket is polled again, and a task that reschedules itself would starve the
-     * sockets.
+     * milliseconds, so the delay is rounded up to whole milliseconds, at least 1. With a delay of 0
+     * the task would run before any socket is polled again, and a task that reschedules itself
+     * would starve the sockets.
      *
      * @param delayNs the delay in nanoseconds
      * @param task the task, which is dropped if the threads have been closed
@@ -79,7 +79,7 @@
             throw new IllegalStateException(
                     "expected a call on I/O thread "
                             + thread.getName()
-                            + " but received one on thread "
+                            + " but was called on thread "
                             + Thread.currentThread().getName());
         }
     }
--- a/src/main/java/brooklock/net/PeerCertificates.java
+++ b/src/main/java/brooklock/net/PeerCertificates.java
@@ -11,7 +11,10 @@
 final class PeerCertificates {
     private PeerCertificates() {}
 
-    /** Returns the peer's chain, its own certificate first; null if it sent none or without TLS. */
+    /**
+     * Returns the peer's certificate chain, starting with its own certificate; null if the peer
+     * sent none or TLS is not used.
+     */
     static X509Certificate[] of(StreamConnection channel) {
         if (!(channel instanceof SslConnection ssl) || ssl.getSslSession() == null) {
             return null;
--- a/src/main/java/brooklock/net/PooledConnectAttempt.java
+++ b/src/main/java/brooklock/net/PooledConnectAttempt.java
@@ -41,8 +41,8 @@
                 : tls.openSslConnection(loop.thread, address, whenOpen, options);
     }
 
-    // Runs at once on the I/O thread: a call is waiting, and unlike with ConnectAttempt no caller
-    // needs the attempt before the callback.
+    // Runs the callback at once if this is the I/O thread, because a call is waiting. Unlike with
+    // ConnectAttempt, no caller needs a reference to the attempt before the callback runs.
     @Override
     void dispatch(Runnable callback) {
         loop.run(callback);
--- a/src/main/java/brooklock/net/RawConnection.java
+++ b/src/main/java/brooklock/net/RawConnection.java
@@ -27,7 +27,7 @@
         /**
          * Consumes input. Bytes that remain in the buffer are passed again, followed by those that
          * arrive next. If a full buffer of {@value BufferPool#BUFFER_BYTES} bytes remains, the
-         * connection is closed, since it could read no further.
+         * connection is closed, since no further input could be read.
          *
          * @param input the input, valid during this call only
          */
@@ -71,7 +71,8 @@
     }
 
     /**
-     * Creates two connections whose peers are each other, within this process and without a socket.
+     * Creates a pair of connections that are connected to each other within this process, without a
+     * socket.
      *
      * @param loop the I/O thread of both connections
      * @throws IOException if no file descriptor is available
@@ -118,8 +119,9 @@
     }
 
     /**
-     * Writes buffers. What the socket does not accept at once is queued, without a bound; {@link
-     * EventListener#onAllWritten} is called once it has been written. Does nothing after a close.
+     * Writes buffers. Output that the socket does not accept at once is queued in an unbounded
+     * queue; {@link EventListener#onAllWritten} is called once all of it has been written. Does
+     * nothing after a close.
      *
      * @param buffers the buffers, which must not be modified until they are written
      */
@@ -174,8 +176,8 @@
      * while input is unread would instead reset the connection, and the peer might lose what was
      * written. Does nothing if the connection is closed or a graceful close has been started.
      *
-     * @param timeoutNs maximum duration of the graceful close in nanoseconds; the connection is
-     *     then closed at once
+     * @param timeoutNs maximum duration of the graceful close in nanoseconds, after which the
+     *     connection is closed at once
      * @param onClosed called once the connection's file descriptor has been released
      */
     public void closeGracefully(long timeoutNs, Runnable onClosed) {
--- a/src/main/java/brooklock/net/ResponseHandler.java
+++ b/src/main/java/brooklock/net/ResponseHandler.java
@@ -11,8 +11,8 @@
  * <p>All methods are called on the I/O thread of the call, in this order: {@link #shouldSend} each
  * time a connection is about to carry the request, at most one {@link #onHead}, any number of
  * {@link #onBody}, and exactly one of {@link #onComplete} and {@link #onFailure}. No method is
- * called after that one or after {@link ClientCall#cancel}. {@code onFailure} may be called at any
- * point, even from within {@link HttpClient#send}. Methods must not block.
+ * called after either of these two or after {@link ClientCall#cancel}. {@code onFailure} may be
+ * called at any point, even from within {@link HttpClient#send}. Methods must not block.
  *
  * <p>The default implementations suit a handler that needs only the outcome of the call.
  */
--- a/src/main/java/brooklock/net/ServerLimits.java
+++ b/src/main/java/brooklock/net/ServerLimits.java
@@ -8,10 +8,10 @@
  *
  * @param http limits of a request; a request that exceeds one is answered with an error status and
  *     its connection is closed
- * @param maxConnections maximum number of open connections of the listener; a further one is
+ * @param maxConnections maximum number of open connections of the listener; a further connection is
  *     answered with 503 and closed
- * @param backlog maximum number of connections that the system queues before they are accepted; it
- *     refuses further ones
+ * @param backlog maximum number of connections that the system queues before they are accepted; the
+ *     system refuses further connections
  * @param headTimeoutNs maximum time to receive a request head, from its first byte; a connection
  *     that exceeds it is answered with 408 and closed
  * @param bodyTimeoutNs maximum time to receive a request body; a request that exceeds it is
--- a/src/main/java/brooklock/net/WriteQueue.java
+++ b/src/main/java/brooklock/net/WriteQueue.java
@@ -8,8 +8,8 @@
 /**
  * A queue of the buffers that a connection has yet to write; used on its I/O thread only. It
  * references the buffers without copying them, so that a slow peer costs no memory beyond the
- * buffers of the sender, which must not modify them until they are written. The queue is unbounded:
- * callers that add to it must limit its size.
+ * buffers of the sender. The sender must not modify a buffer until it has been written. The queue
+ * is unbounded: callers that add to it must limit its size.
  */
 final class WriteQueue {
     /** Room for a typical response: its head, a chunk header, a chunk, its end, the last chunk. */
--- a/src/main/java/brooklock/warming/CacheState.java
+++ b/src/main/java/brooklock/warming/CacheState.java
@@ -13,8 +13,8 @@
  * #onListed} must be called before any other method.
  */
 final class CacheState {
-    // After a start a cache regains its capacity long before its copies. During this period its
-    // misses are sent to a peer first.
+    // After a start a cache reaches its full capacity long before its copies are refilled. During
+    // this period its misses are sent to a peer first.
     private static final long REFILL_PERIOD_NS = 120_000_000_000L;
     // Number of consecutive connection failures that count as a restart; the router uses the same
     // rule.
@@ -23,7 +23,7 @@
     // Peers of the cache's own zone are tried first while their hit ratio is at least this fraction
     // of the hit ratio of peers in other zones.
     private static final double SAME_ZONE_PREFERENCE = 0.5;
-    // Distinguish the permit phases of the two budgets of a cache.
+    // Give the two permit budgets of a cache different phases.
     private static final int PEER_BUDGET = 1;
     private static final int PREFETCH_BUDGET = 2;
 
@@ -36,7 +36,8 @@
     // is later.
     private long startedNs;
     private int connectionFailures;
-    // Both are null unless the start was less than REFILL_PERIOD_NS ago when it was recorded.
+    // The ramp and the prefetch budget are null if the start was long ago or already
+    // REFILL_PERIOD_NS old when it was recorded.
     private SlowStartRamp ramp;
     private PrefetchBudget prefetchBudget;
     private PeerLoadLimit loadLimit;
@@ -214,8 +215,8 @@
     }
 
     /**
-     * Returns whether the time since the last start is too short to assume that all copies are
-     * back.
+     * Returns whether the cache started so recently that some of its former copies may not have
+     * been refilled yet.
      */
     boolean mayLackCopies(long nowNs) {
         return ramp != null && nowNs - startedNs < REFILL_PERIOD_NS;
--- a/src/main/java/brooklock/warming/CacheTable.java
+++ b/src/main/java/brooklock/warming/CacheTable.java
@@ -18,7 +18,8 @@
     /** Averaging span of rates, in ns: longer than a burst, shorter than the warm-up of a cache. */
     static final double RATE_SPAN_NS = 8e9;
 
-    // Fraction of the mean hit ratio in its zone from which on a cache counts as refilled.
+    // A warm cache counts as refilled once its hit ratio is at least this fraction of the mean in
+    // its zone.
     private static final double REFILLED_FRACTION = 0.9;
     // A summary iterates over all caches, so it is refreshed a few times a second instead of for
     // each request.
--- a/src/main/java/brooklock/warming/CacheWarming.java
+++ b/src/main/java/brooklock/warming/CacheWarming.java
@@ -17,7 +17,7 @@
  * is a time on the dispatcher's monotonic clock, in ns. Not thread-safe: the routing thread owns
  * it.
  *
- * @param <T> the information that the dispatcher needs to request a part on its own
+ * @param <T> the information that the dispatcher needs to request a part without a client's request
  */
 public final class CacheWarming<T> {
     /**
@@ -25,7 +25,7 @@
      */
     private static final long MAX_SNAPSHOT_AGE_NS = 20_000_000_000L;
 
-    /** Minimum change of a share that is announced to the router; returning to 1 always is. */
+    /** Smaller changes of a share are not announced to the router, except a return to 1. */
     private static final double MIN_SHARE_CHANGE = SlowStartRamp.MIN_SHARE / 2;
 
     // Seeds the order of equally hot parts; differs from the values that seed the permit phases.
@@ -33,7 +33,8 @@
 
     /**
      * Computes the rendezvous hash weight of a cache for a part. It must be the same function as
-     * the router's: with any other order, fills would be sent to peers that never held the part.
+     * the router's: with a different function, fills would be sent to peers that never held the
+     * part.
      */
     public interface EndpointScore {
         /** Returns the weight of a cache. The cache with the greatest weight owns the part. */
@@ -238,8 +239,8 @@
 
     /**
      * Returns the id of the peer from which a cache should first try to fill a missing part, or 0
-     * if the part is to be filled as usual. Acquires a permit of the peer, which {@link
-     * #onPeerUnused} returns.
+     * if the part is to be filled from its usual fill source. Acquires a permit of the peer, which
+     * {@link #onPeerUnused} returns.
      */
     public long selectFillPeer(long endpointId, long object, int part, long nowNs) {
         CacheState cache = caches.find(endpointId);
@@ -258,8 +259,8 @@
      * Returns the prefetches to send now. Each of them counts as in flight until {@link
      * #onPrefetchDone} is called for it.
      *
-     * @param copyAllowed tests whether a copy of an object may be passed on now; false while copies
-     *     from before a purge may remain
+     * @param copyAllowed tests whether a copy of an object may be transferred between caches now;
+     *     false while copies from before a purge may remain
      */
     public List<Prefetch<T>> nextPrefetches(long nowNs, BiPredicate<Long, T> copyAllowed) {
         return prefetchPlanner.next(nowNs, copyAllowed);
@@ -285,8 +286,8 @@
      * Restores a snapshot. The older the snapshot is, the less its entries count. An entry is
      * ignored if its cache has started since.
      *
-     * @param ageNs age of the snapshot, in ns; a negative age, which means that the wall clock was
-     *     set back, makes the snapshot ignored
+     * @param ageNs age of the snapshot, in ns; if the age is negative, because the wall clock was
+     *     set back, the snapshot is ignored
      */
     public void restore(List<SnapshotEntry> entries, long ageNs, long nowNs) {
         if (ageNs < 0 || ageNs > MAX_SNAPSHOT_AGE_NS) {
--- a/src/main/java/brooklock/warming/HotParts.java
+++ b/src/main/java/brooklock/warming/HotParts.java
@@ -19,7 +19,7 @@
 
     /**
      * Maximum number of parts per interval; the oldest is dropped first. The limit bounds the time
-     * of a sort.
+     * to sort the parts.
      */
     static final int MAX_PARTS = 8_000;
 
--- a/src/main/java/brooklock/warming/PacedBudget.java
+++ b/src/main/java/brooklock/warming/PacedBudget.java
@@ -34,7 +34,8 @@
      * Issues the permits that are due, drops expired ones and returns whether a permit is
      * available. {@link #acquire} takes the permit.
      *
-     * @param ratePerNs rate at which permits are issued since the previous call, in permits per ns
+     * @param ratePerNs rate at which permits have been issued since the previous call, in permits
+     *     per ns
      */
     boolean refillAndCheck(double ratePerNs, long nowNs) {
         double rate = Math.max(0, ratePerNs);
--- a/src/main/java/brooklock/warming/PeerLoadLimit.java
+++ b/src/main/java/brooklock/warming/PeerLoadLimit.java
@@ -8,10 +8,10 @@
  * allowed share, regardless of their number and of what the peer reports. Not thread-safe.
  */
 final class PeerLoadLimit {
-    /** Age from which on the last report of a peer is disregarded, in ns. */
+    /** Age at which the last report of a peer is no longer used, in ns. */
     static final long STALE_REPORT_NS = 3_000_000_000L;
 
-    // High enough to use a healthy peer at once, and leaves a margin to adapt in both directions.
+    // Is high enough to use a healthy peer at once and leaves a margin to adapt in both directions.
     private static final double INITIAL_FRACTION = 0.5;
     // A peer in another zone reports its load only in its responses. Without a few requests it
     // could never report and would never be used.
--- a/src/main/java/brooklock/warming/PrefetchBudget.java
+++ b/src/main/java/brooklock/warming/PrefetchBudget.java
@@ -5,8 +5,9 @@
 /**
  * Limits the prefetches at one cache that is warming up. Clients use up to {@link
  * SlowStart#plannedCapacityMultiple} of the cache's present capacity. Prefetching uses half of the
- * remainder up to the overload multiple, and never more than half of the capacity. Clients and
- * prefetching together therefore stay below every overload multiple. Not thread-safe.
+ * difference between that multiple and the overload multiple, but never more than half of the
+ * capacity. Clients and prefetching together therefore stay below the overload multiple, regardless
+ * of its value. Not thread-safe.
  */
 final class PrefetchBudget {
     // Below 1, because permits from just before the overload window and random variation add to the
--- a/src/main/java/brooklock/warming/PrefetchPlanner.java
+++ b/src/main/java/brooklock/warming/PrefetchPlanner.java
@@ -58,7 +58,7 @@
     /**
      * Returns the prefetches to send now, counts them as in flight and acquires their permits.
      *
-     * @param copyAllowed tests whether a copy of an object may be passed on now
+     * @param copyAllowed tests whether a copy of an object may be transferred between caches now
      */
     List<Prefetch<T>> next(long nowNs, BiPredicate<Long, T> copyAllowed) {
         List<CacheState> targets =
--- a/src/main/java/brooklock/warming/WarmingLimits.java
+++ b/src/main/java/brooklock/warming/WarmingLimits.java
@@ -15,8 +15,10 @@
  * @param initialCapacity share of its capacity that a cache has right after its start, above 0 and
  *     at most 1
  * @param warmUpNs time from a cache's start until it has its full capacity, in ns, above 0
- * @param overloadMultiple multiple of its current capacity that overloads a cache, at least 0
- * @param overloadWindowNs window over which that load is measured, in ns, above 0
+ * @param overloadMultiple load that overloads a cache, as a multiple of its current capacity, at
+ *     least 0
+ * @param overloadWindowNs window over which the load is compared with {@code overloadMultiple}, in
+ *     ns, above 0
  */
 public record WarmingLimits(
         boolean crossZone,
--- a/src/main/java/brooklock/warming/WarmingSnapshotCodec.java
+++ b/src/main/java/brooklock/warming/WarmingSnapshotCodec.java
@@ -14,7 +14,7 @@
  * end LINES CHECKSUM
  * </pre>
  *
- * <p>A truncated or damaged snapshot is rejected whole. All methods are static, free of side
+ * <p>Nothing is loaded from a truncated or damaged snapshot. All methods are static, free of side
  * effects and thread-safe.
  */
 public final class WarmingSnapshotCodec {
--- a/src/test/java/brooklock/membership/EndpointListCodecTest.java
+++ b/src/test/java/brooklock/membership/EndpointListCodecTest.java
@@ -63,18 +63,21 @@
         "source r, expected an epoch and a number of at least 1 but received epoch 0 and number 0",
         "source r epoch 1, expected an epoch and a number of at least 1 but received epoch 1 and"
                 + " number 0",
-        "source r epoch 1 number 2, expected a numbered delta to state 'follows M' but received no",
-        "source r epoch 1 number 2 follows 2, expected a delta to follow a number below its own"
+        "source r epoch 1 number 2, expected a versioned delta to state 'follows M' but 'follows'"
+                + " is missing",
+        "source r epoch 1 number 2 follows 2, expected 'follows' to be below the delta's own"
                 + " number 2 but received 2",
         "source r epoch 1 number -2 follows 1, expected 1 to 15 digits after 'number' but received"
                 + " '-2'",
         "epoch 1 number 2 follows 1, 'expected ''source NAME epoch E number N'', and ''follows M''"
-                + " in a delta, but received ''epoch'' as word 3 of 8'",
+                + " in a delta, but received ''epoch'', which is not the expected key or has no"
+                + " value, as word 3 of 8'",
         "source r/ epoch 1 number 2 follows 1, 'expected a source name of 1 to 63 letters, digits,"
                 + " dots, dashes and underscores that begins with a letter or digit but"
                 + " received ''r/'''",
         "source r epoch 1 number 2 follows 1 x, 'expected ''source NAME epoch E number N'', and"
-                + " ''follows M'' in a delta, but received ''x'' as word 11 of 11'",
+                + " ''follows M'' in a delta, but received ''x'', which is not the expected key or"
+                + " has no value, as word 11 of 11'",
         "source r epoch 9999999999999999 number 2 follows 1, expected 1 to 15 digits after 'epoch'"
                 + " but received '9999999999999999'"
     })
--- a/src/test/java/brooklock/net/HttpConnectionPoolTest.java
+++ b/src/test/java/brooklock/net/HttpConnectionPoolTest.java
@@ -160,7 +160,7 @@
 
     /**
      * An endpoint that hangs accepts connections but never answers. Fifty simultaneous calls must
-     * not open fifty connections, and each must fail within its timeout as one that was not sent.
+     * not open fifty connections, and each must fail within its timeout without having been sent.
      */
     @Test
     void aBurstAtASilentEndpointOpensFewConnections() throws Exception {
--- a/src/test/java/brooklock/net/RawConnectionTest.java
+++ b/src/test/java/brooklock/net/RawConnectionTest.java
@@ -51,7 +51,8 @@
     }
 
     /**
-     * Tests that a {@link ConnectAttempt} calls back only after the call that starts it returned.
+     * Tests that no callback of a {@link ConnectAttempt} is called before {@link
+     * ConnectAttempt#connect} has returned.
      */
     @Nested
     class Connecting {
--- a/src/test/java/brooklock/warming/SummedLoadPropertyTest.java
+++ b/src/test/java/brooklock/warming/SummedLoadPropertyTest.java
@@ -20,8 +20,8 @@
 
 /**
  * Tests the load that up to 400 dispatchers, which share no state, together put on one cache. Even
- * if each dispatcher respects its bound, their sum may exceed the total, especially when all of
- * them start at the same moment.
+ * if each dispatcher respects its own bound, the sum of their loads may exceed the total bound,
+ * especially when all of them start at the same moment.
  */
 class SummedLoadPropertyTest {
     private static final long START = 100 * SECONDS;
--- a/src/test/java/brooklock/warming/WarmingFixture.java
+++ b/src/test/java/brooklock/warming/WarmingFixture.java
@@ -25,12 +25,12 @@
 
     private WarmingFixture() {}
 
-    /** Returns a ready cache of the own zone that started long ago. */
+    /** Returns a ready cache in the dispatcher's zone that started long ago. */
     static CacheEndpoint warm(long id) {
         return new CacheEndpoint(id, 0, true, 0, 0);
     }
 
-    /** Returns a ready cache of the own zone that started at the given time. */
+    /** Returns a ready cache in the dispatcher's zone that started at the given time. */
     static CacheEndpoint cold(long id, long startedNs) {
         return new CacheEndpoint(id, 0, true, startedNs, startedNs / MILLIS);
     }
--- a/src/test/java/brooklock/warming/WarmingSnapshotTest.java
+++ b/src/test/java/brooklock/warming/WarmingSnapshotTest.java
@@ -19,7 +19,7 @@
 
 /**
  * Tests a restart of the dispatcher while a cache warms up. Without a snapshot the dispatcher would
- * send the cache its full share again, which has just overloaded the cache.
+ * again send the cache its full share, although that load has just overloaded the cache.
  */
 class WarmingSnapshotTest {
     private static final long START = 100 * SECONDS;
