--- a/src/main/java/brooklock/authorization/FairShares.java
+++ b/src/main/java/brooklock/authorization/FairShares.java
@@ -3,8 +3,8 @@
 import java.util.Collection;
 
 /**
- * Divides a capacity among tenants by weighted max-min fairness: the part of its share that a
- * tenant does not demand is divided among the others.
+ * Divides a capacity among tenants by weighted max-min fairness: capacity that a tenant does not
+ * demand is divided among the other tenants.
  */
 final class FairShares {
     /**
--- a/src/main/java/brooklock/authorization/OverloadControl.java
+++ b/src/main/java/brooklock/authorization/OverloadControl.java
@@ -4,9 +4,9 @@
 import java.util.Collection;
 
 /**
- * Detects overload from the requests that the router serves and rejects in each interval, and while
- * it lasts computes the capacity that tenants share. Without this, a burst of one tenant would
- * cause the router to reject requests of all tenants. Not thread-safe; owned by a {@link
+ * Detects overload from the requests that the router serves and rejects in each interval, and
+ * during overload computes the capacity that tenants share. Without this, a burst of one tenant
+ * would cause the router to reject requests of all tenants. Not thread-safe; owned by a {@link
  * TenantLimiter}.
  */
 final class OverloadControl {
@@ -95,8 +95,8 @@
     }
 
     /**
-     * Enters or leaves the overloaded state. The state is kept while requests are not admitted, and
-     * left once all demand is admitted and served, or when fair shares prove ineffective.
+     * Enters or leaves the overloaded state. The state ends when all requests of an interval were
+     * admitted and the router rejects few requests, or when fair shares prove ineffective.
      *
      * @param notAdmitted the number of requests of the interval that were not admitted
      */
@@ -117,7 +117,8 @@
         }
     }
 
-    // While few requests are rejected the capacity grows, to discover recovered capacity.
+    // While the router rejects few requests, the shared capacity grows, because the capacity of the
+    // router may have recovered.
     private void updateSharedCapacity() {
         double mean = Arrays.stream(recentServed).sum() / RECENT_INTERVALS;
         sharedCapacity =
--- a/src/main/java/brooklock/authorization/PathValidator.java
+++ b/src/main/java/brooklock/authorization/PathValidator.java
@@ -20,14 +20,15 @@
     // The characters other than letters and digits that RFC 3986, section 3.3 allows in a segment
     // without percent-encoding, except ';', at which some servers truncate a segment.
     private static final String UNESCAPED_PUNCTUATION = "-._~!$&'()*+,=:@";
-    // Decoded, these could be taken for delimiters, dot segments or further percent-encoding.
+    // Characters that are rejected even if percent-encoded: after decoding, they could be taken for
+    // delimiters, dot segments or further percent-encoding.
     private static final String NEVER_ESCAPED = "%/\\;.";
 
     private PathValidator() {}
 
     /**
-     * Validates a request target, that is path and query. Returns the first violation, or empty if
-     * the target is in canonical form.
+     * Validates a request target (path and query). Returns the first violation, or empty if the
+     * target is in canonical form.
      */
     public static Optional<PathViolation> validate(String target) {
         int queryMark = target.indexOf('?');
--- a/src/main/java/brooklock/authorization/PathViolation.java
+++ b/src/main/java/brooklock/authorization/PathViolation.java
@@ -1,7 +1,7 @@
 package brooklock.authorization;
 
 /**
- * The reason for which {@link PathValidator} rejects a request target.
+ * The reason why {@link PathValidator} rejects a request target.
  *
  * @param kind the rule that the target violates
  * @param message the reason for the client; it is sent in the response body
@@ -17,7 +17,7 @@
         DOT_SEGMENT("a segment of dots"),
         /** A percent sign is not followed by two upper-case hexadecimal digits. */
         MALFORMED_ESCAPE("a percent sign without two upper-case hexadecimal digits"),
-        /** A percent-encoded character must not be encoded, or is not allowed at all. */
+        /** A percent-encoded character must be written unencoded, or is not allowed at all. */
         NEEDLESS_ESCAPE("a character in percent form that must stand by itself or not at all"),
         /** A segment contains a forbidden character; the message names it. */
         FORBIDDEN_CHARACTER("the character '%s' in a segment"),
--- a/src/main/java/brooklock/authorization/Policy.java
+++ b/src/main/java/brooklock/authorization/Policy.java
@@ -6,8 +6,8 @@
 
 /**
  * A compiled access policy. A request is allowed if a line allows it and no line denies it;
- * otherwise it is denied. Instances are immutable, so that a request is evaluated by one policy
- * even if a new one is loaded meanwhile.
+ * otherwise it is denied. Instances are immutable: loading a new policy does not affect a request
+ * that is being evaluated.
  */
 public final class Policy {
     /** A policy without tenants, which denies everything. */
@@ -17,7 +17,7 @@
     /**
      * A mapping of a name in a credential to a tenant.
      *
-     * @param line the number of its line in the policy file
+     * @param line the number of the mapping's line in the policy file, from 1
      * @param kind the kind of name
      * @param key the name of the claim, or the name in the certificate
      * @param value the value of the claim; null for certificates
@@ -56,7 +56,7 @@
         return mappings;
     }
 
-    /** Returns the tenant that a claim of a token is mapped to. */
+    /** Returns the tenant that a claim of a token is mapped to, or empty if it is not mapped. */
     public Optional<Tenant> tenantByClaim(String key, String value) {
         for (Mapping mapping : mappings) {
             if (mapping.kind() == NameKind.CLAIM
@@ -68,7 +68,9 @@
         return Optional.empty();
     }
 
-    /** Returns the tenant that a name in a certificate is mapped to. */
+    /**
+     * Returns the tenant that a name in a certificate is mapped to, or empty if it is not mapped.
+     */
     public Optional<Tenant> tenantByCertificate(NameKind kind, String name) {
         for (Mapping mapping : mappings) {
             if (mapping.kind() == kind && mapping.key().equals(name)) {
@@ -99,8 +101,8 @@
     }
 
     /**
-     * The evaluation of one request. Of several lines that allow it, or that deny it, the first in
-     * the file is reported.
+     * The evaluation of one request. If several lines allow (or deny) the request, the decision
+     * names the first of them.
      */
     private static final class Evaluation {
         private final int tenantIndex;
--- a/src/main/java/brooklock/authorization/PolicyReader.java
+++ b/src/main/java/brooklock/authorization/PolicyReader.java
@@ -22,7 +22,7 @@
  * reported.
  */
 public final class PolicyReader {
-    /** The maximum number of tenants in a policy; each rule has a bit for each tenant. */
+    /** The maximum number of tenants in a policy; a rule occupies one bit for each tenant. */
     public static final int MAX_TENANTS = 4096;
 
     /** The maximum number of allow and deny statements in a policy. */
@@ -48,9 +48,9 @@
      *
      * @param file the name of the file in messages
      * @param text the content of the file
-     * @throws SettingsException if the policy has mistakes, all of which it reports. A text without
-     *     a tenant or without a rule is also rejected, because an emptied file is more likely an
-     *     accident than intended to deny everything
+     * @throws SettingsException if the policy has mistakes; reports all of them. A policy without
+     *     tenants or without rules is a mistake, too: a file is more likely emptied by accident
+     *     than in order to deny everything
      */
     public static Policy parse(String file, String text) throws SettingsException {
         return new PolicyReader(file).parseAll(text);
@@ -74,7 +74,11 @@
                             file,
                             0,
                             "expected at least one tenant and one allow or deny statement but"
-                                    + " received no tenant or no such statement"));
+                                    + " received no tenant or no allow or deny statement ("
+                                    + tenants.size()
+                                    + " tenants, "
+                                    + ruleCount
+                                    + " allow and deny statements)"));
         }
         if (!text.isEmpty() && !text.endsWith("\n")) {
             problems.add(
@@ -256,7 +260,11 @@
         }
         if (untilMs <= fromMs) {
             throw new InvalidStatementException(
-                    "expected 'until' to be later than 'from'; this rule would never be active");
+                    "expected 'until' to be later than 'from' but received until "
+                            + Instant.ofEpochMilli(untilMs)
+                            + " and from "
+                            + Instant.ofEpochMilli(fromMs)
+                            + "; this rule would never be active");
         }
         if (++ruleCount > MAX_RULES) {
             throw new InvalidStatementException(
@@ -278,15 +286,18 @@
                                 untilMs));
     }
 
-    // The constructor of the pattern checks the braces. The literal segments must be in canonical
-    // form as well, because only paths in canonical form are compared with them.
+    // The constructor of PathPattern checks the braces. The literal segments must be in canonical
+    // form, because requests in any other form are rejected and the rule would never match.
     private static void requireValidPattern(String path) {
         new PathPattern(path);
         Optional<PathViolation> violation =
                 PathValidator.validate(path.replaceAll("\\{[^}]*\\}", "x"));
         if (violation.isPresent()) {
             throw new InvalidStatementException(
-                    "expected a path in canonical form but received " + violation.get().message());
+                    "expected a path in canonical form but received '"
+                            + path
+                            + "': "
+                            + violation.get().message());
         }
     }
 
--- a/src/main/java/brooklock/authorization/Rule.java
+++ b/src/main/java/brooklock/authorization/Rule.java
@@ -4,10 +4,10 @@
 import java.util.Set;
 
 /**
- * A rule of a policy: a line that allows or denies requests. Its path pattern is not part of it but
- * of the {@link RuleTree}.
+ * A rule of a policy: a line that allows or denies requests. The path pattern of the line is stored
+ * in the {@link RuleTree} instead.
  *
- * @param line the number of its line in the policy file, from 1
+ * @param line the number of the line in the policy file, from 1
  * @param allows whether the rule allows requests; otherwise it denies them
  * @param tenants the indexes of the tenants that the rule applies to
  * @param methods the methods that the rule applies to; empty means all
--- a/src/main/java/brooklock/authorization/TenantLimiter.java
+++ b/src/main/java/brooklock/authorization/TenantLimiter.java
@@ -57,8 +57,8 @@
     private final OverloadControl overload = new OverloadControl();
 
     /**
-     * Replaces the tenants by those of a new policy. The usage of tenants in both policies is kept,
-     * and so is that of removed tenants while they have requests in flight.
+     * Replaces the tenants with those of a new policy. The usage of a tenant is kept if the new
+     * policy contains the tenant or if the tenant has requests in flight.
      */
     public void setTenants(List<Tenant> tenants) {
         Map<String, Tenant> current = new HashMap<>();
@@ -73,7 +73,10 @@
                                 tenant);
     }
 
-    /** Returns whether a tenant is in the newest policy or still has requests in flight. */
+    /**
+     * Returns whether a tenant is in the newest policy, or was removed while it had requests in
+     * flight.
+     */
     public boolean isKnown(String tenant) {
         return usageByTenant.containsKey(tenant);
     }
@@ -121,7 +124,7 @@
     }
 
     /**
-     * Releases an admitted request that has completed. Must be called exactly once for each.
+     * Releases a request that has completed. Must be called exactly once for each admitted request.
      *
      * @param bytes the size of its response, in bytes
      * @param rejectedByRouter whether the router rejected it for lack of capacity
--- a/src/main/java/brooklock/authorization/TenantUsage.java
+++ b/src/main/java/brooklock/authorization/TenantUsage.java
@@ -16,7 +16,7 @@
     final TokenBucket byteBucket = new TokenBucket(TENANT_BURST_SECONDS);
     final TokenBucket fairShareBucket = new TokenBucket(FAIR_SHARE_BURST_SECONDS);
 
-    /** The tenant as the newest policy describes it. */
+    /** The tenant as described by the newest policy that contains it. */
     Tenant tenant;
 
     /** The number of requests in flight. */
--- a/src/main/java/brooklock/authorization/TokenBucket.java
+++ b/src/main/java/brooklock/authorization/TokenBucket.java
@@ -13,8 +13,8 @@
     /**
      * Creates a new, full bucket.
      *
-     * @param capacitySeconds the capacity as the time in which an empty bucket is filled, in
-     *     seconds; the capacity is at least one token at any rate
+     * @param capacitySeconds the time in which an empty bucket is filled, in seconds; the capacity
+     *     is the refill rate multiplied by it, but at least one token
      */
     TokenBucket(double capacitySeconds) {
         this.capacitySeconds = capacitySeconds;
@@ -44,7 +44,7 @@
         tokens -= count;
     }
 
-    /** Returns the time until {@link #hasTokens} returns true again, in ns; 0 if it does now. */
+    /** Returns the time until {@link #hasTokens} returns true, in ns; 0 if it would now. */
     long nanosUntilAvailable(double ratePerSecond) {
         return tokens > 0 ? 0 : (long) (-tokens / ratePerSecond * 1e9) + 1;
     }
--- a/src/main/java/brooklock/authorization/package-info.java
+++ b/src/main/java/brooklock/authorization/package-info.java
@@ -4,6 +4,6 @@
  * argument. Callers are authenticated in {@code brooklock.credentials}.
  *
  * <p>{@link brooklock.authorization.Policy} is immutable and may be read by any thread. {@link
- * brooklock.authorization.TenantLimiter} is owned by the routing thread, the only one that uses it.
+ * brooklock.authorization.TenantLimiter} is owned by the routing thread; no other thread uses it.
  */
 package brooklock.authorization;
--- a/src/main/java/brooklock/credentials/CertificateFiles.java
+++ b/src/main/java/brooklock/credentials/CertificateFiles.java
@@ -27,7 +27,7 @@
     private CertificateFiles() {}
 
     /**
-     * Reads the certificates of a file in PEM or DER, which may be none.
+     * Reads the certificates of a file in PEM or DER. Returns an empty list if the file has none.
      *
      * @throws IOException if the file cannot be read or parsed
      */
@@ -48,8 +48,8 @@
     /**
      * Reads the revocation lists of a file in PEM or DER.
      *
-     * @throws IOException if the file cannot be read or parsed, contains no list, or ends within
-     *     one
+     * @throws IOException if the file cannot be read or parsed, contains no revocation list, or is
+     *     truncated
      */
     static List<X509CRL> readCrls(Path file) throws IOException {
         byte[] bytes = Files.readAllBytes(file);
@@ -61,8 +61,10 @@
             if (crls.isEmpty() || isTruncated(new String(bytes, StandardCharsets.ISO_8859_1))) {
                 throw new CredentialFileException(
                         file,
-                        "expected complete revocation lists but the file contains none or ends"
-                                + " within one; it may be half-written");
+                        "expected at least one revocation list and, in PEM, an END line for each"
+                                + " BEGIN line but read "
+                                + crls.size()
+                                + " complete lists; the file may be truncated");
             }
             return crls;
         } catch (GeneralSecurityException e) {
@@ -70,8 +72,8 @@
         }
     }
 
-    // The factory silently skips a PEM block without an end, so a truncated file would revoke fewer
-    // certificates than the complete one.
+    // The factory silently skips a PEM block without an END line, so a truncated file would revoke
+    // fewer certificates than the complete file.
     private static boolean isTruncated(String text) {
         return text.contains(PEM_BEGIN)
                 && text.split(PEM_BEGIN).length != text.split(PEM_END).length;
--- a/src/main/java/brooklock/credentials/CertificateRejection.java
+++ b/src/main/java/brooklock/credentials/CertificateRejection.java
@@ -3,7 +3,7 @@
 import java.util.Optional;
 
 /**
- * The reason for which a certificate chain is rejected.
+ * The reason for rejecting a certificate chain.
  *
  * @param reason the kind of reason
  * @param message the message for the audit log
@@ -29,8 +29,10 @@
         EXPIRED("a certificate of the chain has expired"),
         /** A certificate of the chain is revoked. */
         REVOKED("a certificate of the chain is revoked"),
-        /** The authority's revocation list is past its next update. */
-        STALE_REVOCATION_LIST("the revocation list of the authority is past its next update"),
+        /** The {@code nextUpdate} time of the authority's revocation list has passed. */
+        STALE_REVOCATION_LIST(
+                "the revocation list of the authority has expired (its nextUpdate time has"
+                        + " passed)"),
         /** The fingerprint of the certificate is in the file of denied certificates. */
         DENIED("the fingerprint of the certificate is in the file of denied certificates"),
         /** The authority of the chain is no longer trusted. */
--- a/src/main/java/brooklock/credentials/CertificateTrust.java
+++ b/src/main/java/brooklock/credentials/CertificateTrust.java
@@ -51,15 +51,16 @@
     }
 
     /**
-     * Loads a trust from its files.
+     * Loads the trusted authorities, their revocation lists and the denied fingerprints from files.
      *
      * @param authorityFile the certificates of the trusted authorities
      * @param crlFiles the revocation lists of the authorities
      * @param deniedFile the fingerprints of denied certificates, or null for none
-     * @param acceptStaleCrls whether a revocation list past its next update is still used;
-     *     otherwise the certificates of its authority are rejected
-     * @param previous the trust in force, or null; no revocation list may be missing or older than
-     *     in it, because revoked certificates would be accepted again
+     * @param acceptStaleCrls whether a revocation list whose {@code nextUpdate} time has passed is
+     *     still used; otherwise the certificates of its authority are rejected
+     * @param previous the trust settings in force, or null at the first load; each of their
+     *     revocation lists must be present in the same or a newer version, because revoked
+     *     certificates would otherwise be accepted again
      * @throws IOException if a file cannot be used; the message states the reason
      */
     public static CertificateTrust load(
@@ -117,8 +118,9 @@
         }
         throw new CredentialFileException(
                 file,
-                "expected a revocation list signed by a trusted authority but received one of "
-                        + crl.getIssuerX500Principal());
+                "expected a revocation list signed by a trusted authority but received a list of "
+                        + crl.getIssuerX500Principal()
+                        + " whose signature matches no trusted authority of that name");
     }
 
     private static void requireNoOlderCrls(
@@ -128,9 +130,11 @@
             X509CRL crl = current.get(entry.getKey());
             if (crl == null || isOlder(crl, entry.getValue())) {
                 throw new CredentialFileException(
-                        "the revocation list of "
+                        "expected a revocation list of "
                                 + entry.getKey()
-                                + " is missing or older than the one in force");
+                                + " issued at "
+                                + entry.getValue().getThisUpdate().toInstant()
+                                + " or later, but the list is missing or was issued earlier");
             }
         }
     }
@@ -146,7 +150,7 @@
         }
     }
 
-    /** Returns the certificates of the authorities, which a handshake announces to clients. */
+    /** Returns the authorities' certificates, whose names a handshake announces to clients. */
     X509Certificate[] authorities() {
         return authorities.toArray(new X509Certificate[0]);
     }
@@ -161,7 +165,10 @@
                 .or(() -> recheck(chain, nowMs));
     }
 
-    /** Validates the chain of a server at its handshake. */
+    /**
+     * Validates the chain of a server at its handshake, and returns the reason for rejecting it, or
+     * empty if it is valid.
+     */
     Optional<CertificateRejection> validateServer(X509Certificate[] chain, long nowMs) {
         return validatePath(chain, nowMs).or(() -> recheck(chain, nowMs));
     }
@@ -171,7 +178,7 @@
             Set<TrustAnchor> anchors = new HashSet<>();
             authorities.forEach(authority -> anchors.add(new TrustAnchor(authority, null)));
             PKIXParameters parameters = new PKIXParameters(anchors);
-            // The validator does not have the revocation lists; recheck() applies them.
+            // The path validator is not given the revocation lists; recheck() applies them.
             parameters.setRevocationEnabled(false);
             parameters.setDate(Date.from(Instant.ofEpochMilli(nowMs)));
             List<X509Certificate> certificates = new ArrayList<>(List.of(chain));
@@ -200,9 +207,10 @@
     }
 
     /**
-     * Checks a chain that was valid at its handshake again, and returns the reason for rejecting it
-     * if it has since expired, been revoked or denied, or if its authority is no longer trusted.
-     * Verifies no signature, so that it is cheap enough for every request.
+     * Rechecks a chain that was valid at its handshake, and returns the reason for rejecting it, or
+     * empty if it is still valid. A chain is rejected if it has expired, has been revoked or
+     * denied, if the revocation list of its authority is stale, or if the authority is no longer
+     * trusted. Verifies no signatures, so that it is cheap enough for every request.
      */
     public Optional<CertificateRejection> recheck(X509Certificate[] chain, long nowMs) {
         for (X509Certificate certificate : chain) {
@@ -244,7 +252,10 @@
         return false;
     }
 
-    /** Returns the names of the authorities whose revocation list is past its next update. */
+    /**
+     * Returns the names of the authorities whose revocation list is stale, that is, whose {@code
+     * nextUpdate} time has passed.
+     */
     public List<String> staleCrlIssuers(long nowMs) {
         return crlByIssuer.values().stream()
                 .filter(crl -> isStale(crl, nowMs))
--- a/src/main/java/brooklock/credentials/Certificates.java
+++ b/src/main/java/brooklock/credentials/Certificates.java
@@ -12,7 +12,7 @@
  * first, then the subject.
  */
 public final class Certificates {
-    // The types of general names that are text, RFC 5280, section 4.2.1.6.
+    // The types of general names whose value is text, RFC 5280, section 4.2.1.6.
     private static final int SAN_EMAIL = 1;
     private static final int SAN_DNS = 2;
     private static final int SAN_URI = 6;
@@ -21,7 +21,7 @@
 
     private Certificates() {}
 
-    /** Returns the identity that the first certificate of a validated chain states. */
+    /** Returns the identity stated in the first certificate of a validated chain. */
     public static Identity identityOf(X509Certificate[] chain) {
         X509Certificate leaf = chain[0];
         List<Identity.Attribute> attributes = new ArrayList<>(alternativeNames(leaf));
--- a/src/main/java/brooklock/credentials/Ed25519Verifier.java
+++ b/src/main/java/brooklock/credentials/Ed25519Verifier.java
@@ -18,8 +18,8 @@
 import java.util.Set;
 
 /**
- * Verifies Ed25519 signatures (RFC 8037) with the JDK's implementation; that of the JOSE library
- * would need an additional crypto provider. Thread-safe.
+ * Verifies Ed25519 signatures (RFC 8037) with the JDK's implementation. The implementation of the
+ * JOSE library would need an additional crypto provider. Thread-safe.
  */
 final class Ed25519Verifier implements JWSVerifier {
     private static final int KEY_BYTES = 32;
@@ -35,12 +35,12 @@
         key = publicKey(jwk.getX().decode());
     }
 
-    // RFC 8032, section 5.1.2: the encoding is y in little-endian order; its highest bit is the
-    // sign of x.
+    // RFC 8032, section 5.1.2: a point is encoded as its y coordinate in little-endian order, with
+    // the sign of x in the most significant bit of the last byte.
     private static PublicKey publicKey(byte[] encoded) {
         if (encoded.length != KEY_BYTES) {
             throw new InvalidKeySetException(
-                    "expected an Ed25519 public key of "
+                    "expected an Ed25519 public key 'x' of "
                             + KEY_BYTES
                             + " bytes but received "
                             + encoded.length
@@ -57,7 +57,10 @@
             return KeyFactory.getInstance("Ed25519")
                     .generatePublic(new EdECPublicKeySpec(NamedParameterSpec.ED25519, point));
         } catch (GeneralSecurityException e) {
-            throw new InvalidKeySetException("the bytes are not a valid Ed25519 public key", e);
+            throw new InvalidKeySetException(
+                    "expected 'x' to encode a point on the curve Ed25519 but the JDK rejected it: "
+                            + e.getMessage(),
+                    e);
         }
     }
 
--- a/src/main/java/brooklock/credentials/InvalidKeySetException.java
+++ b/src/main/java/brooklock/credentials/InvalidKeySetException.java
@@ -1,6 +1,8 @@
 package brooklock.credentials;
 
-/** Thrown when a key set, or a change of one, is invalid. The message is meant for operators. */
+/**
+ * Thrown when a key set or a change to a key set is invalid. The message is meant for operators.
+ */
 public final class InvalidKeySetException extends IllegalArgumentException {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/brooklock/credentials/KeyPairs.java
+++ b/src/main/java/brooklock/credentials/KeyPairs.java
@@ -5,11 +5,11 @@
 import java.security.PublicKey;
 import java.security.Signature;
 
-/** Checks whether keys belong together. */
+/** Checks whether a private key and a public key form a pair. */
 final class KeyPairs {
     private KeyPairs() {}
 
-    /** Returns whether the public key verifies what the private key signs. */
+    /** Returns whether the public key verifies signatures of the private key. */
     static boolean isPair(PrivateKey privateKey, PublicKey publicKey) {
         String algorithm =
                 switch (privateKey.getAlgorithm()) {
--- a/src/main/java/brooklock/credentials/KeySet.java
+++ b/src/main/java/brooklock/credentials/KeySet.java
@@ -23,13 +23,14 @@
 /**
  * The keys that verify tokens: a JWK Set (RFC 7517) whose keys have the additional members {@code
  * state} and, if they expire, {@code until} in ms since 1970. Each key is bound to the one
- * algorithm that its {@code alg} names, so that a token cannot choose another one. Immutable.
+ * algorithm that its {@code alg} names, so that a token cannot choose a different algorithm.
+ * Immutable.
  */
 public final class KeySet {
     /** The maximum number of keys in a set. */
     public static final int MAX_KEYS = 256;
 
-    // The minimum of NIST SP 800-131A.
+    // The minimum key length that NIST SP 800-131A permits.
     private static final int MIN_RSA_BITS = 2048;
 
     /**
@@ -113,13 +114,13 @@
             throw new InvalidKeySetException(
                     "expected a JWK Set whose member 'keys' is an array of 1 to "
                             + MAX_KEYS
-                            + " keys");
+                            + " keys but 'keys' is missing, is not an array or has another size");
         }
         PMap<String, Key> keys = HashTreePMap.empty();
         for (Object element : list) {
             if (!(element instanceof Map<?, ?> map)) {
                 throw new InvalidKeySetException(
-                        "expected a JSON object as element " + keys.size() + " of 'keys'");
+                        "expected keys[" + keys.size() + "] to be a JSON object but it is not");
             }
             // The JSON parser creates only maps with string keys.
             @SuppressWarnings("unchecked")
@@ -139,13 +140,14 @@
             JWK jwk = JWK.parse(map);
             if (jwk.getKeyID() == null || jwk.getAlgorithm() == null) {
                 throw new InvalidKeySetException(
-                        "expected a key with 'kid' and 'alg' but at least one is missing");
+                        "expected a key with 'kid' and 'alg' but received kid "
+                                + jwk.getKeyID()
+                                + " and alg "
+                                + jwk.getAlgorithm());
             }
             if (jwk.isPrivate() && !(jwk instanceof OctetSequenceKey)) {
                 throw new InvalidKeySetException(
-                        "expected a public key but the key '"
-                                + kid
-                                + "' includes its private part");
+                        "expected a public key but received a private key");
             }
             State state = parseState(String.valueOf(map.getOrDefault("state", "accepted")));
             long validUntilMs =
@@ -201,14 +203,15 @@
             if (!Boolean.TRUE.equals(map.get("shared"))) {
                 throw new InvalidKeySetException(
                         "expected \"shared\": true in the entry of a shared secret,"
-                                + " which confirms that it is shared on purpose");
+                                + " which confirms that it is shared on purpose, but \"shared\" is"
+                                + " missing or not true");
             }
             return new MACVerifier(oct);
         }
         throw new InvalidKeySetException(
-                "expected EdDSA, ES256, RS256 or HS256, matching the key type "
+                "expected the algorithm EdDSA, ES256, RS256 or HS256 that matches the key type "
                         + jwk.getKeyType()
-                        + ", but received the algorithm "
+                        + " but received "
                         + algorithm);
     }
 
@@ -219,8 +222,8 @@
      * @param next the newer set
      * @param nowMs wall time, in ms since 1970
      * @return the newer set
-     * @throws InvalidKeySetException if an accepted key is missing or an id names another key; the
-     *     message lists them
+     * @throws InvalidKeySetException if the newer set lacks a key that is still accepted, or if an
+     *     id names a different key in it; the message lists all such ids
      */
     public KeySet validateReplacement(KeySet next, long nowMs) {
         List<String> errors = new ArrayList<>();
--- a/src/main/java/brooklock/credentials/KeySetFile.java
+++ b/src/main/java/brooklock/credentials/KeySetFile.java
@@ -29,7 +29,8 @@
 
 /**
  * Edits the file of a key set. Each change is validated as a dispatcher validates it on reload, and
- * replaces the file atomically. Must not be used by several processes at the same time.
+ * replaces the file atomically. Must not be used by several processes at the same time, because one
+ * process would overwrite the change of another.
  */
 public final class KeySetFile {
     private static final int RSA_BITS = 3072;
@@ -77,7 +78,7 @@
     /**
      * Returns the public key of a pair as an entry of a JWK Set.
      *
-     * @param algorithm EdDSA, ES256 or RS256, as the pair was generated
+     * @param algorithm the algorithm that the pair was generated for: EdDSA, ES256 or RS256
      */
     public static Map<String, Object> toJwk(
             String kid, String algorithm, KeyPair pair, KeySet.State state) {
@@ -185,7 +186,7 @@
      * signing key becomes {@link KeySet.State#ACCEPTED}.
      *
      * @param kid the id of the key
-     * @param untilMs the time at which the key expires, in ms since 1970; 0 leaves it unchanged
+     * @param untilMs the time at which the key expires, in ms since 1970; 0 to leave it unchanged
      * @throws IOException if the file cannot be read or written
      * @throws InvalidKeySetException if the set has no key with this id
      */
@@ -215,8 +216,8 @@
      *
      * @param kid the id of the key
      * @throws IOException if the file cannot be read or written
-     * @throws InvalidKeySetException if the set has no key with this id, or still accepts its
-     *     tokens
+     * @throws InvalidKeySetException if the set has no key with this id, or if the key is neither
+     *     retired nor expired
      */
     public void removeKey(String kid) throws IOException {
         List<Map<String, Object>> keys = readKeys();
--- a/src/main/java/brooklock/credentials/LocalCertificateAuthority.java
+++ b/src/main/java/brooklock/credentials/LocalCertificateAuthority.java
@@ -102,7 +102,8 @@
      *
      * @param commonName the common name of the subject
      * @param dnsName the alternative DNS name, or null for none
-     * @param validityMs the time until the certificate expires, in ms; negative for an expired one
+     * @param validityMs the time until the certificate expires, in ms; negative to issue an expired
+     *     certificate
      */
     public TlsContexts.TlsIdentity issue(String commonName, String dnsName, long validityMs)
             throws GeneralSecurityException, IOException {
@@ -117,7 +118,8 @@
     /**
      * Returns a revocation list in PEM.
      *
-     * @param nextUpdateMs the time until the list's next update, in ms; negative for a stale list
+     * @param nextUpdateMs the time until the list's {@code nextUpdate}, in ms; negative to create a
+     *     stale list
      * @param revoked the revoked certificates
      */
     public String createCrl(long nextUpdateMs, X509Certificate... revoked)
@@ -163,7 +165,7 @@
     }
 
     /**
-     * Returns a trust that accepts certificates of this authority only.
+     * Creates trust settings that accept only certificates of this authority.
      *
      * @param dir the directory to which the authority's certificate is written
      */
--- a/src/main/java/brooklock/credentials/MonotonicWallClock.java
+++ b/src/main/java/brooklock/credentials/MonotonicWallClock.java
@@ -1,9 +1,9 @@
 package brooklock.credentials;
 
 /**
- * A wall clock that never goes back. If it followed a system clock that is set back, expired
- * credentials would be valid again. After such a change it advances with the monotonic clock until
- * the system clock is ahead again. Not thread-safe.
+ * A wall clock that never goes back. While the system clock is behind because it was set back, this
+ * clock advances with the monotonic clock. Otherwise expired credentials would become valid again.
+ * Not thread-safe.
  */
 public final class MonotonicWallClock {
     /** A source of time in ms. */
@@ -25,8 +25,8 @@
     /**
      * Creates a new clock based on the given clocks.
      *
-     * @param wallClock the wall time since 1970, which may go back
-     * @param monotonicClock a time that never goes back, from an arbitrary origin
+     * @param wallClock returns ms since 1970; may be set back
+     * @param monotonicClock returns ms since an arbitrary origin; never goes back
      */
     public MonotonicWallClock(MillisClock wallClock, MillisClock monotonicClock) {
         this.wallClock = wallClock;
--- a/src/main/java/brooklock/credentials/ReloadingKeyManager.java
+++ b/src/main/java/brooklock/credentials/ReloadingKeyManager.java
@@ -18,10 +18,11 @@
 /**
  * Presents the identities that are in force at each handshake. The alias of an identity is the
  * fingerprint of its certificate, so that a reload between the choice of an alias and the look-up
- * of its key yields the chosen identity or none, but never the key of another one. Thread-safe.
+ * of its key yields the chosen identity or none, but never the key of a different identity.
+ * Thread-safe.
  */
 final class ReloadingKeyManager extends X509ExtendedKeyManager {
-    // The key type that the JDK passes in TLS 1.3 to accept any.
+    // The key type that the JDK passes in TLS 1.3, where a key of any type is acceptable.
     private static final String ANY_KEY_TYPE = "UNKNOWN";
 
     private final Supplier<List<TlsIdentity>> identities;
@@ -31,9 +32,9 @@
     }
 
     /**
-     * Returns the alias of the first identity of the key type that matches the requested server
-     * name, or of the first one of the key type if none matches; null if there is none of the key
-     * type.
+     * Chooses among the identities with a key of the given type. Returns the alias of the first
+     * that matches the requested server name, or of the first of all if no identity matches; null
+     * if there is no identity with such a key.
      */
     private String chooseAlias(String keyType, SSLSession session) {
         String serverName = requestedServerName(session);
--- a/src/main/java/brooklock/credentials/ReloadingTrustManager.java
+++ b/src/main/java/brooklock/credentials/ReloadingTrustManager.java
@@ -10,7 +10,10 @@
 import javax.net.ssl.SSLEngine;
 import javax.net.ssl.X509ExtendedTrustManager;
 
-/** Validates certificate chains by the trust that is in force at each handshake. Thread-safe. */
+/**
+ * Validates certificate chains against the trust settings that are in force at each handshake.
+ * Thread-safe.
+ */
 final class ReloadingTrustManager extends X509ExtendedTrustManager {
     private final Supplier<CertificateTrust> trust;
     private final LongSupplier wallMs;
@@ -18,7 +21,8 @@
     /**
      * Creates a new manager.
      *
-     * @param trust supplies the trust in force, or null where no certificates are accepted
+     * @param trust supplies the trust settings in force; supplies null if no certificates are
+     *     accepted
      * @param wallMs supplies the wall time, in ms since 1970
      */
     ReloadingTrustManager(Supplier<CertificateTrust> trust, LongSupplier wallMs) {
--- a/src/main/java/brooklock/credentials/TokenCache.java
+++ b/src/main/java/brooklock/credentials/TokenCache.java
@@ -14,7 +14,8 @@
 /**
  * Authenticates tokens and caches the valid ones by a keyed digest, so that the signature of a
  * token is verified only once. Limits the number of invalid signatures that are verified for one
- * client address, so that forged tokens cannot take the verification threads from other clients.
+ * client address, so that forged tokens cannot occupy the verification threads that other clients
+ * need.
  *
  * <p>Not thread-safe: each I/O thread owns an instance, and all methods and listeners are called on
  * that thread.
@@ -23,8 +24,9 @@
     // Tokens and addresses beyond these limits are evicted in LRU order.
     private static final int MAX_TOKENS = 10_000;
     private static final int MAX_ADDRESSES = 4_096;
-    // The refill rate and the capacity of an address's budget of invalid signatures. A client whose
-    // token is stale sends one or two invalid tokens; one that guesses tokens sends many more.
+    // The refill rate and the capacity of each client address's budget of invalid signatures. A
+    // client whose token is stale sends one or two invalid tokens; a client that guesses tokens
+    // sends many more.
     private static final double MAX_INVALID_PER_SECOND = 10;
     private static final int MAX_PENDING_PER_ADDRESS = 64;
     private static final int LABEL_CHARS = 12;
@@ -66,8 +68,8 @@
     /** A pending verification with the listeners that wait for its result. */
     private static final class PendingVerification {
         private final List<ResultListener> listeners = new ArrayList<>();
-        // Both are written by the verifying thread and read by the completion, which the scheduler
-        // runs after the verification.
+        // The verifying thread writes these fields; the completion, which the scheduler runs after
+        // the verification, reads them.
         private TokenVerifier.VerifiedToken verified;
         private InvalidCredentialException error;
 
@@ -115,8 +117,8 @@
      * Creates a new, empty cache.
      *
      * @param verifier the verifier of tokens that are not cached
-     * @param secret the key of the digests, without which a dump of the cache does not reveal
-     *     tokens
+     * @param secret the HMAC key of the digests; without it, the digests in a memory dump cannot be
+     *     matched with tokens
      */
     public TokenCache(TokenVerifier verifier, byte[] secret) {
         this.verifier = verifier;
@@ -140,9 +142,10 @@
     }
 
     /**
-     * Authenticates the caller that presents a token. The listener is called before this method
-     * returns if the result needs no verification of a signature, otherwise after that
-     * verification. Concurrent requests with the same new token share one verification.
+     * Authenticates the caller that presents a token. If a signature has to be verified and the
+     * verification could be scheduled, the listener is called after the verification; otherwise
+     * before this method returns. Concurrent requests with the same new token share one
+     * verification.
      *
      * @param address the address of the client, whose budget an invalid signature is charged to
      * @param nowMs wall time, in ms since 1970
@@ -188,7 +191,8 @@
                 .encodeToString(mac.doFinal(text.getBytes(StandardCharsets.UTF_8)));
     }
 
-    // Compares by reference: after a reload of the key set, its tokens are verified again.
+    // Compares keys by reference: each load of a key set creates new keys, so that a token that was
+    // cached before a reload is verified again.
     @SuppressWarnings("ReferenceEquality")
     private static boolean isStillValid(
             TokenVerifier.VerifiedToken cached, KeySet keys, long nowMs) {
--- a/src/main/java/brooklock/credentials/TokenError.java
+++ b/src/main/java/brooklock/credentials/TokenError.java
@@ -1,7 +1,7 @@
 package brooklock.credentials;
 
 /**
- * The reasons for which a token is rejected, with their messages for the audit log. A message never
+ * The reasons for rejecting a token, with their messages for the audit log. A message never
  * includes any part of the token.
  */
 public enum TokenError {
@@ -15,9 +15,9 @@
     UNKNOWN_EXTENSION("the token requires a critical extension, which is not supported"),
     /** The content type declares that the payload is itself a token. */
     NESTED("the token contains a nested token, which is not supported"),
-    /** The header names no key, or one that is not in the key set. */
+    /** The header names no key, or a key that is not in the key set. */
     UNKNOWN_KEY("the token's key id is missing or not in the key set"),
-    /** The header names another algorithm than the one that the key is bound to. */
+    /** The algorithm in the header is not the algorithm that the key is bound to. */
     WRONG_ALGORITHM("the token's algorithm is not the one that its key is bound to"),
     /** The key is retired or has expired. */
     RETIRED_KEY("the token's key is retired or has expired"),
@@ -29,9 +29,9 @@
     EXPIRED("the token has expired"),
     /** The claim {@code nbf} is in the future or not a number. */
     NOT_YET_VALID("the token is not valid yet, or its start of validity is not a number"),
-    /** The issuer is not the configured one. */
+    /** The claim {@code iss} is not the configured issuer. */
     WRONG_ISSUER("the token's issuer is not the configured one"),
-    /** The audience does not include the configured one. */
+    /** The claim {@code aud} does not include the configured audience. */
     WRONG_AUDIENCE("the token's audience does not include the configured one"),
     /** The signature does not match. */
     WRONG_SIGNATURE("the token's signature does not match"),
--- a/src/main/java/brooklock/credentials/TokenVerifier.java
+++ b/src/main/java/brooklock/credentials/TokenVerifier.java
@@ -35,7 +35,8 @@
      *
      * @param issuer the required issuer ({@code iss}), or null to accept any
      * @param audience the value that the audience ({@code aud}) must contain, or null to accept any
-     * @param clockSkewMs the tolerated difference between a signer's clock and this one, in ms
+     * @param clockSkewMs the tolerated difference between a signer's clock and the local clock, in
+     *     ms
      */
     public TokenVerifier(String issuer, String audience, long clockSkewMs) {
         this.issuer = issuer;
@@ -172,8 +173,8 @@
         if (key == null) {
             throw new InvalidCredentialException(TokenError.UNKNOWN_KEY);
         }
-        // The algorithm is taken from the key, never from the token: otherwise an attacker could
-        // sign a token with a public key as if it were a shared secret.
+        // The key determines the algorithm, never the token. Otherwise an attacker could sign a
+        // token by HMAC with a public key as if it were a shared secret.
         if (!key.algorithm().equals(header.getAlgorithm())) {
             throw new InvalidCredentialException(TokenError.WRONG_ALGORITHM);
         }
@@ -193,8 +194,8 @@
     }
 
     /**
-     * Checks the expiry and the start of validity, and returns the expiry extended by the tolerated
-     * clock skew, in ms since 1970.
+     * Checks the expiry time and the start of validity. Returns the expiry time extended by the
+     * tolerated clock skew, in ms since 1970.
      */
     private long checkValidityPeriod(Map<String, Object> claims, long nowMs)
             throws InvalidCredentialException {
@@ -214,7 +215,7 @@
         return expiresAtMs;
     }
 
-    // The argument may have a fraction; the result is clamped to MAX_TIME_MS.
+    // The argument may have a fraction; the result is clamped to +/- MAX_TIME_MS.
     private static long secondsToMs(Number seconds) {
         double ms = seconds.doubleValue() * 1000;
         if (ms > MAX_TIME_MS) {
--- a/src/main/java/brooklock/credentials/VerificationExecutor.java
+++ b/src/main/java/brooklock/credentials/VerificationExecutor.java
@@ -6,9 +6,9 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Runs signature verifications on threads of its own. A verification may take milliseconds; on an
- * I/O thread a burst of new tokens would delay every connection of that thread. The queue is
- * bounded, and tasks that do not fit are rejected at once. Thread-safe.
+ * Runs signature verifications on its own threads. A verification may take milliseconds; on an I/O
+ * thread a burst of new tokens would delay every connection of that thread. The queue is bounded,
+ * and tasks that do not fit are rejected at once. Thread-safe.
  */
 public final class VerificationExecutor {
     /** The maximum number of queued tasks, which keeps the longest wait to about one second. */
--- a/src/main/java/brooklock/credentials/WatchedFile.java
+++ b/src/main/java/brooklock/credentials/WatchedFile.java
@@ -44,6 +44,7 @@
      *
      * @param name the name of the value in messages
      * @param files the files to watch; a change of any of them reloads the value
+     * @param loader loads the value from the files
      * @param changeListener receives a message for each change, whether accepted or rejected
      * @throws IOException if the files cannot be used; its message is the reason
      */
--- a/src/test/java/brooklock/credentials/SynchronousAuthenticator.java
+++ b/src/test/java/brooklock/credentials/SynchronousAuthenticator.java
@@ -5,7 +5,7 @@
     private SynchronousAuthenticator() {}
 
     /**
-     * Returns the identity that a token proves.
+     * Returns the identity that a valid token states.
      *
      * @throws InvalidCredentialException if the token is invalid
      */
