--- a/src/main/java/brooklock/credentials/Identity.java
+++ b/src/main/java/brooklock/credentials/Identity.java
@@ -25,8 +25,8 @@
     public record Attribute(NameKind kind, String key, String value) {}
 
     /**
-     * Returns the tenant of the first attribute that the policy maps to a tenant; empty if it maps
-     * none of the attributes.
+     * Returns the tenant of the first attribute that the policy maps to a tenant; empty if the
+     * policy maps none of the attributes.
      */
     public Optional<Tenant> resolveTenant(Policy policy) {
         for (Attribute attribute : attributes) {
--- a/src/main/java/brooklock/credentials/LocalCertificateAuthority.java
+++ b/src/main/java/brooklock/credentials/LocalCertificateAuthority.java
@@ -118,8 +118,8 @@
     /**
      * Returns a revocation list in PEM.
      *
-     * @param nextUpdateMs the time until the list's {@code nextUpdate}, in ms; negative to create a
-     *     stale list
+     * @param nextUpdateMs the time until the next update that the list announces, in ms; negative
+     *     to create a stale list
      * @param revoked the revoked certificates
      */
     public String createCrl(long nextUpdateMs, X509Certificate... revoked)
--- a/src/main/java/brooklock/credentials/TokenVerifier.java
+++ b/src/main/java/brooklock/credentials/TokenVerifier.java
@@ -173,8 +173,8 @@
         if (key == null) {
             throw new InvalidCredentialException(TokenError.UNKNOWN_KEY);
         }
-        // The key determines the algorithm, never the token. Otherwise an attacker could sign a
-        // token by HMAC with a public key as if it were a shared secret.
+        // The algorithm is determined by the key, never by the token. Otherwise an attacker could
+        // sign a token by HMAC with a public key as if it were a shared secret.
         if (!key.algorithm().equals(header.getAlgorithm())) {
             throw new InvalidCredentialException(TokenError.WRONG_ALGORITHM);
         }
