--- a/src/main/java/brooklock/config/AccessSettingsReader.java
+++ b/src/main/java/brooklock/config/AccessSettingsReader.java
@@ -103,8 +103,8 @@
     }
 
     /**
-     * Returns the mistakes that concern a file with a route that requires authorization: the
-     * statements that such a file needs but does not have.
+     * Returns a message for each missing statement. Must be called only if a route requires
+     * authorization, which needs these statements.
      */
     List<String> findAuthorizationMistakes() {
         List<String> mistakes = new ArrayList<>();
--- a/src/main/java/brooklock/config/ChecksummedText.java
+++ b/src/main/java/brooklock/config/ChecksummedText.java
@@ -4,8 +4,8 @@
 import java.util.zip.CRC32C;
 
 /**
- * Text whose last line has the number of the lines before it and their CRC32C (RFC 3720), so that a
- * truncated or damaged file is detected and rejected as a whole.
+ * Text whose last line states the number of the lines before it and their CRC32C (RFC 3720), so
+ * that a truncated or damaged file is detected and rejected as a whole.
  */
 public final class ChecksummedText {
     private ChecksummedText() {}
--- a/src/main/java/brooklock/config/DamagedTextException.java
+++ b/src/main/java/brooklock/config/DamagedTextException.java
@@ -1,6 +1,6 @@
 package brooklock.config;
 
-/** Thrown when a saved text was truncated or damaged, so that none of it can be used. */
+/** Thrown when a saved text was truncated or damaged. No part of it is used. */
 public final class DamagedTextException extends IllegalArgumentException {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/brooklock/config/ProblemCollector.java
+++ b/src/main/java/brooklock/config/ProblemCollector.java
@@ -20,12 +20,20 @@
         this.file = file;
     }
 
-    /** Adds a mistake in a line, which counts from 1 or is {@link #WHOLE_FILE}. */
+    /**
+     * Adds a mistake.
+     *
+     * @param line the number of the line, from 1, or {@link #WHOLE_FILE}
+     * @param message what was expected and what was received
+     */
     public void add(int line, String message) {
         collected.add(new Problem(file, line, message));
     }
 
-    /** Runs a check and adds an {@link InvalidStatementException} as a mistake in the line. */
+    /**
+     * Runs a check. If it throws an {@link InvalidStatementException}, adds its message as a
+     * mistake in the line.
+     */
     public void collect(int line, Runnable check) {
         try {
             check.run();
@@ -40,7 +48,7 @@
          * Handles one statement.
          *
          * @param statement the statement, none of whose words has been consumed
-         * @param line the line as it stands in the file
+         * @param line the unparsed line
          * @throws InvalidStatementException if the statement is invalid; the exception is collected
          *     and reading continues with the next line
          */
@@ -52,7 +60,10 @@
         readStatements(text, Integer.MAX_VALUE, handler);
     }
 
-    /** Reads the first {@code maxLines} lines of a text. More lines are collected as a mistake. */
+    /**
+     * Reads the first {@code maxLines} lines of a text and collects the mistakes of each. A longer
+     * text is itself a mistake.
+     */
     public void readStatements(String text, int maxLines, StatementHandler handler) {
         String[] lines = text.split("\r?\n", -1);
         for (int i = 0; i < lines.length && i < maxLines; i++) {
@@ -68,7 +79,12 @@
                     });
         }
         if (lines.length > maxLines) {
-            add(WHOLE_FILE, "expected at most " + maxLines + " lines but received " + lines.length);
+            add(
+                    WHOLE_FILE,
+                    "expected at most "
+                            + maxLines
+                            + " lines in the file but received "
+                            + lines.length);
         }
     }
 
--- a/src/main/java/brooklock/config/ResourceLimitsReader.java
+++ b/src/main/java/brooklock/config/ResourceLimitsReader.java
@@ -4,7 +4,7 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** Reads the statement {@code limits} and supplies the defaults of the limits it leaves out. */
+/** Reads the statement {@code limits} and supplies defaults for the limits that are not stated. */
 final class ResourceLimitsReader {
     private static final long MILLISECOND_NS = 1_000_000L;
     private static final long SECOND_NS = 1000 * MILLISECOND_NS;
--- a/src/main/java/brooklock/config/Settings.java
+++ b/src/main/java/brooklock/config/Settings.java
@@ -71,7 +71,10 @@
     public enum Effect {
         /** Executing the request again has no further effect. */
         SAFE,
-        /** The request has an idempotency key, by which endpoints drop repeats for a time. */
+        /**
+         * The request has an idempotency key, by which endpoints drop repeats within the
+         * idempotency window.
+         */
         KEYED,
         /** Executing the request again may take effect again. */
         UNSAFE
@@ -94,7 +97,7 @@
      * A zone.
      *
      * @param parentZoneIndex the index of the zone from whose parents the caches of this zone fill;
-     *     the zone's own index if it is a hub
+     *     the zone's own index if the file names no hub for it
      */
     public record Zone(String name, int parentZoneIndex) {}
 
@@ -176,7 +179,8 @@
      * @param stallTimeoutNs the time after which a response without progress is aborted
      * @param tickNs the maximum delay of the program's own processing; final responses are sent two
      *     ticks before the deadline
-     * @param maxRetryAfterNs the maximum Retry-After that is sent to a client
+     * @param maxRetryAfterNs the longest Retry-After allowed, which the response to a rejected
+     *     request states
      * @param ioThreads the number of I/O threads
      */
     public record ResourceLimits(
@@ -199,15 +203,17 @@
      * The bounds of the fleet's invariants.
      *
      * @param initialCapacity the share of its full capacity that a cache has right after its start
-     * @param warmUpNs the time after which a cache has its full capacity
-     * @param overloadMultiple the multiple of its present capacity at which a cache fails
+     * @param warmUpNs the time from its start until a cache has its full capacity
+     * @param overloadMultiple the load at which a cache fails, as a multiple of its present
+     *     capacity
      * @param overloadWindowNs the window over which the load for {@code overloadMultiple} is summed
      * @param parentInitialCapacity like {@code initialCapacity}, for parents
      * @param parentWarmUpNs like {@code warmUpNs}, for parents
      * @param parentOverloadMultiple like {@code overloadMultiple}, for parents
-     * @param purgeWindowNs the time after which no cache has a copy older than a purge
-     * @param drainGraceNs the time after the start of a drain in which requests may still be sent
-     * @param purgeGraceNs the time after a purge in which older copies may still be served
+     * @param purgeWindowNs the time from a purge until no cache has an older copy
+     * @param drainGraceNs the time after the start of an endpoint's drain during which requests may
+     *     still be sent to it
+     * @param purgeGraceNs the time after a purge during which older copies may still be served
      */
     public record SafetyLimitSettings(
             double initialCapacity,
--- a/src/main/java/brooklock/config/SettingsException.java
+++ b/src/main/java/brooklock/config/SettingsException.java
@@ -8,7 +8,7 @@
     private static final long serialVersionUID = 1L;
 
     /**
-     * The mistakes in the order of their lines. They are not serialized, since the message has
+     * The mistakes in the order of their lines. They are not serialized, since the message contains
      * them.
      */
     public final transient List<Problem> problems;
--- a/src/main/java/brooklock/config/SettingsReader.java
+++ b/src/main/java/brooklock/config/SettingsReader.java
@@ -178,8 +178,8 @@
                                                 + (2 * resourceLimits.tickNs()
                                                                 + resourceLimits.connectTimeoutNs())
                                                         / MILLISECOND_NS
-                                                + " ms (the limit 'connect' and two of 'tick') for"
-                                                + " the class '"
+                                                + " ms (the limit 'connect' plus twice the limit"
+                                                + " 'tick') for the class '"
                                                 + requestClass.name()
                                                 + "' but received "
                                                 + requestClass.deadlineNs() / MILLISECOND_NS
--- a/src/main/java/brooklock/http/BodyDecoder.java
+++ b/src/main/java/brooklock/http/BodyDecoder.java
@@ -7,12 +7,12 @@
  * pieces are views of the input; nothing is copied.
  *
  * <p>Not thread-safe. A decoder is created for one body, fed with {@link #next} until {@link
- * #isComplete}, and not reused. After an exception it must not be used any more.
+ * #isComplete}, and not reused. A decoder that has thrown an exception must not be used again.
  */
 public final class BodyDecoder {
     /**
-     * Maximum number of hexadecimal digits of a chunk size. Fifteen digits stay below 2^60, so that
-     * neither a size nor a sum of sizes overflows a long.
+     * Maximum number of hexadecimal digits of a chunk size. A size of fifteen digits is below 2^60,
+     * so neither a size nor a sum of sizes overflows a long.
      */
     private static final int MAX_CHUNK_SIZE_DIGITS = 15;
 
@@ -166,8 +166,8 @@
             value = value * 16 + Character.digit(line.charAt(digits++), 16);
         }
         // A chunk extension begins with a semicolon. White space before it is rejected: parsers
-        // disagree about whether it ends the size, and where two parsers of a connection read
-        // different sizes, a second message could be smuggled past one of them.
+        // disagree about whether it ends the size, and if two parsers of the same message read
+        // different sizes, a second message can be smuggled past one of them.
         boolean extension = digits < line.length() && line.charAt(digits) == ';';
         if (digits == 0
                 || (digits < line.length() && !extension)
@@ -181,7 +181,7 @@
      * Notifies the decoder that the connection's input has ended. This completes a body with the
      * framing {@link Framing.Kind#UNTIL_CLOSE}.
      *
-     * @throws HttpProtocolException if the body is incomplete by its framing
+     * @throws HttpProtocolException if the framing requires further input
      */
     public void onEndOfInput() throws HttpProtocolException {
         if (state == State.DATA && framing.kind() == Framing.Kind.UNTIL_CLOSE) {
@@ -208,8 +208,8 @@
     }
 
     /**
-     * Returns the trailer fields of a chunked body. They are empty until the body is complete, and
-     * for every other framing.
+     * Returns the trailer fields. They are empty until the body is complete, and always for a body
+     * that is not chunked.
      */
     public Fields trailers() {
         return trailers;
--- a/src/main/java/brooklock/http/FieldSectionParser.java
+++ b/src/main/java/brooklock/http/FieldSectionParser.java
@@ -24,8 +24,8 @@
     }
 
     /**
-     * Parses on to the end of the section. Once a section is complete, the parser is ready for the
-     * next one.
+     * Parses field lines up to the end of the current section. If the buffer ends first, the next
+     * call continues the section; after the end of a section, the next call begins a new one.
      *
      * @param input the received bytes, which are consumed up to the end of the section
      * @return the fields of the complete section, or null if the buffer is used up first
--- a/src/main/java/brooklock/http/Forwarding.java
+++ b/src/main/java/brooklock/http/Forwarding.java
@@ -54,7 +54,7 @@
 
     /**
      * Returns whether the Via field names a proxy, that is, whether the message has passed through
-     * it before. For this proxy's own pseudonym that indicates a forwarding loop.
+     * it before. If {@code pseudonym} is this proxy's own, the message is in a forwarding loop.
      */
     public static boolean hasPassedThrough(Fields fields, String pseudonym) {
         String via = fields.combinedValue("Via");
--- a/src/main/java/brooklock/http/Framing.java
+++ b/src/main/java/brooklock/http/Framing.java
@@ -7,7 +7,7 @@
  * @param length the number of bytes of a {@link Kind#FIXED} body, else 0
  */
 public record Framing(Kind kind, long length) {
-    /** The kinds of framing, each of which ends the body in another way. */
+    /** The ways in which the end of a body is determined. */
     public enum Kind {
         /** The message has no body. */
         NONE,
@@ -39,7 +39,7 @@
     /**
      * Returns the framing of a request's body.
      *
-     * @throws HttpProtocolException with 400 if the framing is ambiguous, since two parsers would
+     * @throws HttpProtocolException with 400 if the framing is ambiguous, since two parsers could
      *     end the message in different places; with 501 if the transfer coding is not supported
      */
     public static Framing of(RequestHead head) throws HttpProtocolException {
--- a/src/main/java/brooklock/http/HttpCharacters.java
+++ b/src/main/java/brooklock/http/HttpCharacters.java
@@ -1,8 +1,8 @@
 package brooklock.http;
 
 /**
- * The characters that are allowed in the elements of a head (RFC 9110, sections 5.5 and 5.6.2; RFC
- * 9112, section 3.2).
+ * Checks the syntax of the elements of a head (RFC 9110, sections 5.5 and 5.6.2; RFC 9112, section
+ * 3.2).
  */
 final class HttpCharacters {
     private static final boolean[] TOKEN = new boolean[128];
@@ -18,7 +18,7 @@
 
     private HttpCharacters() {}
 
-    /** Returns whether a text is a token, as methods and field names are. */
+    /** Returns whether a text is a token, which is the syntax of methods and field names. */
     static boolean isToken(String text) {
         for (int i = 0; i < text.length(); i++) {
             char c = text.charAt(i);
@@ -30,8 +30,8 @@
     }
 
     /**
-     * Returns whether a text is a field value: visible characters, spaces, tabs and the upper half
-     * of Latin-1, without white space at either end.
+     * Returns whether a text is a field value: visible ASCII characters, spaces, tabs and the
+     * characters from 128 to 255, without white space at either end. It may be empty.
      */
     static boolean isFieldValue(String text) {
         for (int i = 0; i < text.length(); i++) {
--- a/src/main/java/brooklock/http/HttpProtocolException.java
+++ b/src/main/java/brooklock/http/HttpProtocolException.java
@@ -2,7 +2,8 @@
 
 /**
  * Thrown when a received message is malformed, ambiguous, too large or not supported. It has no
- * stack trace: peers can cause it at will, and filling the trace would cost more than the parse.
+ * stack trace: peers can cause it at will, and filling in the trace would cost more than parsing
+ * the message.
  */
 public final class HttpProtocolException extends Exception {
     private static final long serialVersionUID = 1L;
@@ -17,8 +18,8 @@
      * Creates an exception.
      *
      * @param status the status code of the error
-     * @param reason the error in plain words, without content of the message; for a request it is
-     *     sent to the client as the body of the error response
+     * @param reason a description of the error that quotes nothing from the message; for a request
+     *     it is sent to the client as the body of the error response
      */
     public HttpProtocolException(int status, String reason) {
         this(status, reason, null);
--- a/src/main/java/brooklock/http/InvalidMessageException.java
+++ b/src/main/java/brooklock/http/InvalidMessageException.java
@@ -1,8 +1,8 @@
 package brooklock.http;
 
 /**
- * Thrown when an outgoing message has a part that cannot be encoded, since the recipient would
- * parse it as a different message.
+ * Thrown when an outgoing message has an element that must not be encoded, because the recipient
+ * would parse the encoded message differently.
  */
 public final class InvalidMessageException extends IllegalArgumentException {
     private static final long serialVersionUID = 1L;
--- a/src/main/java/brooklock/http/LineReader.java
+++ b/src/main/java/brooklock/http/LineReader.java
@@ -6,7 +6,8 @@
 
 /**
  * Reads lines that end in CR LF. A bare CR and a bare LF are rejected, since parsers disagree about
- * whether they end a line; a line that exceeds its limit is rejected before more memory is used.
+ * whether they end a line; a line that exceeds its limit is rejected at once, so that it occupies
+ * no more memory than the limit.
  *
  * <p>Not thread-safe. One reader serves the lines of a connection one after another.
  */
@@ -16,7 +17,8 @@
     private boolean afterCr;
 
     /**
-     * Reads on to the end of the line.
+     * Reads up to the end of the current line. If the buffer ends first, the next call continues
+     * it.
      *
      * @param input the received bytes, which are consumed up to the end of the line
      * @param maxBytes maximum length of the line without CR LF, bytes
@@ -54,7 +56,7 @@
         return null;
     }
 
-    /** Returns whether no byte of a line has been read since the end of the line before. */
+    /** Returns whether no byte of the current line has been read. */
     boolean isEmpty() {
         return length == 0 && !afterCr;
     }
--- a/src/main/java/brooklock/http/ReasonPhrases.java
+++ b/src/main/java/brooklock/http/ReasonPhrases.java
@@ -32,7 +32,10 @@
 
     private ReasonPhrases() {}
 
-    /** Returns the reason phrase of a status code, or an empty text if it has none here. */
+    /**
+     * Returns the reason phrase of a status code, or an empty text for a code that is not listed
+     * above.
+     */
     public static String of(int status) {
         return PHRASES.getOrDefault(status, "");
     }
--- a/src/main/java/brooklock/http/RequestHead.java
+++ b/src/main/java/brooklock/http/RequestHead.java
@@ -6,7 +6,8 @@
  * @param method the method in its original case
  * @param target the target in origin form ("/path?query"), or "*"; the parser splits a target in
  *     absolute form into authority and target
- * @param authority the requested host with its port, or "" if an HTTP/1.0 client named none
+ * @param authority the requested host, followed by the port if one is stated; "" if the Host field
+ *     is empty, or is absent from an HTTP/1.0 request
  * @param minorVersion the minor version of HTTP/1: 0 or 1
  * @param fields the field lines
  */
--- a/src/main/java/brooklock/http/ResponseParser.java
+++ b/src/main/java/brooklock/http/ResponseParser.java
@@ -73,8 +73,8 @@
         for (int i = 9; i < 12; i++) {
             if (line.charAt(i) < '0' || line.charAt(i) > '9') {
                 throw badGateway(
-                        "expected a status code of three digits at offset 9 of the status line but"
-                                + " received another character at offset "
+                        "expected the three digits of the status code at offsets 9 to 11 of the"
+                                + " status line but received another character at offset "
                                 + i);
             }
             status = status * 10 + line.charAt(i) - '0';
--- a/src/main/java/brooklock/http/StatusFieldParser.java
+++ b/src/main/java/brooklock/http/StatusFieldParser.java
@@ -8,7 +8,7 @@
 /**
  * Parses the values of Cache-Status (RFC 9211) and Proxy-Status (RFC 9209): lists of caches or
  * proxies, the one nearest to the origin first, each with parameters (RFC 8941). A value that
- * cannot be parsed is treated as absent, as these documents require.
+ * cannot be parsed is treated as absent, as both RFCs require.
  */
 public final class StatusFieldParser {
     /**
@@ -17,7 +17,10 @@
      */
     private static final int MAX_MEMBERS = 16;
 
-    /** The value of a parameter that is given without a value: true (RFC 8941, section 3.1.2). */
+    /**
+     * The boolean true, which is the value of a parameter that states none (RFC 8941, section
+     * 3.1.2).
+     */
     private static final String TRUE = "?1";
 
     /**
--- a/src/test/java/brooklock/config/SettingsReaderTest.java
+++ b/src/test/java/brooklock/config/SettingsReaderTest.java
@@ -9,9 +9,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/**
- * Verifies that a settings file is read as a whole and that each mistake is reported with its line.
- */
+/** Verifies that a valid settings file is read and that every mistake is reported with its line. */
 class SettingsReaderTest {
     private static final String VALID =
             """
@@ -90,7 +88,7 @@
                 "host o1 origin | host o1 parent | f.conf: expected at least one host of the kind 'origin' but received none",
                 "tries 6 | trys 6 | f.conf:15: expected a limit (tries, open, clients, body, bodies, host-connections, host-waiting, connect, head, idle, stall, tick, retry-after, threads) but received 'trys'",
                 "connect 250ms | connect 250 | f.conf:15: '250': a time needs its unit (us, ms, s, min or h)",
-                "connect 250ms | connect 2s | f.conf: expected a deadline above 2010 ms (the limit 'connect' and two of 'tick') for the class 'orders' but received 2000 ms",
+                "connect 250ms | connect 2s | f.conf: expected a deadline above 2010 ms (the limit 'connect' plus twice the limit 'tick') for the class 'orders' but received 2000 ms",
                 "body 1MB | body 1GB | f.conf: expected the limit 'body' to be at most the limit 'bodies' (64000000 bytes) but received 1000000000 bytes",
                 "cold-from 0.24 | cold-from 24 | f.conf:16: a share lies above 0 and is at most 1 but 24.0 was received",
                 "pace 5MB/s | pace 5MB | f.conf:17: '5MB': a pace needs its unit (B, KB, MB or GB) and /s, as in 5MB/s",
--- a/src/test/java/brooklock/http/CodecPropertyTest.java
+++ b/src/test/java/brooklock/http/CodecPropertyTest.java
@@ -11,8 +11,8 @@
 import net.jqwik.api.Provide;
 
 /**
- * Verifies that the buffers into which a message is split do not change how it is parsed, and that
- * an encoded message parses to the same head.
+ * Verifies that a message is parsed in the same way however it is split into buffers, and that an
+ * encoded head is parsed to an equal head.
  */
 class CodecPropertyTest {
     private static final String TOKEN = "abcXYZ019!#$%&'*+-.^_`|~";
@@ -58,7 +58,10 @@
         return java.nio.charset.StandardCharsets.ISO_8859_1.decode(buffer).toString();
     }
 
-    /** Generates encoded requests without a body, with a body of fixed length or in chunks. */
+    /**
+     * Generates encoded requests without a body, with a body of fixed length or with a chunked
+     * body.
+     */
     @Provide
     Arbitrary<String> requests() {
         Arbitrary<List<String>> chunkLists =
--- a/src/test/java/brooklock/http/ForwardingTest.java
+++ b/src/test/java/brooklock/http/ForwardingTest.java
@@ -8,8 +8,9 @@
 
 class ForwardingTest {
     /**
-     * A client names a field of its own and Content-Length in Connection. The field is dropped;
-     * Content-Length remains, since without it the forwarded message would end elsewhere.
+     * A client names a field of its own and Content-Length in Connection. Its own field is dropped.
+     * Content-Length remains, since the recipient would otherwise read the end of the forwarded
+     * message in another place.
      */
     @Test
     void hopByHopFieldsAreDropped() {
--- a/src/test/java/brooklock/http/MessageStrictnessTest.java
+++ b/src/test/java/brooklock/http/MessageStrictnessTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Verifies that a message that two parsers could end in different places is rejected, whether it
+ * Verifies that a message is rejected if two parsers could disagree about where it ends, whether it
  * arrives in one buffer or byte by byte. Otherwise a second message could be smuggled past a proxy.
  */
 class MessageStrictnessTest {
--- a/src/test/java/brooklock/http/ParserFuzzTest.java
+++ b/src/test/java/brooklock/http/ParserFuzzTest.java
@@ -8,8 +8,8 @@
 import org.junit.jupiter.api.Assertions;
 
 /**
- * Verifies that the parsers end with a message or with an {@link HttpProtocolException} on any
- * input, and that the outcome is the same for one buffer and byte by byte. The seeds in the test
+ * Verifies that the parsers return a message or throw an {@link HttpProtocolException} for any
+ * input, and that the outcome is the same in one buffer as byte by byte. The seeds in the test
  * resources run with the tests; {@code JAZZER_FUZZ=1 mvn test -Dtest=ParserFuzzTest} fuzzes
  * further.
  */
