--- a/src/main/java/brooklock/proxy/AccessFiles.java
+++ b/src/main/java/brooklock/proxy/AccessFiles.java
@@ -40,10 +40,14 @@
  */
 final class AccessFiles implements Closeable {
     private static final Logger LOG = LoggerFactory.getLogger("audit");
-    // A file is loaded once it is unchanged between two polls, and connections with a revoked
-    // certificate are closed by the same poll: a revocation takes effect within half a second.
+    // A changed file is loaded by the first poll that finds it unchanged since the previous poll,
+    // and
+    // the same poll closes connections with a revoked certificate. A revocation therefore takes
+    // effect within half a second.
     private static final long POLL_INTERVAL_MS = 200;
-    // Open connections are also rechecked without a file change, because certificates expire.
+    // Certificates expire without a change of any file, so open connections are also rechecked
+    // after
+    // this number of polls.
     private static final int POLLS_PER_EXPIRY_SWEEP = 5;
 
     private final List<WatchedFile<?>> watchedFiles = new ArrayList<>();
@@ -164,8 +168,8 @@
     /** Returns the TLS context of the client listener, or an empty value for plain connections. */
     Optional<SSLContext> serverTlsContext() {
         // Handshakes run on several threads, so they read the system clock and not a
-        // MonotonicWallClock, which one thread owns. A clock that is set back affects them no more
-        // than a restart would.
+        // MonotonicWallClock, which one thread owns. If the system clock is set back, an expired
+        // certificate may be accepted again, as it would be after a restart.
         return identities.map(
                 file ->
                         TlsContexts.serverContext(
--- a/src/main/java/brooklock/proxy/AuthorizationResult.java
+++ b/src/main/java/brooklock/proxy/AuthorizationResult.java
@@ -18,7 +18,7 @@
      * The request is denied.
      *
      * @param response the response to the client
-     * @param publicDetail text that the response body appends to the response's text, or an empty
+     * @param publicDetail the text that follows the response's own text in the body, or an empty
      *     string
      * @param auditReason the reason for the audit log. It is not sent to the client, because a
      *     caller that guesses credentials or paths would learn about the policy from it
@@ -35,8 +35,8 @@
         private static final String NO_LABEL = "-";
 
         /**
-         * Returns the denial of a path that caches or origins might interpret differently from the
-         * policy.
+         * Returns the denial of a request whose path caches or origins might interpret differently
+         * from the policy.
          */
         static Denied malformedPath(String problem) {
             ErrorResponse response = ErrorResponse.MALFORMED_PATH;
@@ -59,8 +59,8 @@
         }
 
         /**
-         * Returns the denial of a request that the policy does not allow to its authenticated
-         * caller.
+         * Returns the denial of a request whose caller is authenticated but not allowed by the
+         * policy to make it.
          */
         static Denied forbidden(
                 String auditReason, String credentialLabel, Optional<Tenant> tenant) {
--- a/src/main/java/brooklock/proxy/BearerTokenReader.java
+++ b/src/main/java/brooklock/proxy/BearerTokenReader.java
@@ -5,8 +5,8 @@
 import java.util.Optional;
 
 /**
- * Reads the token from the head of a request: from the Authorization field, or without one from the
- * cookie that the settings name. Immutable and thread-safe.
+ * Reads the token from the head of a request: from the Authorization field or, if that field is
+ * missing, from the cookie that the settings name. Immutable and thread-safe.
  */
 final class BearerTokenReader {
     private static final String SCHEME = "Bearer ";
@@ -20,9 +20,8 @@
     /**
      * Returns the token of a request, or an empty value if the head contains none.
      *
-     * @throws InvalidCredentialException if the head contains several tokens, of which another
-     *     program on the path might pick a different one, or if the authorization scheme is not
-     *     Bearer
+     * @throws InvalidCredentialException if the authorization scheme is not Bearer, or if the head
+     *     contains several tokens, because another program on the path might use a different one
      */
     Optional<String> read(Fields fields) throws InvalidCredentialException {
         if (fields.count("Authorization") > 1) {
@@ -38,7 +37,7 @@
         }
         if (!authorization.regionMatches(true, 0, SCHEME, 0, SCHEME.length())) {
             throw new InvalidCredentialException(
-                    "expected the authorization scheme Bearer but received another one");
+                    "expected the authorization scheme Bearer but received another scheme");
         }
         return Optional.of(authorization.substring(SCHEME.length()).trim());
     }
--- a/src/main/java/brooklock/proxy/CacheStatusParser.java
+++ b/src/main/java/brooklock/proxy/CacheStatusParser.java
@@ -60,8 +60,8 @@
                 : new UpstreamResult(AttemptOutcome.ERROR, CacheStatus.NONE, fillDurationNs);
     }
 
-    // The endpoint names the error of its fill source. A second member with an error means that the
-    // origin behind the fill source failed.
+    // An endpoint reports an error of its fill source in a member of Proxy-Status. A second member
+    // with an error means that the origin behind the fill source failed.
     private static boolean hasOriginFailed(List<StatusFieldParser.Member> proxies) {
         return proxies.stream().filter(proxy -> proxy.parameters().containsKey("error")).count()
                 > 1;
--- a/src/main/java/brooklock/proxy/Completion.java
+++ b/src/main/java/brooklock/proxy/Completion.java
@@ -1,11 +1,12 @@
 package brooklock.proxy;
 
 /**
- * How an admitted request ended.
+ * The ways in which an admitted request can end.
  *
  * <p>The access log (key {@code final}) contains the words, and so does the state page (key {@code
- * ended}), with hyphens. The words must not change when a constant is renamed. The constants are
- * declared in the order of their words, which is the order of the lines on the state page.
+ * ended}), with hyphens instead of spaces. The words must not change when a constant is renamed.
+ * The constants are declared in the order of their words, which is the order of the lines on the
+ * state page.
  */
 enum Completion {
     /** The endpoint aborted the response within its body. */
--- a/src/main/java/brooklock/proxy/ControlHandler.java
+++ b/src/main/java/brooklock/proxy/ControlHandler.java
@@ -203,9 +203,9 @@
         return Math.max(0, ageMs.scaleByPowerOfTen(MS_TO_NS_DIGITS).longValue());
     }
 
-    // Runs on the routing thread. The first arrival of a purge fixes its time. Otherwise a
-    // repetition after the wall clock was set would move the time, and the purge would cover more
-    // or fewer copies.
+    // Runs on the routing thread. The time of a purge is fixed when its first request arrives. If a
+    // repeated request converted the time again after the wall clock was set, the purge would cover
+    // more or fewer copies.
     private RouterEvent purgeEvent(
             long object, int group, String issuedAt, long receivedAtNs, long ageNs) {
         String key = group + " " + object + " " + issuedAt;
--- a/src/main/java/brooklock/proxy/Dispatcher.java
+++ b/src/main/java/brooklock/proxy/Dispatcher.java
@@ -204,12 +204,12 @@
         return controlListener.address();
     }
 
-    /** Returns the state page: counters and current load, one line an item. */
+    /** Returns the state page: counters and current load, with one line for each item. */
     public String statePage() {
         return statePage.render();
     }
 
-    /** Returns the number of requests without a final response or with open attempts. */
+    /** Returns the number of requests that lack a final response or have open attempts. */
     public int openRequests() {
         return capacity.openRequests();
     }
--- a/src/main/java/brooklock/proxy/EndpointListStore.java
+++ b/src/main/java/brooklock/proxy/EndpointListStore.java
@@ -94,9 +94,9 @@
         }
     }
 
-    // States are immutable and each change creates a new one, so the same object is the same list;
-    // an equal list in another object is merely written again. Comparison by value would compare
-    // thousands of endpoints on the routing thread.
+    // States are immutable and each change creates a new one, so identical references mean an
+    // unchanged list. An equal list in another object is merely written again. Comparison by value
+    // would compare thousands of endpoints on the routing thread.
     @SuppressWarnings("ReferenceEquality")
     private boolean isOnDisk(Membership.State state) {
         return pendingSave.get() == null && lastSaved == state;
--- a/src/main/java/brooklock/proxy/EndpointListUpdater.java
+++ b/src/main/java/brooklock/proxy/EndpointListUpdater.java
@@ -44,7 +44,7 @@
 
     /**
      * Applies the list that was saved last, or else the endpoints of the settings, and waits until
-     * it is in force. Requests that were accepted earlier would find no endpoint.
+     * it is in force. A request that was accepted before would find no endpoint.
      *
      * @throws InitialListTimeoutException if the list is not in force within 10 seconds
      */
--- a/src/main/java/brooklock/proxy/ErrorResponse.java
+++ b/src/main/java/brooklock/proxy/ErrorResponse.java
@@ -15,7 +15,7 @@
  * change when a constant is renamed. A request that was not admitted has no attempt, no access log
  * entry and no router event. A request over its tenant's limits has an access log entry only. A
  * request that the router failed or rejected has an entry and an event, and attempts unless it was
- * rejected before the first one.
+ * rejected before its first attempt.
  */
 enum ErrorResponse {
     // ---- Not admitted: the request is malformed or matches no route.
--- a/src/main/java/brooklock/proxy/MonotonicClock.java
+++ b/src/main/java/brooklock/proxy/MonotonicClock.java
@@ -8,8 +8,8 @@
  * clock has no effect.
  */
 public final class MonotonicClock {
-    // The time at the start. Events of the hour before the start still have a time above 0, which
-    // is necessary because 0 stands for "never".
+    // The time on this clock when it is created. It is an hour, so that events of the hour before
+    // have a time above 0. The time 0 means "never".
     private static final long START_OFFSET_NS = 3600_000_000_000L;
 
     private final long originNs = System.nanoTime() - START_OFFSET_NS;
--- a/src/main/java/brooklock/proxy/ProxyExchange.java
+++ b/src/main/java/brooklock/proxy/ProxyExchange.java
@@ -256,7 +256,7 @@
         return request.client();
     }
 
-    /** Returns the status of the final response; 0 if the client disconnected before it. */
+    /** Returns the status of the final response; 0 if the client disconnected before it began. */
     int status() {
         return status;
     }
@@ -266,7 +266,7 @@
         return responseBytes;
     }
 
-    /** Returns how the request ended, or null while it has not. */
+    /** Returns how the request ended, or null if it has not ended yet. */
     Completion completion() {
         return completion;
     }
--- a/src/main/java/brooklock/proxy/RecentPurges.java
+++ b/src/main/java/brooklock/proxy/RecentPurges.java
@@ -56,7 +56,7 @@
         return nowNs >= blockedUntilNs;
     }
 
-    /** Returns whether no tracked purge covers the object or its group. */
+    /** Returns false if a tracked purge covers the object or its group. */
     boolean allowsPrefetchOf(long object, int group) {
         return !incompleteUntilNs.containsKey(objectKey(object))
                 && !incompleteUntilNs.containsKey(groupKey(group));
--- a/src/main/java/brooklock/proxy/RequestAdmission.java
+++ b/src/main/java/brooklock/proxy/RequestAdmission.java
@@ -49,7 +49,7 @@
         tenantAdmission = new TenantAdmission(context.clock(), authorizer::policy);
     }
 
-    /** Rejects every request from now on. Open requests continue. Thread-safe. */
+    /** Rejects all new requests from now on. Open requests continue. Thread-safe. */
     void rejectNewRequests() {
         rejectsNewRequests = true;
     }
@@ -174,7 +174,7 @@
         }
     }
 
-    // Runs on the routing thread. Returns false if the request was rejected by its tenant's limits.
+    // Runs on the routing thread. Returns false if the request exceeded a tenant limit.
     private boolean admit(ProxyExchange exchange) {
         if (!tenantAdmission.tryAcquire(exchange)) {
             return false;
@@ -189,8 +189,8 @@
         counters.countCompletion(exchange.completion());
         AccessLog.writeEntry(exchange, context.clock().nowNs());
         capacity.closeRequest(exchange.body.length);
-        // Queued after the events that end the request: until the router has processed those, it
-        // may still act on the request.
+        // Queued after the events that end the request, because the router may act on the request
+        // until it has processed them.
         context.routingThread()
                 .execute(
                         () -> {
--- a/src/main/java/brooklock/proxy/RouteTable.java
+++ b/src/main/java/brooklock/proxy/RouteTable.java
@@ -42,7 +42,7 @@
 
     /**
      * Thrown when no route accepts the request. It has no stack trace, because clients can cause it
-     * at any rate.
+     * arbitrarily often.
      */
     static final class NoRouteException extends Exception {
         private static final long serialVersionUID = 1L;
@@ -149,7 +149,7 @@
                         host.toLowerCase(Locale.ROOT)
                                 + route.pathPattern().withoutPlaceholder(path, "part")
                                 + query);
-        // In a purge, 0 stands for all objects of the group.
+        // The hash 0 is not used, because a purge of object 0 covers all objects of a group.
         return hash == 0 ? 1 : hash;
     }
 
--- a/src/main/java/brooklock/proxy/RouterSettingsMapper.java
+++ b/src/main/java/brooklock/proxy/RouterSettingsMapper.java
@@ -28,7 +28,7 @@
     /**
      * Returns the router's settings. They are taken from the dispatcher's settings, except for
      * properties that are the same for every HTTP dispatcher. Weights are always enabled while
-     * cache warming is enabled, because it controls the load of a cache by its weight.
+     * cache warming is enabled, because warming controls the load of a cache by its weight.
      */
     public static RouterSettings toRouterSettings(Settings settings) {
         List<RouterSettings.RequestClass> classes =
--- a/src/main/java/brooklock/proxy/RoutingThread.java
+++ b/src/main/java/brooklock/proxy/RoutingThread.java
@@ -295,8 +295,9 @@
         actions.clear();
     }
 
-    // A thread that enqueues after the flag is set sees the flag and unparks this thread. An entry
-    // that was enqueued before is seen by the check of the queue.
+    // Sets the flag before checking the queue, so that no entry is missed: a thread that enqueues
+    // an
+    // entry later sees the flag and unparks this thread, and an earlier entry is seen by the check.
     private void parkUntilDue() {
         SetTimer next = timers.peek();
         long parkNs =
--- a/src/main/java/brooklock/proxy/TenantAdmission.java
+++ b/src/main/java/brooklock/proxy/TenantAdmission.java
@@ -45,8 +45,8 @@
         return true;
     }
 
-    // Policies are compared by identity. Each load of the file creates a new object, and for an
-    // equal one the only cost is setting the same tenants again.
+    // Policies are compared by identity, because each load of the file creates a new object. If the
+    // new policy is equal to the old one, the same tenants are merely set again.
     @SuppressWarnings("ReferenceEquality")
     private void refreshTenants() {
         Policy policy = policyInForce.get();
--- a/src/main/java/brooklock/proxy/TraceCodec.java
+++ b/src/main/java/brooklock/proxy/TraceCodec.java
@@ -133,9 +133,9 @@
         String word = TraceVocabulary.wordOf(type);
         if (!readWord().equals(word)) {
             throw new TraceFormatException(
-                    "expected a record '"
+                    "expected a record that begins with '"
                             + word
-                            + "' but received another word, which ends at offset "
+                            + "' but received another word, which ends before offset "
                             + position);
         }
         RecordComponent[] components = type.getRecordComponents();
--- a/src/main/java/brooklock/proxy/TraceReplay.java
+++ b/src/main/java/brooklock/proxy/TraceReplay.java
@@ -85,8 +85,10 @@
         return new Result(events, actions, difference);
     }
 
-    // Returns whether an unreadable line is the last one, which is incomplete if the writer was
-    // killed. A first line is never treated as incomplete: the file is then no trace.
+    // Returns whether an unreadable line is the last one of several, and is therefore presumed to
+    // be
+    // incomplete because the writer was killed. If the only line is unreadable, the file is not a
+    // trace.
     private boolean isIncompleteLastLine() throws IOException {
         reader.mark(1);
         return reader.read() < 0 && lineNumber > 1;
@@ -119,7 +121,9 @@
                         replayedActions);
                 events++;
             }
-            default -> throw new IllegalStateException(words[0]);
+            default ->
+                    throw new IllegalStateException(
+                            "expected 'settings', 'start' or 'event' but received " + words[0]);
         }
         return Optional.empty();
     }
--- a/src/main/java/brooklock/proxy/UpstreamAttempt.java
+++ b/src/main/java/brooklock/proxy/UpstreamAttempt.java
@@ -80,8 +80,8 @@
     }
 
     /**
-     * Sends the attempt. If the endpoint list has changed since it was routed so that it may not be
-     * sent, it ends at once as {@link AttemptOutcome#NOT_STARTED}.
+     * Sends the attempt. If it may no longer be sent, for example because an endpoint has left the
+     * list since the attempt was routed, it ends at once as {@link AttemptOutcome#NOT_STARTED}.
      */
     void send() {
         EndpointRegistry registry = context.endpointRegistry();
--- a/src/main/java/brooklock/proxy/UpstreamRequestBuilder.java
+++ b/src/main/java/brooklock/proxy/UpstreamRequestBuilder.java
@@ -39,8 +39,9 @@
      * The endpoints that are involved in an attempt.
      *
      * @param endpoint the endpoint that receives the request
-     * @param source the fill source for a cache miss; the endpoint itself for no fill
-     * @param peer the peer that is tried before the fill source, or null for none
+     * @param source the fill source for a cache miss; equal to {@code endpoint} if no fill is
+     *     allowed
+     * @param peer the peer that is tried before the fill source, or null if no peer is tried
      */
     record Target(ListedEndpoint endpoint, ListedEndpoint source, ListedEndpoint peer) {}
 
--- a/src/main/java/brooklock/proxy/WarmingCoordinator.java
+++ b/src/main/java/brooklock/proxy/WarmingCoordinator.java
@@ -196,7 +196,7 @@
         }
     }
 
-    // Returns whether the endpoint itself failed and not its fill source.
+    // Returns whether the endpoint itself failed, as opposed to its fill source.
     private static boolean isEndpointFailure(AttemptCompleted event) {
         return switch (event.outcome()) {
             case OVERLOADED, ERROR -> event.cacheStatus() == CacheStatus.NONE;
--- a/src/main/java/brooklock/proxy/WarmingSnapshotStore.java
+++ b/src/main/java/brooklock/proxy/WarmingSnapshotStore.java
@@ -15,7 +15,8 @@
 
 /**
  * Saves the state of cache warming to a file and loads it after a restart of the dispatcher.
- * Without it, a partly warm cache would receive the load of a cold or a warm one after a restart.
+ * Without the file, the restarted dispatcher would treat a partly warm cache as cold or as warm and
+ * send it too little or too much load.
  */
 final class WarmingSnapshotStore {
     private static final Logger LOG = LoggerFactory.getLogger(WarmingSnapshotStore.class);
--- a/src/test/java/brooklock/proxy/AdmissionLimitTest.java
+++ b/src/test/java/brooklock/proxy/AdmissionLimitTest.java
@@ -73,7 +73,7 @@
 
     /**
      * More clients connect than the limit allows. Each client over the limit must get a 503 and not
-     * wait in vain. After another client disconnects, a new one is accepted.
+     * wait in vain. After a client disconnects, a new client is accepted.
      */
     @Test
     void clientsOverTheConnectionLimitAreRejected() throws Exception {
--- a/src/test/java/brooklock/proxy/CertificateAuthorizationTest.java
+++ b/src/test/java/brooklock/proxy/CertificateAuthorizationTest.java
@@ -26,8 +26,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Tests which requests a client certificate authorizes, and when connections are closed because of
- * one.
+ * Tests which requests a client certificate authorizes, and when a connection is closed because of
+ * its certificate.
  */
 class CertificateAuthorizationTest extends AuthorizationTestBase {
     private SSLContext clientContext(
--- a/src/test/java/brooklock/proxy/ClientFaultTest.java
+++ b/src/test/java/brooklock/proxy/ClientFaultTest.java
@@ -60,9 +60,9 @@
     }
 
     /**
-     * Clients disconnect within a head, within a body and while they wait for a response. Whatever
-     * a request has reserved until then must be released, and nothing more may be sent to an
-     * endpoint for it.
+     * Clients disconnect within a head, within a body and while they wait for a response.
+     * Everything that a request has reserved by then must be released, and nothing more may be sent
+     * to an endpoint for it.
      */
     @Test
     void disconnectReleasesResourcesAtEachStage() throws Exception {
--- a/src/test/java/brooklock/proxy/InterceptingRouter.java
+++ b/src/test/java/brooklock/proxy/InterceptingRouter.java
@@ -34,7 +34,7 @@
         }
     }
 
-    /** Returns the event that the router receives in place of the given one, or null for none. */
+    /** Returns the event that the router receives in place of the given one, or null to drop it. */
     protected RouterEvent interceptEvent(RouterEvent event) {
         return event;
     }
--- a/src/test/java/brooklock/proxy/KeyRotationTest.java
+++ b/src/test/java/brooklock/proxy/KeyRotationTest.java
@@ -18,10 +18,10 @@
 /** Tests the rotation of keys while tokens of both keys are in use. */
 class KeyRotationTest extends AuthorizationTestBase {
     /**
-     * Keys are rotated under load: announced, signing, retired. In between, the key file is once
-     * only half written, and once lacks the old key although the key was not retired. At no time
-     * may a caller with a valid token be rejected, and after the retirement the old key must be
-     * rejected.
+     * Keys are rotated under load and become announced, signing and retired. Meanwhile, the key
+     * file is once only half written, and once lacks the old key although the key was not retired.
+     * At no time may a caller with a valid token be rejected, and after the retirement the old key
+     * must be rejected.
      */
     @Test
     void rotationUnderLoadRejectsNoValidCallerAndAcceptsNoRetiredKey() throws Exception {
--- a/src/test/java/brooklock/proxy/LoadReportParserTest.java
+++ b/src/test/java/brooklock/proxy/LoadReportParserTest.java
@@ -28,8 +28,8 @@
     }
 
     /**
-     * A newer endpoint may send additional keys, and a faulty one invalid values. Neither may cause
-     * a failure.
+     * A newer endpoint may send additional keys, and a faulty endpoint may send invalid values.
+     * Neither may cause a failure.
      */
     @Test
     void unknownKeysAndNonNumericValuesAreIgnored() {
--- a/src/test/java/brooklock/proxy/LoopbackFleet.java
+++ b/src/test/java/brooklock/proxy/LoopbackFleet.java
@@ -228,8 +228,8 @@
     }
 
     /**
-     * Sends a request on its own thread and connection. If there is no response, the result is an
-     * aborted one.
+     * Sends a request on its own thread and connection. If no response arrives, the result is an
+     * aborted response.
      */
     public CompletableFuture<Response> sendAsync(String request) {
         return CompletableFuture.supplyAsync(
--- a/src/test/java/brooklock/proxy/PurgeTest.java
+++ b/src/test/java/brooklock/proxy/PurgeTest.java
@@ -34,7 +34,7 @@
     /**
      * A slow fill begins before the purge and ends after it. The request that waits for the fill
      * may get the copy. For a request that arrives after the purge the copy is too old, even though
-     * it reaches the cache after the purge.
+     * the fill ends after the purge.
      */
     @Test
     void fillInFlightDuringThePurgeServesNoLaterRequest() throws Exception {
--- a/src/test/java/brooklock/proxy/RetrySafetyTest.java
+++ b/src/test/java/brooklock/proxy/RetrySafetyTest.java
@@ -16,15 +16,16 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Tests that a request that may have been executed is retried only if that cannot execute it twice.
+ * Tests that a request that may have been executed is retried only if the retry cannot execute it a
+ * second time.
  */
 class RetrySafetyTest {
     @TempDir Path dir;
 
     /**
      * The origin executes an order and its response is lost. The dispatcher cannot know whether the
-     * order was executed. Because of the idempotency key it may send the order again: the origin
-     * executes it once and responds to both attempts.
+     * order was executed. The order has an idempotency key, so the dispatcher may send it again:
+     * the origin executes it once and responds to both attempts.
      */
     @Test
     void keyedRequestIsRetriedAfterALostResponseAndExecutedOnce() throws Exception {
--- a/src/test/java/brooklock/proxy/RoutingThreadTest.java
+++ b/src/test/java/brooklock/proxy/RoutingThreadTest.java
@@ -32,7 +32,7 @@
     private final List<RouterAction> actions = Collections.synchronizedList(new ArrayList<>());
     private final List<Long> failures = Collections.synchronizedList(new ArrayList<>());
 
-    /** Counts batches: the start is one, and the entries are at least another one. */
+    /** Counts batches. The start is one batch, and the entries form at least one more. */
     private final CountDownLatch twoBatches = new CountDownLatch(2);
 
     private final RoutingThread thread =
@@ -168,7 +168,7 @@
      * The counters of the state page are written by the routing thread only and read by any thread.
      * A reader must never see a counter decrease, and the values must be exact once the thread has
      * stopped. Reading and then writing a volatile field would be safe with a single writer only; a
-     * second one would lose counts.
+     * second writer would lose counts.
      */
     @Test
     void countersAreExactDespiteConcurrentReaders() throws Exception {
--- a/src/test/java/brooklock/proxy/StoredTraceTest.java
+++ b/src/test/java/brooklock/proxy/StoredTraceTest.java
@@ -17,8 +17,8 @@
  */
 class StoredTraceTest {
     /**
-     * The maximum number of characters removed from the end: several lines, including actions that
-     * follow their event.
+     * The maximum number of characters removed from the end of the trace. They span several lines,
+     * including actions that follow their event.
      */
     private static final int MAX_REMOVED_CHARS = 600;
 
--- a/src/test/java/brooklock/proxy/TokenAuthorizationTest.java
+++ b/src/test/java/brooklock/proxy/TokenAuthorizationTest.java
@@ -221,7 +221,7 @@
     /**
      * A tenant downloads an object part by part and loses its permission between two parts. The
      * next part must be denied. A policy file that is then damaged or empty must not allow anything
-     * else: the last valid policy stays in force.
+     * more: the last valid policy stays in force.
      */
     @Test
     void permissionWithdrawnBetweenTwoPartsDeniesTheNextPart() throws Exception {
--- a/src/test/java/brooklock/proxy/WarmingCoordinatorTest.java
+++ b/src/test/java/brooklock/proxy/WarmingCoordinatorTest.java
@@ -149,7 +149,7 @@
             fleet.servers.get("c3").faults.truncatedShare = 1;
             try (Socket socket = fleet.connect()) {
                 // c3 also truncates its responses to clients. It drains before the first request,
-                // so that no client gets one of those.
+                // so that no client gets a truncated response.
                 sendDelta(fleet, "c3", EndpointState.DRAINING);
                 long acknowledgedAtNs = System.nanoTime();
                 requestAllObjects(socket, 4);
--- a/src/test/java/brooklock/proxy/WatchEventOrderTest.java
+++ b/src/test/java/brooklock/proxy/WatchEventOrderTest.java
@@ -26,8 +26,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Tests that the newest endpoint list is in force, in whichever order lists arrive on several
- * connections.
+ * Tests that the newest endpoint list is in force, regardless of the order in which lists arrive on
+ * several connections.
  */
 class WatchEventOrderTest {
     @TempDir Path dir;
@@ -107,7 +107,8 @@
     /**
      * A registry sends two lists on two connections, and the newer one may overtake the older. If
      * the last list to arrive were in force, a cache that is gone could receive requests until the
-     * next list. In each of a thousand repetitions, the newer list must be in force after both.
+     * next list. In each of a thousand repetitions, the newer list must be in force after both have
+     * arrived.
      */
     @Test
     void newerOfTwoListsOnTwoConnectionsIsInForce() throws Exception {
