--- a/src/main/java/brooklock/proxy/AccessFiles.java
+++ b/src/main/java/brooklock/proxy/AccessFiles.java
@@ -40,14 +40,12 @@
  */
 final class AccessFiles implements Closeable {
     private static final Logger LOG = LoggerFactory.getLogger("audit");
-    // A changed file is loaded by the first poll that finds it unchanged since the previous poll,
-    // and
-    // the same poll closes connections with a revoked certificate. A revocation therefore takes
-    // effect within half a second.
+    // A changed file is loaded by the first poll that finds it unchanged since the previous poll.
+    // The same poll closes connections with a revoked certificate, so a revocation takes effect
+    // within half a second.
     private static final long POLL_INTERVAL_MS = 200;
-    // Certificates expire without a change of any file, so open connections are also rechecked
-    // after
-    // this number of polls.
+    // Open connections are also rechecked after this number of polls, because certificates expire
+    // without a change of any file.
     private static final int POLLS_PER_EXPIRY_SWEEP = 5;
 
     private final List<WatchedFile<?>> watchedFiles = new ArrayList<>();
--- a/src/main/java/brooklock/proxy/Dispatcher.java
+++ b/src/main/java/brooklock/proxy/Dispatcher.java
@@ -24,8 +24,8 @@
  * thread.
  */
 public final class Dispatcher implements Closeable {
-    // Covers the entries for a request's arrival and end and for the events of its attempts, so
-    // that the open requests alone cannot fill the queue.
+    // A request occupies entries for its arrival, its end and the events of its attempts. This
+    // number covers them, so that the open requests alone cannot fill the queue.
     private static final int QUEUE_ENTRIES_PER_REQUEST = 4;
     private static final int MAX_CONTROL_CONNECTIONS = 64;
     private static final int LISTEN_BACKLOG = 1024;
--- a/src/main/java/brooklock/proxy/RecentPurges.java
+++ b/src/main/java/brooklock/proxy/RecentPurges.java
@@ -56,7 +56,10 @@
         return nowNs >= blockedUntilNs;
     }
 
-    /** Returns false if a tracked purge covers the object or its group. */
+    /**
+     * Returns whether prefetches of the object are allowed, which is not the case while a tracked
+     * purge covers the object or its group.
+     */
     boolean allowsPrefetchOf(long object, int group) {
         return !incompleteUntilNs.containsKey(objectKey(object))
                 && !incompleteUntilNs.containsKey(groupKey(group));
--- a/src/main/java/brooklock/proxy/RequestAdmission.java
+++ b/src/main/java/brooklock/proxy/RequestAdmission.java
@@ -174,7 +174,8 @@
         }
     }
 
-    // Runs on the routing thread. Returns false if the request exceeded a tenant limit.
+    // Runs on the routing thread. Returns false if the request was rejected because
+    // it exceeds one of its tenant's limits.
     private boolean admit(ProxyExchange exchange) {
         if (!tenantAdmission.tryAcquire(exchange)) {
             return false;
--- a/src/main/java/brooklock/proxy/RoutingThread.java
+++ b/src/main/java/brooklock/proxy/RoutingThread.java
@@ -295,9 +295,9 @@
         actions.clear();
     }
 
-    // Sets the flag before checking the queue, so that no entry is missed: a thread that enqueues
-    // an
-    // entry later sees the flag and unparks this thread, and an earlier entry is seen by the check.
+    // The flag is set before the queue is checked, so that no entry is missed: an entry enqueued
+    // before that is seen by the check, and a thread that enqueues an entry later sees the flag and
+    // unparks this thread.
     private void parkUntilDue() {
         SetTimer next = timers.peek();
         long parkNs =
--- a/src/main/java/brooklock/proxy/TraceReplay.java
+++ b/src/main/java/brooklock/proxy/TraceReplay.java
@@ -85,8 +85,7 @@
         return new Result(events, actions, difference);
     }
 
-    // Returns whether an unreadable line is the last one of several, and is therefore presumed to
-    // be
+    // Returns whether an unreadable line is the last one of several. It is then presumed to be
     // incomplete because the writer was killed. If the only line is unreadable, the file is not a
     // trace.
     private boolean isIncompleteLastLine() throws IOException {
