--- a/src/main/java/brooklock/proxy/MonotonicClock.java
+++ b/src/main/java/brooklock/proxy/MonotonicClock.java
@@ -8,9 +8,8 @@
  * clock has no effect.
  */
 public final class MonotonicClock {
-    // The time on this clock when it is created: one hour, so that events up to an hour earlier
-    // have
-    // a time above 0. The time 0 means "never".
+    // The time on this clock when it is created. Events up to one hour earlier still have a time
+    // above 0, which is necessary because the time 0 means "never".
     private static final long START_OFFSET_NS = 3600_000_000_000L;
 
     private final long originNs = System.nanoTime() - START_OFFSET_NS;
--- a/src/test/java/brooklock/proxy/StoredTraceTest.java
+++ b/src/test/java/brooklock/proxy/StoredTraceTest.java
@@ -17,7 +17,7 @@
  */
 class StoredTraceTest {
     /**
-     * The maximum number of characters removed from the end of the trace. They span several lines,
+     * The maximum number of characters removed from the end of the trace. These span several lines,
      * including actions that follow their event.
      */
     private static final int MAX_REMOVED_CHARS = 600;
