--- a/src/main/java/brooklock/proxy/Dispatcher.java
+++ b/src/main/java/brooklock/proxy/Dispatcher.java
@@ -24,8 +24,8 @@
  * thread.
  */
 public final class Dispatcher implements Closeable {
-    // Covers the entries for a request's arrival and end and for the events of its attempts, so
-    // that the open requests alone cannot fill the queue.
+    // A request occupies entries for its arrival, its end and the events of its attempts. This
+    // number covers them, so that the open requests alone cannot fill the queue.
     private static final int QUEUE_ENTRIES_PER_REQUEST = 4;
     private static final int MAX_CONTROL_CONNECTIONS = 64;
     private static final int LISTEN_BACKLOG = 1024;
@@ -204,12 +204,12 @@
         return controlListener.address();
     }
 
-    /** Returns the state page: counters and current load, one line an item. */
+    /** Returns the state page: counters and current load, with one line for each item. */
     public String statePage() {
         return statePage.render();
     }
 
-    /** Returns the number of requests without a final response or with open attempts. */
+    /** Returns the number of requests that lack a final response or have open attempts. */
     public int openRequests() {
         return capacity.openRequests();
     }
--- a/src/main/java/brooklock/proxy/RoutingThread.java
+++ b/src/main/java/brooklock/proxy/RoutingThread.java
@@ -295,8 +295,9 @@
         actions.clear();
     }
 
-    // A thread that enqueues after the flag is set sees the flag and unparks this thread. An entry
-    // that was enqueued before is seen by the check of the queue.
+    // The flag is set before the queue is checked, so that no entry is missed: an entry enqueued
+    // before that is seen by the check, and a thread that enqueues an entry later sees the flag and
+    // unparks this thread.
     private void parkUntilDue() {
         SetTimer next = timers.peek();
         long parkNs =
