--- a/src/main/java/brooklock/authorization/PolicyReader.java
+++ b/src/main/java/brooklock/authorization/PolicyReader.java
@@ -223,9 +223,13 @@
                     && mapping.key().equals(key)
                     && Objects.equals(mapping.value(), value)) {
                 throw new InvalidStatementException(
-                        "expected a name that is not mapped yet, but line "
+                        "expected a name that is not mapped yet but received the "
+                                + kindWord
+                                + " '"
+                                + key
+                                + "', which line "
                                 + mapping.line()
-                                + " maps it already");
+                                + " maps already");
             }
         }
         mappings.add(new Policy.Mapping(lineNumber, kind.get(), key, value, tenant.index()));
--- a/src/main/java/brooklock/cli/ServeCommand.java
+++ b/src/main/java/brooklock/cli/ServeCommand.java
@@ -35,8 +35,8 @@
             }
             Dispatcher dispatcher = Dispatcher.start(settings);
             Runtime.getRuntime().addShutdownHook(new Thread(() -> shutDown(dispatcher), "end"));
-            // Tells the process that started this one that the ports are open, and their numbers,
-            // which the system chooses where the settings say 0.
+            // Tells the process that started this one that the ports are open, and which they are:
+            // the system chooses the number of a port that the settings state as 0.
             System.out.println(
                     "listening "
                             + dispatcher.address().getPort()
--- a/src/main/java/brooklock/config/Settings.java
+++ b/src/main/java/brooklock/config/Settings.java
@@ -251,8 +251,8 @@
      * @param acrossZones whether caches may also fill from peers of other zones
      * @param peerLoadShare the share of a peer's spare capacity that all dispatchers together may
      *     use for fills from it
-     * @param warmCapacityPerS the number of requests of mean size per second that a warm cache can
-     *     process; 0 if not stated
+     * @param warmCapacityPerS the number of requests that a warm cache can process per second, if
+     *     they are of mean size; 0 if not stated
      * @param snapshotFile the file to which the learned state is saved; null if it is not saved
      */
     public record WarmingSettings(
--- a/src/main/java/brooklock/faulttest/TestFleet.java
+++ b/src/main/java/brooklock/faulttest/TestFleet.java
@@ -325,7 +325,7 @@
         return PurgeGroups.idOf(group);
     }
 
-    /** Kills a dispatcher and starts it again after {@code downtimeNs}, on a thread of its own. */
+    /** Kills a dispatcher now; a new thread starts it again after {@code downtimeNs}. */
     void killDispatcher(int index, long downtimeNs) {
         DispatcherRunner dispatcher = dispatchers.get(index);
         dispatcher.kill();
--- a/src/main/java/brooklock/net/HttpExchange.java
+++ b/src/main/java/brooklock/net/HttpExchange.java
@@ -87,10 +87,11 @@
     // ---- Request body
 
     /**
-     * Reads the whole body, whose size is bounded by the listener's limits. Called at most once.
+     * Reads the whole body, whose size is bounded by the listener's limits. Must be called at most
+     * once.
      *
-     * @param consumer receives the body; called with an empty array before this method returns if
-     *     there is no body
+     * @param consumer receives the body; if there is no body, it is called with an empty array
+     *     before this method returns
      */
     public void readBody(Consumer<byte[]> consumer) {
         if (!hasBody) {
--- a/src/main/java/brooklock/net/HttpServerConnection.java
+++ b/src/main/java/brooklock/net/HttpServerConnection.java
@@ -358,7 +358,8 @@
         try {
             channel.setOption(Options.CLOSE_ABORT, true);
         } catch (IOException e) {
-            // Close without a reset; a body with a length or in chunks is detectably incomplete.
+            // Closed without a reset. If the body has a length or is chunked, the client still
+            // detects that it is incomplete.
         }
         closeNow();
     }
--- a/src/main/java/brooklock/platform/ClientListener.java
+++ b/src/main/java/brooklock/platform/ClientListener.java
@@ -32,9 +32,9 @@
     private static final long SWEEP_INTERVAL_NS = 500_000_000L;
     // Maximum duration of a whole message, ns; longer than every deadline.
     private static final long MESSAGE_TIMEOUT_NS = 6_000_000_000L;
-    // The responses that clients have not read yet may occupy the heap size divided by this. If
-    // they occupy more, the connection with the most pending bytes is closed; otherwise the heap
-    // would fill up.
+    // All responses that clients have not read yet may together occupy at most the heap size
+    // divided by this. If they occupy more, the connection with the most pending bytes is closed;
+    // otherwise the heap would fill up.
     private static final int PENDING_WRITE_HEAP_DIVISOR = 4;
 
     /** Interval at which a shutdown closes connections that have become idle, ns. */
--- a/src/main/java/brooklock/platform/ConnectionOpener.java
+++ b/src/main/java/brooklock/platform/ConnectionOpener.java
@@ -17,9 +17,9 @@
  * attempts.
  */
 final class ConnectionOpener {
-    // A pending connection is slow after the connect timeout divided by this.
+    // A connection counts as slow once it is pending for the connect timeout divided by this.
     private static final int SLOW_CONNECT_DIVISOR = 8;
-    // A pending connection fails after the connect timeout multiplied by this.
+    // A connection fails once it is pending for the connect timeout multiplied by this.
     private static final int MAX_CONNECT_TIMEOUTS = 4;
 
     /** Receives the results of connecting. All methods are called on the I/O thread. */
--- a/src/main/java/brooklock/platform/DiscoveredEndpointTable.java
+++ b/src/main/java/brooklock/platform/DiscoveredEndpointTable.java
@@ -53,7 +53,7 @@
             return address;
         }
 
-        /** Returns the entry that the router has received for the endpoint. */
+        /** Returns the endpoint as the router represents it, as of the last list update. */
         Endpoint listing() {
             return listing;
         }
--- a/src/main/java/brooklock/platform/PendingClientRequestTable.java
+++ b/src/main/java/brooklock/platform/PendingClientRequestTable.java
@@ -11,8 +11,8 @@
     // Maximum number of open requests. A single core cannot serve as many within a deadline, so
     // further requests would only wait until they time out.
     private static final int MAX_PENDING_REQUESTS = 8192;
-    // The bodies of pending requests may occupy the heap size divided by this; larger bodies would
-    // leave too little memory for responses.
+    // All bodies of pending requests together may occupy at most the heap size divided by this;
+    // more would leave too little memory for responses.
     private static final int BODY_HEAP_DIVISOR = 8;
     private static final long NS_PER_MS = 1_000_000L;
 
--- a/src/main/java/brooklock/proxy/TraceCodec.java
+++ b/src/main/java/brooklock/proxy/TraceCodec.java
@@ -131,11 +131,14 @@
 
     private Object readRecord(Class<?> type) {
         String word = TraceVocabulary.wordOf(type);
-        if (!readWord().equals(word)) {
+        String received = readWord();
+        if (!received.equals(word)) {
             throw new TraceFormatException(
                     "expected a record that begins with '"
                             + word
-                            + "' but received another word, which ends before offset "
+                            + "' but received '"
+                            + received.substring(0, Math.min(40, received.length()))
+                            + "' before offset "
                             + position);
         }
         RecordComponent[] components = type.getRecordComponents();
--- a/src/main/java/brooklock/routing/EndpointHealth.java
+++ b/src/main/java/brooklock/routing/EndpointHealth.java
@@ -20,9 +20,9 @@
     int connectionFailures;
 
     /**
-     * The number of successive failures that left the endpoint ejected, up to the maximum number of
-     * doublings of the pause. The failure that ejects the endpoint is the first. Late failures of
-     * attempts sent before the ejection count like failed health checks.
+     * The number of successive failures after each of which the endpoint was ejected; it doubles
+     * the pause that often and is capped accordingly. The failure that ejects the endpoint counts
+     * as 1. Late failures of attempts sent before the ejection count like failed health checks.
      */
     int failuresWhileEjected;
 
--- a/src/main/java/brooklock/routing/FillAdmission.java
+++ b/src/main/java/brooklock/routing/FillAdmission.java
@@ -106,9 +106,9 @@
 
     /**
      * Updates the limits and miss ratios with an outcome. Two kinds of attempts are ignored,
-     * because they say nothing about a link: an attempt that never started, whose connection was
-     * late or failed, and an attempt that was cancelled before its latency objective, for example
-     * because its client disconnected.
+     * because they say nothing about a link: attempts that never started because their connection
+     * was late or failed; and attempts that were cancelled before their latency objective, for
+     * example because the client disconnected.
      */
     void onCompleted(
             PendingRequest request,
--- a/src/main/java/brooklock/routing/PendingRequest.java
+++ b/src/main/java/brooklock/routing/PendingRequest.java
@@ -16,7 +16,7 @@
 
     final RequestClass requestClass;
 
-    /** The demand for the requested object in the present interval. */
+    /** The demand for the object in the {@link HotList} interval of the request's acceptance. */
     final ObjectDemand demand;
 
     /** Whether the object was on the hot list when the request was accepted. */
--- a/src/main/java/brooklock/warming/CacheWarming.java
+++ b/src/main/java/brooklock/warming/CacheWarming.java
@@ -65,7 +65,7 @@
      */
     public record Prefetch<T>(long endpointId, long peerId, long object, int part, T request) {}
 
-    /** The result of a request for a part to a peer. */
+    /** The result of requesting a part from a peer. */
     public enum PeerResult {
         /** The peer held the part. */
         FILLED,
@@ -239,8 +239,8 @@
 
     /**
      * Returns the id of the peer from which a cache should first try to fill a missing part, or 0
-     * if the part is to be filled from its usual fill source. Acquires a permit of the peer, which
-     * {@link #onPeerUnused} returns.
+     * if the part is to be filled from its usual fill source. Acquires a permit of the peer; {@link
+     * #onPeerUnused} gives it back.
      */
     public long selectFillPeer(long endpointId, long object, int part, long nowNs) {
         CacheState cache = caches.find(endpointId);
--- a/src/main/java/brooklock/warming/PeerLoadLimit.java
+++ b/src/main/java/brooklock/warming/PeerLoadLimit.java
@@ -1,8 +1,8 @@
 package brooklock.warming;
 
 /**
- * Limits the load that warming other caches puts on one peer. The limit is this dispatcher's
- * portion of the share of the peer's free capacity that the settings allow, times an adaptive
+ * Limits the load that warming other caches puts on one peer. The settings allow a share of the
+ * peer's free capacity; the limit is this dispatcher's portion of that share, times an adaptive
  * fraction. The fraction grows while the peer reports free capacity, and is cut, down to 0, when
  * the peer's own clients need the capacity. All dispatchers together therefore stay below the
  * allowed share, regardless of their number and of what the peer reports. Not thread-safe.
--- a/src/main/java/brooklock/warming/SlowStartRamp.java
+++ b/src/main/java/brooklock/warming/SlowStartRamp.java
@@ -1,8 +1,8 @@
 package brooklock.warming;
 
 /**
- * Computes the share of its load that one cache receives while it warms up, from {@link #MIN_SHARE}
- * to 1.
+ * Computes the share of its load that one cache receives while it warms up. The share is never
+ * below {@link #MIN_SHARE} and never above 1.
  *
  * <p>The share starts at 1, which stands for the full load that the router's own slow start allows.
  * It is adjusted by the cache's load reports and by signs of overload that this dispatcher
--- a/src/main/java/brooklock/warming/WarmingLimits.java
+++ b/src/main/java/brooklock/warming/WarmingLimits.java
@@ -80,7 +80,7 @@
     }
 
     /**
-     * Returns the share of its full capacity that a cache has at least at the given age.
+     * Returns the minimum share of its full capacity that a cache has at the given age.
      *
      * @param ageNs time since the cache's start, in ns
      */
--- a/src/test/java/brooklock/membership/MembershipTest.java
+++ b/src/test/java/brooklock/membership/MembershipTest.java
@@ -89,8 +89,8 @@
         }
     }
 
-    // An operator drains an endpoint for maintenance, which the registry does not know. If the
-    // registry's next list withdrew the override, requests would be sent to the endpoint during the
+    // An operator drains an endpoint for maintenance. The registry does not know about the drain.
+    // If its next list withdrew the override, requests would be sent to the endpoint during the
     // maintenance.
     @Test
     @DisplayName("an override restricts one endpoint until an operator withdraws it")
--- a/src/test/java/brooklock/membership/SavedEndpointListSampleTest.java
+++ b/src/test/java/brooklock/membership/SavedEndpointListSampleTest.java
@@ -72,8 +72,8 @@
         assertEquals(EndpointState.GONE, stateOf(membership, "p1"));
     }
 
-    // No source names the endpoint of the override any more; it was in force only as a removed
-    // endpoint.
+    // The saved list has an override for an endpoint that no source names any more. When the list
+    // was saved, the endpoint was in force only as a removed one.
     @Test
     @DisplayName("an override of an endpoint that no source names is dropped")
     void overrideWithoutEndpoint() throws IOException {
--- a/src/test/java/brooklock/proxy/RetrySafetyTest.java
+++ b/src/test/java/brooklock/proxy/RetrySafetyTest.java
@@ -125,7 +125,8 @@
     }
 
     // Sends one response on the first connection and closes it. Sends one response on the second
-    // connection, then reads another request and closes the connection without a response.
+    // connection, then reads another request and closes the connection without a response. Counts
+    // a request on a third connection, which would mean that a request was sent again.
     private static void serveScriptedConnections(
             ServerSocket server, AtomicInteger completeRequests) {
         String ok = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
--- a/src/test/java/brooklock/proxy/RoutingThreadTest.java
+++ b/src/test/java/brooklock/proxy/RoutingThreadTest.java
@@ -21,8 +21,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Tests which entries the routing thread processes, in which order, and how it handles exceptions
- * of the router.
+ * Tests which entries of its queue the routing thread processes, in which order, and how it handles
+ * exceptions that the router throws.
  */
 class RoutingThreadTest {
     private static final int CAPACITY = 64;
--- a/src/test/java/brooklock/proxy/WarmingCoordinatorTest.java
+++ b/src/test/java/brooklock/proxy/WarmingCoordinatorTest.java
@@ -219,8 +219,8 @@
         try (LoopbackFleet fleet = fleetWithOneColdCache("warming zone share 1\n")) {
             long endNs = System.nanoTime() + 15_000 * LoopbackFleet.NS_PER_MS;
             try (Socket socket = fleet.connect()) {
-                // Prefetches require load reports, which responses to clients carry, so the
-                // requests continue. A recorded prefetch contains no client's request ID.
+                // Prefetches require load reports, which only responses carry. Requests are sent
+                // until a prefetch is recorded, which is a request without a client's request ID.
                 while (System.nanoTime() - endNs < 0 && !isPrefetchRecorded(fleet)) {
                     requestAllObjects(socket, 1);
                 }
--- a/src/test/java/brooklock/warming/PeerSelectionTest.java
+++ b/src/test/java/brooklock/warming/PeerSelectionTest.java
@@ -40,8 +40,8 @@
     }
 
     // A cache restarts without its copies. If all its misses were sent to the parent, they would
-    // overload it. The peer that served the parts meanwhile holds them, but must keep enough
-    // capacity for its own clients.
+    // overload it. The peer that served the parts while the cache was down holds them, but must
+    // keep enough capacity for its own clients.
     @Test
     @DisplayName("a miss is filled from the next peer by hash while that peer has capacity")
     void nearestPeerWithCapacity() {
--- a/src/test/java/brooklock/warming/SummedLoadPropertyTest.java
+++ b/src/test/java/brooklock/warming/SummedLoadPropertyTest.java
@@ -67,8 +67,8 @@
                         (4 + random.nextInt(12)) * SECONDS,
                         multiple,
                         1500 * MILLIS);
-        // Clients send requests from the start on, or all at once after the dispatchers were idle
-        // for some time.
+        // Clients send requests from the start, or all clients begin at the same moment after the
+        // dispatchers have been idle for some time.
         long requestsFrom =
                 random.nextBoolean()
                         ? START
